--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -61,7 +61,7 @@
 	ReadUpTo func() time.Time
 	Store    coord.Store
 	Prefix   string
-	Orders   owner.Orders
+	Orders   owner.OrderSender
 	Workers  *workers.Directory
 	Config   func() *routing.Config
 	Hub      *peerlink.Hub
@@ -168,7 +168,7 @@
 // step does what is due. It returns false once the tenure is over.
 func (t *tenancy) step(now time.Time) bool {
 	authority := t.tenure.Until()
-	if now.After(authority.Add(t.Times.StaleRenewals)) {
+	if now.After(authority.Add(t.Times.RenewalGrace)) {
 		return false
 	}
 	if !t.Hub.Leading() {
@@ -177,7 +177,7 @@
 	renewOnly := now.After(authority)
 	t.Hub.SetDoubtful(renewOnly)
 	t.Hub.SetDeaf(t.deaf(now))
-	t.Hub.SetLimit(authority.Add(t.Times.StaleRenewals))
+	t.Hub.SetLimit(authority.Add(t.Times.RenewalGrace))
 	if !renewOnly {
 		t.ensure()
 		t.appoint(now)
@@ -191,7 +191,7 @@
 			t.plan(now, of)
 			t.store(of)
 		}
-		of.book.SetMandates(t.Hub.Mandates(of.name))
+		of.book.SetDelegations(t.Hub.Mandates(of.name))
 		for _, order := range of.book.Due(now, renewOnly) {
 			go t.send(of, order)
 		}
@@ -241,7 +241,7 @@
 	}
 	t.Metrics.answered(of.name, order, reply.Outcome, clock.Since(began))
 	if reply.Leaving && t.Leaving != nil {
-		t.Leaving(workers.Life{ID: order.Target.ID, Born: order.Target.Born})
+		t.Leaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
 	}
 	select {
 	case t.answers <- answer{of: of, order: order, reply: reply}:
@@ -250,7 +250,7 @@
 }
 
 func (t *tenancy) answered(done answer) {
-	done.of.book.Answered(clock.Now(), done.order, done.reply)
+	done.of.book.HandleReply(clock.Now(), done.order, done.reply)
 	if done.reply.Outcome != owner.OutcomeDone {
 		t.Log.Line(decision.KindOrderFailed).Str("service", string(done.of.name)).
 			Str("worker", string(done.order.Target.ID)).Bool("release", done.order.Release).
@@ -266,7 +266,7 @@
 		return
 	}
 	of.nextGauge = now.Add(gaugeEvery)
-	t.Metrics.book(of.name, of.book.Spans(), of.book.HoldLeft(now))
+	t.Metrics.book(of.name, of.book.SpanCount(), of.book.MinHoldRemaining(now))
 }
 
 // publish tells the routers of changed owners.
@@ -275,10 +275,10 @@
 		of.publishedHolds = version
 		t.Hub.PublishHolds(of.name, version, of.book.Holds())
 	}
-	if of.book.Shape() == of.published {
+	if of.book.AssignmentVersion() == of.published {
 		return
 	}
-	of.published = of.book.Shape()
+	of.published = of.book.AssignmentVersion()
 	owners := of.book.Assignment()
 	t.Table.Replace(t.tenure.Leader.Term, of.name, owners)
 	t.Hub.Publish(of.name, owners)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -37,7 +37,7 @@
 	return owner.Reply{Outcome: owner.OutcomeDone, Leaving: to.ID == o.leaving}
 }
 
-func (o *obeying) Release(context.Context, owner.Target, owner.Keys, owner.Fence) owner.Reply {
+func (o *obeying) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
 	return owner.Reply{Outcome: owner.OutcomeDone, Handover: "h"}
 }
 
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -29,7 +29,7 @@
 }
 
 // tellMove counts a planned move and writes a line.
-func (t *tenancy) tellMove(now time.Time, of *service, one owner.Moved) {
+func (t *tenancy) tellMove(now time.Time, of *service, one owner.Move) {
 	if !one.Forced {
 		of.moved(now)
 	}
@@ -37,7 +37,7 @@
 	t.Log.Line(decision.KindMoved).Str("service", string(of.name)).Int("from", one.Keys.From).Int("to", one.Keys.To).
 		Str("old", string(one.From)).Str("worker", string(one.To)).Bool("forced", one.Forced).
 		Float64("rate", one.Rate).Float64("old_load", one.FromLoad).Float64("load", one.ToLoad).
-		Float64("capacity", t.capacity(now, of, one.To)).Uint64("change", of.book.Change()).Msg("")
+		Float64("capacity", t.capacity(now, of, one.To)).Uint64("change", of.book.RecordVersion()).Msg("")
 }
 
 // first deals the keys out once the list of workers stands still.
@@ -46,7 +46,7 @@
 	if len(candidates) == 0 || !settled {
 		return
 	}
-	owners := owner.First(candidates, t.places(of))
+	owners := owner.InitialOwners(candidates, t.places(of))
 	if owners == nil {
 		return
 	}
@@ -57,11 +57,11 @@
 // rules are what the configuration allows, as far as loads are known and moves are
 // left.
 func (t *tenancy) rules(now time.Time, of *service) owner.Rules {
-	rules := owner.Rules{Places: t.places(of), Balance: of.loads.Settled(now), Moves: math.MaxInt}
+	rules := owner.Rules{Placement: t.places(of), Balance: of.loads.Ready(now), MaxMoves: math.MaxInt}
 	if described := t.described(of); described != nil {
 		rules.ChurnWeight = described.ChurnWeight
 		if described.MovesPerMinute > 0 {
-			rules.Moves = max(0, described.MovesPerMinute-of.movesSince(now.Add(-time.Minute)))
+			rules.MaxMoves = max(0, described.MovesPerMinute-of.movesSince(now.Add(-time.Minute)))
 		}
 	}
 	return rules
@@ -77,18 +77,18 @@
 
 // places returns where the service's keys may be held: where all routes to it must be served in
 // some regions, only there, since an owner elsewhere could not be asked.
-func (t *tenancy) places(of *service) []owner.Place {
+func (t *tenancy) places(of *service) []owner.PlacementRule {
 	config := t.Config()
 	if config == nil || config.Services[of.name] == nil {
 		return nil
 	}
 	described := config.Services[of.name]
-	places := make([]owner.Place, 0, len(described.Places))
+	places := make([]owner.PlacementRule, 0, len(described.Places))
 	for _, one := range described.Places {
-		places = append(places, owner.Place{Keys: owner.Keys{From: one.From, To: one.To}, Zones: one.Zones})
+		places = append(places, owner.PlacementRule{Keys: owner.KeyRange{From: one.From, To: one.To}, Zones: one.Zones})
 	}
 	if regions, bound := config.RegionsOf(of.name); bound && t.Regions.Regions() > 1 {
-		return owner.Within(places, t.zones(regions))
+		return owner.RestrictToZones(places, t.zones(regions))
 	}
 	return places
 }
--- a/internal/keeper/record.go
+++ b/internal/keeper/record.go
@@ -42,7 +42,7 @@
 // take begins to keep a service whose record was read.
 func (t *tenancy) take(done loaded) {
 	of := t.services[done.name]
-	book := owner.NewBook(t.Times, t.tenure.Leader.Term)
+	book := owner.NewLedger(t.Times, t.tenure.Leader.Term)
 	if done.recorded && !done.rebuilt {
 		if err := book.Load(clock.Now(), done.item.Value, t.until); err != nil {
 			t.Log.Line(decision.KindRecord).Str("service", string(done.name)).Err(err).
@@ -79,8 +79,8 @@
 
 // store writes the record if it has changed.
 func (t *tenancy) store(of *service) {
-	change := of.book.Change()
-	if of.writing || change == of.book.StoredChange() {
+	change := of.book.RecordVersion()
+	if of.writing || change == of.book.StoredVersion() {
 		return
 	}
 	mark := t.Nonce()
@@ -128,7 +128,7 @@
 	for t.ctx.Err() == nil {
 		item, found, err := t.Store.Get(t.ctx, key)
 		if err == nil {
-			return item.Revision, !found || owner.DecodeWrite(item.Value) != mark
+			return item.Revision, !found || owner.DecodeWriteID(item.Value) != mark
 		}
 		select {
 		case <-time.After(loadPause):
@@ -146,5 +146,5 @@
 		return
 	}
 	done.of.revision = done.revision
-	done.of.book.Stored(done.change)
+	done.of.book.MarkStored(done.change)
 }
--- a/internal/keeper/regioncut_test.go
+++ b/internal/keeper/regioncut_test.go
@@ -72,7 +72,7 @@
 	return h.reply(holder, lost)
 }
 
-func (h *holding) Release(ctx context.Context, to owner.Target, keys owner.Keys, fence owner.Fence) owner.Reply {
+func (h *holding) Release(ctx context.Context, to owner.Target, keys owner.KeyRange, fence owner.Fence) owner.Reply {
 	holder, lost := h.reach(to.ID)
 	if holder != nil {
 		_ = holder.Release(ctx, ownership.Keys{From: keys.From, To: keys.To}, int64(fence))
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -26,7 +26,7 @@
 // service is one keyed service under the keeper.
 type service struct {
 	name      routing.ServiceName
-	book      *owner.Book // nil until loaded
+	book      *owner.Ledger // nil until loaded
 	loads     *owner.Loads
 	published uint64
 	// publishedHolds is the version of the holds that standbys were told.
@@ -106,7 +106,7 @@
 	}
 	of.seen = version
 	for _, worker := range list {
-		if !of.book.Began(now, worker.Life(), worker.Address) {
+		if !of.book.ObserveIncarnation(now, worker.Life(), worker.Address) {
 			continue
 		}
 		delete(of.work, worker.ID)
@@ -130,7 +130,7 @@
 		}
 		candidates = append(candidates, t.candidate(now, of, worker))
 	}
-	for _, holder := range of.book.Holders() {
+	for _, holder := range of.book.OwnerTargets() {
 		if t.mayComeBack(now, of, holder.ID) {
 			lapsed := workers.Worker{ID: holder.ID, Address: holder.Address, Slots: usualSlots(list)}
 			candidates = append(candidates, t.candidate(now, of, lapsed))
--- a/internal/keeper/suspend_test.go
+++ b/internal/keeper/suspend_test.go
@@ -45,7 +45,7 @@
 	play(t, func(b *bench) {
 		t1 := &tenancy{Keeper: b.keeper, ctx: b.t.Context(), answers: make(chan answer, 2)}
 		of := newService("s")
-		order := owner.Order{Grant: owner.Grant{Keys: owner.Keys{From: 0, To: 9}, Fence: 1, Hold: time.Second}, Target: owner.Target{ID: "w1"}}
+		order := owner.Order{Grant: owner.Grant{Keys: owner.KeyRange{From: 0, To: 9}, Fence: 1, Hold: time.Second}, Target: owner.Target{ID: "w1"}}
 		t1.refreshed = func() time.Duration { return 0 }
 		t1.send(of, order)
 		assert.Equal(t, (<-t1.answers).reply.Outcome, owner.OutcomeDone)
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -71,7 +71,7 @@
 	// Whole says that Owners are all that the keys Within have, or all keys if that is nil; else
 	// they are those of some keys, and the others stay.
 	Whole  bool
-	Within *owner.Keys
+	Within *owner.KeyRange
 	// Part says that more is to come until the table is as of Version.
 	Part bool
 	// Owners are in the order of their keys.
@@ -98,14 +98,14 @@
 	case !c.Whole:
 		return overlay(owners, runsOf(c.Owners), c.Owners)
 	case c.Within != nil:
-		return overlay(owners, []owner.Keys{*c.Within}, c.Owners)
+		return overlay(owners, []owner.KeyRange{*c.Within}, c.Owners)
 	}
 	return slices.Clone(c.Owners)
 }
 
 // runsOf returns the keys of owners.
-func runsOf(owners []owner.Owner) []owner.Keys {
-	runs := make([]owner.Keys, 0, len(owners))
+func runsOf(owners []owner.Owner) []owner.KeyRange {
+	runs := make([]owner.KeyRange, 0, len(owners))
 	for _, one := range owners {
 		runs = append(runs, one.Keys)
 	}
@@ -114,7 +114,7 @@
 
 // overlay returns the owners with some runs of keys taken from them, and others given those that
 // change. All are in the order of their keys. It passes over each once, however many change.
-func overlay(owners []owner.Owner, taken []owner.Keys, changes []owner.Owner) []owner.Owner {
+func overlay(owners []owner.Owner, taken []owner.KeyRange, changes []owner.Owner) []owner.Owner {
 	merged := make([]owner.Owner, 0, len(owners)+2*len(changes))
 	next := 0
 	add := func(one owner.Owner) {
@@ -145,12 +145,12 @@
 
 // withKeys returns an owner with other keys.
 func withKeys(of owner.Owner, from, to int) owner.Owner {
-	of.Keys = owner.Keys{From: from, To: to}
+	of.Keys = owner.KeyRange{From: from, To: to}
 	return of
 }
 
 // Within returns the owners of some keys, each run cut at their ends.
-func Within(owners []owner.Owner, keys owner.Keys) []owner.Owner {
+func Within(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
 	var within []owner.Owner
 	for _, one := range owners {
 		from, to := max(one.Keys.From, keys.From), min(one.Keys.To, keys.To)
@@ -213,7 +213,7 @@
 				index++
 			}
 			if index == len(before) {
-				changes = appendChange(changes, now, owner.Keys{From: from, To: now.Keys.To})
+				changes = appendChange(changes, now, owner.KeyRange{From: from, To: now.Keys.To})
 				break
 			}
 			to := min(now.Keys.To, before[index].Keys.To)
@@ -222,7 +222,7 @@
 				if old.Keys.From > from {
 					to = min(to, old.Keys.From-1)
 				}
-				changes = appendChange(changes, now, owner.Keys{From: from, To: to})
+				changes = appendChange(changes, now, owner.KeyRange{From: from, To: to})
 			}
 			from = to + 1
 		}
@@ -230,7 +230,7 @@
 	return changes
 }
 
-func appendChange(changes []owner.Owner, now owner.Owner, keys owner.Keys) []owner.Owner {
+func appendChange(changes []owner.Owner, now owner.Owner, keys owner.KeyRange) []owner.Owner {
 	if last := len(changes) - 1; last >= 0 && changes[last].Keys.To+1 == keys.From &&
 		changes[last].Worker == now.Worker && changes[last].Moving == now.Moving {
 		changes[last].Keys.To = keys.To
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -26,7 +26,7 @@
 		}
 		worker := workers.ID(fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(t, label+" worker")))
 		owners = append(owners, owner.Owner{
-			Keys: owner.Keys{From: from, To: key - 1}, Worker: worker, Address: string(worker),
+			Keys: owner.KeyRange{From: from, To: key - 1}, Worker: worker, Address: string(worker),
 			Moving: rapid.Bool().Draw(t, label+" moving"),
 		})
 		from = key
@@ -63,7 +63,7 @@
 
 func TestWordsOfAnEarlierLeaderArePassedOver(t *testing.T) {
 	whole := func(worker workers.ID) []owner.Owner {
-		return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: worker}}
+		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: worker}}
 	}
 	table := New()
 	table.Replace(3, "s", whole("new"))
@@ -80,7 +80,7 @@
 // or less.
 func TestAnOlderWordOverAnotherWayChangesNothing(t *testing.T) {
 	run := func(from, to int, worker workers.ID) []owner.Owner {
-		return []owner.Owner{{Keys: owner.Keys{From: from, To: to}, Worker: worker}}
+		return []owner.Owner{{Keys: owner.KeyRange{From: from, To: to}, Worker: worker}}
 	}
 	for name, test := range map[string]struct {
 		change Change
@@ -113,7 +113,7 @@
 		table.Apply("s", Change{Term: 1, Version: 4, Whole: true, Owners: before})
 		next := 0
 		for next < owner.KeyCount {
-			keys := owner.Keys{From: next, To: min(owner.KeyCount-1, next+rapid.IntRange(0, owner.KeyCount).Draw(t, "piece"))}
+			keys := owner.KeyRange{From: next, To: min(owner.KeyCount-1, next+rapid.IntRange(0, owner.KeyCount).Draw(t, "piece"))}
 			next = keys.To + 1
 			table.Apply("s", Change{
 				Term: 1, Version: 9, Whole: true, Within: &keys, Part: next < owner.KeyCount, Owners: Within(after, keys),
@@ -138,7 +138,7 @@
 func BenchmarkManyChanges(b *testing.B) {
 	var owners []owner.Owner
 	for from := 0; from < owner.KeyCount; from += 16 {
-		owners = append(owners, owner.Owner{Keys: owner.Keys{From: from, To: from + 15}, Worker: "a"})
+		owners = append(owners, owner.Owner{Keys: owner.KeyRange{From: from, To: from + 15}, Worker: "a"})
 	}
 	changes := make([]owner.Owner, 0, len(owners)/8)
 	for index := 0; index < len(owners); index += 8 {
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -54,7 +54,7 @@
 	{
 		name: "answer-of-the-life-before-believed",
 		file: "internal/owner/dispatch.go",
-		old:  "\torder.overtaken = order.Target.Born != b.lives[order.Target.ID]",
+		old:  "\torder.overtaken = order.Target.Incarnation != b.lives[order.Target.ID]",
 		new:  "\torder.overtaken = false",
 		pkg:  "./internal/owner", test: "TestEveryOrderOfEvents",
 	},
@@ -68,7 +68,7 @@
 	{
 		name: "standby-renews-another-life",
 		file: "internal/owner/standby.go",
-		old:  "one.Target.ID == life.ID && one.Target.Born != life.Born &&",
+		old:  "one.Target.ID == life.ID && one.Target.Incarnation != life.Born &&",
 		new:  "false &&",
 		pkg:  "./internal/owner", test: "TestAStandbyRenewsNothingOfAnotherLife",
 	},
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -33,8 +33,8 @@
 	{
 		name: "standby-goes-on-under-a-higher-fence",
 		file: "internal/owner/standby.go",
-		old:  "\tcase OutcomeFenced, OutcomeOther, OutcomeInvalid:",
-		new:  "\tcase OutcomeOther, OutcomeInvalid:",
+		old:  "\tcase OutcomeFenced, OutcomeOtherWorker, OutcomeInvalid:",
+		new:  "\tcase OutcomeOtherWorker, OutcomeInvalid:",
 		pkg:  "./internal/owner", test: "TestStandbyRenewsOnlyWhatItMay",
 	},
 	{
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -109,10 +109,10 @@
 	term := owner.Term(1)
 	_, err := election.New(store, prefix, "10.0.0.1:82", "p1", func() string { return "n" }).Campaign(t.Context(), 0)
 	assert.NilError(t, err)
-	book := owner.NewBook(owner.DefaultConfig(time.Second), term)
+	book := owner.NewLedger(owner.DefaultConfig(time.Second), term)
 	book.Assign(time.Now(), []owner.Owner{
-		{Keys: owner.Keys{From: 0, To: 9}, Worker: "w1", Address: "10.0.0.7:1"},
-		{Keys: owner.Keys{From: 10, To: owner.KeyCount - 1}, Worker: "w2", Address: "10.0.0.8:1"},
+		{Keys: owner.KeyRange{From: 0, To: 9}, Worker: "w1", Address: "10.0.0.7:1"},
+		{Keys: owner.KeyRange{From: 10, To: owner.KeyCount - 1}, Worker: "w2", Address: "10.0.0.8:1"},
 	})
 	value, err := book.Encode(term, "mark")
 	assert.NilError(t, err)
--- a/internal/owner/balance.go
+++ b/internal/owner/balance.go
@@ -10,7 +10,7 @@
 func (p *plan) balance() int {
 	moves := 0
 	stuck := map[workers.ID]bool{}
-	for moves < min(maxMoves, p.rules.Moves) {
+	for moves < min(maxMoves, p.rules.MaxMoves) {
 		from, found := p.busiest(stuck)
 		to, other := p.idlestFor(from)
 		if !found || !other {
@@ -26,7 +26,7 @@
 			moves++
 			continue
 		}
-		keys, ok := Keys{}, false
+		keys, ok := KeyRange{}, false
 		if want > 0 {
 			keys, ok = p.choose(from, to, want)
 		}
@@ -55,8 +55,8 @@
 // idlestFor returns the candidate with the least load of those that may hold any
 // keys of another.
 func (p *plan) idlestFor(from workers.ID) (workers.ID, bool) {
-	if len(p.rules.Places) == 0 {
-		return p.idlest(from, Keys{0, KeyCount - 1})
+	if len(p.rules.Placement) == 0 {
+		return p.idlest(from, KeyRange{0, KeyCount - 1})
 	}
 	var best workers.ID
 	found := false
@@ -74,20 +74,20 @@
 // hoist finds a key that alone is much of a worker's load, and the worker that
 // it would load least. Keys can't be divided, so such a key belongs on a fast
 // worker, from which the others are then moved.
-func (p *plan) hoist(from workers.ID) (Keys, workers.ID, bool) {
+func (p *plan) hoist(from workers.ID) (KeyRange, workers.ID, bool) {
 	key, rate, found := p.hottest(from)
 	if !found || rate < aloneShare*p.usualCapacity(from) {
-		return Keys{}, "", false
+		return KeyRange{}, "", false
 	}
 	best, least := from, loss(p.utilization(from))-leastGain
 	for id, candidate := range p.candidates {
 		others := min(p.loads[id], shedShare*p.loads[id]+shedLeast)
 		after := loss((others + rate) / max(candidate.Capacity, 1))
-		if id != from && p.takes(id, Keys{key, key}) && (after < least || (after == least && id < best)) {
+		if id != from && p.takes(id, KeyRange{key, key}) && (after < least || (after == least && id < best)) {
 			best, least = id, after
 		}
 	}
-	return Keys{key, key}, best, best != from
+	return KeyRange{key, key}, best, best != from
 }
 
 // usualCapacity is a worker's capacity, or that of the candidates if it is limited: few of its keys
@@ -144,13 +144,13 @@
 
 // choose finds the run of keys of one worker whose move to another comes
 // closest to the wanted load at the least cost.
-func (p *plan) choose(from, to workers.ID, want float64) (Keys, bool) {
-	best, bestCost := Keys{}, worstCost
+func (p *plan) choose(from, to workers.ID, want float64) (KeyRange, bool) {
+	best, bestCost := KeyRange{}, worstCost
 	for index, one := range p.book.spans {
 		if one.owner != from || one.busy || !one.settled() || !p.takes(to, one.keys) {
 			continue
 		}
-		consider := func(keys Keys) {
+		consider := func(keys KeyRange) {
 			if cost := p.cost(index, one, keys, to, want); cost < bestCost {
 				best, bestCost = keys, cost
 			}
@@ -162,7 +162,7 @@
 
 // eachRun offers the whole of a span, and its runs that start at each key asked
 // for and end before their load would be too much.
-func (p *plan) eachRun(keys Keys, want float64, consider func(Keys)) {
+func (p *plan) eachRun(keys KeyRange, want float64, consider func(KeyRange)) {
 	first, last := p.places(keys)
 	if p.rate(keys) <= want {
 		consider(keys)
@@ -176,13 +176,13 @@
 		if end == start {
 			continue // one key alone is too much
 		}
-		run := Keys{p.rates[start].Key, p.rates[end-1].Key}
+		run := KeyRange{p.rates[start].Key, p.rates[end-1].Key}
 		consider(run)
 		if start == first {
-			consider(Keys{keys.From, run.To})
+			consider(KeyRange{keys.From, run.To})
 		}
 		if end == last {
-			consider(Keys{run.From, keys.To})
+			consider(KeyRange{run.From, keys.To})
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	return max(1, p.utilization(from))
 }
 
-func (p *plan) cost(index int, of *span, keys Keys, to workers.ID, want float64) float64 {
+func (p *plan) cost(index int, of *span, keys KeyRange, to workers.ID, want float64) float64 {
 	cost := math.Abs(want-p.rate(keys)) / want
 	cost += widthCost * (1 + churnFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.urgency(of.owner)
 	if keys.From > of.keys.From {
--- a/internal/owner/book.go
+++ b/internal/owner/book.go
@@ -7,8 +7,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Book holds who has which keys of one service.
-type Book struct {
+// Ledger tracks which worker owns which keys of one service.
+type Ledger struct {
 	config    Config
 	fence     Fence
 	spans     []*span
@@ -33,12 +33,12 @@
 	// holdsVersion counts changes of what is held or of its fences.
 	holdsVersion uint64
 	// mandates are what standbys may renew on their own.
-	mandates []Mandate
+	mandates []Delegation
 }
 
-// NewBook returns a book without owners.
-func NewBook(config Config, term Term) *Book {
-	return &Book{
+// NewLedger returns a book without owners.
+func NewLedger(config Config, term Term) *Ledger {
+	return &Ledger{
 		config:     config,
 		fence:      term.FirstFence(),
 		addresses:  map[workers.ID]string{},
@@ -49,25 +49,25 @@
 	}
 }
 
-func (b *Book) nextFence() Fence {
+func (b *Ledger) nextFence() Fence {
 	b.fence++
 	return b.fence
 }
 
 // Empty reports whether no key has an owner.
-func (b *Book) Empty() bool { return len(b.spans) == 0 }
+func (b *Ledger) Empty() bool { return len(b.spans) == 0 }
 
 // Change returns the count of changes of owners.
-func (b *Book) Change() uint64 { return b.change }
+func (b *Ledger) RecordVersion() uint64 { return b.change }
 
 // Stored tells that all changes up to this one are kept safe.
-func (b *Book) Stored(change uint64) { b.stored = max(b.stored, change) }
+func (b *Ledger) MarkStored(change uint64) { b.stored = max(b.stored, change) }
 
 // Shape changes whenever Assignment would differ.
-func (b *Book) Shape() uint64 { return b.shape }
+func (b *Ledger) AssignmentVersion() uint64 { return b.shape }
 
 // Assign gives all keys their first owners.
-func (b *Book) Assign(now time.Time, owners []Owner) {
+func (b *Ledger) Assign(now time.Time, owners []Owner) {
 	b.change++
 	b.shape++
 	b.holdsVersion++
@@ -82,7 +82,7 @@
 
 // Move gives keys, which must be inside one span that is not busy, to another
 // worker.
-func (b *Book) Move(keys Keys, to workers.ID, address string) {
+func (b *Ledger) Move(keys KeyRange, to workers.ID, address string) {
 	moved := b.cut(keys)
 	if moved == nil || moved.destination() == to {
 		return
@@ -93,7 +93,7 @@
 }
 
 // begin begins a move that is stored: the keys are no longer the old owner's.
-func (b *Book) begin(now time.Time, moved *span) {
+func (b *Ledger) begin(now time.Time, moved *span) {
 	to := moved.planned.to
 	b.shape++
 	if to == moved.owner { // planned away and back
@@ -136,7 +136,7 @@
 }
 
 // formerOf returns what the owner of keys is once they are given on.
-func (b *Book) formerOf(of *span) former {
+func (b *Ledger) formerOf(of *span) former {
 	old := former{
 		worker: of.owner, until: b.holdBound(of), lateUntil: of.takenUntil,
 		forgottenUntil: later(of.forgottenUntil, of.takenUntil),
@@ -148,7 +148,7 @@
 }
 
 // holdBound is when the owner's hold surely ends.
-func (b *Book) holdBound(of *span) time.Time {
+func (b *Ledger) holdBound(of *span) time.Time {
 	if of.doubtful && of.lateUntil.After(of.heldUntil) {
 		return of.lateUntil
 	}
@@ -156,7 +156,7 @@
 }
 
 // Assignment returns the owners as requests should find them.
-func (b *Book) Assignment() []Owner {
+func (b *Ledger) Assignment() []Owner {
 	owners := make([]Owner, 0, len(b.spans))
 	for _, one := range b.spans {
 		next := Owner{Keys: one.keys, Worker: one.owner, Address: b.addresses[one.owner], Moving: !one.granted}
@@ -174,11 +174,11 @@
 }
 
 // Spans returns how many runs of keys there are.
-func (b *Book) Spans() int { return len(b.spans) }
+func (b *Ledger) SpanCount() int { return len(b.spans) }
 
 // HoldLeft returns the shortest time for which an owner that holds keys goes on
 // holding them without another renewal; zero if none does.
-func (b *Book) HoldLeft(now time.Time) time.Duration {
+func (b *Ledger) MinHoldRemaining(now time.Time) time.Duration {
 	least := time.Duration(0)
 	for _, one := range b.spans {
 		if left := one.surelyUntil.Sub(now); one.held() && (least == 0 || left < least) {
@@ -189,10 +189,10 @@
 }
 
 // StoredChange returns the last change that is kept safe.
-func (b *Book) StoredChange() uint64 { return b.stored }
+func (b *Ledger) StoredVersion() uint64 { return b.stored }
 
 // Holders returns the workers that own keys or shall own them.
-func (b *Book) Holders() []Target {
+func (b *Ledger) OwnerTargets() []Target {
 	seen := map[workers.ID]bool{}
 	var holders []Target
 	for _, one := range b.spans {
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -10,7 +10,7 @@
 // Order is one call that the book wants to be made.
 type Order struct {
 	Target  Target
-	Keys    Keys
+	Keys    KeyRange
 	Fence   Fence
 	Release bool
 	Grant   Grant
@@ -23,7 +23,7 @@
 
 // Due returns the orders to send now. renewOnly allows nothing but renewals of
 // what is already held.
-func (b *Book) Due(now time.Time, renewOnly bool) []Order {
+func (b *Ledger) Due(now time.Time, renewOnly bool) []Order {
 	var due []Order
 	for _, one := range b.spans {
 		if one.busy {
@@ -46,7 +46,7 @@
 	return due
 }
 
-func (b *Book) dueFor(now time.Time, one *span, renewOnly bool) (Order, bool) {
+func (b *Ledger) dueFor(now time.Time, one *span, renewOnly bool) (Order, bool) {
 	if renewOnly && !one.held() {
 		return Order{}, false
 	}
@@ -92,8 +92,8 @@
 }
 
 // Answered takes the end of an order.
-func (b *Book) Answered(now time.Time, order Order, reply Reply) {
-	order.overtaken = order.Target.Born != b.lives[order.Target.ID]
+func (b *Ledger) HandleReply(now time.Time, order Order, reply Reply) {
+	order.overtaken = order.Target.Incarnation != b.lives[order.Target.ID]
 	if !order.overtaken {
 		b.note(now, order, reply.Outcome)
 	}
@@ -117,7 +117,7 @@
 }
 
 // note learns whether a worker answers, and whether orders come late.
-func (b *Book) note(now time.Time, order Order, outcome Outcome) {
+func (b *Ledger) note(now time.Time, order Order, outcome Outcome) {
 	worker := order.Target.ID
 	switch outcome {
 	case OutcomeUnanswered:
@@ -127,10 +127,10 @@
 		b.fails(now, worker)
 	case OutcomeUnreachable:
 		b.fails(now, worker)
-	case OutcomeOther:
+	case OutcomeOtherWorker:
 		b.ended[worker] = true
 	default:
-		if failed, had := b.unanswered[worker]; had && now.Sub(failed) < b.config.LateOrder {
+		if failed, had := b.unanswered[worker]; had && now.Sub(failed) < b.config.MaxOrderDelay {
 			b.lateSeen = now
 		}
 		delete(b.unanswered, worker)
@@ -147,7 +147,7 @@
 // failing, so that it is tried again.
 const failureMemory = 3 * time.Second
 
-func (b *Book) fails(now time.Time, worker workers.ID) {
+func (b *Ledger) fails(now time.Time, worker workers.ID) {
 	run, failing := b.failing[worker]
 	if !failing || now.Sub(run.last) > failureMemory {
 		run.since = now
@@ -171,13 +171,13 @@
 }
 
 // lateOrders reports whether orders are taken late these days.
-func (b *Book) lateOrders(now time.Time) bool {
-	return !b.lateSeen.IsZero() && now.Sub(b.lateSeen) < 2*b.config.LateOrder
+func (b *Ledger) lateOrders(now time.Time) bool {
+	return !b.lateSeen.IsZero() && now.Sub(b.lateSeen) < 2*b.config.MaxOrderDelay
 }
 
-func (b *Book) released(now time.Time, one *span, order Order, reply Reply) {
+func (b *Ledger) released(now time.Time, one *span, order Order, reply Reply) {
 	switch reply.Outcome {
-	case OutcomeDone, OutcomeOther:
+	case OutcomeDone, OutcomeOtherWorker:
 		if order.overtaken {
 			one.next = now
 			return
@@ -194,15 +194,15 @@
 		}
 		one.next = now
 	default:
-		one.next = now.Add(b.config.RetryOrder)
+		one.next = now.Add(b.config.RetryDelay)
 		if len(one.formers) > 1 {
 			one.formers = append(one.formers[1:], one.formers[0])
 		}
 	}
 }
 
-func (b *Book) granted(now time.Time, one *span, order Order, reply Reply) {
-	bound := b.config.HoldBound()
+func (b *Ledger) granted(now time.Time, one *span, order Order, reply Reply) {
+	bound := b.config.MaxHold()
 	switch reply.Outcome {
 	case OutcomeDone:
 		if !one.granted {
@@ -224,31 +224,31 @@
 		}
 		one.handover = ""
 		one.surelyUntil = order.sentAt.Add(b.config.Hold)
-		one.next = order.sentAt.Add(b.config.Renew)
+		one.next = order.sentAt.Add(b.config.RenewInterval)
 	case OutcomeFenced:
 		// Another leader has given the keys, or this one's own fence is behind.
 		one.fence = b.nextFence()
 		b.holdsVersion++
-		one.next = now.Add(b.config.RetryOrder)
+		one.next = now.Add(b.config.RetryDelay)
 	case OutcomeUnanswered:
 		one.doubtful = true
 		one.doubtFence = order.Fence
-		one.takenUntil = now.Add(b.config.LateOrder)
+		one.takenUntil = now.Add(b.config.MaxOrderDelay)
 		one.heldUntil = later(one.heldUntil, now.Add(bound))
 		if b.lateOrders(now) {
-			one.lateUntil = later(one.lateUntil, now.Add(b.config.LateOrder+bound))
+			one.lateUntil = later(one.lateUntil, now.Add(b.config.MaxOrderDelay+bound))
 		}
-		one.next = now.Add(b.config.RetryOrder)
-	case OutcomeUnreachable, OutcomeOther:
+		one.next = now.Add(b.config.RetryDelay)
+	case OutcomeUnreachable, OutcomeOtherWorker:
 		one.unsure = true
-		one.next = now.Add(b.config.RetryOrder)
+		one.next = now.Add(b.config.RetryDelay)
 	case OutcomeInvalid:
-		one.next = now.Add(b.config.RetryOrder)
+		one.next = now.Add(b.config.RetryDelay)
 	}
 }
 
 // Failing reports whether all orders to a worker have failed for some time.
-func (b *Book) Failing(now time.Time, worker workers.ID, after time.Duration) bool {
+func (b *Ledger) Failing(now time.Time, worker workers.ID, after time.Duration) bool {
 	run, failing := b.failing[worker]
 	return b.ended[worker] || (failing && now.Sub(run.since) > after && now.Sub(run.last) < failureMemory)
 }
--- a/internal/owner/dispatch_test.go
+++ b/internal/owner/dispatch_test.go
@@ -8,7 +8,7 @@
 )
 
 // grantDue returns the book's one order that is due.
-func grantDue(t *testing.T, book *Book, now time.Time) Order {
+func grantDue(t *testing.T, book *Ledger, now time.Time) Order {
 	t.Helper()
 	due := book.Due(now, false)
 	assert.Equal(t, len(due), 1)
@@ -23,28 +23,28 @@
 		10 * time.Millisecond: false, 600 * time.Millisecond: true, 4 * time.Second: false,
 	} {
 		now := time.Unix(1000, 0)
-		book := NewBook(DefaultConfig(10*time.Second), 1)
-		book.Assign(now, First(fleet(1, 30), nil))
-		book.Stored(book.Change())
+		book := NewLedger(DefaultConfig(10*time.Second), 1)
+		book.Assign(now, InitialOwners(fleet(1, 30), nil))
+		book.MarkStored(book.RecordVersion())
 		lost := grantDue(t, book, now)
 		now = now.Add(after)
-		book.Answered(now, lost, Reply{Outcome: OutcomeUnanswered})
+		book.HandleReply(now, lost, Reply{Outcome: OutcomeUnanswered})
 		now = now.Add(time.Second)
-		book.Answered(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
+		book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
 		assert.Equal(t, book.lateOrders(now), late, "%v", after)
 	}
 }
 
 func TestAnOutwaitedOwnerIsToldTheNewFence(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := fleet(2, 30)
-	book.Assign(now, First(candidates[:1], nil))
-	book.Stored(book.Change())
+	book.Assign(now, InitialOwners(candidates[:1], nil))
+	book.MarkStored(book.RecordVersion())
 	lost := grantDue(t, book, now)
-	book.Answered(now, lost, Reply{Outcome: OutcomeUnanswered})
-	book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	book.Stored(book.Change())
+	book.HandleReply(now, lost, Reply{Outcome: OutcomeUnanswered})
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	book.MarkStored(book.RecordVersion())
 	now = now.Add(10 * time.Second) // the hold has surely ended
 	due := book.Due(now, false)
 	assert.Equal(t, len(due), 2, "the grant to the new owner, and a release to the old one")
@@ -59,14 +59,14 @@
 func TestAFencedLeaderPausesBeforeItTriesAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	config := DefaultConfig(10 * time.Second)
-	book := NewBook(config, 1)
-	book.Assign(now, First(fleet(1, 30), nil))
-	book.Stored(book.Change())
+	book := NewLedger(config, 1)
+	book.Assign(now, InitialOwners(fleet(1, 30), nil))
+	book.MarkStored(book.RecordVersion())
 	due := book.Due(now, false)
 	assert.Equal(t, len(due), 1)
-	book.Answered(now, due[0], Reply{Outcome: OutcomeFenced})
+	book.HandleReply(now, due[0], Reply{Outcome: OutcomeFenced})
 	assert.Equal(t, len(book.Due(now, false)), 0)
-	again := book.Due(now.Add(config.RetryOrder), false)
+	again := book.Due(now.Add(config.RetryDelay), false)
 	assert.Equal(t, len(again), 1)
 	assert.Assert(t, again[0].Fence > due[0].Fence)
 }
@@ -79,26 +79,26 @@
 	now := time.Unix(1000, 0)
 	config := DefaultConfig(10 * time.Second)
 	candidates := fleet(2, 30)
-	before := NewBook(config, 1)
-	before.Assign(now, First(candidates[:1], nil))
+	before := NewLedger(config, 1)
+	before.Assign(now, InitialOwners(candidates[:1], nil))
 	value, err := before.Encode(1, "")
 	assert.NilError(t, err)
-	book := NewBook(config, 2)
-	assert.NilError(t, book.Load(now, value, now.Add(config.StaleRenewals+config.HoldBound())))
-	book.Stored(book.Change())
+	book := NewLedger(config, 2)
+	assert.NilError(t, book.Load(now, value, now.Add(config.RenewalGrace+config.MaxHold())))
+	book.MarkStored(book.RecordVersion())
 	renewal := grantDue(t, book, now)
 	assert.Assert(t, renewal.Fence >= Term(2).FirstFence())
-	book.Answered(now, renewal, Reply{Outcome: OutcomeDone})
-	book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	book.Stored(book.Change())
-	ended := now.Add(config.HoldBound())
+	book.HandleReply(now, renewal, Reply{Outcome: OutcomeDone})
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	book.MarkStored(book.RecordVersion())
+	ended := now.Add(config.MaxHold())
 	for at := now; at.Before(ended); at = at.Add(100 * time.Millisecond) {
 		for _, order := range book.Due(at, false) {
 			assert.Assert(t, order.Release, "the old owner may hold them still")
-			book.Answered(at, order, Reply{Outcome: OutcomeUnreachable})
+			book.HandleReply(at, order, Reply{Outcome: OutcomeUnreachable})
 		}
 	}
-	given := grantDue(t, book, ended.Add(config.RetryOrder))
+	given := grantDue(t, book, ended.Add(config.RetryDelay))
 	assert.Equal(t, given.Target.ID, candidates[1].ID)
 	assert.Assert(t, !given.Release)
 }
--- a/internal/owner/doubt.go
+++ b/internal/owner/doubt.go
@@ -12,7 +12,7 @@
 // reached, and again if it starts again meanwhile: a new life has seen no fence.
 type doubt struct {
 	worker workers.ID
-	keys   Keys
+	keys   KeyRange
 	fence  Fence
 	until  time.Time
 	next   time.Time
@@ -23,7 +23,7 @@
 
 // addDoubt remembers a former holder that was outwaited, not released; false if nothing is in
 // doubt.
-func (b *Book) addDoubt(now time.Time, old former, of *span) bool {
+func (b *Ledger) addDoubt(now time.Time, old former, of *span) bool {
 	if !now.Before(old.lateUntil) {
 		return false
 	}
@@ -35,7 +35,7 @@
 
 // addToldDoubt remembers a former holder that refuses what it may be sent late, unless it starts
 // again.
-func (b *Book) addToldDoubt(now time.Time, old former, of *span) {
+func (b *Ledger) addToldDoubt(now time.Time, old former, of *span) {
 	if !b.tellsLives(old.worker) || !now.Before(old.forgottenUntil) {
 		return
 	}
@@ -46,7 +46,7 @@
 // dropDoubts forgets doubts about a worker that gets the keys again: the grant
 // itself has a higher fence, and a release would take them away. It returns until when
 // the worker may take what is in doubt; zero if nothing is.
-func (b *Book) dropDoubts(worker workers.ID, keys Keys) time.Time {
+func (b *Ledger) dropDoubts(worker workers.ID, keys KeyRange) time.Time {
 	until := time.Time{}
 	var rest []*doubt
 	b.doubts = slices.DeleteFunc(b.doubts, func(one *doubt) bool {
@@ -62,9 +62,9 @@
 }
 
 // beside returns the doubts about the keys that are not among others.
-func (d *doubt) beside(keys Keys) []*doubt {
+func (d *doubt) beside(keys KeyRange) []*doubt {
 	var parts []*doubt
-	for _, part := range []Keys{{d.keys.From, keys.From - 1}, {keys.To + 1, d.keys.To}} {
+	for _, part := range []KeyRange{{d.keys.From, keys.From - 1}, {keys.To + 1, d.keys.To}} {
 		if part.From <= part.To {
 			parts = append(parts, &doubt{worker: d.worker, keys: part, fence: d.fence, until: d.until, next: d.next, told: d.told})
 		}
@@ -73,7 +73,7 @@
 }
 
 // dueDoubts returns the releases that raise fences at workers in doubt.
-func (b *Book) dueDoubts(now time.Time) []Order {
+func (b *Ledger) dueDoubts(now time.Time) []Order {
 	b.doubts = slices.DeleteFunc(b.doubts, func(one *doubt) bool {
 		return !one.busy && (now.After(one.until) || (b.ended[one.worker] && !b.tellsLives(one.worker)))
 	})
@@ -92,11 +92,11 @@
 }
 
 // doubted takes the end of such a release.
-func (b *Book) doubted(now time.Time, order Order, reply Reply) {
+func (b *Ledger) doubted(now time.Time, order Order, reply Reply) {
 	one := order.doubt
 	one.busy = false
-	one.next = now.Add(b.config.RetryOrder)
-	if (reply.Outcome == OutcomeDone || reply.Outcome == OutcomeOther) && !order.overtaken {
+	one.next = now.Add(b.config.RetryDelay)
+	if (reply.Outcome == OutcomeDone || reply.Outcome == OutcomeOtherWorker) && !order.overtaken {
 		one.told = true
 		if !b.tellsLives(one.worker) {
 			one.until = time.Time{} // it does not start again under its ID
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -4,29 +4,29 @@
 
 // Hold is a run of keys that a worker holds under a fence.
 type Hold struct {
-	Keys   Keys
+	Keys   KeyRange
 	Target Target
 	Fence  Fence
 }
 
 // Mandate is the leave of a standby to renew what it knows to be held, should it
 // lose the leader.
-type Mandate struct {
+type Delegation struct {
 	// Heard is the version of the holds that the standby surely knows. Newer ones
 	// may be under way.
-	Heard uint64
+	KnownVersion uint64
 	// Until is when the leave ends at the latest.
 	Until time.Time
 	// Renewed is when it may last have sent a renewal; zero if it never lost the
 	// leader.
-	Renewed time.Time
+	LastRenewal time.Time
 }
 
 // HoldsVersion changes whenever Holds would differ in what may be renewed.
-func (b *Book) HoldsVersion() uint64 { return b.holdsVersion }
+func (b *Ledger) HoldsVersion() uint64 { return b.holdsVersion }
 
 // Holds lists what is held, so that a standby can renew it.
-func (b *Book) Holds() []Hold {
+func (b *Ledger) Holds() []Hold {
 	holds := make([]Hold, 0, len(b.spans))
 	for _, one := range b.spans {
 		if !one.held() {
@@ -45,14 +45,14 @@
 
 // SetMandates tells the book what standbys may do. A hold that a standby may still
 // renew is outwaited longer.
-func (b *Book) SetMandates(mandates []Mandate) { b.mandates = mandates }
+func (b *Ledger) SetDelegations(mandates []Delegation) { b.mandates = mandates }
 
 // renewedUntil returns until when a standby may renew a hold that was given up with a
 // version of the holds; zero if none may.
-func (b *Book) renewedUntil(version uint64) time.Time {
+func (b *Ledger) renewedUntil(version uint64) time.Time {
 	until := time.Time{}
 	for _, one := range b.mandates {
-		if one.Heard < version {
+		if one.KnownVersion < version {
 			until = later(until, one.Until)
 		}
 	}
@@ -60,21 +60,21 @@
 }
 
 // outwaited reports whether a former owner's hold has surely ended by time alone.
-func (b *Book) outwaited(now time.Time, old former) bool {
+func (b *Ledger) outwaited(now time.Time, old former) bool {
 	if !now.After(old.until) {
 		return false
 	}
 	renewed := b.renewedUntil(old.version)
-	return renewed.IsZero() || now.After(renewed.Add(b.config.HoldBound()))
+	return renewed.IsZero() || now.After(renewed.Add(b.config.MaxHold()))
 }
 
 // lateUntil returns until when a former owner may take a grant that had no answer,
 // the leader's or a standby's; zero if there is none.
-func (b *Book) lateUntil(old former) time.Time {
+func (b *Ledger) lateUntil(old former) time.Time {
 	until := old.lateUntil
 	for _, one := range b.mandates {
-		if !one.Renewed.IsZero() {
-			until = later(until, one.Renewed.Add(b.config.LateOrder))
+		if !one.LastRenewal.IsZero() {
+			until = later(until, one.LastRenewal.Add(b.config.MaxOrderDelay))
 		}
 	}
 	return until
--- a/internal/owner/life.go
+++ b/internal/owner/life.go
@@ -15,7 +15,7 @@
 // fence is told again, since a life has seen none of the fences of the one before.
 //
 // It reports whether the worker has started again.
-func (b *Book) Began(now time.Time, life workers.Life, address string) bool {
+func (b *Ledger) ObserveIncarnation(now time.Time, life workers.Life, address string) bool {
 	before, known := b.lives[life.ID]
 	if life.Born == 0 || before == life.Born {
 		return false
@@ -44,7 +44,7 @@
 
 // ownerBegan takes the keys of a worker that started again to be held by nobody yet. A former
 // owner is asked at once for what its new life may have been given.
-func (b *Book) ownerBegan(now time.Time, one *span, worker workers.ID) {
+func (b *Ledger) ownerBegan(now time.Time, one *span, worker workers.ID) {
 	for _, old := range one.formers {
 		if old.worker == worker {
 			one.next = now
@@ -63,9 +63,9 @@
 }
 
 // tellsLives reports whether a worker says when it began. Others start under another ID.
-func (b *Book) tellsLives(id workers.ID) bool { return b.lives[id] != 0 }
+func (b *Ledger) tellsLives(id workers.ID) bool { return b.lives[id] != 0 }
 
 // target returns where a worker's orders go.
-func (b *Book) target(id workers.ID) Target {
-	return Target{ID: id, Address: b.addresses[id], Born: b.lives[id]}
+func (b *Ledger) target(id workers.ID) Target {
+	return Target{ID: id, Address: b.addresses[id], Incarnation: b.lives[id]}
 }
--- a/internal/owner/life_test.go
+++ b/internal/owner/life_test.go
@@ -10,20 +10,20 @@
 )
 
 // bornBook returns a book of one owner that holds all keys in its first life.
-func bornBook(t *testing.T, now time.Time) (*Book, []Candidate) {
+func bornBook(t *testing.T, now time.Time) (*Ledger, []Candidate) {
 	t.Helper()
-	book := NewBook(DefaultConfig(10*time.Second), 1)
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := fleet(2, 30)
 	for _, one := range candidates {
-		book.Began(now, workers.Life{ID: one.ID, Born: 1}, one.Address)
+		book.ObserveIncarnation(now, workers.Life{ID: one.ID, Born: 1}, one.Address)
 	}
-	book.Assign(now, First(candidates[:1], nil))
-	book.Stored(book.Change())
+	book.Assign(now, InitialOwners(candidates[:1], nil))
+	book.MarkStored(book.RecordVersion())
 	return book, candidates
 }
 
-func (b *Book) beganAgain(now time.Time, one Candidate) bool {
-	return b.Began(now, workers.Life{ID: one.ID, Born: 2}, one.Address)
+func (b *Ledger) beganAgain(now time.Time, one Candidate) bool {
+	return b.ObserveIncarnation(now, workers.Life{ID: one.ID, Born: 2}, one.Address)
 }
 
 // Keys that were granted to the first life were believed to be held by the second until the next
@@ -32,17 +32,17 @@
 	now := time.Unix(1000, 0)
 	book, candidates := bornBook(t, now)
 	first := grantDue(t, book, now)
-	book.Answered(now, first, Reply{Outcome: OutcomeDone})
+	book.HandleReply(now, first, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !book.Assignment()[0].Moving)
-	assert.Assert(t, !book.Began(now, workers.Life{ID: candidates[0].ID, Born: 1}, candidates[0].Address))
-	assert.Assert(t, !book.Began(now, workers.Life{ID: candidates[0].ID}, candidates[0].Address), "it says nothing of its start")
+	assert.Assert(t, !book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 1}, candidates[0].Address))
+	assert.Assert(t, !book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID}, candidates[0].Address), "it says nothing of its start")
 	assert.Assert(t, book.beganAgain(now, candidates[0]))
 	assert.Assert(t, book.Assignment()[0].Moving)
 	assert.Equal(t, len(book.Holds()), 0, "no standby may renew them")
 	again := grantDue(t, book, now)
 	assert.Assert(t, again.Fence > first.Fence)
-	assert.Equal(t, again.Target.Born, workers.Born(2))
-	book.Answered(now, again, Reply{Outcome: OutcomeDone})
+	assert.Equal(t, again.Target.Incarnation, workers.Born(2))
+	book.HandleReply(now, again, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !book.Assignment()[0].Moving)
 }
 
@@ -52,18 +52,18 @@
 	book, candidates := bornBook(t, now)
 	under := grantDue(t, book, now)
 	assert.Assert(t, book.beganAgain(now, candidates[0]))
-	book.Answered(now, under, Reply{Outcome: OutcomeDone})
+	book.HandleReply(now, under, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, book.Assignment()[0].Moving)
-	again := grantDue(t, book, now.Add(book.config.RetryOrder))
+	again := grantDue(t, book, now.Add(book.config.RetryDelay))
 	assert.Assert(t, again.Fence > under.Fence)
 
-	book.Answered(now, again, Reply{Outcome: OutcomeDone})
-	book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	book.Stored(book.Change())
+	book.HandleReply(now, again, Reply{Outcome: OutcomeDone})
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	book.MarkStored(book.RecordVersion())
 	release := grantDue(t, book, now.Add(time.Second))
 	assert.Assert(t, release.Release)
-	book.Began(now, workers.Life{ID: candidates[0].ID, Born: 3}, candidates[0].Address)
-	book.Answered(now, release, Reply{Outcome: OutcomeDone})
+	book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 3}, candidates[0].Address)
+	book.HandleReply(now, release, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, grantDue(t, book, now.Add(time.Second)).Release, "the third life may have been renewed")
 }
 
@@ -82,15 +82,15 @@
 			start := time.Unix(1000, 0)
 			book, candidates := bornBook(t, start)
 			late := grantDue(t, book, start)
-			book.Answered(start, late, Reply{Outcome: OutcomeUnanswered})
-			now := start.Add(book.config.RetryOrder)
-			book.Answered(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
-			book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-			book.Stored(book.Change())
-			book.Answered(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
+			book.HandleReply(start, late, Reply{Outcome: OutcomeUnanswered})
+			now := start.Add(book.config.RetryDelay)
+			book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
+			book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+			book.MarkStored(book.RecordVersion())
+			book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeDone})
 			given := grantDue(t, book, now)
 			assert.Equal(t, given.Target.ID, candidates[1].ID)
-			book.Answered(now, given, Reply{Outcome: OutcomeDone})
+			book.HandleReply(now, given, Reply{Outcome: OutcomeDone})
 
 			now = start.Add(test.after)
 			_ = book.Due(now, false) // a renewal
@@ -99,7 +99,7 @@
 			assert.Equal(t, len(due) == 1, test.told)
 			if test.told {
 				assert.Assert(t, due[0].Release)
-				assert.Equal(t, due[0].Target, Target{ID: candidates[0].ID, Address: candidates[0].Address, Born: 2})
+				assert.Equal(t, due[0].Target, Target{ID: candidates[0].ID, Address: candidates[0].Address, Incarnation: 2})
 				assert.Equal(t, due[0].Fence, given.Fence)
 			}
 		})
@@ -112,13 +112,13 @@
 	now := time.Unix(1000, 0)
 	book, _ := bornBook(t, now)
 	first := grantDue(t, book, now)
-	book.Answered(now, first, Reply{Outcome: OutcomeDone})
-	now = now.Add(book.config.Renew)
+	book.HandleReply(now, first, Reply{Outcome: OutcomeDone})
+	now = now.Add(book.config.RenewInterval)
 	var raised Fence
 	for range 3 {
 		failed := grantDue(t, book, now)
-		book.Answered(now, failed, Reply{Outcome: OutcomeUnreachable})
-		now = now.Add(book.config.RetryOrder)
+		book.HandleReply(now, failed, Reply{Outcome: OutcomeUnreachable})
+		now = now.Add(book.config.RetryDelay)
 		if failed.Fence > first.Fence {
 			assert.Assert(t, raised == 0 || raised == failed.Fence, "once is enough")
 			raised = failed.Fence
@@ -131,9 +131,9 @@
 func TestAnotherLifeOfAnEndedWorkerIsGivenKeysWhereItIs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	book, candidates := bornBook(t, now)
-	book.Answered(now, grantDue(t, book, now), Reply{Outcome: OutcomeOther})
+	book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeOtherWorker})
 	assert.Assert(t, book.Failing(now, candidates[0].ID, time.Second))
-	book.Began(now, workers.Life{ID: candidates[0].ID, Born: 2}, "elsewhere:1")
+	book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 2}, "elsewhere:1")
 	assert.Assert(t, !book.Failing(now, candidates[0].ID, time.Second))
 	assert.Equal(t, grantDue(t, book, now.Add(time.Second)).Target.Address, "elsewhere:1")
 	assert.Equal(t, book.Assignment()[0].Address, "elsewhere:1")
@@ -153,10 +153,10 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			standby := NewStandby(DefaultConfig(10 * time.Second))
-			hold := Hold{Keys: Keys{0, 9}, Target: Target{ID: "w", Address: "a", Born: test.told}, Fence: 7}
-			standby.Tell(1, 1, []Hold{hold}, now.Add(time.Minute))
-			standby.Lost()
-			standby.Began(workers.Life{ID: "w", Born: test.announced})
+			hold := Hold{Keys: KeyRange{0, 9}, Target: Target{ID: "w", Address: "a", Incarnation: test.told}, Fence: 7}
+			standby.SetHolds(1, 1, []Hold{hold}, now.Add(time.Minute))
+			standby.LeaderLost()
+			standby.ObserveIncarnation(workers.Life{ID: "w", Born: test.announced})
 			assert.Equal(t, len(standby.Due(now)) == 1, test.renews)
 		})
 	}
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -61,7 +61,7 @@
 
 // Settled reports whether the loads were measured for long enough to move keys by
 // them.
-func (l *Loads) Settled(now time.Time) bool { return now.Sub(l.start) >= settleTime }
+func (l *Loads) Ready(now time.Time) bool { return now.Sub(l.start) >= settleTime }
 
 // Add takes counts of requests for keys.
 func (l *Loads) Add(now time.Time, counts map[int]int) {
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -55,16 +55,16 @@
 	start := time.Unix(1000, 0)
 	loads := NewLoads(start)
 	candidates := fleet(4, 30)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(start, First(candidates, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(start, InitialOwners(candidates, nil))
 	settle(book, start)
 	now := ask(loads, start, time.Second, 7, 40)
-	rules := Rules{Balance: loads.Settled(now), Moves: maxMoves}
+	rules := Rules{Balance: loads.Ready(now), MaxMoves: maxMoves}
 	assert.Equal(t, len(book.Plan(candidates, loads.Rates(now), rules)), 0)
 	moved := book.Plan(candidates[1:], loads.Rates(now), rules)
 	assert.Assert(t, len(moved) > 0, "a lost worker's keys move at once")
 	for _, one := range moved {
 		assert.Assert(t, one.Forced)
 	}
-	assert.Assert(t, loads.Settled(start.Add(settleTime)))
+	assert.Assert(t, loads.Ready(start.Add(settleTime)))
 }
--- a/internal/owner/model_explore_test.go
+++ b/internal/owner/model_explore_test.go
@@ -40,15 +40,15 @@
 			fmt.Fprintf(&text, "%s %d %s %s %v|", one.worker, one.fence, at(one.until), at(one.next), one.busy)
 			fmt.Fprintf(&text, "%v|", one.told)
 		}
-		fmt.Fprintf(&text, "%s|", at(one.book.lateSeen.Add(2*modelConfig.LateOrder)))
+		fmt.Fprintf(&text, "%s|", at(one.book.lateSeen.Add(2*modelConfig.MaxOrderDelay)))
 	}
-	fmt.Fprintf(&text, "%d %d %d %s %s %d|", m.standby.term, m.standby.mandate.Heard, m.standby.pure.term,
-		at(m.standby.mandate.Until), at(m.standby.mandate.Renewed.Add(modelConfig.LateOrder)), m.standby.pure.version)
+	fmt.Fprintf(&text, "%d %d %d %s %s %d|", m.standby.term, m.standby.mandate.KnownVersion, m.standby.pure.term,
+		at(m.standby.mandate.Until), at(m.standby.mandate.LastRenewal.Add(modelConfig.MaxOrderDelay)), m.standby.pure.version)
 	for _, one := range m.standby.pure.holds {
 		fmt.Fprintf(&text, "%s %d %v|", one.Target.ID, one.Fence, one.busy)
 	}
 	for _, one := range m.orders {
-		fmt.Fprintf(&text, "%d %d|", one.order.Target.Born, one.born)
+		fmt.Fprintf(&text, "%d %d|", one.order.Target.Incarnation, one.born)
 		fmt.Fprintf(&text, "%s %v %d %v %v %d %s|", one.order.Target.ID, one.order.Release, one.order.Fence, one.late, one.cut, one.leader, at(one.until))
 	}
 	text.Write(m.record)
--- a/internal/owner/model_standby_test.go
+++ b/internal/owner/model_standby_test.go
@@ -8,7 +8,7 @@
 // modelStandby renews holds on its own. The leader of a term knows its leave.
 type modelStandby struct {
 	pure    *Standby
-	mandate Mandate
+	mandate Delegation
 	term    Term
 }
 
@@ -20,7 +20,7 @@
 	var list []string
 	if m.bounds.tellings > 0 {
 		for index, one := range m.leaders {
-			if !one.dead && !m.now.After(one.authority.Add(modelConfig.StaleRenewals)) {
+			if !one.dead && !m.now.After(one.authority.Add(modelConfig.RenewalGrace)) {
 				list = append(list, fmt.Sprintf("tell-standby %d", index))
 			}
 		}
@@ -38,18 +38,18 @@
 
 // tellStandby is what a leader does for a standby that it reaches.
 func (m *model) tellStandby(from *modelLeader) {
-	until := from.authority.Add(modelConfig.StaleRenewals)
-	m.standby.pure.Tell(from.term, from.book.HoldsVersion(), from.book.Holds(), until)
+	until := from.authority.Add(modelConfig.RenewalGrace)
+	m.standby.pure.SetHolds(from.term, from.book.HoldsVersion(), from.book.Holds(), until)
 	if m.standby.pure.term != from.term {
 		return // it was asked to stop
 	}
-	renewed := m.standby.mandate.Renewed
+	renewed := m.standby.mandate.LastRenewal
 	if m.standby.term != from.term {
 		renewed = time.Time{}
 	}
 	m.standby.term = from.term
-	m.standby.mandate = Mandate{Heard: from.book.HoldsVersion(), Until: until, Renewed: renewed}
-	from.book.SetMandates([]Mandate{m.standby.mandate})
+	m.standby.mandate = Delegation{KnownVersion: from.book.HoldsVersion(), Until: until, LastRenewal: renewed}
+	from.book.SetDelegations([]Delegation{m.standby.mandate})
 }
 
 // renewByStandby sends a renewal whenever the standby may, lost leader or not.
@@ -59,11 +59,11 @@
 	grant := Grant{Keys: one.Keys, Fence: one.Fence, Hold: modelConfig.Hold}
 	renewal := Renewal{Target: one.Target, Grant: grant, sentAt: m.now, hold: one}
 	order := Order{Target: one.Target, Keys: one.Keys, Fence: one.Fence, Grant: grant, sentAt: m.now}
-	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, born: one.Target.Born})
-	m.standby.mandate.Renewed = m.now
+	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, born: one.Target.Incarnation})
+	m.standby.mandate.LastRenewal = m.now
 	for _, leader := range m.leaders {
 		if leader.term == m.standby.term {
-			leader.book.SetMandates([]Mandate{m.standby.mandate})
+			leader.book.SetDelegations([]Delegation{m.standby.mandate})
 		}
 	}
 }
@@ -74,5 +74,5 @@
 	for _, one := range m.leaders {
 		one.dead = true
 	}
-	m.standby.pure.Stop(Term(len(m.leaders) + 1))
+	m.standby.pure.Revoke(Term(len(m.leaders) + 1))
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -23,11 +23,11 @@
 // modelConfig has times of a few ticks.
 var modelConfig = Config{
 	Hold:          2 * modelTick,
-	Renew:         modelTick,
+	RenewInterval: modelTick,
 	ClockSlack:    0.5,
-	LateOrder:     3 * modelTick,
-	StaleRenewals: 2 * modelTick,
-	RetryOrder:    modelTick,
+	MaxOrderDelay: 3 * modelTick,
+	RenewalGrace:  2 * modelTick,
+	RetryDelay:    modelTick,
 }
 
 const modelLease = 2 * modelTick
@@ -85,7 +85,7 @@
 }
 
 type modelLeader struct {
-	book      *Book
+	book      *Ledger
 	term      Term
 	authority time.Time
 	// cutOff leaders no longer reach the store.
@@ -123,10 +123,10 @@
 	}
 	m.elect(0)
 	book := m.leaders[0].book
-	book.Assign(m.now, []Owner{{Keys: Keys{0, KeyCount - 1}, Worker: m.holders[0].id, Address: "a"}})
+	book.Assign(m.now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: m.holders[0].id, Address: "a"}})
 	value, _ := book.Encode(1, "")
 	m.record = value
-	book.Stored(book.Change())
+	book.MarkStored(book.RecordVersion())
 	m.drive()
 	return m
 }
@@ -203,7 +203,7 @@
 	case "late":
 		m.bounds.lates--
 		one := m.orders[index]
-		one.late, one.until, one.cut = true, m.now.Add(modelConfig.LateOrder), m.holder(one.order.Target.ID).cut
+		one.late, one.until, one.cut = true, m.now.Add(modelConfig.MaxOrderDelay), m.holder(one.order.Target.ID).cut
 		m.tell(one, Reply{Outcome: OutcomeUnanswered})
 	case "taken-late":
 		one := m.orders[index]
@@ -232,7 +232,7 @@
 		m.renewByStandby()
 	case "elect":
 		m.bounds.leaders--
-		m.elect(modelConfig.StaleRenewals)
+		m.elect(modelConfig.RenewalGrace)
 	case "elect-after-asking":
 		m.bounds.leaders--
 		m.bounds.asks--
@@ -276,11 +276,11 @@
 
 func (m *model) tell(one *modelOrder, reply Reply) {
 	if one.leader == fromStandby {
-		m.standby.pure.Answered(m.now, one.renewal, reply.Outcome)
+		m.standby.pure.HandleOutcome(m.now, one.renewal, reply.Outcome)
 		return
 	}
 	if from := m.leaders[one.leader]; !from.dead {
-		from.book.Answered(m.now, one.order, reply)
+		from.book.HandleReply(m.now, one.order, reply)
 	}
 }
 
@@ -324,14 +324,14 @@
 		return
 	}
 	m.record = write.value
-	one.book.Stored(write.change)
+	one.book.MarkStored(write.change)
 }
 
 func (m *model) move(one *modelLeader) {
 	for index, holder := range m.holders {
 		if holder.id == one.book.spans[0].owner {
 			to := m.holders[1-index]
-			one.book.Move(Keys{0, KeyCount - 1}, to.id, "a")
+			one.book.Move(KeyRange{0, KeyCount - 1}, to.id, "a")
 			return
 		}
 	}
@@ -340,9 +340,9 @@
 // elect makes the next leader, which outwaits renewals of the one before for a time.
 func (m *model) elect(stale time.Duration) {
 	next := &modelLeader{term: Term(len(m.leaders) + 1), authority: m.now.Add(modelLease)}
-	next.book = NewBook(modelConfig, next.term)
+	next.book = NewLedger(modelConfig, next.term)
 	if m.record != nil {
-		until := m.now.Add(stale + modelConfig.HoldBound())
+		until := m.now.Add(stale + modelConfig.MaxHold())
 		if err := next.book.Load(m.now, m.record, until); err != nil {
 			panic(err)
 		}
@@ -366,16 +366,16 @@
 // drive is what the keeper does for each leader.
 func (m *model) drive() {
 	for index, one := range m.leaders {
-		if one.dead || m.now.After(one.authority.Add(modelConfig.StaleRenewals)) {
+		if one.dead || m.now.After(one.authority.Add(modelConfig.RenewalGrace)) {
 			continue
 		}
 		renewOnly := m.now.After(one.authority)
-		if !renewOnly && one.write == nil && one.book.Change() != one.book.StoredChange() {
+		if !renewOnly && one.write == nil && one.book.RecordVersion() != one.book.StoredVersion() {
 			value, err := one.book.Encode(one.term, "")
 			if err != nil {
 				panic(err)
 			}
-			one.write = &modelWrite{change: one.book.Change(), value: value}
+			one.write = &modelWrite{change: one.book.RecordVersion(), value: value}
 		}
 		for _, order := range one.book.Due(m.now, renewOnly) {
 			born := one.lives[slices.Index(m.holders, m.holder(order.Target.ID))]
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,9 +1,9 @@
 // Package owner decides which worker holds which keys of a keyed service, and
 // gives and takes them by fenced, timed orders.
 //
-// Book is the pure core: it is told the time, the workers and the answers of
+// Ledger is the pure core: it is told the time, the workers and the answers of
 // orders, and says which orders to send next. It opens no socket and reads no
-// clock. Keeper drives a Book in the process that leads.
+// clock. Keeper drives a Ledger in the process that leads.
 package owner
 
 import (
@@ -21,16 +21,16 @@
 const KeyCount = 65536
 
 // Keys is a run of keys, both ends inside.
-type Keys struct {
+type KeyRange struct {
 	From int `json:"from"`
 	To   int `json:"to"`
 }
 
 // Width is the number of keys.
-func (k Keys) Width() int { return k.To - k.From + 1 }
+func (k KeyRange) Width() int { return k.To - k.From + 1 }
 
 // Contains reports whether the key is in the run.
-func (k Keys) Contains(key int) bool { return k.From <= key && key <= k.To }
+func (k KeyRange) Contains(key int) bool { return k.From <= key && key <= k.To }
 
 // Fence numbers orders: a worker refuses grants below the highest that it has
 // seen on a key. The high bits are the leader's term.
@@ -54,12 +54,12 @@
 	Address string
 	// Born tells which life of the worker is meant; zero if that is not known. A worker that
 	// started again holds nothing, and has seen no fences.
-	Born workers.Born
+	Incarnation workers.Born
 }
 
 // Grant gives keys for a time.
 type Grant struct {
-	Keys     Keys
+	Keys     KeyRange
 	Fence    Fence
 	Hold     time.Duration
 	Handover Handover
@@ -74,8 +74,8 @@
 	OutcomeDone Outcome = "done"
 	// OutcomeFenced: the worker has seen a higher fence and did nothing.
 	OutcomeFenced Outcome = "fenced"
-	// OutcomeOther: another worker has the address, so the target has ended.
-	OutcomeOther Outcome = "other-worker"
+	// OutcomeOtherWorker: another worker has the address, so the target has ended.
+	OutcomeOtherWorker Outcome = "other-worker"
 	// OutcomeUnreachable: no connection came up, so nothing was sent.
 	OutcomeUnreachable Outcome = "unreachable"
 	// OutcomeUnanswered: it may be done now, or seconds later.
@@ -93,13 +93,13 @@
 }
 
 // Orders sends orders to workers.
-type Orders interface {
+type OrderSender interface {
 	Grant(ctx context.Context, to Target, grant Grant) Reply
-	Release(ctx context.Context, from Target, keys Keys, fence Fence) Reply
+	Release(ctx context.Context, from Target, keys KeyRange, fence Fence) Reply
 }
 
-// FailedOutcome tells an order that was never sent from one that may be done.
-func FailedOutcome(err error) Outcome {
+// OutcomeFromError tells an order that was never sent from one that may be done.
+func OutcomeFromError(err error) Outcome {
 	var operation *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || (errors.As(err, &operation) && operation.Op == "dial") {
 		return OutcomeUnreachable
@@ -112,15 +112,15 @@
 	// Hold is how long a grant lasts at a worker.
 	Hold time.Duration
 	// Renew is the pause between renewals.
-	Renew time.Duration
+	RenewInterval time.Duration
 	// ClockSlack is the most by which a worker's clock runs slow, as a share.
 	ClockSlack float64
 	// LateOrder is the longest until an order without an answer is done.
-	LateOrder time.Duration
+	MaxOrderDelay time.Duration
 	// StaleRenewals is how long a leader that lost the store goes on renewing.
-	StaleRenewals time.Duration
+	RenewalGrace time.Duration
 	// RetryOrder is the pause after an order that failed.
-	RetryOrder time.Duration
+	RetryDelay time.Duration
 }
 
 // DefaultConfig returns the times, given the longest hold that workers take.
@@ -128,22 +128,22 @@
 	hold := min(3*time.Second, maxHold)
 	return Config{
 		Hold:          hold,
-		Renew:         hold * 3 / 10,
+		RenewInterval: hold * 3 / 10,
 		ClockSlack:    0.03,
-		LateOrder:     12500 * time.Millisecond,
-		StaleRenewals: 6 * time.Second,
-		RetryOrder:    150 * time.Millisecond,
+		MaxOrderDelay: 12500 * time.Millisecond,
+		RenewalGrace:  6 * time.Second,
+		RetryDelay:    150 * time.Millisecond,
 	}
 }
 
 // HoldBound is the longest that a grant lasts from when it is taken.
-func (c Config) HoldBound() time.Duration {
+func (c Config) MaxHold() time.Duration {
 	return time.Duration(float64(c.Hold)*(1+c.ClockSlack)) + 100*time.Millisecond
 }
 
 // Owner is one run of keys and the worker that requests on it go to.
 type Owner struct {
-	Keys   Keys       `json:"keys"`
+	Keys   KeyRange   `json:"keys"`
 	Worker workers.ID `json:"worker"`
 	// Address of the worker.
 	Address string `json:"address"`
--- a/internal/owner/place.go
+++ b/internal/owner/place.go
@@ -3,16 +3,16 @@
 import "slices"
 
 // Place says which zones may hold a run of keys. They never leave them.
-type Place struct {
-	Keys  Keys
+type PlacementRule struct {
+	Keys  KeyRange
 	Zones []string
 }
 
-func (p Place) allows(zone string) bool { return slices.Contains(p.Zones, zone) }
+func (p PlacementRule) allows(zone string) bool { return slices.Contains(p.Zones, zone) }
 
 // only returns the candidates that may hold the place's keys; all, if no zone is
 // named.
-func (p Place) only(candidates []Candidate) []Candidate {
+func (p PlacementRule) only(candidates []Candidate) []Candidate {
 	if len(p.Zones) == 0 {
 		return candidates
 	}
@@ -26,22 +26,22 @@
 }
 
 // overlaps reports whether two runs share a key.
-func (k Keys) overlaps(other Keys) bool { return k.From <= other.To && other.From <= k.To }
+func (k KeyRange) overlaps(other KeyRange) bool { return k.From <= other.To && other.From <= k.To }
 
 // blocks returns the places, and the keys between them as places without zones:
 // all keys, in order.
-func blocks(places []Place) []Place {
-	var all []Place
+func blocks(places []PlacementRule) []PlacementRule {
+	var all []PlacementRule
 	from := 0
 	for _, place := range places {
 		if place.Keys.From > from {
-			all = append(all, Place{Keys: Keys{from, place.Keys.From - 1}})
+			all = append(all, PlacementRule{Keys: KeyRange{from, place.Keys.From - 1}})
 		}
 		all = append(all, place)
 		from = place.Keys.To + 1
 	}
 	if from < KeyCount {
-		all = append(all, Place{Keys: Keys{from, KeyCount - 1}})
+		all = append(all, PlacementRule{Keys: KeyRange{from, KeyCount - 1}})
 	}
 	return all
 }
@@ -51,7 +51,7 @@
 
 // Within restricts places, and the keys outside of all of them, to some zones. Where a place
 // has none of these zones nobody may hold its keys.
-func Within(places []Place, zones []string) []Place {
+func RestrictToZones(places []PlacementRule, zones []string) []PlacementRule {
 	narrowed := blocks(places)
 	for index, place := range narrowed {
 		allowed := slices.Clone(zones)
@@ -67,7 +67,7 @@
 }
 
 // bound cuts spans where places begin, and keeps them from being joined there.
-func (b *Book) bound(places []Place) {
+func (b *Ledger) bound(places []PlacementRule) {
 	b.bounds = map[int]bool{}
 	if len(places) == 0 {
 		return
@@ -76,7 +76,7 @@
 		b.bounds[block.Keys.From] = true
 		index := slices.IndexFunc(b.spans, func(s *span) bool { return s.keys.Contains(block.Keys.From) })
 		if whole := b.spans[index].keys; whole.From < block.Keys.From {
-			b.cut(Keys{block.Keys.From, whole.To})
+			b.cut(KeyRange{block.Keys.From, whole.To})
 		}
 	}
 }
--- a/internal/owner/place_test.go
+++ b/internal/owner/place_test.go
@@ -11,10 +11,10 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-var testPlaces = []Place{
-	{Keys: Keys{0, 19999}, Zones: []string{"a"}},
-	{Keys: Keys{20000, 29999}, Zones: []string{"a", "b"}},
-	{Keys: Keys{40000, KeyCount - 1}, Zones: []string{"c"}},
+var testPlaces = []PlacementRule{
+	{Keys: KeyRange{0, 19999}, Zones: []string{"a"}},
+	{Keys: KeyRange{20000, 29999}, Zones: []string{"a", "b"}},
+	{Keys: KeyRange{40000, KeyCount - 1}, Zones: []string{"c"}},
 }
 
 // zoned returns candidates in zones.
@@ -28,7 +28,7 @@
 }
 
 // checkPlaces fails for an owner in a zone that may not hold its keys.
-func checkPlaces(t assert.TestingT, owners []Owner, all []Candidate, places []Place) {
+func checkPlaces(t assert.TestingT, owners []Owner, all []Candidate, places []PlacementRule) {
 	zones := map[workers.ID]string{}
 	for _, one := range all {
 		zones[one.ID] = one.Zone
@@ -42,9 +42,9 @@
 }
 
 func TestFirstOwnersWaitUntilEachPlaceHasACandidate(t *testing.T) {
-	assert.Assert(t, First(zoned("a", "b"), testPlaces) == nil)
+	assert.Assert(t, InitialOwners(zoned("a", "b"), testPlaces) == nil)
 	all := zoned("a", "b", "c", "c")
-	owners := First(all, testPlaces)
+	owners := InitialOwners(all, testPlaces)
 	checkPlaces(t, owners, all, testPlaces)
 	next := 0
 	for _, one := range owners {
@@ -60,8 +60,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		all := zoned("a", "a", "b", "b", "c", "c", "c")
-		book := NewBook(DefaultConfig(10*time.Second), 1)
-		book.Assign(now, First(all, testPlaces))
+		book := NewLedger(DefaultConfig(10*time.Second), 1)
+		book.Assign(now, InitialOwners(all, testPlaces))
 		settle(book, now)
 		for range rapid.IntRange(1, 8).Draw(t, "rounds") {
 			var candidates []Candidate
@@ -71,7 +71,7 @@
 				}
 			}
 			rates := hot(rapid.IntRange(0, 60000).Draw(t, "hot"), rapid.IntRange(1, 500).Draw(t, "keys"), 80)
-			book.Plan(candidates, rates, Rules{Balance: true, Moves: maxMoves, Places: testPlaces})
+			book.Plan(candidates, rates, Rules{Balance: true, MaxMoves: maxMoves, Placement: testPlaces})
 			settle(book, now)
 			checkPlaces(t, book.Assignment(), all, testPlaces)
 		}
@@ -82,13 +82,13 @@
 func TestKeysLeaveAZoneThatMayNoLongerHoldThem(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := zoned("a", "b", "c")
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, First(all, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(now, InitialOwners(all, nil))
 	settle(book, now)
-	assert.Assert(t, len(book.Plan(all, nil, Rules{Places: testPlaces})) > 0)
+	assert.Assert(t, len(book.Plan(all, nil, Rules{Placement: testPlaces})) > 0)
 	settle(book, now)
 	checkPlaces(t, book.Assignment(), all, testPlaces)
-	assert.Equal(t, len(book.Plan(all, nil, Rules{Places: testPlaces})), 0)
+	assert.Equal(t, len(book.Plan(all, nil, Rules{Placement: testPlaces})), 0)
 }
 
 func TestChurnWeight(t *testing.T) {
@@ -96,16 +96,16 @@
 		rules Rules
 		moves bool
 	}{
-		"none":          {rules: Rules{Balance: true, Moves: maxMoves}, moves: true},
-		"full":          {rules: Rules{Balance: true, Moves: maxMoves, ChurnWeight: 1}},
+		"none":          {rules: Rules{Balance: true, MaxMoves: maxMoves}, moves: true},
+		"full":          {rules: Rules{Balance: true, MaxMoves: maxMoves, ChurnWeight: 1}},
 		"no moves left": {rules: Rules{Balance: true}},
-		"not allowed":   {rules: Rules{Moves: maxMoves}},
+		"not allowed":   {rules: Rules{MaxMoves: maxMoves}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			candidates := fleet(14, 33)
-			book := NewBook(DefaultConfig(10*time.Second), 1)
-			book.Assign(now, First(candidates, nil))
+			book := NewLedger(DefaultConfig(10*time.Second), 1)
+			book.Assign(now, InitialOwners(candidates, nil))
 			settle(book, now)
 			moved := book.Plan(candidates, hot(30000, 200, 60), test.rules)
 			assert.Equal(t, len(moved) > 0, test.moves)
@@ -115,17 +115,17 @@
 
 func TestPlacesWithinZones(t *testing.T) {
 	for name, test := range map[string]struct {
-		places []Place
+		places []PlacementRule
 		zones  []string
-		want   []Place
+		want   []PlacementRule
 	}{
-		"no places": {nil, []string{"a"}, []Place{{Keys{0, KeyCount - 1}, []string{"a"}}}},
-		"no zones":  {nil, nil, []Place{{Keys{0, KeyCount - 1}, []string{nowhere}}}},
-		"places": {testPlaces, []string{"b", "c"}, []Place{
-			{Keys{0, 19999}, []string{nowhere}}, {Keys{20000, 29999}, []string{"b"}},
-			{Keys{30000, 39999}, []string{"b", "c"}}, {Keys{40000, KeyCount - 1}, []string{"c"}},
+		"no places": {nil, []string{"a"}, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{"a"}}}},
+		"no zones":  {nil, nil, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{nowhere}}}},
+		"places": {testPlaces, []string{"b", "c"}, []PlacementRule{
+			{KeyRange{0, 19999}, []string{nowhere}}, {KeyRange{20000, 29999}, []string{"b"}},
+			{KeyRange{30000, 39999}, []string{"b", "c"}}, {KeyRange{40000, KeyCount - 1}, []string{"c"}},
 		}},
 	} {
-		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, Within(test.places, test.zones), test.want) })
+		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, RestrictToZones(test.places, test.zones), test.want) })
 	}
 }
--- a/internal/owner/plan.go
+++ b/internal/owner/plan.go
@@ -60,7 +60,7 @@
 
 // First deals all keys to the candidates in equal runs, place by place. It returns
 // nil while a place has no candidate: its keys may be held nowhere else.
-func First(candidates []Candidate, places []Place) []Owner {
+func InitialOwners(candidates []Candidate, places []PlacementRule) []Owner {
 	var owners []Owner
 	for _, place := range blocks(places) {
 		allowed := place.only(candidates)
@@ -73,7 +73,7 @@
 			if to < from {
 				continue // more candidates than keys
 			}
-			owners = append(owners, Owner{Keys: Keys{from, to}, Worker: one.ID, Address: one.Address})
+			owners = append(owners, Owner{Keys: KeyRange{from, to}, Worker: one.ID, Address: one.Address})
 			from = to + 1
 		}
 	}
@@ -82,7 +82,7 @@
 
 // plan is one round of planning over a book.
 type plan struct {
-	book  *Book
+	book  *Ledger
 	rates []KeyLoad
 	rules Rules
 	// prefix sums of rates, to get the load of a run of keys.
@@ -91,23 +91,23 @@
 	loads      map[workers.ID]float64
 	// widths are how many keys each candidate has.
 	widths map[workers.ID]int
-	moved  []Moved
+	moved  []Move
 }
 
 // Rules bound what a plan may do.
 type Rules struct {
 	// Places restrict where keys may be held.
-	Places []Place
+	Placement []PlacementRule
 	// Balance allows moves for balance, of which there are no more than Moves.
-	Balance bool
-	Moves   int
+	Balance  bool
+	MaxMoves int
 	// ChurnWeight from 0 to 1 weighs the moves against their gain.
 	ChurnWeight float64
 }
 
 // Moved is one move that was planned.
-type Moved struct {
-	Keys     Keys
+type Move struct {
+	Keys     KeyRange
 	From, To workers.ID
 	// Rate at which the keys are asked for, and the loads of both workers after the
 	// move, in requests a second.
@@ -118,11 +118,11 @@
 
 // Plan moves keys off workers that may not hold them, then, if the rules allow it,
 // for balance. It returns the moves that it made.
-func (b *Book) Plan(candidates []Candidate, rates []KeyLoad, rules Rules) []Moved {
+func (b *Ledger) Plan(candidates []Candidate, rates []KeyLoad, rules Rules) []Move {
 	if len(candidates) == 0 || len(b.spans) == 0 {
 		return nil
 	}
-	b.bound(rules.Places)
+	b.bound(rules.Placement)
 	b.Merge()
 	p := &plan{book: b, rates: rates, rules: rules, candidates: map[workers.ID]Candidate{}, loads: map[workers.ID]float64{}, widths: map[workers.ID]int{}}
 	p.sums = make([]float64, len(rates)+1)
@@ -143,20 +143,20 @@
 	if !rules.Balance || rules.ChurnWeight >= 1 {
 		return p.moved
 	}
-	if p.balance() < rules.Moves {
+	if p.balance() < rules.MaxMoves {
 		p.tidy()
 	}
 	return p.moved
 }
 
 // rate returns the load of a run of keys.
-func (p *plan) rate(keys Keys) float64 {
+func (p *plan) rate(keys KeyRange) float64 {
 	from, to := p.places(keys)
 	return p.sums[to] - p.sums[from]
 }
 
 // places returns the run of rates that belongs to a run of keys.
-func (p *plan) places(keys Keys) (from, to int) {
+func (p *plan) places(keys KeyRange) (from, to int) {
 	byKey := func(one KeyLoad, key int) int { return one.Key - key }
 	from, _ = slices.BinarySearchFunc(p.rates, keys.From, byKey)
 	to, _ = slices.BinarySearchFunc(p.rates, keys.To+1, byKey)
@@ -169,7 +169,7 @@
 
 // idlest returns the candidate with the least load of those that may hold some
 // keys, except one; a cold one only where no other may.
-func (p *plan) idlest(except workers.ID, keys Keys) (workers.ID, bool) {
+func (p *plan) idlest(except workers.ID, keys KeyRange) (workers.ID, bool) {
 	if id, found := p.idlestOf(except, keys, p.takes); found {
 		return id, true
 	}
@@ -178,7 +178,7 @@
 
 // idlestOf returns the candidate with the least load of those that a rule lets have some
 // keys, except one.
-func (p *plan) idlestOf(except workers.ID, keys Keys, may func(workers.ID, Keys) bool) (workers.ID, bool) {
+func (p *plan) idlestOf(except workers.ID, keys KeyRange, may func(workers.ID, KeyRange) bool) (workers.ID, bool) {
 	var best workers.ID
 	found := false
 	for id := range p.candidates {
@@ -202,8 +202,8 @@
 }
 
 // allowed reports whether a candidate may hold keys.
-func (p *plan) allowed(id workers.ID, keys Keys) bool {
-	for _, place := range p.rules.Places {
+func (p *plan) allowed(id workers.ID, keys KeyRange) bool {
+	for _, place := range p.rules.Placement {
 		if place.Keys.overlaps(keys) && !place.allows(p.candidates[id].Zone) {
 			return false
 		}
@@ -212,11 +212,11 @@
 }
 
 // takes reports whether a candidate may get keys, and is warm.
-func (p *plan) takes(id workers.ID, keys Keys) bool {
+func (p *plan) takes(id workers.ID, keys KeyRange) bool {
 	return p.allowed(id, keys) && !p.candidates[id].Cold
 }
 
-func (p *plan) move(keys Keys, from, to workers.ID) {
+func (p *plan) move(keys KeyRange, from, to workers.ID) {
 	rate := p.rate(keys)
 	_, stays := p.candidates[from]
 	if stays {
@@ -226,7 +226,7 @@
 	p.loads[to] += rate
 	p.widths[to] += keys.Width()
 	p.book.Move(keys, to, p.candidates[to].Address)
-	p.moved = append(p.moved, Moved{
+	p.moved = append(p.moved, Move{
 		Keys: keys, From: from, To: to, Rate: rate, FromLoad: p.loads[from], ToLoad: p.loads[to],
 		Forced: !stays || !p.allowed(from, keys),
 	})
@@ -262,23 +262,23 @@
 const evacuationPieces = 4
 
 // pieces cuts a run of keys into pieces of about equal load, if it has much.
-func (p *plan) pieces(keys Keys) []Keys {
+func (p *plan) pieces(keys KeyRange) []KeyRange {
 	total := p.rate(keys)
 	count := min(evacuationPieces, 1+int(total/max(0.1*p.averageCapacity(), 1)), keys.Width())
 	if total == 0 || count < 2 {
-		return []Keys{keys}
+		return []KeyRange{keys}
 	}
-	var pieces []Keys
+	var pieces []KeyRange
 	from, to := p.places(keys)
 	start, gathered := keys.From, 0.0
 	for index := from; index < to && len(pieces) < count-1; index++ {
 		gathered += p.rates[index].Rate
 		if gathered >= total/float64(count) && p.rates[index].Key < keys.To {
-			pieces = append(pieces, Keys{start, p.rates[index].Key})
+			pieces = append(pieces, KeyRange{start, p.rates[index].Key})
 			start, gathered = p.rates[index].Key+1, 0
 		}
 	}
-	return append(pieces, Keys{start, keys.To})
+	return append(pieces, KeyRange{start, keys.To})
 }
 
 // tidy gives one small span to a neighbour where there are many.
--- a/internal/owner/plan_test.go
+++ b/internal/owner/plan_test.go
@@ -11,7 +11,7 @@
 )
 
 // testRules allow moves for balance.
-var testRules = Rules{Balance: true, Moves: maxMoves}
+var testRules = Rules{Balance: true, MaxMoves: maxMoves}
 
 // fleet returns a number of equal candidates.
 func fleet(count int, capacity float64) []Candidate {
@@ -24,17 +24,17 @@
 }
 
 // settle answers all orders until none is due.
-func settle(book *Book, now time.Time) {
+func settle(book *Ledger, now time.Time) {
 	for range 10 {
-		book.Stored(book.Change())
+		book.MarkStored(book.RecordVersion())
 		for _, order := range book.Due(now, false) {
-			book.Answered(now, order, Reply{Outcome: OutcomeDone, Handover: "h"})
+			book.HandleReply(now, order, Reply{Outcome: OutcomeDone, Handover: "h"})
 		}
 	}
 }
 
 // busiest returns the utilization of the busiest candidate.
-func busiest(book *Book, candidates []Candidate, rates []KeyLoad) float64 {
+func busiest(book *Ledger, candidates []Candidate, rates []KeyLoad) float64 {
 	worst := 0.0
 	for _, candidate := range candidates {
 		load := 0.0
@@ -78,8 +78,8 @@
 	for _, count := range []int{1000, 200, 60} {
 		now := time.Now()
 		candidates := fleet(14, 33)
-		book := NewBook(DefaultConfig(10*time.Second), 1)
-		book.Assign(now, First(candidates, nil))
+		book := NewLedger(DefaultConfig(10*time.Second), 1)
+		book.Assign(now, InitialOwners(candidates, nil))
 		settle(book, now)
 		rates := hot(30000, count, 60)
 		for range 2 {
@@ -96,8 +96,8 @@
 	now := time.Now()
 	candidates := fleet(14, 20)
 	candidates[9].Capacity = 60
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, First(candidates, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(now, InitialOwners(candidates, nil))
 	settle(book, now)
 	rates := hot(30000, 1, 40)
 	for range 3 {
@@ -117,8 +117,8 @@
 func TestKeysWithoutKnownLoadAreSpread(t *testing.T) {
 	now := time.Now()
 	candidates := fleet(8, 30)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, First(candidates, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(now, InitialOwners(candidates, nil))
 	settle(book, now)
 	left := candidates[4:]
 	book.Plan(left, nil, testRules)
@@ -147,9 +147,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			book := NewBook(DefaultConfig(10*time.Second), 1)
+			book := NewLedger(DefaultConfig(10*time.Second), 1)
 			candidates := fleet(3, 10)
-			book.Assign(now, []Owner{{Keys: Keys{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
+			book.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
 			settle(book, now)
 			candidates[1].Zone = "z"
 			for _, index := range c.cold {
@@ -157,7 +157,7 @@
 			}
 			rules := testRules
 			if c.zones != nil {
-				rules.Places = []Place{{Keys: Keys{0, KeyCount - 1}, Zones: c.zones}}
+				rules.Placement = []PlacementRule{{Keys: KeyRange{0, KeyCount - 1}, Zones: c.zones}}
 			}
 			moved := book.Plan(candidates[1:], nil, rules)
 			assert.Equal(t, len(moved), 1)
@@ -169,10 +169,10 @@
 // For balance nothing moves to a cold worker.
 func TestNothingMovesToAColdWorkerForBalance(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := fleet(2, 20)
 	candidates[1].Cold = true
-	book.Assign(now, []Owner{{Keys: Keys{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
+	book.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
 	settle(book, now)
 	rates := hot(0, 10, 60)
 	for _, one := range book.Plan(candidates, rates, testRules) {
@@ -195,8 +195,8 @@
 func TestKeysLeaveAWorkerThatTakesNothingInRuns(t *testing.T) {
 	candidates, now := fleet(4, 50), time.Now()
 	rates := each(30, 0.5)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, First(candidates, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(now, InitialOwners(candidates, nil))
 	settle(book, now)
 	candidates[0].Capacity, candidates[0].Limited, candidates[0].Cold = 1, true, true
 	moves := book.Plan(candidates, rates, testRules)
@@ -208,8 +208,8 @@
 func TestWhatALimitedWorkerDoesNotTakeOverloadsNoOther(t *testing.T) {
 	candidates, now := fleet(4, 50), time.Now()
 	rates := each(100, 2)
-	book := NewBook(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, First(candidates, nil))
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
+	book.Assign(now, InitialOwners(candidates, nil))
 	settle(book, now)
 	candidates[0].Capacity, candidates[0].Limited, candidates[0].Cold = 1, true, true
 	for range 10 {
@@ -232,8 +232,8 @@
 		t.Run(name, func(t *testing.T) {
 			candidates, now := fleet(5, 100), time.Now()
 			rates := hot(0, 0, 0)
-			book := NewBook(DefaultConfig(10*time.Second), 1)
-			book.Assign(now, First(candidates, nil))
+			book := NewLedger(DefaultConfig(10*time.Second), 1)
+			book.Assign(now, InitialOwners(candidates, nil))
 			settle(book, now)
 			candidates[0].Capacity, candidates[0].Limited = 3, test.limited
 			for range 10 {
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -43,7 +43,7 @@
 }
 
 // Encode returns the book as it is stored. write is unique to the attempt.
-func (b *Book) Encode(term Term, write string) ([]byte, error) {
+func (b *Ledger) Encode(term Term, write string) ([]byte, error) {
 	stored := record{Term: term, Write: write}
 	places := map[workers.ID]int{}
 	place := func(id workers.ID) int {
@@ -73,8 +73,8 @@
 	return encoded, Error.Wrap(err)
 }
 
-// DecodeWrite returns the unique mark of a stored book.
-func DecodeWrite(value []byte) string {
+// DecodeWriteID returns the unique mark of a stored book.
+func DecodeWriteID(value []byte) string {
 	var stored record
 	if err := json.Unmarshal(value, &stored); err != nil {
 		return ""
@@ -84,7 +84,7 @@
 
 // Load takes over a stored book. Until is when every hold given before, by the
 // leader before, has surely ended.
-func (b *Book) Load(now time.Time, value []byte, until time.Time) error {
+func (b *Ledger) Load(now time.Time, value []byte, until time.Time) error {
 	var stored record
 	if err := json.Unmarshal(value, &stored); err != nil {
 		return Error.Wrap(err)
@@ -97,15 +97,15 @@
 		b.addresses[one.ID] = one.Address
 	}
 	for _, one := range spans {
-		b.inherit(one, until.Add(b.config.LateOrder-b.config.HoldBound()))
+		b.inherit(one, until.Add(b.config.MaxOrderDelay-b.config.MaxHold()))
 	}
 	for _, kept := range stored.Doubts {
 		if kept.Worker < 0 || kept.Worker >= len(stored.Workers) {
 			return Error.New("stored doubts name worker %d of %d", kept.Worker, len(stored.Workers))
 		}
 		b.doubts = append(b.doubts, &doubt{
-			worker: stored.Workers[kept.Worker].ID, keys: Keys{kept.From, kept.To}, fence: b.nextFence(),
-			until: now.Add(b.config.LateOrder), next: now,
+			worker: stored.Workers[kept.Worker].ID, keys: KeyRange{kept.From, kept.To}, fence: b.nextFence(),
+			until: now.Add(b.config.MaxOrderDelay), next: now,
 		})
 	}
 	b.spans = spans
@@ -117,7 +117,7 @@
 // inherit prepares a span that another leader kept. That leader may still renew
 // the owner, and raise its own fences where it is refused: only this term's are
 // above them all. Its orders without an answer may be taken late, until then.
-func (b *Book) inherit(one *span, takenUntil time.Time) {
+func (b *Ledger) inherit(one *span, takenUntil time.Time) {
 	if len(one.formers) > 0 {
 		one.fence = b.nextFence()
 	}
@@ -137,7 +137,7 @@
 			return nil, Error.New("stored keys %d to %d do not follow key %d", kept.From, kept.To, next-1)
 		}
 		next = kept.To + 1
-		one := &span{keys: Keys{kept.From, kept.To}, fence: kept.Fence, heldUntil: until, next: now}
+		one := &span{keys: KeyRange{kept.From, kept.To}, fence: kept.Fence, heldUntil: until, next: now}
 		for _, place := range append([]int{kept.Owner}, kept.Formers...) {
 			if place < 0 || place >= len(stored.Workers) {
 				return nil, Error.New("stored keys %d to %d name worker %d of %d", kept.From, kept.To, place, len(stored.Workers))
@@ -167,7 +167,7 @@
 	owners := make([]Owner, 0, len(stored.Spans))
 	for _, kept := range stored.Spans {
 		of := stored.Workers[kept.Owner]
-		owners = append(owners, Owner{Keys: Keys{kept.From, kept.To}, Worker: of.ID, Address: of.Address})
+		owners = append(owners, Owner{Keys: KeyRange{kept.From, kept.To}, Worker: of.ID, Address: of.Address})
 	}
 	return stored.Term, owners, nil
 }
--- a/internal/owner/record_fuzz_test.go
+++ b/internal/owner/record_fuzz_test.go
@@ -13,7 +13,7 @@
 	f.Fuzz(func(_ *testing.T, value []byte) {
 		now := time.Unix(1000, 0)
 		_, _, _ = DecodeOwners(value)
-		b := NewBook(DefaultConfig(10*time.Second), 3)
+		b := NewLedger(DefaultConfig(10*time.Second), 3)
 		if b.Load(now, value, now.Add(time.Second)) != nil {
 			return
 		}
--- a/internal/owner/span.go
+++ b/internal/owner/span.go
@@ -9,7 +9,7 @@
 
 // span is one run of keys with the worker that shall hold it.
 type span struct {
-	keys  Keys
+	keys  KeyRange
 	owner workers.ID
 	fence Fence
 	// change is the book's change at which the owner was chosen; no grant goes
@@ -96,7 +96,7 @@
 }
 
 // cut returns the span of exactly these keys, splitting the one that has them.
-func (b *Book) cut(keys Keys) *span {
+func (b *Ledger) cut(keys KeyRange) *span {
 	index := slices.IndexFunc(b.spans, func(s *span) bool { return s.keys.Contains(keys.From) })
 	if index < 0 || b.spans[index].busy || !b.spans[index].keys.Contains(keys.To) {
 		return nil
@@ -104,18 +104,18 @@
 	whole := b.spans[index]
 	var parts []*span
 	if whole.keys.From < keys.From {
-		parts = append(parts, whole.part(Keys{whole.keys.From, keys.From - 1}))
+		parts = append(parts, whole.part(KeyRange{whole.keys.From, keys.From - 1}))
 	}
 	middle := whole.part(keys)
 	parts = append(parts, middle)
 	if keys.To < whole.keys.To {
-		parts = append(parts, whole.part(Keys{keys.To + 1, whole.keys.To}))
+		parts = append(parts, whole.part(KeyRange{keys.To + 1, whole.keys.To}))
 	}
 	b.spans = slices.Replace(b.spans, index, index+1, parts...)
 	return middle
 }
 
-func (s *span) part(keys Keys) *span {
+func (s *span) part(keys KeyRange) *span {
 	part := *s
 	part.keys = keys
 	part.formers = slices.Clone(s.formers)
@@ -124,7 +124,7 @@
 
 // Merge joins neighbours that the same worker holds under the same fence, or
 // under different ones where both are settled: the joined span takes the higher.
-func (b *Book) Merge() {
+func (b *Ledger) Merge() {
 	merged := b.spans[:0:0]
 	for _, next := range b.spans {
 		if len(merged) > 0 && !b.bounds[next.keys.From] && mergeable(merged[len(merged)-1], next) {
--- a/internal/owner/standby.go
+++ b/internal/owner/standby.go
@@ -43,7 +43,7 @@
 
 // Tell sets the holds that a leader of a term has given, and until when they may be
 // renewed. What an older leader says is passed over.
-func (s *Standby) Tell(term Term, version uint64, holds []Hold, until time.Time) {
+func (s *Standby) SetHolds(term Term, version uint64, holds []Hold, until time.Time) {
 	if term < s.term {
 		return
 	}
@@ -55,30 +55,30 @@
 }
 
 // Extend sets until when the holds of a term may be renewed.
-func (s *Standby) Extend(term Term, until time.Time) {
+func (s *Standby) ExtendUntil(term Term, until time.Time) {
 	if term == s.term {
 		s.until = later(s.until, until)
 	}
 }
 
 // Version returns which holds were last told; zero if there are none.
-func (s *Standby) Version() uint64 { return s.version }
+func (s *Standby) HoldsVersion() uint64 { return s.version }
 
 // Began tells which life of a worker is announced. What another life held is not renewed.
-func (s *Standby) Began(life workers.Life) {
+func (s *Standby) ObserveIncarnation(life workers.Life) {
 	s.holds = slices.DeleteFunc(s.holds, func(one *standbyHold) bool {
-		return one.Target.ID == life.ID && one.Target.Born != life.Born && one.Target.Born != 0 && life.Born != 0
+		return one.Target.ID == life.ID && one.Target.Incarnation != life.Born && one.Target.Incarnation != 0 && life.Born != 0
 	})
 }
 
 // Lost begins to renew: the leader is no longer heard.
-func (s *Standby) Lost() { s.lost = true }
+func (s *Standby) LeaderLost() { s.lost = true }
 
 // Found ends that: a leader is heard.
-func (s *Standby) Found() { s.lost = false }
+func (s *Standby) LeaderFound() { s.lost = false }
 
 // Stop ends the leave of all leaders before a term, for good.
-func (s *Standby) Stop(term Term) {
+func (s *Standby) Revoke(term Term) {
 	if term > s.term {
 		s.term, s.version, s.until, s.holds = term, 0, time.Time{}, nil
 	}
@@ -109,15 +109,15 @@
 
 // Answered takes the end of a renewal. A worker that has seen a higher fence, or has
 // ended, is not asked again.
-func (s *Standby) Answered(now time.Time, renewal Renewal, outcome Outcome) {
+func (s *Standby) HandleOutcome(now time.Time, renewal Renewal, outcome Outcome) {
 	one := renewal.hold
 	one.busy = false
 	switch outcome {
 	case OutcomeDone:
-		one.next = renewal.sentAt.Add(s.config.Renew)
-	case OutcomeFenced, OutcomeOther, OutcomeInvalid:
+		one.next = renewal.sentAt.Add(s.config.RenewInterval)
+	case OutcomeFenced, OutcomeOtherWorker, OutcomeInvalid:
 		s.holds = slices.DeleteFunc(s.holds, func(held *standbyHold) bool { return held == one })
 	default:
-		one.next = now.Add(s.config.RetryOrder)
+		one.next = now.Add(s.config.RetryDelay)
 	}
 }
--- a/internal/owner/unreached_test.go
+++ b/internal/owner/unreached_test.go
@@ -13,17 +13,17 @@
 // was elected in between, until all holds of the leader before had surely ended.
 
 // unreached returns a book whose first owner no grant has reached, with its keys given on.
-func unreached(t *testing.T, now time.Time, outcomes ...Outcome) (*Book, []Candidate) {
+func unreached(t *testing.T, now time.Time, outcomes ...Outcome) (*Ledger, []Candidate) {
 	t.Helper()
-	book := NewBook(DefaultConfig(10*time.Second), 1)
+	book := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := fleet(2, 30)
-	book.Assign(now, First(candidates[:1], nil))
-	book.Stored(book.Change())
+	book.Assign(now, InitialOwners(candidates[:1], nil))
+	book.MarkStored(book.RecordVersion())
 	for _, outcome := range outcomes {
-		book.Answered(now, grantDue(t, book, now), Reply{Outcome: outcome})
-		now = now.Add(book.config.RetryOrder)
+		book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: outcome})
+		now = now.Add(book.config.RetryDelay)
 	}
-	book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
 	return book, candidates
 }
 
@@ -42,8 +42,8 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			book, candidates := unreached(t, now, test.outcomes...)
-			book.SetMandates([]Mandate{{Until: now.Add(6 * time.Second)}}) // it has heard of no holds
-			book.Stored(book.Change())
+			book.SetDelegations([]Delegation{{Until: now.Add(6 * time.Second)}}) // it has heard of no holds
+			book.MarkStored(book.RecordVersion())
 			due := book.Due(now.Add(time.Second), false)
 			assert.Equal(t, len(due), 1)
 			assert.Equal(t, due[0].Release, test.waited)
@@ -67,9 +67,9 @@
 			before, candidates := unreached(t, now, test.outcome)
 			value, err := before.Encode(1, "")
 			assert.NilError(t, err)
-			next := NewBook(before.config, 2)
+			next := NewLedger(before.config, 2)
 			assert.NilError(t, next.Load(now, value, now.Add(9*time.Second)))
-			next.Stored(next.Change())
+			next.MarkStored(next.RecordVersion())
 			due := grantDue(t, next, now)
 			assert.Equal(t, due.Release, test.waited)
 			assert.Equal(t, due.Target.ID == candidates[1].ID, !test.waited)
@@ -88,16 +88,16 @@
 func TestAGrantInDoubtOutlivesAReturnOfTheKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
 	book, candidates := unreached(t, now, OutcomeUnanswered)
-	book.Stored(book.Change())
+	book.MarkStored(book.RecordVersion())
 	due := grantDue(t, book, now)
 	assert.Assert(t, due.Release)
-	book.Answered(now, due, Reply{Outcome: OutcomeUnreachable})
-	book.Move(Keys{0, KeyCount - 1}, candidates[0].ID, candidates[0].Address)
-	book.Stored(book.Change())
+	book.HandleReply(now, due, Reply{Outcome: OutcomeUnreachable})
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[0].ID, candidates[0].Address)
+	book.MarkStored(book.RecordVersion())
 	now = now.Add(time.Second)
-	book.Answered(now, grantDue(t, book, now), Reply{Outcome: OutcomeUnreachable})
-	book.Move(Keys{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	book.Stored(book.Change())
+	book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeUnreachable})
+	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	book.MarkStored(book.RecordVersion())
 	now = now.Add(5 * time.Second) // the first hold has surely ended
 	orders := map[bool]Order{}
 	for _, order := range book.Due(now, false) {
@@ -110,21 +110,21 @@
 // A worker that got some of its former keys back was no longer told the new fence of the others.
 func TestADoubtStaysForTheKeysThatDoNotReturn(t *testing.T) {
 	for name, test := range map[string]struct {
-		back Keys
-		left []Keys
+		back KeyRange
+		left []KeyRange
 	}{
-		"inside":     {back: Keys{10, 20}, left: []Keys{{0, 9}, {21, 100}}},
-		"first keys": {back: Keys{0, 20}, left: []Keys{{21, 100}}},
-		"last keys":  {back: Keys{90, 200}, left: []Keys{{0, 89}}},
-		"all":        {back: Keys{0, 100}},
-		"others":     {back: Keys{101, 200}, left: []Keys{{0, 100}}},
+		"inside":     {back: KeyRange{10, 20}, left: []KeyRange{{0, 9}, {21, 100}}},
+		"first keys": {back: KeyRange{0, 20}, left: []KeyRange{{21, 100}}},
+		"last keys":  {back: KeyRange{90, 200}, left: []KeyRange{{0, 89}}},
+		"all":        {back: KeyRange{0, 100}},
+		"others":     {back: KeyRange{101, 200}, left: []KeyRange{{0, 100}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			until := time.Unix(1000, 0)
-			book := NewBook(DefaultConfig(10*time.Second), 1)
-			book.doubts = []*doubt{{worker: "w", keys: Keys{0, 100}, fence: 7, until: until, told: true}}
+			book := NewLedger(DefaultConfig(10*time.Second), 1)
+			book.doubts = []*doubt{{worker: "w", keys: KeyRange{0, 100}, fence: 7, until: until, told: true}}
 			book.dropDoubts("w", test.back)
-			var left []Keys
+			var left []KeyRange
 			for _, one := range book.doubts {
 				assert.Assert(t, one.fence == 7 && one.until.Equal(until) && one.told)
 				left = append(left, one.keys)
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -21,7 +21,7 @@
 
 // leader is one process that drives a book.
 type leader struct {
-	book *Book
+	book *Ledger
 	term Term
 	// authority ends here; renewals go on for StaleRenewals after it.
 	authority time.Time
@@ -98,9 +98,9 @@
 	}
 	w.term++
 	w.lease = w.now.Add(1500 * time.Millisecond)
-	next := &leader{book: NewBook(w.config, w.term), term: w.term, authority: w.now.Add(1350 * time.Millisecond)}
+	next := &leader{book: NewLedger(w.config, w.term), term: w.term, authority: w.now.Add(1350 * time.Millisecond)}
 	if w.record != nil {
-		until := w.now.Add(w.config.StaleRenewals + w.config.HoldBound())
+		until := w.now.Add(w.config.RenewalGrace + w.config.MaxHold())
 		if err := next.book.Load(w.now, w.record, until); err != nil {
 			panic(err)
 		}
@@ -110,7 +110,7 @@
 
 // drive is what the keeper does, for one leader.
 func (w *world) drive(one *leader) {
-	if one.dead || w.now.Before(one.frozen) || w.now.After(one.authority.Add(w.config.StaleRenewals)) {
+	if one.dead || w.now.Before(one.frozen) || w.now.After(one.authority.Add(w.config.RenewalGrace)) {
 		return
 	}
 	leads := one.term == w.term && w.now.Before(w.lease)
@@ -142,7 +142,7 @@
 		return
 	}
 	if one.book.Empty() {
-		one.book.Assign(w.now, First(candidates, nil))
+		one.book.Assign(w.now, InitialOwners(candidates, nil))
 		return
 	}
 	one.book.Plan(candidates, nil, testRules)
@@ -155,10 +155,10 @@
 
 // store writes the record, under the condition that the leader still leads.
 func (w *world) store(one *leader, leads bool) {
-	if one.writing || one.book.Change() == one.book.StoredChange() {
+	if one.writing || one.book.RecordVersion() == one.book.StoredVersion() {
 		return
 	}
-	change := one.book.Change()
+	change := one.book.RecordVersion()
 	value, err := one.book.Encode(one.term, "")
 	if err != nil {
 		panic(err)
@@ -172,7 +172,7 @@
 		}
 		w.record = value
 		w.version++
-		one.book.Stored(change)
+		one.book.MarkStored(change)
 	})
 }
 
@@ -186,7 +186,7 @@
 	}
 	answer := func(reply Reply) {
 		if !from.dead {
-			from.book.Answered(w.now, order, reply)
+			from.book.HandleReply(w.now, order, reply)
 		}
 	}
 	switch {
@@ -210,7 +210,7 @@
 
 func (w *world) take(to *simWorker, order Order, late bool) Reply {
 	if to.ended {
-		return Reply{Outcome: OutcomeOther}
+		return Reply{Outcome: OutcomeOtherWorker}
 	}
 	if order.Release {
 		to.release(w.now, order.Keys, order.Fence)
--- a/internal/owner/world_worker_test.go
+++ b/internal/owner/world_worker_test.go
@@ -8,7 +8,7 @@
 
 // heldKeys is a run of keys that a worker holds.
 type heldKeys struct {
-	keys  Keys
+	keys  KeyRange
 	fence Fence
 	until time.Time
 	// late says that the grant was taken late, while no order reached the worker.
@@ -31,13 +31,13 @@
 // for KeyCount/worldKeys neighbouring keys.
 const worldKeys = 8
 
-func placeKeys(place int) Keys {
+func placeKeys(place int) KeyRange {
 	width := KeyCount / worldKeys
-	return Keys{place * width, (place+1)*width - 1}
+	return KeyRange{place * width, (place+1)*width - 1}
 }
 
 // covers lists the places that a run touches.
-func covers(keys Keys) []int {
+func covers(keys KeyRange) []int {
 	var places []int
 	for place := range worldKeys {
 		whole := placeKeys(place)
@@ -64,7 +64,7 @@
 }
 
 // release is never refused; it raises the fences that were seen.
-func (w *simWorker) release(now time.Time, keys Keys, fence Fence) {
+func (w *simWorker) release(now time.Time, keys KeyRange, fence Fence) {
 	w.drop(now, keys)
 	for _, place := range covers(keys) {
 		w.seen[place] = max(w.seen[place], fence)
@@ -72,7 +72,7 @@
 }
 
 // drop ends the holds on keys, cutting those that reach further.
-func (w *simWorker) drop(now time.Time, keys Keys) {
+func (w *simWorker) drop(now time.Time, keys KeyRange) {
 	var kept []heldKeys
 	for _, held := range w.held {
 		if !now.Before(held.until) {
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -156,7 +156,7 @@
 		if !named {
 			place = len(described.Workers)
 			places[one.Target.ID] = place
-			described.Workers = append(described.Workers, NamedWorker{ID: one.Target.ID, Address: one.Target.Address, Born: one.Target.Born})
+			described.Workers = append(described.Workers, NamedWorker{ID: one.Target.ID, Address: one.Target.Address, Born: one.Target.Incarnation})
 		}
 		runs = append(runs, [4]int64{int64(one.Keys.From), int64(one.Keys.To), int64(place), int64(one.Fence)})
 	}
@@ -178,7 +178,7 @@
 		}
 		of := h.Workers[run[2]]
 		holds = append(holds, owner.Hold{
-			Keys: owner.Keys{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: of.ID, Address: of.Address, Born: of.Born},
+			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: of.ID, Address: of.Address, Incarnation: of.Born},
 			Fence: owner.Fence(run[3]),
 		})
 	}
@@ -235,8 +235,8 @@
 	Part    bool   `json:"m,omitempty"`
 	// Whole says that all owners of Keys are told, or of all keys if that is nil, not changes
 	// only.
-	Whole bool        `json:"w,omitempty"`
-	Keys  *owner.Keys `json:"k,omitempty"`
+	Whole bool            `json:"w,omitempty"`
+	Keys  *owner.KeyRange `json:"k,omitempty"`
 	// Workers are numbered from 0, and Runs are rows of first key, last key, worker's number,
 	// and 1 if it does not hold the keys yet, in the order of the keys. Packed are both
 	// instead, where there are many.
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -72,7 +72,7 @@
 func (h *Hub) tellChanged(update *Update, service routing.ServiceName, state published, sent *sentOwners) {
 	changes := h.difference.between(*sent, state)
 	if !sent.whole() {
-		changes = keytable.Within(changes, owner.Keys{To: sent.next - 1})
+		changes = keytable.Within(changes, owner.KeyRange{To: sent.next - 1})
 	}
 	news := ServiceNews{Service: service, Version: state.version, Part: state.part || !sent.whole()}
 	if len(changes) == 0 && news.Version == sent.version && news.Part == sent.part {
@@ -106,17 +106,17 @@
 func (p published) bulky() bool { return len(p.owners) > pieceRuns }
 
 // nextPiece returns the keys of the next pieceRuns owners from a key on.
-func nextPiece(owners []owner.Owner, from int) owner.Keys {
+func nextPiece(owners []owner.Owner, from int) owner.KeyRange {
 	runs := 0
 	for _, one := range owners {
 		if one.Keys.To < from {
 			continue
 		}
 		if runs++; runs == pieceRuns {
-			return owner.Keys{From: from, To: one.Keys.To}
+			return owner.KeyRange{From: from, To: one.Keys.To}
 		}
 	}
-	return owner.Keys{From: from, To: owner.KeyCount - 1}
+	return owner.KeyRange{From: from, To: owner.KeyCount - 1}
 }
 
 // ownerRuns are owners as they are told: rows of first key, last key, place of the worker, and 1 if
@@ -173,7 +173,7 @@
 		next = run[1] + 1
 		of := told.Workers[run[2]]
 		owners = append(owners, owner.Owner{
-			Keys: owner.Keys{From: run[0], To: run[1]}, Worker: of.ID, Address: of.Address, Moving: run[3] == 1,
+			Keys: owner.KeyRange{From: run[0], To: run[1]}, Worker: of.ID, Address: of.Address, Moving: run[3] == 1,
 		})
 	}
 	return owners, true
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -118,15 +118,15 @@
 func TestFollowersHearOwnersAndChanges(t *testing.T) {
 	hub, reports, address := leading(t, 3)
 	hub.Publish("s", []owner.Owner{
-		{Keys: owner.Keys{From: 0, To: 99}, Worker: "w1", Address: "a1"},
-		{Keys: owner.Keys{From: 100, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
+		{Keys: owner.KeyRange{From: 0, To: 99}, Worker: "w1", Address: "a1"},
+		{Keys: owner.KeyRange{From: 100, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
 	})
 	f := follow(t, address)
 	eventually(t, "first owners", f.owns(100, "w2"))
 	hub.Publish("s", []owner.Owner{
-		{Keys: owner.Keys{From: 0, To: 99}, Worker: "w1", Address: "a1"},
-		{Keys: owner.Keys{From: 100, To: 100}, Worker: "w3", Address: "a3"},
-		{Keys: owner.Keys{From: 101, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
+		{Keys: owner.KeyRange{From: 0, To: 99}, Worker: "w1", Address: "a1"},
+		{Keys: owner.KeyRange{From: 100, To: 100}, Worker: "w3", Address: "a3"},
+		{Keys: owner.KeyRange{From: 101, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
 	})
 	eventually(t, "a moved key", f.owns(100, "w3"))
 	assert.Assert(t, f.owns(99, "w1")() && f.owns(101, "w2")())
--- a/internal/peerlink/pieces_test.go
+++ b/internal/peerlink/pieces_test.go
@@ -32,7 +32,7 @@
 			ID: id, Service: "s", Address: address, Zone: "zone-a", Slots: 2, State: workers.StateReady, Born: workers.Born(1764739000000 + index),
 		}))
 		if index < keyed {
-			keys := owner.Keys{From: owner.KeyCount * index / keyed, To: owner.KeyCount*(index+1)/keyed - 1}
+			keys := owner.KeyRange{From: owner.KeyCount * index / keyed, To: owner.KeyCount*(index+1)/keyed - 1}
 			owners = append(owners, owner.Owner{Keys: keys, Worker: id, Address: address})
 		}
 	}
@@ -259,7 +259,7 @@
 		"twice":             {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
 		"backwards":         {Workers: worker, Runs: [][4]int{{8, -3, 0, 0}}},
 		"beyond all keys":   {Workers: worker, Runs: [][4]int{{0, owner.KeyCount, 0, 0}}},
-		"of other keys":     {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Whole: true, Keys: &owner.Keys{From: 5, To: 9}},
+		"of other keys":     {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Whole: true, Keys: &owner.KeyRange{From: 5, To: 9}},
 		"not packed":        {Packed: []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -57,7 +57,7 @@
 
 // run is one worker that has all keys.
 func run(worker string) []owner.Owner {
-	return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
+	return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
 }
 
 func TestARelaysWordAges(t *testing.T) {
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -141,13 +141,13 @@
 }
 
 // mandates returns what the standbys may do with a service's holds.
-func (s *standbys) mandates(service routing.ServiceName, now time.Time) []owner.Mandate {
-	list := make([]owner.Mandate, 0, len(s.given))
+func (s *standbys) mandates(service routing.ServiceName, now time.Time) []owner.Delegation {
+	list := make([]owner.Delegation, 0, len(s.given))
 	for _, leave := range s.given {
 		if leave.alone(now) {
 			leave.renewed = earlier(now, leave.until).Add(orderTime)
 		}
-		list = append(list, owner.Mandate{Heard: leave.heard[service], Until: leave.until, Renewed: leave.renewed})
+		list = append(list, owner.Delegation{KnownVersion: leave.heard[service], Until: leave.until, LastRenewal: leave.renewed})
 	}
 	return list
 }
@@ -231,7 +231,7 @@
 }
 
 // Mandates returns what the standbys may do with a service's holds.
-func (h *Hub) Mandates(service routing.ServiceName) []owner.Mandate {
+func (h *Hub) Mandates(service routing.ServiceName) []owner.Delegation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standbys.mandates(service, clock.Now())
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -23,7 +23,7 @@
 	}()
 	limit := time.Now().Add(time.Minute)
 	hub.SetLimit(limit)
-	holds := []owner.Hold{{Keys: owner.Keys{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
+	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
 	hub.PublishHolds("s", 5, holds)
 
 	var version atomic.Uint64
@@ -60,7 +60,7 @@
 	assert.DeepEqual(t, <-heard, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		given := hub.Mandates("s")
-		if len(given) == 1 && given[0].Heard == 5 && given[0].Until.Equal(limit) && given[0].Renewed.IsZero() {
+		if len(given) == 1 && given[0].KnownVersion == 5 && given[0].Until.Equal(limit) && given[0].LastRenewal.IsZero() {
 			return poll.Success()
 		}
 		return poll.Continue("%+v", given)
@@ -69,13 +69,13 @@
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if given := hub.Mandates("s"); given[0].Renewed.IsZero() {
+		if given := hub.Mandates("s"); given[0].LastRenewal.IsZero() {
 			return poll.Continue("it is not known to be alone")
 		}
 		return poll.Success()
 	})
 	hub.PublishHolds("s", 6, nil)
-	assert.Equal(t, hub.Mandates("s")[0].Heard, uint64(5), "it can't have heard that nothing is held now")
+	assert.Equal(t, hub.Mandates("s")[0].KnownVersion, uint64(5), "it can't have heard that nothing is held now")
 }
 
 // All that is held is told now and then only: fences may change at each of the leader's
@@ -140,7 +140,7 @@
 func TestAWorkerIsNamedAnewWhereItsAddressChanges(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	at := func(address string) []owner.Owner {
-		return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
+		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
 	}
 	f := follow(t, address)
 	for _, where := range []string{"a:1", "b:1", "a:1"} {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -290,7 +290,7 @@
 				return false
 			})
 			f := newFront(t, w.entry("pool"))
-			moving := owner.Owner{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "k", Moving: true}
+			moving := owner.Owner{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: "k", Moving: true}
 			f.proxy.Table.Replace(1, "keyed", []owner.Owner{moving})
 			go func() {
 				if c.path != "/keyed-once/" {
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -67,8 +67,8 @@
 	assert.Assert(t, f.proxy.Use(config))
 	half := owner.KeyCount / 2
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{
-		{Keys: owner.Keys{From: 0, To: half - 1}, Worker: "w1", Address: near.listener.Addr().String()},
-		{Keys: owner.Keys{From: half, To: owner.KeyCount - 1}, Worker: "w2", Address: far.listener.Addr().String()},
+		{Keys: owner.KeyRange{From: 0, To: half - 1}, Worker: "w1", Address: near.listener.Addr().String()},
+		{Keys: owner.KeyRange{From: half, To: owner.KeyCount - 1}, Worker: "w2", Address: far.listener.Addr().String()},
 	})
 	for range 10 {
 		for _, key := range []string{"65000", "65000", "7", "7"} {
@@ -136,7 +136,7 @@
 			route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
 			assert.Assert(t, f.proxy.Use(config))
 			if test.owner != "" {
-				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
+				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
 			}
 			c := &call{proxy: f.proxy, config: config, route: route, request: httptest.NewRequest("GET", "/safe/", nil)}
 			if test.key != "" {
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -223,7 +223,7 @@
 // owns makes a worker the owner of all keys.
 func (f *front) owns(w workers.Worker) {
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{{
-		Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: w.ID, Address: w.Address,
+		Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: w.ID, Address: w.Address,
 	}})
 }
 
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -18,9 +18,9 @@
 	times := r.keeper.Times
 	r.keeper.Unresolved = r.askAll(ctx, tenure.Before, tenure.Leader.Term)
 	if len(tenure.Before) > 0 && len(r.keeper.Unresolved) == 0 {
-		return clock.Now().Add(orderTime + times.HoldBound())
+		return clock.Now().Add(orderTime + times.MaxHold())
 	}
-	return clock.Now().Add(times.StaleRenewals + times.HoldBound())
+	return clock.Now().Add(times.RenewalGrace + times.MaxHold())
 }
 
 // askAll asks all processes that may renew to stop, and returns those that may not have
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -48,7 +48,7 @@
 	Store coord.Store
 	// MoveStore sends the next calls to another address of the store.
 	MoveStore func(address string)
-	Orders    owner.Orders
+	Orders    owner.OrderSender
 	// Headers are the platform's names of headers.
 	Headers upstream.Headers
 	// ReadyPath is asked at the ready address.
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -31,7 +31,7 @@
 
 // Standby is safe for concurrent use.
 type Standby struct {
-	Orders owner.Orders
+	Orders owner.OrderSender
 	Times  owner.Config
 	Log    *decision.Log
 	// Workers are the announced workers; nil: their lives are not known.
@@ -50,7 +50,7 @@
 }
 
 // New returns a standby of no leader yet.
-func New(orders owner.Orders, times owner.Config, log *decision.Log) *Standby {
+func New(orders owner.OrderSender, times owner.Config, log *decision.Log) *Standby {
 	return &Standby{
 		Orders: orders, Times: times, Log: log, began: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
 	}
@@ -73,10 +73,10 @@
 		if !ok {
 			continue
 		}
-		s.of(told.Service).Tell(term, told.Version, holds, until)
+		s.of(told.Service).SetHolds(term, told.Version, holds, until)
 	}
 	for _, service := range s.services {
-		service.Extend(term, until)
+		service.ExtendUntil(term, until)
 	}
 }
 
@@ -85,7 +85,7 @@
 	known := s.services[service]
 	if known == nil {
 		known = owner.NewStandby(s.Times)
-		known.Stop(s.stopped)
+		known.Revoke(s.stopped)
 		s.services[service] = known
 	}
 	return known
@@ -107,9 +107,9 @@
 	s.lost = lost
 	for _, service := range s.services {
 		if lost {
-			service.Lost()
+			service.LeaderLost()
 		} else {
-			service.Found()
+			service.LeaderFound()
 		}
 	}
 }
@@ -124,7 +124,7 @@
 func (s *Standby) stop(term owner.Term) {
 	s.stopped = max(s.stopped, term)
 	for _, service := range s.services {
-		service.Stop(term)
+		service.Revoke(term)
 	}
 }
 
@@ -138,7 +138,7 @@
 	report.Stamp = max(1, clock.Since(s.began).Milliseconds())
 	report.Heard = map[routing.ServiceName]uint64{}
 	for name, service := range s.services {
-		report.Heard[name] = service.Version()
+		report.Heard[name] = service.HoldsVersion()
 	}
 }
 
@@ -178,7 +178,7 @@
 	}
 	list, _ := s.Workers.Of(name)
 	for _, one := range list {
-		service.Began(one.Life())
+		service.ObserveIncarnation(one.Life())
 	}
 }
 
@@ -192,5 +192,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	service.Answered(clock.Now(), renewal, reply.Outcome)
+	service.HandleOutcome(clock.Now(), renewal, reply.Outcome)
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -26,13 +26,13 @@
 	return owner.Reply{Outcome: owner.OutcomeDone}
 }
 
-func (c *counting) Release(context.Context, owner.Target, owner.Keys, owner.Fence) owner.Reply {
+func (c *counting) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
 	return owner.Reply{Outcome: owner.OutcomeInvalid}
 }
 
 // leave lets the standby renew one run of keys for some time after a stamp of its own.
 func leave(stamp, left time.Duration) *peerlink.Mandate {
-	holds := []owner.Hold{{Keys: owner.Keys{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
+	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
 	return &peerlink.Mandate{
 		Stamp: stamp.Milliseconds(), LeftMillis: left.Milliseconds(),
 		Services: []peerlink.ServiceHolds{peerlink.DescribeHolds("s", 5, holds)},
