--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -104,16 +104,16 @@
 	{
 		name: "keys-of-a-limited-worker-overload-another",
 		file: "internal/owner/balance.go",
-		old:  "		want = min(want, (fullEnough-p.utilization(to))*max(capacityTo, 1))\n",
+		old:  "		want = min(want, (maxTargetUtilization-p.utilization(to))*max(capacityTo, 1))\n",
 		new:  "",
-		pkg:  "./internal/owner", test: "TestWhatALimitedWorkerDoesNotTakeOverloadsNoOther",
+		pkg:  "./internal/owner", test: "TestExcessOfLimitedWorkerDoesNotOverloadOthers",
 	},
 	{
 		name: "keys-of-a-limited-worker-move-one-by-one",
 		file: "internal/owner/balance.go",
-		old:  "rate < aloneShare*p.usualCapacity(from) {",
-		new:  "rate < aloneShare*p.candidates[from].Capacity {",
-		pkg:  "./internal/owner", test: "TestKeysLeaveAWorkerThatTakesNothingInRuns",
+		old:  "rate < hotKeyShare*p.referenceCapacity(from) {",
+		new:  "rate < hotKeyShare*p.candidates[from].Capacity {",
+		pkg:  "./internal/owner", test: "TestKeysLeaveSlowWorkerInRanges",
 	},
 	{
 		name: "request-waits-for-a-move-that-can't-be-stored",
--- a/internal/owner/balance.go
+++ b/internal/owner/balance.go
@@ -6,32 +6,32 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// balance moves runs of keys from the busiest worker to the idlest.
-func (p *plan) balance() int {
+// balance moves key ranges from the most utilized workers to the least loaded ones.
+func (p *planner) balance() int {
 	moves := 0
-	stuck := map[workers.ID]bool{}
-	for moves < min(maxMoves, p.rules.MaxMoves) {
-		from, found := p.busiest(stuck)
-		to, other := p.idlestFor(from)
-		if !found || !other {
+	exhausted := map[workers.ID]bool{}
+	for moves < min(maxMovesPerRound, p.rules.MaxMoves) {
+		from, found := p.mostUtilized(exhausted)
+		to, foundTarget := p.leastLoadedForAny(from)
+		if !found || !foundTarget {
 			return moves
 		}
 		gap := p.utilization(from) - p.utilization(to)
-		if p.utilization(from) < busyEnough || gap < leastGap {
+		if p.utilization(from) < minSourceUtilization || gap < minUtilizationGap {
 			return moves
 		}
-		want := p.wanted(from, to, gap)
-		if key, better, ok := p.hoist(from); ok {
-			p.move(key, from, better)
+		want := p.loadToMove(from, to, gap)
+		if key, target, ok := p.hotKeyMove(from); ok {
+			p.move(key, from, target)
 			moves++
 			continue
 		}
 		keys, ok := KeyRange{}, false
 		if want > 0 {
-			keys, ok = p.choose(from, to, want)
+			keys, ok = p.bestRange(from, to, want)
 		}
 		if !ok {
-			stuck[from] = true
+			exhausted[from] = true
 			continue
 		}
 		p.move(keys, from, to)
@@ -40,99 +40,101 @@
 	return moves
 }
 
-// wanted returns how much load is to move from one worker to another, given by how much their
-// utilizations differ. Moving w off from (capacity cf) to to (capacity ct) levels them when
-// w/cf + w/ct = gap. What a limited worker does not get must not make the other one short of room.
-func (p *plan) wanted(from, to workers.ID, gap float64) float64 {
+// loadToMove returns how much load to move from one worker to another, given the difference of
+// their utilizations. Moving a load of w from a worker of capacity cf to one of capacity ct makes
+// them equal if w/cf + w/ct = gap. The excess load of a limited worker must not leave the other one
+// short of capacity.
+func (p *planner) loadToMove(from, to workers.ID, gap float64) float64 {
 	capacityFrom, capacityTo := p.candidates[from].Capacity, p.candidates[to].Capacity
 	want := gap / (1/max(capacityFrom, 1) + 1/max(capacityTo, 1))
 	if p.candidates[from].Limited {
-		want = min(want, (fullEnough-p.utilization(to))*max(capacityTo, 1))
+		want = min(want, (maxTargetUtilization-p.utilization(to))*max(capacityTo, 1))
 	}
 	return want
 }
 
-// idlestFor returns the candidate with the least load of those that may hold any
-// keys of another.
-func (p *plan) idlestFor(from workers.ID) (workers.ID, bool) {
+// leastLoadedForAny returns the least loaded candidate that may hold any of another worker's spans.
+func (p *planner) leastLoadedForAny(from workers.ID) (workers.ID, bool) {
 	if len(p.rules.Placement) == 0 {
-		return p.idlest(from, KeyRange{0, KeyCount - 1})
+		return p.leastLoaded(from, KeyRange{0, KeyCount - 1})
 	}
 	var best workers.ID
 	found := false
-	for _, one := range p.book.spans {
-		if one.owner != from {
+	for _, s := range p.ledger.spans {
+		if s.owner != from {
 			continue
 		}
-		if id, ok := p.idlest(from, one.keys); ok && (!found || p.utilization(id) < p.utilization(best)) {
+		if id, ok := p.leastLoaded(from, s.keys); ok && (!found || p.utilization(id) < p.utilization(best)) {
 			best, found = id, true
 		}
 	}
 	return best, found
 }
 
-// hoist finds a key that alone is much of a worker's load, and the worker that
-// it would load least. Keys can't be divided, so such a key belongs on a fast
-// worker, from which the others are then moved.
-func (p *plan) hoist(from workers.ID) (KeyRange, workers.ID, bool) {
-	key, rate, found := p.hottest(from)
-	if !found || rate < aloneShare*p.usualCapacity(from) {
+// hotKeyMove returns a key that alone makes up much of a worker's load, and the worker for which it
+// would cause the least loss. A key can't be divided, so a hot one belongs on a fast worker, whose
+// other keys are then moved away.
+func (p *planner) hotKeyMove(from workers.ID) (KeyRange, workers.ID, bool) {
+	key, rate, found := p.hottestKey(from)
+	if !found || rate < hotKeyShare*p.referenceCapacity(from) {
 		return KeyRange{}, "", false
 	}
-	best, least := from, loss(p.utilization(from))-leastGain
+	best, least := from, lossRate(p.utilization(from))-minLossReduction
 	for id, candidate := range p.candidates {
-		others := min(p.loads[id], shedShare*p.loads[id]+shedLeast)
-		after := loss((others + rate) / max(candidate.Capacity, 1))
-		if id != from && p.takes(id, KeyRange{key, key}) && (after < least || (after == least && id < best)) {
+		others := min(p.loads[id], remainingShare*p.loads[id]+minRemainingLoad)
+		after := lossRate((others + rate) / max(candidate.Capacity, 1))
+		if id != from && p.accepts(id, KeyRange{key, key}) && (after < least || (after == least && id < best)) {
 			best, least = id, after
 		}
 	}
 	return KeyRange{key, key}, best, best != from
 }
 
-// usualCapacity is a worker's capacity, or that of the candidates if it is limited: few of its keys
-// need to be placed alone then.
-func (p *plan) usualCapacity(id workers.ID) float64 {
+// referenceCapacity returns the capacity that the load of a single key is compared with: the
+// worker's, or for a limited worker at least the average of the candidates, since few of its keys
+// need to be placed separately.
+func (p *planner) referenceCapacity(id workers.ID) float64 {
 	if p.candidates[id].Limited {
 		return max(p.candidates[id].Capacity, p.averageCapacity())
 	}
 	return p.candidates[id].Capacity
 }
 
-// loss approximates the share of requests that a worker answers late or not at all at
-// a utilization: few up to idleEnough, and beyond its capacity what is too much.
-func loss(utilization float64) float64 {
-	const idleEnough, atCapacity = 0.6, 0.3
+// lossRate approximates the fraction of requests that a worker answers late or not at all at a
+// utilization. There is no loss up to noLossUtilization; above a utilization of 1 it includes all load
+// beyond the worker's capacity.
+func lossRate(utilization float64) float64 {
+	const noLossUtilization, lossAtCapacity = 0.6, 0.3
 	switch {
-	case utilization <= idleEnough:
+	case utilization <= noLossUtilization:
 		return 0
 	case utilization <= 1:
-		return atCapacity * (utilization - idleEnough) / (1 - idleEnough)
+		return lossAtCapacity * (utilization - noLossUtilization) / (1 - noLossUtilization)
 	}
-	return 1 - (1-atCapacity)/utilization
+	return 1 - (1-lossAtCapacity)/utilization
 }
 
-// hottest returns the key of a worker that is asked for most.
-func (p *plan) hottest(of workers.ID) (key int, rate float64, found bool) {
-	for _, one := range p.book.spans {
-		if one.owner != of || one.busy || !one.settled() {
+// hottestKey returns the key of a worker with the highest request rate.
+func (p *planner) hottestKey(of workers.ID) (key int, rate float64, found bool) {
+	for _, s := range p.ledger.spans {
+		if s.owner != of || s.inFlight || !s.stable() {
 			continue
 		}
-		from, to := p.places(one.keys)
-		for _, asked := range p.rates[from:to] {
-			if asked.Rate > rate {
-				key, rate, found = asked.Key, asked.Rate, true
+		from, to := p.rateIndexes(s.keys)
+		for _, load := range p.rates[from:to] {
+			if load.Rate > rate {
+				key, rate, found = load.Key, load.Rate, true
 			}
 		}
 	}
 	return key, rate, found
 }
 
-func (p *plan) busiest(stuck map[workers.ID]bool) (workers.ID, bool) {
+func (p *planner) mostUtilized(exhausted map[workers.ID]bool) (workers.ID, bool) {
 	var best workers.ID
 	found := false
 	for id := range p.candidates {
-		if stuck[id] {
+		if exhausted[id] {
 			continue
 		}
 		if !found || p.utilization(id) > p.utilization(best) || (p.utilization(id) == p.utilization(best) && id < best) {
@@ -142,28 +144,28 @@
 	return best, found
 }
 
-// choose finds the run of keys of one worker whose move to another comes
-// closest to the wanted load at the least cost.
-func (p *plan) choose(from, to workers.ID, want float64) (KeyRange, bool) {
-	best, bestCost := KeyRange{}, worstCost
-	for index, one := range p.book.spans {
-		if one.owner != from || one.busy || !one.settled() || !p.takes(to, one.keys) {
+// bestRange returns the key range of one worker whose move to another comes closest to the wanted
+// load at the lowest cost.
+func (p *planner) bestRange(from, to workers.ID, want float64) (KeyRange, bool) {
+	best, bestCost := KeyRange{}, maxCost
+	for index, s := range p.ledger.spans {
+		if s.owner != from || s.inFlight || !s.stable() || !p.accepts(to, s.keys) {
 			continue
 		}
 		consider := func(keys KeyRange) {
-			if cost := p.cost(index, one, keys, to, want); cost < bestCost {
+			if cost := p.cost(index, s, keys, to, want); cost < bestCost {
 				best, bestCost = keys, cost
 			}
 		}
-		p.eachRun(one.keys, want, consider)
+		p.eachSubrange(s.keys, want, consider)
 	}
-	return best, bestCost < worstCost
+	return best, bestCost < maxCost
 }
 
-// eachRun offers the whole of a span, and its runs that start at each key asked
-// for and end before their load would be too much.
-func (p *plan) eachRun(keys KeyRange, want float64, consider func(KeyRange)) {
-	first, last := p.places(keys)
+// eachSubrange calls consider with the whole range, if its load is not too high, and with the
+// subranges that start at each key with requests and end before their load exceeds the wanted one.
+func (p *planner) eachSubrange(keys KeyRange, want float64, consider func(KeyRange)) {
+	first, last := p.rateIndexes(keys)
 	if p.rate(keys) <= want {
 		consider(keys)
 	}
@@ -174,40 +176,40 @@
 			end++
 		}
 		if end == start {
-			continue // one key alone is too much
+			continue // the load of this key alone is too high
 		}
-		run := KeyRange{p.rates[start].Key, p.rates[end-1].Key}
-		consider(run)
+		subrange := KeyRange{p.rates[start].Key, p.rates[end-1].Key}
+		consider(subrange)
 		if start == first {
-			consider(KeyRange{keys.From, run.To})
+			consider(KeyRange{keys.From, subrange.To})
 		}
 		if end == last {
-			consider(KeyRange{run.From, keys.To})
+			consider(KeyRange{subrange.From, keys.To})
 		}
 	}
 }
 
-// urgency is by how much cheaper a move of keys off a worker is taken to be. What a worker gets
-// beyond a limit that it names is refused for as long as its keys stay.
-func (p *plan) urgency(from workers.ID) float64 {
+// overload returns the factor by which moving a number of keys off a worker counts as cheaper.
+// Requests beyond a limit that a worker has set are rejected for as long as its keys stay.
+func (p *planner) overload(from workers.ID) float64 {
 	if !p.candidates[from].Limited {
 		return 1
 	}
 	return max(1, p.utilization(from))
 }
 
-func (p *plan) cost(index int, of *span, keys KeyRange, to workers.ID, want float64) float64 {
+func (p *planner) cost(index int, of *span, keys KeyRange, to workers.ID, want float64) float64 {
 	cost := math.Abs(want-p.rate(keys)) / want
-	cost += widthCost * (1 + churnFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.urgency(of.owner)
+	cost += widthCost * (1 + churnCostFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.overload(of.owner)
 	if keys.From > of.keys.From {
 		cost += splitCost
-	} else if index > 0 && p.book.spans[index-1].owner == to {
-		cost -= joinGain
+	} else if index > 0 && p.ledger.spans[index-1].owner == to {
+		cost -= joinBonus
 	}
 	if keys.To < of.keys.To {
 		cost += splitCost
-	} else if index+1 < len(p.book.spans) && p.book.spans[index+1].owner == to {
-		cost -= joinGain
+	} else if index+1 < len(p.ledger.spans) && p.ledger.spans[index+1].owner == to {
+		cost -= joinBonus
 	}
 	return cost
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -7,248 +7,251 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Order is one call that the book wants to be made.
+// Order is a grant or release that the ledger wants to be sent.
 type Order struct {
-	Target  Target
-	Keys    KeyRange
-	Fence   Fence
-	Release bool
-	Grant   Grant
-	sentAt  time.Time
-	span    *span
-	doubt   *doubt
-	// overtaken says that its worker started again meanwhile: either life may have answered.
-	overtaken bool
+	Target      Target
+	Keys        KeyRange
+	Fence       Fence
+	Release     bool
+	Grant       Grant
+	sentAt      time.Time
+	span        *span
+	unconfirmed *unconfirmedGrant
+	// targetRestarted means that the worker has restarted since the order was sent: either
+	// incarnation may have replied.
+	targetRestarted bool
 }
 
-// Due returns the orders to send now. renewOnly allows nothing but renewals of
-// what is already held.
-func (b *Ledger) Due(now time.Time, renewOnly bool) []Order {
+// Due returns the orders to send now. With renewOnly these are only renewals of keys that are
+// already held.
+func (l *Ledger) Due(now time.Time, renewOnly bool) []Order {
 	var due []Order
-	for _, one := range b.spans {
-		if one.busy {
+	for _, s := range l.spans {
+		if s.inFlight {
 			continue
 		}
-		if !renewOnly && one.planned != nil && one.planned.change <= b.stored {
-			b.begin(now, one)
+		if !renewOnly && s.pending != nil && s.pending.recordVersion <= l.storedVersion {
+			l.beginMove(now, s)
 		}
-		if now.Before(one.next) {
+		if now.Before(s.nextOrderAt) {
 			continue
 		}
-		if order, ok := b.dueFor(now, one, renewOnly); ok {
-			one.busy = true
+		if order, ok := l.nextOrder(now, s, renewOnly); ok {
+			s.inFlight = true
 			due = append(due, order)
 		}
 	}
 	if !renewOnly {
-		due = append(due, b.dueDoubts(now)...)
+		due = append(due, l.dueFenceUpdates(now)...)
 	}
 	return due
 }
 
-func (b *Ledger) dueFor(now time.Time, one *span, renewOnly bool) (Order, bool) {
-	if renewOnly && !one.held() {
+func (l *Ledger) nextOrder(now time.Time, s *span, renewOnly bool) (Order, bool) {
+	if renewOnly && !s.held() {
 		return Order{}, false
 	}
-	one.formers = slices.DeleteFunc(one.formers, func(old former) bool {
-		if !b.ended[old.worker] && !b.outwaited(now, old) {
+	s.previous = slices.DeleteFunc(s.previous, func(old previousOwner) bool {
+		if !l.ended[old.worker] && !l.holdExpired(now, old) {
 			return false
 		}
-		old.lateUntil = b.lateUntil(old)
-		if !b.addDoubt(now, old, one) {
-			b.addToldDoubt(now, old, one)
+		old.delayedGrantUntil = l.delayedGrantsEnd(old)
+		if !l.addUnconfirmed(now, old, s) {
+			l.addAcknowledged(now, old, s)
 		}
 		return true
 	})
-	if len(one.formers) > 0 {
-		from := one.formers[0].worker
+	if len(s.previous) > 0 {
+		from := s.previous[0].worker
 		return Order{
-			Target:  b.target(from),
-			Keys:    one.keys,
-			Fence:   one.fence,
+			Target:  l.target(from),
+			Keys:    s.keys,
+			Fence:   s.fence,
 			Release: true,
 			sentAt:  now,
-			span:    one,
+			span:    s,
 		}, true
 	}
-	if one.change > b.stored || b.ended[one.owner] {
+	if s.recordVersion > l.storedVersion || l.ended[s.owner] {
 		return Order{}, false
 	}
-	if one.planned != nil && !one.reached() {
-		return Order{}, false // the record being stored says that the owner never had them
+	if s.pending != nil && !s.mayHaveGrant() {
+		return Order{}, false // the record being stored omits this owner: it never had the keys
 	}
-	// A worker that was not reached may have started again since: another life gets keys under
-	// a higher fence, too.
-	restarted := one.unsure && one.fence == one.takenFence && b.tellsLives(one.owner)
-	if (one.doubtful || restarted) && !renewOnly {
-		one.fence = b.nextFence()
-		b.holdsVersion++
+	// A worker that could not be reached may have restarted since. A new incarnation is granted the
+	// keys under a higher fence, too.
+	restarted := s.maybeRestarted && s.fence == s.acceptedFence && l.reportsIncarnation(s.owner)
+	if (s.unconfirmed || restarted) && !renewOnly {
+		s.fence = l.nextFence()
+		l.holdsVersion++
 	}
-	grant := Grant{Keys: one.keys, Fence: one.fence, Hold: b.config.Hold, Handover: one.handover}
+	grant := Grant{Keys: s.keys, Fence: s.fence, Hold: l.config.Hold, Handover: s.handover}
 	return Order{
-		Target: b.target(one.owner),
-		Keys:   one.keys, Fence: one.fence, Grant: grant, sentAt: now, span: one,
+		Target: l.target(s.owner),
+		Keys:   s.keys, Fence: s.fence, Grant: grant, sentAt: now, span: s,
 	}, true
 }
 
-// Answered takes the end of an order.
-func (b *Ledger) HandleReply(now time.Time, order Order, reply Reply) {
-	order.overtaken = order.Target.Incarnation != b.lives[order.Target.ID]
-	if !order.overtaken {
-		b.note(now, order, reply.Outcome)
+// HandleReply processes the result of an order.
+func (l *Ledger) HandleReply(now time.Time, order Order, reply Reply) {
+	order.targetRestarted = order.Target.Incarnation != l.incarnations[order.Target.ID]
+	if !order.targetRestarted {
+		l.recordOutcome(now, order, reply.Outcome)
 	}
-	if order.doubt != nil {
-		b.doubted(now, order, reply)
+	if order.unconfirmed != nil {
+		l.handleFenceUpdateReply(now, order, reply)
 		return
 	}
-	one := order.span
-	one.busy = false
+	s := order.span
+	s.inFlight = false
 	if order.Release {
-		b.released(now, one, order, reply)
+		l.handleReleaseReply(now, s, order, reply)
 		return
 	}
-	if order.overtaken && reply.Outcome == OutcomeDone {
-		reply.Outcome = OutcomeUnanswered // by the life that is over, or under a fence of before
+	if order.targetRestarted && reply.Outcome == OutcomeDone {
+		reply.Outcome = OutcomeUnanswered // accepted by the previous incarnation, or under an outdated fence
 	}
-	b.granted(now, one, order, reply)
-	if order.overtaken {
-		one.next = now // the new life is to see a higher fence at once
+	l.handleGrantReply(now, s, order, reply)
+	if order.targetRestarted {
+		s.nextOrderAt = now // send the new incarnation a higher fence at once
 	}
 }
 
-// note learns whether a worker answers, and whether orders come late.
-func (b *Ledger) note(now time.Time, order Order, outcome Outcome) {
+// recordOutcome notes whether a worker replies, and whether orders may be delayed.
+func (l *Ledger) recordOutcome(now time.Time, order Order, outcome Outcome) {
 	worker := order.Target.ID
 	switch outcome {
 	case OutcomeUnanswered:
-		if order.silent(now) {
-			b.unanswered[worker] = now
+		if order.timedOut(now) {
+			l.lastUnanswered[worker] = now
 		}
-		b.fails(now, worker)
+		l.recordFailure(now, worker)
 	case OutcomeUnreachable:
-		b.fails(now, worker)
+		l.recordFailure(now, worker)
 	case OutcomeOtherWorker:
-		b.ended[worker] = true
+		l.ended[worker] = true
 	default:
-		if failed, had := b.unanswered[worker]; had && now.Sub(failed) < b.config.MaxOrderDelay {
-			b.lateSeen = now
+		if failed, had := l.lastUnanswered[worker]; had && now.Sub(failed) < l.config.MaxOrderDelay {
+			l.delaySuspectedAt = now
 		}
-		delete(b.unanswered, worker)
-		delete(b.failing, worker)
+		delete(l.lastUnanswered, worker)
+		delete(l.failing, worker)
 	}
 }
 
-// failure is a run of failed orders.
+// failure is a series of consecutive failed orders to one worker.
 type failure struct {
 	since, last time.Time
 }
 
-// failureMemory is how long after its last failed order a worker counts as
-// failing, so that it is tried again.
-const failureMemory = 3 * time.Second
+// failureExpiry is how long a worker counts as failing after its last failed order. Then it is
+// tried again.
+const failureExpiry = 3 * time.Second
 
-func (b *Ledger) fails(now time.Time, worker workers.ID) {
-	run, failing := b.failing[worker]
-	if !failing || now.Sub(run.last) > failureMemory {
+func (l *Ledger) recordFailure(now time.Time, worker workers.ID) {
+	run, failing := l.failing[worker]
+	if !failing || now.Sub(run.last) > failureExpiry {
 		run.since = now
 	}
 	run.last = now
-	b.failing[worker] = run
+	l.failing[worker] = run
 }
 
-// Times after which a grant that had no answer was left so by its worker: a broken
-// connection shows at once, and a process that was paused meanwhile looks later.
+// Bounds of the time after which an unanswered grant is attributed to its worker: a broken
+// connection fails sooner, and a leader that was itself paused notices later.
 const (
-	silentLeast = 300 * time.Millisecond
-	silentMost  = 1500 * time.Millisecond
+	minTimeout = 300 * time.Millisecond
+	maxTimeout = 1500 * time.Millisecond
 )
 
-// silent reports whether the order was left without an answer, and not broken off
-// or overtaken by a pause of this process. Releases wait for work and tell nothing.
-func (o Order) silent(now time.Time) bool {
+// timedOut reports whether the worker left the order unanswered, as opposed to a broken connection
+// or a pause of this process. A release waits for work in flight, so its delay says nothing about
+// the worker.
+func (o Order) timedOut(now time.Time) bool {
 	waited := now.Sub(o.sentAt)
-	return !o.Release && waited >= silentLeast && waited <= silentMost
+	return !o.Release && waited >= minTimeout && waited <= maxTimeout
 }
 
-// lateOrders reports whether orders are taken late these days.
-func (b *Ledger) lateOrders(now time.Time) bool {
-	return !b.lateSeen.IsZero() && now.Sub(b.lateSeen) < 2*b.config.MaxOrderDelay
+// ordersDelayed reports whether workers may currently be carrying out orders with a delay.
+func (l *Ledger) ordersDelayed(now time.Time) bool {
+	return !l.delaySuspectedAt.IsZero() && now.Sub(l.delaySuspectedAt) < 2*l.config.MaxOrderDelay
 }
 
-func (b *Ledger) released(now time.Time, one *span, order Order, reply Reply) {
+func (l *Ledger) handleReleaseReply(now time.Time, s *span, order Order, reply Reply) {
 	switch reply.Outcome {
 	case OutcomeDone, OutcomeOtherWorker:
-		if order.overtaken {
-			one.next = now
+		if order.targetRestarted {
+			s.nextOrderAt = now
 			return
 		}
-		one.formers = slices.DeleteFunc(one.formers, func(old former) bool {
+		s.previous = slices.DeleteFunc(s.previous, func(old previousOwner) bool {
 			if old.worker == order.Target.ID {
-				old.forgottenUntil = later(old.forgottenUntil, b.lateUntil(old))
-				b.addToldDoubt(now, old, one)
+				old.restartGrantUntil = later(old.restartGrantUntil, l.delayedGrantsEnd(old))
+				l.addAcknowledged(now, old, s)
 			}
 			return old.worker == order.Target.ID
 		})
 		if reply.Handover != "" {
-			one.handover = reply.Handover
+			s.handover = reply.Handover
 		}
-		one.next = now
+		s.nextOrderAt = now
 	default:
-		one.next = now.Add(b.config.RetryDelay)
-		if len(one.formers) > 1 {
-			one.formers = append(one.formers[1:], one.formers[0])
+		s.nextOrderAt = now.Add(l.config.RetryDelay)
+		if len(s.previous) > 1 {
+			s.previous = append(s.previous[1:], s.previous[0])
 		}
 	}
 }
 
-func (b *Ledger) granted(now time.Time, one *span, order Order, reply Reply) {
-	bound := b.config.MaxHold()
+func (l *Ledger) handleGrantReply(now time.Time, s *span, order Order, reply Reply) {
+	bound := l.config.MaxHold()
 	switch reply.Outcome {
 	case OutcomeDone:
-		if !one.granted {
-			b.shape++
-			b.holdsVersion++
+		if !s.granted {
+			l.assignmentVersion++
+			l.holdsVersion++
 		}
-		one.granted, one.listed, one.unsure, one.takenFence = true, true, false, order.Fence
-		if !one.doubtful || order.Fence > one.doubtFence {
-			// No earlier grant can be taken any more by this life, and those that were end
+		s.granted, s.sentToStandbys, s.maybeRestarted, s.acceptedFence = true, true, false, order.Fence
+		if !s.unconfirmed || order.Fence > s.unconfirmedFence {
+			// This incarnation rejects all earlier grants from now on, and those that it accepted end
 			// sooner.
-			one.doubtful = false
-			if b.tellsLives(one.owner) {
-				one.forgottenUntil = later(one.forgottenUntil, one.takenUntil)
+			s.unconfirmed = false
+			if l.reportsIncarnation(s.owner) {
+				s.restartGrantUntil = later(s.restartGrantUntil, s.delayedGrantUntil)
 			}
-			one.takenUntil = time.Time{}
-			one.heldUntil = now.Add(bound)
+			s.delayedGrantUntil = time.Time{}
+			s.heldUntil = now.Add(bound)
 		} else {
-			one.heldUntil = later(one.heldUntil, now.Add(bound))
+			s.heldUntil = later(s.heldUntil, now.Add(bound))
 		}
-		one.handover = ""
-		one.surelyUntil = order.sentAt.Add(b.config.Hold)
-		one.next = order.sentAt.Add(b.config.RenewInterval)
+		s.handover = ""
+		s.guaranteedUntil = order.sentAt.Add(l.config.Hold)
+		s.nextOrderAt = order.sentAt.Add(l.config.RenewInterval)
 	case OutcomeFenced:
-		// Another leader has given the keys, or this one's own fence is behind.
-		one.fence = b.nextFence()
-		b.holdsVersion++
-		one.next = now.Add(b.config.RetryDelay)
+		// Another leader has granted the keys, or this leader's fence is too low.
+		s.fence = l.nextFence()
+		l.holdsVersion++
+		s.nextOrderAt = now.Add(l.config.RetryDelay)
 	case OutcomeUnanswered:
-		one.doubtful = true
-		one.doubtFence = order.Fence
-		one.takenUntil = now.Add(b.config.MaxOrderDelay)
-		one.heldUntil = later(one.heldUntil, now.Add(bound))
-		if b.lateOrders(now) {
-			one.lateUntil = later(one.lateUntil, now.Add(b.config.MaxOrderDelay+bound))
+		s.unconfirmed = true
+		s.unconfirmedFence = order.Fence
+		s.delayedGrantUntil = now.Add(l.config.MaxOrderDelay)
+		s.heldUntil = later(s.heldUntil, now.Add(bound))
+		if l.ordersDelayed(now) {
+			s.delayedHeldUntil = later(s.delayedHeldUntil, now.Add(l.config.MaxOrderDelay+bound))
 		}
-		one.next = now.Add(b.config.RetryDelay)
+		s.nextOrderAt = now.Add(l.config.RetryDelay)
 	case OutcomeUnreachable, OutcomeOtherWorker:
-		one.unsure = true
-		one.next = now.Add(b.config.RetryDelay)
+		s.maybeRestarted = true
+		s.nextOrderAt = now.Add(l.config.RetryDelay)
 	case OutcomeInvalid:
-		one.next = now.Add(b.config.RetryDelay)
+		s.nextOrderAt = now.Add(l.config.RetryDelay)
 	}
 }
 
-// Failing reports whether all orders to a worker have failed for some time.
-func (b *Ledger) Failing(now time.Time, worker workers.ID, after time.Duration) bool {
-	run, failing := b.failing[worker]
-	return b.ended[worker] || (failing && now.Sub(run.since) > after && now.Sub(run.last) < failureMemory)
+// Failing reports whether all orders to a worker have failed for longer than a duration, or the
+// worker is known to have ended.
+func (l *Ledger) Failing(now time.Time, worker workers.ID, after time.Duration) bool {
+	run, failing := l.failing[worker]
+	return l.ended[worker] || (failing && now.Sub(run.since) > after && now.Sub(run.last) < failureExpiry)
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -6,102 +6,100 @@
 	"time"
 )
 
-// KeyLoad is how often one key is asked for, in requests a second.
+// KeyLoad is the request rate of one key, in requests per second.
 type KeyLoad struct {
 	Key  int
 	Rate float64
 }
 
-// Times and bounds of measuring.
+// Parameters of load measurement.
 const (
-	// blockWidth is how many neighbouring keys are watched together for a
-	// sudden change.
+	// blockWidth is the number of adjacent keys that are checked together for a sudden change.
 	blockWidth = 64
-	// slowWindow is the time constant of the slow average.
+	// slowWindow is the time constant of the slow moving average.
 	slowWindow = 6 * time.Second
-	// fastWindow is the time constant of the fast average.
+	// fastWindow is the time constant of the fast moving average.
 	fastWindow = 1200 * time.Millisecond
-	// surgeWindow is over how long a sudden change is looked for.
+	// surgeWindow is the time over which a sudden change is detected.
 	surgeWindow = 500 * time.Millisecond
-	// surgeDeviations is how many standard deviations make a sudden change.
+	// surgeDeviations and minSurgeExcess define a sudden change: a count that differs from the
+	// expected one by more than minSurgeExcess plus surgeDeviations standard deviations.
 	surgeDeviations = 3.0
-	// surgeLeast is the least excess of requests that counts as one.
-	surgeLeast = 3.0
-	// slowShare is the slow average's part of the rate when nothing changes.
-	slowShare = 0.6
-	// settleTime is how long loads are measured before keys move by them: a new
-	// leader knows nothing of what was asked for before.
-	settleTime = 2500 * time.Millisecond
-	// forgetRate is the rate below which a key is forgotten.
-	forgetRate = 0.02
+	minSurgeExcess  = 3.0
+	// slowWeight is the weight of the slow average in the rate when there is no sudden change.
+	slowWeight = 0.6
+	// warmupTime is how long loads are measured before keys are moved for balance: a new leader
+	// knows nothing about earlier requests.
+	warmupTime = 2500 * time.Millisecond
+	// minTrackedRate is the rate below which a key is dropped.
+	minTrackedRate = 0.02
 )
 
-// Loads measures how often each key is asked for, from the counts that the
-// routers report. It is not safe for concurrent use.
+// Loads measures the request rate of each key from the counts that routers report. It is not safe
+// for concurrent use.
 type Loads struct {
 	keys   map[int]*keyRate
-	recent []batch
+	recent []report
 	start  time.Time
 }
 
 type keyRate struct {
-	fast, slow float64 // decayed counts
-	at         time.Time
+	fast, slow float64 // exponentially decayed counts
+	updatedAt  time.Time
 }
 
-type batch struct {
+type report struct {
 	at     time.Time
 	counts map[int]int
 }
 
-// NewLoads returns loads that know nothing.
+// NewLoads returns Loads without any counts.
 func NewLoads(now time.Time) *Loads {
 	return &Loads{keys: map[int]*keyRate{}, start: now}
 }
 
-// Settled reports whether the loads were measured for long enough to move keys by
-// them.
-func (l *Loads) Ready(now time.Time) bool { return now.Sub(l.start) >= settleTime }
+// Ready reports whether the loads have been measured for long enough to move keys for balance.
+func (l *Loads) Ready(now time.Time) bool { return now.Sub(l.start) >= warmupTime }
 
-// Add takes counts of requests for keys.
+// Add adds request counts by key.
 func (l *Loads) Add(now time.Time, counts map[int]int) {
 	for key, count := range counts {
 		rate := l.keys[key]
 		if rate == nil {
-			rate = &keyRate{at: now}
+			rate = &keyRate{updatedAt: now}
 			l.keys[key] = rate
 		}
 		rate.decay(now)
 		rate.fast += float64(count)
 		rate.slow += float64(count)
 	}
-	l.recent = append(l.recent, batch{at: now, counts: counts})
-	l.recent = slices.DeleteFunc(l.recent, func(old batch) bool { return now.Sub(old.at) > surgeWindow })
+	l.recent = append(l.recent, report{at: now, counts: counts})
+	l.recent = slices.DeleteFunc(l.recent, func(old report) bool { return now.Sub(old.at) > surgeWindow })
 }
 
 func (r *keyRate) decay(now time.Time) {
-	passed := now.Sub(r.at).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(r.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	r.fast *= math.Exp(-passed / fastWindow.Seconds())
-	r.slow *= math.Exp(-passed / slowWindow.Seconds())
-	r.at = now
+	r.fast *= math.Exp(-elapsed / fastWindow.Seconds())
+	r.slow *= math.Exp(-elapsed / slowWindow.Seconds())
+	r.updatedAt = now
 }
 
-// Rates returns the keys asked for lately, in order.
+// Rates returns the keys with recent requests, in key order.
 func (l *Loads) Rates(now time.Time) []KeyLoad {
-	slowSpan := l.span(now, slowWindow)
-	fastSpan := l.span(now, fastWindow)
+	slowSpan := l.effectiveWindow(now, slowWindow)
+	fastSpan := l.effectiveWindow(now, fastWindow)
 	surging, window := l.surges(now, slowSpan)
 	rates := make([]KeyLoad, 0, len(l.keys))
 	for key, rate := range l.keys {
 		rate.decay(now)
-		measured := slowShare*rate.slow/slowSpan + (1-slowShare)*rate.fast/fastSpan
+		measured := slowWeight*rate.slow/slowSpan + (1-slowWeight)*rate.fast/fastSpan
 		if surging[key/blockWidth] {
 			measured = float64(window[key]) / surgeWindow.Seconds()
 		}
-		if rate.slow/slowSpan < forgetRate && measured < forgetRate {
+		if rate.slow/slowSpan < minTrackedRate && measured < minTrackedRate {
 			delete(l.keys, key)
 			continue
 		}
@@ -113,19 +111,20 @@
 	return rates
 }
 
-// span is the length that a decayed count stands for, shorter at the start.
-func (l *Loads) span(now time.Time, window time.Duration) float64 {
+// effectiveWindow is the time in seconds that a decayed count represents. It is shorter than the
+// time constant while measuring has just begun.
+func (l *Loads) effectiveWindow(now time.Time, window time.Duration) float64 {
 	running := max(now.Sub(l.start).Seconds(), 0.2)
 	return window.Seconds() * (1 - math.Exp(-running/window.Seconds()))
 }
 
-// surges finds the blocks whose load has just changed, up or down, and returns
-// the counts of the window that shows it.
+// surges returns the blocks whose load has just risen or fallen suddenly, and the counts within
+// surgeWindow.
 func (l *Loads) surges(now time.Time, slowSpan float64) (map[int]bool, map[int]int) {
 	window := map[int]int{}
 	counted := map[int]float64{}
-	for _, one := range l.recent {
-		for key, count := range one.counts {
+	for _, batch := range l.recent {
+		for key, count := range batch.counts {
 			window[key] += count
 			counted[key/blockWidth] += float64(count)
 		}
@@ -138,7 +137,7 @@
 	surging := map[int]bool{}
 	for block := range expected {
 		excess := math.Abs(counted[block] - expected[block])
-		if excess > surgeLeast+surgeDeviations*math.Sqrt(expected[block]) {
+		if excess > minSurgeExcess+surgeDeviations*math.Sqrt(expected[block]) {
 			surging[block] = true
 		}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,9 +1,9 @@
-// Package owner decides which worker holds which keys of a keyed service, and
-// gives and takes them by fenced, timed orders.
+// Package owner decides which worker holds which keys of a keyed service, and moves keys between
+// workers by orders: fenced, time-limited grants, and releases.
 //
-// Ledger is the pure core: it is told the time, the workers and the answers of
-// orders, and says which orders to send next. It opens no socket and reads no
-// clock. Keeper drives a Ledger in the process that leads.
+// Ledger is the pure core: it is given the time, the workers and the replies to orders, and returns
+// the orders to send next. It opens no sockets and reads no clock. Package keeper drives a Ledger
+// in the process that leads.
 package owner
 
 import (
@@ -20,44 +20,44 @@
 // KeyCount is the number of keys of a service: 0 to KeyCount-1.
 const KeyCount = 65536
 
-// Keys is a run of keys, both ends inside.
+// KeyRange is a range of keys that includes both ends.
 type KeyRange struct {
 	From int `json:"from"`
 	To   int `json:"to"`
 }
 
-// Width is the number of keys.
+// Width returns the number of keys.
 func (k KeyRange) Width() int { return k.To - k.From + 1 }
 
-// Contains reports whether the key is in the run.
+// Contains reports whether the key is in the range.
 func (k KeyRange) Contains(key int) bool { return k.From <= key && key <= k.To }
 
-// Fence numbers orders: a worker refuses grants below the highest that it has
-// seen on a key. The high bits are the leader's term.
+// Fence is a fencing token: a worker rejects grants below the highest fence that it has seen on a
+// key. The high bits are the leader's term.
 type Fence int64
 
-// termShift leaves room for a term's own numbers.
+// termShift is the number of low bits that number the fences within a term.
 const termShift = 24
 
-// Term numbers the leaders, one after the other.
+// Term numbers the successive leaders.
 type Term int64
 
 // FirstFence returns the lowest fence of a term.
 func (t Term) FirstFence() Fence { return Fence(t) << termShift }
 
-// Handover is what a worker leaves for the next holder of its keys.
+// Handover is data that a worker passes on to the next holder of its keys.
 type Handover string
 
-// Target is where an order goes.
+// Target is the worker that an order is sent to.
 type Target struct {
 	ID      workers.ID
 	Address string
-	// Born tells which life of the worker is meant; zero if that is not known. A worker that
-	// started again holds nothing, and has seen no fences.
+	// Incarnation identifies the run of the worker's process that is meant; zero if it is not
+	// known. A restarted worker holds no keys and has seen no fences.
 	Incarnation workers.Born
 }
 
-// Grant gives keys for a time.
+// Grant gives keys to a worker for a limited time.
 type Grant struct {
 	Keys     KeyRange
 	Fence    Fence
@@ -65,40 +65,41 @@
 	Handover Handover
 }
 
-// Outcome is what is known after an order.
+// Outcome is what the sender knows about an order once it has ended.
 type Outcome string
 
 // Outcomes of orders.
 const (
-	// OutcomeDone: the worker has done it.
+	// OutcomeDone: the worker carried out the order.
 	OutcomeDone Outcome = "done"
 	// OutcomeFenced: the worker has seen a higher fence and did nothing.
 	OutcomeFenced Outcome = "fenced"
 	// OutcomeOtherWorker: another worker has the address, so the target has ended.
 	OutcomeOtherWorker Outcome = "other-worker"
-	// OutcomeUnreachable: no connection came up, so nothing was sent.
+	// OutcomeUnreachable: no connection was established, so nothing was sent.
 	OutcomeUnreachable Outcome = "unreachable"
-	// OutcomeUnanswered: it may be done now, or seconds later.
+	// OutcomeUnanswered: no reply arrived; the order may have been carried out, or may be seconds
+	// later.
 	OutcomeUnanswered Outcome = "unanswered"
-	// OutcomeInvalid: the worker refused the order as such.
+	// OutcomeInvalid: the order could not be encoded, or the worker rejected it as invalid.
 	OutcomeInvalid Outcome = "invalid"
 )
 
-// Reply is the end of an order.
+// Reply is the result of an order.
 type Reply struct {
 	Outcome  Outcome
 	Handover Handover
-	// Leaving says that the worker says with it that it leaves.
+	// Leaving means that the worker states in its reply that it is leaving.
 	Leaving bool
 }
 
-// Orders sends orders to workers.
+// OrderSender sends orders to workers.
 type OrderSender interface {
 	Grant(ctx context.Context, to Target, grant Grant) Reply
 	Release(ctx context.Context, from Target, keys KeyRange, fence Fence) Reply
 }
 
-// OutcomeFromError tells an order that was never sent from one that may be done.
+// OutcomeFromError distinguishes an order that was never sent from one that may be carried out.
 func OutcomeFromError(err error) Outcome {
 	var operation *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || (errors.As(err, &operation) && operation.Op == "dial") {
@@ -107,23 +108,23 @@
 	return OutcomeUnanswered
 }
 
-// Config holds the times of ownership.
+// Config holds the timing parameters of ownership.
 type Config struct {
 	// Hold is how long a grant lasts at a worker.
 	Hold time.Duration
-	// Renew is the pause between renewals.
+	// RenewInterval is the time between renewals.
 	RenewInterval time.Duration
-	// ClockSlack is the most by which a worker's clock runs slow, as a share.
+	// ClockSlack is the largest fraction by which a worker's clock may run slow.
 	ClockSlack float64
-	// LateOrder is the longest until an order without an answer is done.
+	// MaxOrderDelay is the longest time until an unanswered order is carried out.
 	MaxOrderDelay time.Duration
-	// StaleRenewals is how long a leader that lost the store goes on renewing.
+	// RenewalGrace is how long a leader that has lost the store continues to renew holds.
 	RenewalGrace time.Duration
-	// RetryOrder is the pause after an order that failed.
+	// RetryDelay is the pause after a failed order.
 	RetryDelay time.Duration
 }
 
-// DefaultConfig returns the times, given the longest hold that workers take.
+// DefaultConfig returns the default timing, given the longest hold that workers accept.
 func DefaultConfig(maxHold time.Duration) Config {
 	hold := min(3*time.Second, maxHold)
 	return Config{
@@ -136,22 +137,21 @@
 	}
 }
 
-// HoldBound is the longest that a grant lasts from when it is taken.
+// MaxHold returns the longest time for which a grant lasts after a worker accepts it.
 func (c Config) MaxHold() time.Duration {
 	return time.Duration(float64(c.Hold)*(1+c.ClockSlack)) + 100*time.Millisecond
 }
 
-// Owner is one run of keys and the worker that requests on it go to.
+// Owner is a key range and the worker that requests for its keys are sent to.
 type Owner struct {
-	Keys   KeyRange   `json:"keys"`
-	Worker workers.ID `json:"worker"`
-	// Address of the worker.
-	Address string `json:"address"`
-	// Moving says that the worker does not hold the keys yet.
+	Keys    KeyRange   `json:"keys"`
+	Worker  workers.ID `json:"worker"`
+	Address string     `json:"address"`
+	// Moving means that the worker does not hold the keys yet.
 	Moving bool `json:"moving,omitempty"`
 }
 
-// Assignment names the owners of a service's keys, in the order of the keys.
+// Assignment lists the owners of a service's keys, in key order.
 type Assignment struct {
 	Service routing.ServiceName
 	Owners  []Owner
--- a/internal/owner/place_test.go
+++ b/internal/owner/placement_test.go
@@ -18,7 +18,7 @@
 }
 
 // zoned returns candidates in zones.
-func zoned(zones ...string) []Candidate {
+func candidatesInZones(zones ...string) []Candidate {
 	candidates := make([]Candidate, 0, len(zones))
 	for index, zone := range zones {
 		id := workers.ID(fmt.Sprintf("w%d", index))
@@ -41,9 +41,9 @@
 	}
 }
 
-func TestFirstOwnersWaitUntilEachPlaceHasACandidate(t *testing.T) {
-	assert.Assert(t, InitialOwners(zoned("a", "b"), testPlaces) == nil)
-	all := zoned("a", "b", "c", "c")
+func TestInitialOwnersNeedACandidateForEachRule(t *testing.T) {
+	assert.Assert(t, InitialOwners(candidatesInZones("a", "b"), testPlaces) == nil)
+	all := candidatesInZones("a", "b", "c", "c")
 	owners := InitialOwners(all, testPlaces)
 	checkPlaces(t, owners, all, testPlaces)
 	next := 0
@@ -56,13 +56,13 @@
 
 // Whatever workers come and go and whatever the load, keys are planned only to
 // zones that may hold them, and stay where they are while there is none.
-func TestKeysNeverLeaveTheirPlaces(t *testing.T) {
+func TestPlanObeysPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		all := zoned("a", "a", "b", "b", "c", "c", "c")
-		book := NewLedger(DefaultConfig(10*time.Second), 1)
-		book.Assign(now, InitialOwners(all, testPlaces))
-		settle(book, now)
+		all := candidatesInZones("a", "a", "b", "b", "c", "c", "c")
+		ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+		ledger.Assign(now, InitialOwners(all, testPlaces))
+		answerAllOrders(ledger, now)
 		for range rapid.IntRange(1, 8).Draw(t, "rounds") {
 			var candidates []Candidate
 			for _, one := range all {
@@ -70,25 +70,25 @@
 					candidates = append(candidates, one)
 				}
 			}
-			rates := hot(rapid.IntRange(0, 60000).Draw(t, "hot"), rapid.IntRange(1, 500).Draw(t, "keys"), 80)
-			book.Plan(candidates, rates, Rules{Balance: true, MaxMoves: maxMoves, Placement: testPlaces})
-			settle(book, now)
-			checkPlaces(t, book.Assignment(), all, testPlaces)
+			rates := hotRates(rapid.IntRange(0, 60000).Draw(t, "hot"), rapid.IntRange(1, 500).Draw(t, "keys"), 80)
+			ledger.Plan(candidates, rates, Rules{Balance: true, MaxMoves: maxMovesPerRound, Placement: testPlaces})
+			answerAllOrders(ledger, now)
+			checkPlaces(t, ledger.Assignment(), all, testPlaces)
 		}
 	})
 }
 
 // Places that change move what may no longer stay.
-func TestKeysLeaveAZoneThatMayNoLongerHoldThem(t *testing.T) {
+func TestChangedPlacementRulesMoveKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
-	all := zoned("a", "b", "c")
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, InitialOwners(all, nil))
-	settle(book, now)
-	assert.Assert(t, len(book.Plan(all, nil, Rules{Placement: testPlaces})) > 0)
-	settle(book, now)
-	checkPlaces(t, book.Assignment(), all, testPlaces)
-	assert.Equal(t, len(book.Plan(all, nil, Rules{Placement: testPlaces})), 0)
+	all := candidatesInZones("a", "b", "c")
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	ledger.Assign(now, InitialOwners(all, nil))
+	answerAllOrders(ledger, now)
+	assert.Assert(t, len(ledger.Plan(all, nil, Rules{Placement: testPlaces})) > 0)
+	answerAllOrders(ledger, now)
+	checkPlaces(t, ledger.Assignment(), all, testPlaces)
+	assert.Equal(t, len(ledger.Plan(all, nil, Rules{Placement: testPlaces})), 0)
 }
 
 func TestChurnWeight(t *testing.T) {
@@ -96,33 +96,33 @@
 		rules Rules
 		moves bool
 	}{
-		"none":          {rules: Rules{Balance: true, MaxMoves: maxMoves}, moves: true},
-		"full":          {rules: Rules{Balance: true, MaxMoves: maxMoves, ChurnWeight: 1}},
+		"none":          {rules: Rules{Balance: true, MaxMoves: maxMovesPerRound}, moves: true},
+		"full":          {rules: Rules{Balance: true, MaxMoves: maxMovesPerRound, ChurnWeight: 1}},
 		"no moves left": {rules: Rules{Balance: true}},
-		"not allowed":   {rules: Rules{MaxMoves: maxMoves}},
+		"not allowed":   {rules: Rules{MaxMoves: maxMovesPerRound}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			candidates := fleet(14, 33)
-			book := NewLedger(DefaultConfig(10*time.Second), 1)
-			book.Assign(now, InitialOwners(candidates, nil))
-			settle(book, now)
-			moved := book.Plan(candidates, hot(30000, 200, 60), test.rules)
+			candidates := equalCandidates(14, 33)
+			ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+			ledger.Assign(now, InitialOwners(candidates, nil))
+			answerAllOrders(ledger, now)
+			moved := ledger.Plan(candidates, hotRates(30000, 200, 60), test.rules)
 			assert.Equal(t, len(moved) > 0, test.moves)
 		})
 	}
 }
 
-func TestPlacesWithinZones(t *testing.T) {
+func TestRestrictToZones(t *testing.T) {
 	for name, test := range map[string]struct {
 		places []PlacementRule
 		zones  []string
 		want   []PlacementRule
 	}{
 		"no places": {nil, []string{"a"}, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{"a"}}}},
-		"no zones":  {nil, nil, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{nowhere}}}},
+		"no zones":  {nil, nil, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{noZone}}}},
 		"places": {testPlaces, []string{"b", "c"}, []PlacementRule{
-			{KeyRange{0, 19999}, []string{nowhere}}, {KeyRange{20000, 29999}, []string{"b"}},
+			{KeyRange{0, 19999}, []string{noZone}}, {KeyRange{20000, 29999}, []string{"b"}},
 			{KeyRange{30000, 39999}, []string{"b", "c"}}, {KeyRange{40000, KeyCount - 1}, []string{"c"}},
 		}},
 	} {
--- a/internal/owner/plan_test.go
+++ b/internal/owner/planner_test.go
@@ -11,10 +11,10 @@
 )
 
 // testRules allow moves for balance.
-var testRules = Rules{Balance: true, MaxMoves: maxMoves}
+var testRules = Rules{Balance: true, MaxMoves: maxMovesPerRound}
 
 // fleet returns a number of equal candidates.
-func fleet(count int, capacity float64) []Candidate {
+func equalCandidates(count int, capacity float64) []Candidate {
 	candidates := make([]Candidate, 0, count)
 	for index := range count {
 		id := workers.ID(fmt.Sprintf("w%02d", index))
@@ -24,21 +24,21 @@
 }
 
 // settle answers all orders until none is due.
-func settle(book *Ledger, now time.Time) {
+func answerAllOrders(ledger *Ledger, now time.Time) {
 	for range 10 {
-		book.MarkStored(book.RecordVersion())
-		for _, order := range book.Due(now, false) {
-			book.HandleReply(now, order, Reply{Outcome: OutcomeDone, Handover: "h"})
+		ledger.MarkStored(ledger.RecordVersion())
+		for _, order := range ledger.Due(now, false) {
+			ledger.HandleReply(now, order, Reply{Outcome: OutcomeDone, Handover: "h"})
 		}
 	}
 }
 
 // busiest returns the utilization of the busiest candidate.
-func busiest(book *Ledger, candidates []Candidate, rates []KeyLoad) float64 {
+func highestUtilization(ledger *Ledger, candidates []Candidate, rates []KeyLoad) float64 {
 	worst := 0.0
 	for _, candidate := range candidates {
 		load := 0.0
-		for _, held := range book.Assignment() {
+		for _, held := range ledger.Assignment() {
 			if held.Worker != candidate.ID {
 				continue
 			}
@@ -55,7 +55,7 @@
 
 // hot are rates with a background of 70 requests a second over all keys and
 // busy neighbours.
-func hot(from, count int, total float64) []KeyLoad {
+func hotRates(from, count int, total float64) []KeyLoad {
 	var rates []KeyLoad
 	for key := 0; key < KeyCount; key += 128 {
 		rates = append(rates, KeyLoad{Key: key, Rate: 70.0 / (KeyCount / 128)})
@@ -74,19 +74,19 @@
 	return append(rates[:index:index], append(busy, rates[index:]...)...)
 }
 
-func TestPlanSpreadsBusyNeighboursInTwoRounds(t *testing.T) {
+func TestPlanSpreadsBusyAdjacentKeysInTwoRounds(t *testing.T) {
 	for _, count := range []int{1000, 200, 60} {
 		now := time.Now()
-		candidates := fleet(14, 33)
-		book := NewLedger(DefaultConfig(10*time.Second), 1)
-		book.Assign(now, InitialOwners(candidates, nil))
-		settle(book, now)
-		rates := hot(30000, count, 60)
+		candidates := equalCandidates(14, 33)
+		ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+		ledger.Assign(now, InitialOwners(candidates, nil))
+		answerAllOrders(ledger, now)
+		rates := hotRates(30000, count, 60)
 		for range 2 {
-			book.Plan(candidates, rates, testRules)
-			settle(book, now)
+			ledger.Plan(candidates, rates, testRules)
+			answerAllOrders(ledger, now)
 		}
-		assert.Assert(t, busiest(book, candidates, rates) < 0.6, "%d busy keys: %f", count, busiest(book, candidates, rates))
+		assert.Assert(t, highestUtilization(ledger, candidates, rates) < 0.6, "%d busy keys: %f", count, highestUtilization(ledger, candidates, rates))
 	}
 }
 
@@ -94,37 +94,37 @@
 // its worker could answer, and stayed there.
 func TestPlanPutsABusyKeyOnAFastWorker(t *testing.T) {
 	now := time.Now()
-	candidates := fleet(14, 20)
+	candidates := equalCandidates(14, 20)
 	candidates[9].Capacity = 60
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, InitialOwners(candidates, nil))
-	settle(book, now)
-	rates := hot(30000, 1, 40)
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	ledger.Assign(now, InitialOwners(candidates, nil))
+	answerAllOrders(ledger, now)
+	rates := hotRates(30000, 1, 40)
 	for range 3 {
-		book.Plan(candidates, rates, testRules)
-		settle(book, now)
+		ledger.Plan(candidates, rates, testRules)
+		answerAllOrders(ledger, now)
 	}
-	for _, held := range book.Assignment() {
+	for _, held := range ledger.Assignment() {
 		if held.Keys.Contains(30000) {
 			assert.Equal(t, held.Worker, candidates[9].ID)
 		}
 	}
-	assert.Assert(t, busiest(book, candidates, rates) < 0.8, "%f", busiest(book, candidates, rates))
+	assert.Assert(t, highestUtilization(ledger, candidates, rates) < 0.8, "%f", highestUtilization(ledger, candidates, rates))
 }
 
 // A leader that has just begun knows no rates: the keys of lost workers must not all go
 // to one.
 func TestKeysWithoutKnownLoadAreSpread(t *testing.T) {
 	now := time.Now()
-	candidates := fleet(8, 30)
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, InitialOwners(candidates, nil))
-	settle(book, now)
+	candidates := equalCandidates(8, 30)
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	ledger.Assign(now, InitialOwners(candidates, nil))
+	answerAllOrders(ledger, now)
 	left := candidates[4:]
-	book.Plan(left, nil, testRules)
-	settle(book, now)
+	ledger.Plan(left, nil, testRules)
+	answerAllOrders(ledger, now)
 	widths := map[workers.ID]int{}
-	for _, held := range book.Assignment() {
+	for _, held := range ledger.Assignment() {
 		widths[held.Worker] += held.Keys.Width()
 	}
 	for _, one := range left {
@@ -147,10 +147,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			book := NewLedger(DefaultConfig(10*time.Second), 1)
-			candidates := fleet(3, 10)
-			book.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
-			settle(book, now)
+			ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+			candidates := equalCandidates(3, 10)
+			ledger.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
+			answerAllOrders(ledger, now)
 			candidates[1].Zone = "z"
 			for _, index := range c.cold {
 				candidates[index].Cold = true
@@ -159,7 +159,7 @@
 			if c.zones != nil {
 				rules.Placement = []PlacementRule{{Keys: KeyRange{0, KeyCount - 1}, Zones: c.zones}}
 			}
-			moved := book.Plan(candidates[1:], nil, rules)
+			moved := ledger.Plan(candidates[1:], nil, rules)
 			assert.Equal(t, len(moved), 1)
 			assert.Equal(t, moved[0].To, c.want)
 		})
@@ -167,23 +167,23 @@
 }
 
 // For balance nothing moves to a cold worker.
-func TestNothingMovesToAColdWorkerForBalance(t *testing.T) {
+func TestBalanceMovesNothingToColdWorkers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	candidates := fleet(2, 20)
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	candidates := equalCandidates(2, 20)
 	candidates[1].Cold = true
-	book.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
-	settle(book, now)
-	rates := hot(0, 10, 60)
-	for _, one := range book.Plan(candidates, rates, testRules) {
+	ledger.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
+	answerAllOrders(ledger, now)
+	rates := hotRates(0, 10, 60)
+	for _, one := range ledger.Plan(candidates, rates, testRules) {
 		assert.Equal(t, one.To, workers.ID("w00"))
 	}
 	candidates[1].Cold = false
-	assert.Assert(t, len(book.Plan(candidates, rates, testRules)) > 0)
+	assert.Assert(t, len(ledger.Plan(candidates, rates, testRules)) > 0)
 }
 
 // each is a rate for so many keys of the first candidate of four, spread evenly.
-func each(count int, rate float64) []KeyLoad {
+func evenRates(count int, rate float64) []KeyLoad {
 	var rates []KeyLoad
 	for index := range count {
 		rates = append(rates, KeyLoad{Key: index * (KeyCount / 4) / count, Rate: rate})
@@ -192,36 +192,36 @@
 }
 
 // Single keys were each much of what a worker took that took next to nothing, and moved one by one.
-func TestKeysLeaveAWorkerThatTakesNothingInRuns(t *testing.T) {
-	candidates, now := fleet(4, 50), time.Now()
-	rates := each(30, 0.5)
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, InitialOwners(candidates, nil))
-	settle(book, now)
+func TestKeysLeaveSlowWorkerInRanges(t *testing.T) {
+	candidates, now := equalCandidates(4, 50), time.Now()
+	rates := evenRates(30, 0.5)
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	ledger.Assign(now, InitialOwners(candidates, nil))
+	answerAllOrders(ledger, now)
 	candidates[0].Capacity, candidates[0].Limited, candidates[0].Cold = 1, true, true
-	moves := book.Plan(candidates, rates, testRules)
-	settle(book, now)
+	moves := ledger.Plan(candidates, rates, testRules)
+	answerAllOrders(ledger, now)
 	assert.Assert(t, len(moves) <= 2, "%d moves", len(moves))
-	assert.Assert(t, busiest(book, candidates[:1], rates) <= 1)
+	assert.Assert(t, highestUtilization(ledger, candidates[:1], rates) <= 1)
 }
 
-func TestWhatALimitedWorkerDoesNotTakeOverloadsNoOther(t *testing.T) {
-	candidates, now := fleet(4, 50), time.Now()
-	rates := each(100, 2)
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	book.Assign(now, InitialOwners(candidates, nil))
-	settle(book, now)
+func TestExcessOfLimitedWorkerDoesNotOverloadOthers(t *testing.T) {
+	candidates, now := equalCandidates(4, 50), time.Now()
+	rates := evenRates(100, 2)
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	ledger.Assign(now, InitialOwners(candidates, nil))
+	answerAllOrders(ledger, now)
 	candidates[0].Capacity, candidates[0].Limited, candidates[0].Cold = 1, true, true
 	for range 10 {
-		book.Plan(candidates, rates, testRules)
-		settle(book, now)
+		ledger.Plan(candidates, rates, testRules)
+		answerAllOrders(ledger, now)
 	}
-	others := busiest(book, candidates[1:], rates)
-	assert.Assert(t, others > 0.7 && others <= fullEnough+0.05, "%.2f", others)
+	others := highestUtilization(ledger, candidates[1:], rates)
+	assert.Assert(t, others > 0.7 && others <= maxTargetUtilization+0.05, "%.2f", others)
 }
 
 // Keys that are asked for evenly are wide, and dear to move.
-func TestALimitedWorkerIsRidOfWhatItDoesNotTake(t *testing.T) {
+func TestExcessLoadLeavesLimitedWorker(t *testing.T) {
 	for name, test := range map[string]struct {
 		limited bool
 		keeps   float64
@@ -230,17 +230,17 @@
 		"only estimated": {keeps: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			candidates, now := fleet(5, 100), time.Now()
-			rates := hot(0, 0, 0)
-			book := NewLedger(DefaultConfig(10*time.Second), 1)
-			book.Assign(now, InitialOwners(candidates, nil))
-			settle(book, now)
+			candidates, now := equalCandidates(5, 100), time.Now()
+			rates := hotRates(0, 0, 0)
+			ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+			ledger.Assign(now, InitialOwners(candidates, nil))
+			answerAllOrders(ledger, now)
 			candidates[0].Capacity, candidates[0].Limited = 3, test.limited
 			for range 10 {
-				book.Plan(candidates, rates, testRules)
-				settle(book, now)
+				ledger.Plan(candidates, rates, testRules)
+				answerAllOrders(ledger, now)
 			}
-			load := busiest(book, candidates[:1], rates)
+			load := highestUtilization(ledger, candidates[:1], rates)
 			assert.Assert(t, load <= test.keeps && load > 0, "%.1f times what it takes", load)
 		})
 	}
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -9,20 +9,21 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Error is the class of errors of this package.
+// Error is the class of this package's errors.
 var Error = errs.Class("owner")
 
-// record is a book as it is stored: enough for the next leader to go on.
+// record is the stored form of a ledger. It holds all that the next leader needs to continue.
 type record struct {
-	Term    Term           `json:"term"`
-	Write   string         `json:"write"`
-	Workers []recordWorker `json:"workers"`
-	Spans   []recordSpan   `json:"spans"`
-	Doubts  []recordDoubt  `json:"doubts,omitempty"`
+	Term        Term                `json:"term"`
+	WriteID     string              `json:"write"`
+	Workers     []recordWorker      `json:"workers"`
+	Spans       []recordSpan        `json:"spans"`
+	Unconfirmed []recordUnconfirmed `json:"doubts,omitempty"`
 }
 
-// recordDoubt is a worker that may take a grant late, by its place.
-type recordDoubt struct {
+// recordUnconfirmed is a worker, by its index in record.Workers, that may accept a grant with a
+// delay.
+type recordUnconfirmed struct {
 	From   int `json:"f"`
 	To     int `json:"t"`
 	Worker int `json:"w"`
@@ -33,58 +34,58 @@
 	Address string     `json:"address"`
 }
 
-// recordSpan names workers by their place in the record's list.
+// recordSpan refers to workers by their index in record.Workers.
 type recordSpan struct {
-	From    int   `json:"f"`
-	To      int   `json:"t"`
-	Owner   int   `json:"o"`
-	Fence   Fence `json:"n"`
-	Formers []int `json:"p,omitempty"`
+	From     int   `json:"f"`
+	To       int   `json:"t"`
+	Owner    int   `json:"o"`
+	Fence    Fence `json:"n"`
+	Previous []int `json:"p,omitempty"`
 }
 
-// Encode returns the book as it is stored. write is unique to the attempt.
-func (b *Ledger) Encode(term Term, write string) ([]byte, error) {
-	stored := record{Term: term, Write: write}
-	places := map[workers.ID]int{}
-	place := func(id workers.ID) int {
-		if _, known := places[id]; !known {
-			places[id] = len(stored.Workers)
-			stored.Workers = append(stored.Workers, recordWorker{ID: id, Address: b.addresses[id]})
+// Encode returns the ledger in its stored form. writeID is unique to the attempt to write it.
+func (l *Ledger) Encode(term Term, writeID string) ([]byte, error) {
+	stored := record{Term: term, WriteID: writeID}
+	indexes := map[workers.ID]int{}
+	index := func(id workers.ID) int {
+		if _, known := indexes[id]; !known {
+			indexes[id] = len(stored.Workers)
+			stored.Workers = append(stored.Workers, recordWorker{ID: id, Address: l.addresses[id]})
 		}
-		return places[id]
-	}
-	for _, one := range b.spans {
-		kept := recordSpan{From: one.keys.From, To: one.keys.To, Owner: place(one.owner), Fence: one.fence}
-		if one.planned != nil {
-			kept.Owner, kept.Fence = place(one.planned.to), one.planned.fence
-			if one.reached() {
-				kept.Formers = append(kept.Formers, place(one.owner))
+		return indexes[id]
+	}
+	for _, s := range l.spans {
+		entry := recordSpan{From: s.keys.From, To: s.keys.To, Owner: index(s.owner), Fence: s.fence}
+		if s.pending != nil {
+			entry.Owner, entry.Fence = index(s.pending.to), s.pending.fence
+			if s.mayHaveGrant() {
+				entry.Previous = append(entry.Previous, index(s.owner))
 			}
 		}
-		for _, old := range one.formers {
-			kept.Formers = append(kept.Formers, place(old.worker))
+		for _, old := range s.previous {
+			entry.Previous = append(entry.Previous, index(old.worker))
 		}
-		stored.Spans = append(stored.Spans, kept)
+		stored.Spans = append(stored.Spans, entry)
 	}
-	for _, one := range b.doubts {
-		stored.Doubts = append(stored.Doubts, recordDoubt{From: one.keys.From, To: one.keys.To, Worker: place(one.worker)})
+	for _, grant := range l.unconfirmed {
+		stored.Unconfirmed = append(stored.Unconfirmed, recordUnconfirmed{From: grant.keys.From, To: grant.keys.To, Worker: index(grant.worker)})
 	}
 	encoded, err := json.Marshal(stored)
 	return encoded, Error.Wrap(err)
 }
 
-// DecodeWriteID returns the unique mark of a stored book.
+// DecodeWriteID returns the write ID of a stored ledger, or an empty string if it can't be decoded.
 func DecodeWriteID(value []byte) string {
 	var stored record
 	if err := json.Unmarshal(value, &stored); err != nil {
 		return ""
 	}
-	return stored.Write
+	return stored.WriteID
 }
 
-// Load takes over a stored book. Until is when every hold given before, by the
-// leader before, has surely ended.
-func (b *Ledger) Load(now time.Time, value []byte, until time.Time) error {
+// Load takes over a stored ledger from the previous leader. By the time until, all holds that
+// earlier leaders granted have ended.
+func (l *Ledger) Load(now time.Time, value []byte, until time.Time) error {
 	var stored record
 	if err := json.Unmarshal(value, &stored); err != nil {
 		return Error.Wrap(err)
@@ -93,69 +94,69 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range stored.Workers {
-		b.addresses[one.ID] = one.Address
+	for _, worker := range stored.Workers {
+		l.addresses[worker.ID] = worker.Address
 	}
-	for _, one := range spans {
-		b.inherit(one, until.Add(b.config.MaxOrderDelay-b.config.MaxHold()))
+	for _, s := range spans {
+		l.takeOver(s, until.Add(l.config.MaxOrderDelay-l.config.MaxHold()))
 	}
-	for _, kept := range stored.Doubts {
-		if kept.Worker < 0 || kept.Worker >= len(stored.Workers) {
-			return Error.New("stored doubts name worker %d of %d", kept.Worker, len(stored.Workers))
+	for _, entry := range stored.Unconfirmed {
+		if entry.Worker < 0 || entry.Worker >= len(stored.Workers) {
+			return Error.New("stored unconfirmed grant refers to worker index %d of %d workers", entry.Worker, len(stored.Workers))
 		}
-		b.doubts = append(b.doubts, &doubt{
-			worker: stored.Workers[kept.Worker].ID, keys: KeyRange{kept.From, kept.To}, fence: b.nextFence(),
-			until: now.Add(b.config.MaxOrderDelay), next: now,
+		l.unconfirmed = append(l.unconfirmed, &unconfirmedGrant{
+			worker: stored.Workers[entry.Worker].ID, keys: KeyRange{entry.From, entry.To}, fence: l.nextFence(),
+			until: now.Add(l.config.MaxOrderDelay), nextOrderAt: now,
 		})
 	}
-	b.spans = spans
-	b.shape++
-	b.holdsVersion++
+	l.spans = spans
+	l.assignmentVersion++
+	l.holdsVersion++
 	return nil
 }
 
-// inherit prepares a span that another leader kept. That leader may still renew
-// the owner, and raise its own fences where it is refused: only this term's are
-// above them all. Its orders without an answer may be taken late, until then.
-func (b *Ledger) inherit(one *span, takenUntil time.Time) {
-	if len(one.formers) > 0 {
-		one.fence = b.nextFence()
-	}
-	one.doubtful = true
-	one.doubtFence = one.fence
-	one.takenUntil = takenUntil
-	for index := range one.formers {
-		one.formers[index].lateUntil = one.takenUntil
+// takeOver prepares a span that another leader stored. That leader may still renew the owner's
+// hold, and raise its own fences if they are rejected; only fences of this term are higher than all
+// of them. Its unanswered orders may be accepted until delayedGrantUntil.
+func (l *Ledger) takeOver(s *span, delayedGrantUntil time.Time) {
+	if len(s.previous) > 0 {
+		s.fence = l.nextFence()
+	}
+	s.unconfirmed = true
+	s.unconfirmedFence = s.fence
+	s.delayedGrantUntil = delayedGrantUntil
+	for index := range s.previous {
+		s.previous[index].delayedGrantUntil = s.delayedGrantUntil
 	}
 }
 
 func decodeSpans(stored record, now, until time.Time) ([]*span, error) {
 	next := 0
 	spans := make([]*span, 0, len(stored.Spans))
-	for _, kept := range stored.Spans {
-		if kept.From != next || kept.To < kept.From || kept.To >= KeyCount {
-			return nil, Error.New("stored keys %d to %d do not follow key %d", kept.From, kept.To, next-1)
+	for _, entry := range stored.Spans {
+		if entry.From != next || entry.To < entry.From || entry.To >= KeyCount {
+			return nil, Error.New("stored keys %d to %d are invalid or do not follow key %d", entry.From, entry.To, next-1)
 		}
-		next = kept.To + 1
-		one := &span{keys: KeyRange{kept.From, kept.To}, fence: kept.Fence, heldUntil: until, next: now}
-		for _, place := range append([]int{kept.Owner}, kept.Formers...) {
-			if place < 0 || place >= len(stored.Workers) {
-				return nil, Error.New("stored keys %d to %d name worker %d of %d", kept.From, kept.To, place, len(stored.Workers))
+		next = entry.To + 1
+		s := &span{keys: KeyRange{entry.From, entry.To}, fence: entry.Fence, heldUntil: until, nextOrderAt: now}
+		for _, index := range append([]int{entry.Owner}, entry.Previous...) {
+			if index < 0 || index >= len(stored.Workers) {
+				return nil, Error.New("stored keys %d to %d refer to worker index %d of %d workers", entry.From, entry.To, index, len(stored.Workers))
 			}
 		}
-		one.owner = stored.Workers[kept.Owner].ID
-		for _, place := range kept.Formers {
-			one.formers = append(one.formers, former{worker: stored.Workers[place].ID, until: until})
+		s.owner = stored.Workers[entry.Owner].ID
+		for _, index := range entry.Previous {
+			s.previous = append(s.previous, previousOwner{worker: stored.Workers[index].ID, heldUntil: until})
 		}
-		spans = append(spans, one)
+		spans = append(spans, s)
 	}
 	if next != KeyCount {
-		return nil, Error.New("stored keys end at %d", next-1)
+		return nil, Error.New("stored keys end at %d instead of the last key", next-1)
 	}
 	return spans, nil
 }
 
-// DecodeOwners returns the owners in a stored book, and the term that stored it.
+// DecodeOwners returns the owners in a stored ledger, and the term of the leader that stored it.
 func DecodeOwners(value []byte) (Term, []Owner, error) {
 	var stored record
 	if err := json.Unmarshal(value, &stored); err != nil {
@@ -165,9 +166,9 @@
 		return 0, nil, err
 	}
 	owners := make([]Owner, 0, len(stored.Spans))
-	for _, kept := range stored.Spans {
-		of := stored.Workers[kept.Owner]
-		owners = append(owners, Owner{Keys: KeyRange{kept.From, kept.To}, Worker: of.ID, Address: of.Address})
+	for _, entry := range stored.Spans {
+		of := stored.Workers[entry.Owner]
+		owners = append(owners, Owner{Keys: KeyRange{entry.From, entry.To}, Worker: of.ID, Address: of.Address})
 	}
 	return stored.Term, owners, nil
 }
--- a/internal/owner/record_fuzz_test.go
+++ b/internal/owner/record_fuzz_test.go
@@ -25,7 +25,7 @@
 }
 
 // A router's report of keys that do not exist must not end the leader.
-func TestLoadsOfKeysThatDoNotExist(t *testing.T) {
+func TestLoadsOfInvalidKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
 	loads := NewLoads(now)
 	for index := range 100 {
--- /dev/null
+++ b/internal/owner/restart.go
@@ -0,0 +1,72 @@
+package owner
+
+import (
+	"time"
+
+	"github.com/shalefork/shalefork/internal/workers"
+)
+
+// ObserveIncarnation records the announced incarnation and address of a worker, and reports whether
+// the worker has restarted. An announcement without a start time is attributed to the known
+// incarnation.
+//
+// The ledger does not know when a worker restarted: its last replies may have come from either
+// incarnation. Earlier holds therefore still have to expire or be released. Meanwhile the worker is
+// granted its own keys again under a higher fence, and fences that it has to know are sent again,
+// since a new incarnation has seen none of the earlier ones.
+func (l *Ledger) ObserveIncarnation(now time.Time, life workers.Life, address string) bool {
+	before, known := l.incarnations[life.ID]
+	if life.Born == 0 || before == life.Born {
+		return false
+	}
+	l.incarnations[life.ID] = life.Born
+	if !known {
+		return false
+	}
+	delete(l.ended, life.ID)
+	delete(l.failing, life.ID)
+	delete(l.lastUnanswered, life.ID)
+	if l.addresses[life.ID] != address {
+		l.addresses[life.ID] = address
+		l.assignmentVersion++
+	}
+	for _, s := range l.spans {
+		l.handleRestart(now, s, life.ID)
+	}
+	for _, grant := range l.unconfirmed {
+		if grant.worker == life.ID {
+			grant.acknowledged, grant.nextOrderAt = false, now
+		}
+	}
+	return true
+}
+
+// handleRestart treats the keys of a restarted worker as not held by any worker yet. If the worker
+// is a previous owner, the order to it is due at once, for what its new incarnation may have been
+// granted.
+func (l *Ledger) handleRestart(now time.Time, s *span, worker workers.ID) {
+	for _, old := range s.previous {
+		if old.worker == worker {
+			s.nextOrderAt = now
+		}
+	}
+	if s.owner != worker || !s.mayHaveGrant() {
+		return
+	}
+	if s.granted {
+		l.assignmentVersion++
+	}
+	l.holdsVersion++
+	s.granted = false
+	s.fence = l.nextFence()
+	s.nextOrderAt = now
+}
+
+// reportsIncarnation reports whether a worker announces its start time. Workers that do not get a
+// new ID when they restart.
+func (l *Ledger) reportsIncarnation(id workers.ID) bool { return l.incarnations[id] != 0 }
+
+// target returns the address and incarnation that a worker's orders are sent to.
+func (l *Ledger) target(id workers.ID) Target {
+	return Target{ID: id, Address: l.addresses[id], Incarnation: l.incarnations[id]}
+}
--- a/internal/owner/world_worker_test.go
+++ b/internal/owner/simulation_worker_test.go
@@ -12,7 +12,7 @@
 	fence Fence
 	until time.Time
 	// late says that the grant was taken late, while no order reached the worker.
-	late bool
+	delayed bool
 }
 
 // simWorker is a worker that keeps the rules of its protocol.
@@ -20,27 +20,27 @@
 	id   workers.ID
 	held []heldKeys
 	// seen are the highest fences, by key of the small key space of the world.
-	seen [worldKeys]Fence
+	seen [segmentCount]Fence
 	// cut workers are not reached; ended ones are gone for good.
-	cut, ended bool
+	partitioned, ended bool
 	// slow is how much slower its clock runs.
-	slow float64
+	clockLag float64
 }
 
-// worldKeys is the number of places at which the rules are checked. Each stands
-// for KeyCount/worldKeys neighbouring keys.
-const worldKeys = 8
+// segmentCount is the number of places at which the rules are checked. Each stands
+// for KeyCount/segmentCount neighbouring keys.
+const segmentCount = 8
 
-func placeKeys(place int) KeyRange {
-	width := KeyCount / worldKeys
+func segmentKeys(place int) KeyRange {
+	width := KeyCount / segmentCount
 	return KeyRange{place * width, (place+1)*width - 1}
 }
 
 // covers lists the places that a run touches.
-func covers(keys KeyRange) []int {
+func segmentsOf(keys KeyRange) []int {
 	var places []int
-	for place := range worldKeys {
-		whole := placeKeys(place)
+	for place := range segmentCount {
+		whole := segmentKeys(place)
 		if keys.From <= whole.To && keys.To >= whole.From {
 			places = append(places, place)
 		}
@@ -49,24 +49,24 @@
 }
 
 func (w *simWorker) grant(now time.Time, grant Grant, late bool) Outcome {
-	for _, place := range covers(grant.Keys) {
+	for _, place := range segmentsOf(grant.Keys) {
 		if w.seen[place] > grant.Fence {
 			return OutcomeFenced
 		}
 	}
 	w.drop(now, grant.Keys)
-	for _, place := range covers(grant.Keys) {
+	for _, place := range segmentsOf(grant.Keys) {
 		w.seen[place] = grant.Fence
 	}
-	length := time.Duration(float64(grant.Hold) * (1 + w.slow))
-	w.held = append(w.held, heldKeys{keys: grant.Keys, fence: grant.Fence, until: now.Add(length), late: late && w.cut})
+	length := time.Duration(float64(grant.Hold) * (1 + w.clockLag))
+	w.held = append(w.held, heldKeys{keys: grant.Keys, fence: grant.Fence, until: now.Add(length), delayed: late && w.partitioned})
 	return OutcomeDone
 }
 
 // release is never refused; it raises the fences that were seen.
 func (w *simWorker) release(now time.Time, keys KeyRange, fence Fence) {
 	w.drop(now, keys)
-	for _, place := range covers(keys) {
+	for _, place := range segmentsOf(keys) {
 		w.seen[place] = max(w.seen[place], fence)
 	}
 }
@@ -101,7 +101,7 @@
 	if w.ended {
 		return 0, false
 	}
-	whole := placeKeys(place)
+	whole := segmentKeys(place)
 	for _, held := range w.held {
 		if now.Before(held.until) && held.keys.From <= whole.From && held.keys.To >= whole.To {
 			return held.fence, true
@@ -112,10 +112,10 @@
 
 // lateWhileCut reports whether the worker holds a place by a grant that it took
 // late, while it was cut.
-func (w *simWorker) lateWhileCut(now time.Time, place int) bool {
-	whole := placeKeys(place)
+func (w *simWorker) holdsDelayedGrant(now time.Time, place int) bool {
+	whole := segmentKeys(place)
 	for _, held := range w.held {
-		if held.late && now.Before(held.until) && held.keys.From <= whole.From && held.keys.To >= whole.To {
+		if held.delayed && now.Before(held.until) && held.keys.From <= whole.From && held.keys.To >= whole.To {
 			return true
 		}
 	}
--- a/internal/owner/span.go
+++ b/internal/owner/span.go
@@ -7,148 +7,151 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// span is one run of keys with the worker that shall hold it.
+// span is a key range and the worker that owns it or is to own it.
 type span struct {
 	keys  KeyRange
 	owner workers.ID
 	fence Fence
-	// change is the book's change at which the owner was chosen; no grant goes
-	// out before that change is stored.
-	change uint64
-	// granted says that the owner has answered a grant of this fence.
+	// recordVersion is the ledger's record version in which the owner was chosen. No grant is sent
+	// before that version is stored.
+	recordVersion uint64
+	// granted means that the owner's current incarnation has accepted a grant of the keys.
 	granted  bool
 	handover Handover
 	// heldUntil is the latest time at which a grant to the owner may end.
 	heldUntil time.Time
-	// surelyUntil is until when the owner surely holds the keys.
-	surelyUntil time.Time
-	// lateUntil is the same as heldUntil for grants without an answer that may come late.
-	lateUntil time.Time
-	// doubtful says that a grant had no answer: the next has a higher fence, so
-	// that the first one, if it comes late, is refused.
-	doubtful bool
-	// doubtFence is the fence of the last such grant.
-	doubtFence Fence
-	// takenUntil is until when such a grant may still be taken.
-	takenUntil time.Time
-	// unsure says that the owner was not reached since its last answer, and may have started
-	// again; takenFence is the fence of the last grant that it took.
-	unsure     bool
-	takenFence Fence
-	// forgottenUntil is until when a grant that the owner refuses for a higher fence may still
-	// be taken by another life of it.
-	forgottenUntil time.Time
-	// listed says that a standby may have been told that the owner holds the keys.
-	listed bool
-	// planned is where the keys will go once that is stored; nil if they stay.
-	planned *planned
-	// formers may still hold the keys; the owner gets them after all are free.
-	formers []former
-	// busy says that an order on these keys is under way.
-	busy bool
-	// next is when the next order may go out.
-	next time.Time
+	// guaranteedUntil is the time until which the owner is certain to hold the keys.
+	guaranteedUntil time.Time
+	// delayedHeldUntil is like heldUntil, for unanswered grants that may be accepted with a delay.
+	delayedHeldUntil time.Time
+	// unconfirmed means that a grant got no reply. The next one has a higher fence, so that the
+	// first is rejected if it arrives late.
+	unconfirmed bool
+	// unconfirmedFence is the fence of the last such grant.
+	unconfirmedFence Fence
+	// delayedGrantUntil is the time until which such a grant may still be accepted.
+	delayedGrantUntil time.Time
+	// maybeRestarted means that the owner has not been reached since its last reply and may have
+	// restarted; acceptedFence is the fence of the last grant that it accepted.
+	maybeRestarted bool
+	acceptedFence  Fence
+	// restartGrantUntil is the time until which a grant that the owner rejects for its lower fence
+	// may still be accepted by a later incarnation of the worker.
+	restartGrantUntil time.Time
+	// sentToStandbys means that standbys may have been informed that the owner holds the keys.
+	sentToStandbys bool
+	// pending is the move that takes effect once it is stored; nil if there is none.
+	pending *pendingMove
+	// previous are workers that may still hold the keys. The owner gets its grant after all of them
+	// have released the keys or their holds have expired.
+	previous []previousOwner
+	// inFlight means that an order for these keys has been sent and has not ended.
+	inFlight bool
+	// nextOrderAt is the earliest time for the next order.
+	nextOrderAt time.Time
 }
 
-// former is a worker that may still hold keys.
-type former struct {
+// previousOwner is a worker that may still hold keys of which another worker has become the owner.
+type previousOwner struct {
 	worker workers.ID
-	// until is when its hold ends at the latest.
-	until time.Time
-	// lateUntil is until when it may still take a grant that had no answer; zero
-	// if there is none.
-	lateUntil time.Time
-	// forgottenUntil is the same for another life of it.
-	forgottenUntil time.Time
-	// version is the first version of the holds without it; zero if no standby was ever
-	// told that it holds the keys.
-	version uint64
+	// heldUntil is when its hold ends at the latest.
+	heldUntil time.Time
+	// delayedGrantUntil is the time until which it may still accept an unanswered grant; zero if
+	// there is none.
+	delayedGrantUntil time.Time
+	// restartGrantUntil is the same for a later incarnation of the worker.
+	restartGrantUntil time.Time
+	// holdsVersion is the first version of the holds without this owner; zero if no standby was
+	// ever informed that it holds the keys.
+	holdsVersion uint64
 }
 
-// planned is a move that is not stored yet. Until it is, the owner goes on holding
-// the keys, so that trouble of the store takes nobody's keys.
-type planned struct {
-	to     workers.ID
-	fence  Fence
-	change uint64
+// pendingMove is a move that is not stored yet. Until it is, the owner keeps the keys, so that an
+// outage of the store leaves no keys without an owner.
+type pendingMove struct {
+	to            workers.ID
+	fence         Fence
+	recordVersion uint64
 }
 
-// held reports whether the owner holds the keys and nobody else can.
-func (s *span) held() bool { return s.granted && len(s.formers) == 0 }
+// held reports whether the owner holds the keys and no other worker can.
+func (s *span) held() bool { return s.granted && len(s.previous) == 0 }
 
-// reached reports whether a grant to the owner may have been taken, or may still be. No
-// connection came up for the others, so nobody need wait until the owner's hold ends. With
-// such waits the keys of a worker that had crashed before its first grant stood still for
-// up to 10.1 s after they were given on: the leave of a lost standby, and a hold.
-func (s *span) reached() bool {
-	return s.granted || s.doubtful || s.listed || !s.heldUntil.IsZero() || !s.takenUntil.IsZero()
+// mayHaveGrant reports whether the owner may have accepted a grant or may still do so. If not, no
+// grant can have reached it, and a move need not wait for the owner's hold to end. When moves did
+// wait, the keys of a worker that had crashed before its first grant were unavailable for up to
+// 10.1 s after they were moved: the duration of a lost standby's delegation plus that of a hold.
+func (s *span) mayHaveGrant() bool {
+	return s.granted || s.unconfirmed || s.sentToStandbys || !s.heldUntil.IsZero() || !s.delayedGrantUntil.IsZero()
 }
 
-// settled reports whether the keys are held and stay.
-func (s *span) settled() bool { return s.held() && s.planned == nil }
+// stable reports whether the keys are held and no move is pending.
+func (s *span) stable() bool { return s.held() && s.pending == nil }
 
-// destination returns the worker that shall hold the keys in the end.
-func (s *span) destination() workers.ID {
-	if s.planned != nil {
-		return s.planned.to
+// finalOwner returns the worker that owns the keys once a pending move is done.
+func (s *span) finalOwner() workers.ID {
+	if s.pending != nil {
+		return s.pending.to
 	}
 	return s.owner
 }
 
-// cut returns the span of exactly these keys, splitting the one that has them.
-func (b *Ledger) cut(keys KeyRange) *span {
-	index := slices.IndexFunc(b.spans, func(s *span) bool { return s.keys.Contains(keys.From) })
-	if index < 0 || b.spans[index].busy || !b.spans[index].keys.Contains(keys.To) {
+// split returns a span of exactly these keys, dividing the span that contains them. It returns nil
+// if the keys are not within one span, or if an order for them is in flight.
+func (l *Ledger) split(keys KeyRange) *span {
+	index := slices.IndexFunc(l.spans, func(s *span) bool { return s.keys.Contains(keys.From) })
+	if index < 0 || l.spans[index].inFlight || !l.spans[index].keys.Contains(keys.To) {
 		return nil
 	}
-	whole := b.spans[index]
+	whole := l.spans[index]
 	var parts []*span
 	if whole.keys.From < keys.From {
-		parts = append(parts, whole.part(KeyRange{whole.keys.From, keys.From - 1}))
+		parts = append(parts, whole.withKeys(KeyRange{whole.keys.From, keys.From - 1}))
 	}
-	middle := whole.part(keys)
+	middle := whole.withKeys(keys)
 	parts = append(parts, middle)
 	if keys.To < whole.keys.To {
-		parts = append(parts, whole.part(KeyRange{keys.To + 1, whole.keys.To}))
+		parts = append(parts, whole.withKeys(KeyRange{keys.To + 1, whole.keys.To}))
 	}
-	b.spans = slices.Replace(b.spans, index, index+1, parts...)
+	l.spans = slices.Replace(l.spans, index, index+1, parts...)
 	return middle
 }
 
-func (s *span) part(keys KeyRange) *span {
+func (s *span) withKeys(keys KeyRange) *span {
 	part := *s
 	part.keys = keys
-	part.formers = slices.Clone(s.formers)
+	part.previous = slices.Clone(s.previous)
 	return &part
 }
 
-// Merge joins neighbours that the same worker holds under the same fence, or
-// under different ones where both are settled: the joined span takes the higher.
-func (b *Ledger) Merge() {
-	merged := b.spans[:0:0]
-	for _, next := range b.spans {
-		if len(merged) > 0 && !b.bounds[next.keys.From] && mergeable(merged[len(merged)-1], next) {
+// Merge joins adjacent stable spans of the same owner that have no order in flight and no
+// unconfirmed grant, except at boundaries of placement rules. If their fences differ, the joined
+// span takes the higher one.
+func (l *Ledger) Merge() {
+	merged := l.spans[:0:0]
+	for _, next := range l.spans {
+		if len(merged) > 0 && !l.boundaries[next.keys.From] && mergeable(merged[len(merged)-1], next) {
 			last := merged[len(merged)-1]
 			last.keys.To = next.keys.To
 			if last.fence != next.fence {
 				last.fence = max(last.fence, next.fence)
-				b.holdsVersion++
+				l.holdsVersion++
 			}
 			last.heldUntil = later(last.heldUntil, next.heldUntil)
-			last.forgottenUntil = later(last.forgottenUntil, next.forgottenUntil)
-			last.surelyUntil = earlier(last.surelyUntil, next.surelyUntil)
-			last.next = earlier(last.next, next.next)
-			last.change = max(last.change, next.change)
+			last.restartGrantUntil = later(last.restartGrantUntil, next.restartGrantUntil)
+			last.guaranteedUntil = earlier(last.guaranteedUntil, next.guaranteedUntil)
+			last.nextOrderAt = earlier(last.nextOrderAt, next.nextOrderAt)
+			last.recordVersion = max(last.recordVersion, next.recordVersion)
 			continue
 		}
 		merged = append(merged, next)
 	}
-	b.spans = merged
+	l.spans = merged
 }
 
 func mergeable(left, right *span) bool {
-	return left.owner == right.owner && left.settled() && right.settled() &&
-		!left.busy && !right.busy && !left.doubtful && !right.doubtful
+	return left.owner == right.owner && left.stable() && right.stable() &&
+		!left.inFlight && !right.inFlight && !left.unconfirmed && !right.unconfirmed
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/owner/standby.go
+++ b/internal/owner/standby.go
@@ -7,30 +7,30 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Standby renews holds in place of a leader that it has lost: the same owners under
-// the same fences, so no key ever moves by it. It may do so until its leave ends,
-// which is no later than the leader itself could have renewed them; the next leader
-// outwaits that, or asks the standby to stop.
+// Standby renews holds in place of a leader that it has lost. It renews them for the same owners
+// under the same fences, so it never moves keys. It may do so until its delegation ends, which is
+// no later than the leader itself could have renewed the holds. The next leader waits for that, or
+// asks the standby to stop.
 //
-// It is pure: it is told the time and says which orders to send.
+// Standby is pure: it is given the time and returns the renewals to send.
 type Standby struct {
-	config Config
-	term   Term
-	until  time.Time
-	lost   bool
-	// version of the holds that were last told, and the holds.
+	config     Config
+	term       Term
+	until      time.Time
+	leaderLost bool
+	// version identifies the last holds that were set.
 	version uint64
 	holds   []*standbyHold
 }
 
-// standbyHold is one hold with the time of its next renewal.
+// standbyHold is a hold and the time of its next renewal.
 type standbyHold struct {
 	Hold
-	next time.Time
-	busy bool
+	nextRenewalAt time.Time
+	inFlight      bool
 }
 
-// Renewal is a grant that a standby sends again.
+// Renewal is a grant that a standby sends to the current holder again.
 type Renewal struct {
 	Target Target
 	Grant  Grant
@@ -38,55 +38,56 @@
 	hold   *standbyHold
 }
 
-// NewStandby returns a standby without a leave.
+// NewStandby returns a standby without a delegation.
 func NewStandby(config Config) *Standby { return &Standby{config: config} }
 
-// Tell sets the holds that a leader of a term has given, and until when they may be
-// renewed. What an older leader says is passed over.
+// SetHolds sets the holds of the leader of a term, and the time until which they may be renewed.
+// Calls for an older term are ignored.
 func (s *Standby) SetHolds(term Term, version uint64, holds []Hold, until time.Time) {
 	if term < s.term {
 		return
 	}
 	s.term, s.version, s.until = term, version, until
 	s.holds = make([]*standbyHold, 0, len(holds))
-	for _, one := range holds {
-		s.holds = append(s.holds, &standbyHold{Hold: one})
+	for _, hold := range holds {
+		s.holds = append(s.holds, &standbyHold{Hold: hold})
 	}
 }
 
-// Extend sets until when the holds of a term may be renewed.
+// ExtendUntil extends the time until which the holds of a term may be renewed.
 func (s *Standby) ExtendUntil(term Term, until time.Time) {
 	if term == s.term {
 		s.until = later(s.until, until)
 	}
 }
 
-// Version returns which holds were last told; zero if there are none.
+// HoldsVersion returns the version of the holds that were last set; zero if there are none.
 func (s *Standby) HoldsVersion() uint64 { return s.version }
 
-// Began tells which life of a worker is announced. What another life held is not renewed.
+// ObserveIncarnation records the announced incarnation of a worker. Holds of other incarnations are
+// no longer renewed.
 func (s *Standby) ObserveIncarnation(life workers.Life) {
-	s.holds = slices.DeleteFunc(s.holds, func(one *standbyHold) bool {
-		return one.Target.ID == life.ID && one.Target.Incarnation != life.Born && one.Target.Incarnation != 0 && life.Born != 0
+	s.holds = slices.DeleteFunc(s.holds, func(hold *standbyHold) bool {
+		return hold.Target.ID == life.ID && hold.Target.Incarnation != life.Born && hold.Target.Incarnation != 0 && life.Born != 0
 	})
 }
 
-// Lost begins to renew: the leader is no longer heard.
-func (s *Standby) LeaderLost() { s.lost = true }
+// LeaderLost starts renewals: the leader can't be reached.
+func (s *Standby) LeaderLost() { s.leaderLost = true }
 
-// Found ends that: a leader is heard.
-func (s *Standby) LeaderFound() { s.lost = false }
+// LeaderFound stops renewals: a leader is reachable again.
+func (s *Standby) LeaderFound() { s.leaderLost = false }
 
-// Stop ends the leave of all leaders before a term, for good.
+// Revoke permanently ends the delegations of all leaders before a term.
 func (s *Standby) Revoke(term Term) {
 	if term > s.term {
 		s.term, s.version, s.until, s.holds = term, 0, time.Time{}, nil
 	}
 }
 
-// Renewing reports whether the standby stands in for a leader.
+// Renewing reports whether the standby currently renews holds in place of a leader.
 func (s *Standby) Renewing(now time.Time) bool {
-	return s.lost && len(s.holds) > 0 && !now.After(s.until)
+	return s.leaderLost && len(s.holds) > 0 && !now.After(s.until)
 }
 
 // Due returns the renewals to send now.
@@ -95,29 +96,29 @@
 		return nil
 	}
 	var due []Renewal
-	for _, one := range s.holds {
-		if one.busy || now.Before(one.next) {
+	for _, hold := range s.holds {
+		if hold.inFlight || now.Before(hold.nextRenewalAt) {
 			continue
 		}
-		one.busy = true
+		hold.inFlight = true
 		due = append(due, Renewal{
-			Target: one.Target, Grant: Grant{Keys: one.Keys, Fence: one.Fence, Hold: s.config.Hold}, sentAt: now, hold: one,
+			Target: hold.Target, Grant: Grant{Keys: hold.Keys, Fence: hold.Fence, Hold: s.config.Hold}, sentAt: now, hold: hold,
 		})
 	}
 	return due
 }
 
-// Answered takes the end of a renewal. A worker that has seen a higher fence, or has
-// ended, is not asked again.
+// HandleOutcome processes the result of a renewal. The hold is dropped if the worker has seen a
+// higher fence, has ended, or rejected the renewal as invalid.
 func (s *Standby) HandleOutcome(now time.Time, renewal Renewal, outcome Outcome) {
-	one := renewal.hold
-	one.busy = false
+	hold := renewal.hold
+	hold.inFlight = false
 	switch outcome {
 	case OutcomeDone:
-		one.next = renewal.sentAt.Add(s.config.RenewInterval)
+		hold.nextRenewalAt = renewal.sentAt.Add(s.config.RenewInterval)
 	case OutcomeFenced, OutcomeOtherWorker, OutcomeInvalid:
-		s.holds = slices.DeleteFunc(s.holds, func(held *standbyHold) bool { return held == one })
+		s.holds = slices.DeleteFunc(s.holds, func(held *standbyHold) bool { return held == hold })
 	default:
-		one.next = now.Add(s.config.RetryDelay)
+		hold.nextRenewalAt = now.Add(s.config.RetryDelay)
 	}
 }
--- a/internal/owner/standby_test.go
+++ b/internal/owner/standby_test.go
@@ -14,7 +14,7 @@
 	renewed int
 }
 
-func TestStandbyRenewsOnlyWhatItMay(t *testing.T) {
+func TestStandbyRenewsOnlyDelegatedHolds(t *testing.T) {
 	holds := []Hold{{Keys: KeyRange{0, KeyCount - 1}, Target: Target{ID: "w"}, Fence: 7}}
 	answer := func(outcome Outcome) func(*Standby, time.Time) {
 		return func(s *Standby, now time.Time) {
--- a/internal/owner/unreached_test.go
+++ b/internal/owner/unreachable_test.go
@@ -13,21 +13,21 @@
 // was elected in between, until all holds of the leader before had surely ended.
 
 // unreached returns a book whose first owner no grant has reached, with its keys given on.
-func unreached(t *testing.T, now time.Time, outcomes ...Outcome) (*Ledger, []Candidate) {
+func movedFromUnreached(t *testing.T, now time.Time, outcomes ...Outcome) (*Ledger, []Candidate) {
 	t.Helper()
-	book := NewLedger(DefaultConfig(10*time.Second), 1)
-	candidates := fleet(2, 30)
-	book.Assign(now, InitialOwners(candidates[:1], nil))
-	book.MarkStored(book.RecordVersion())
+	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+	candidates := equalCandidates(2, 30)
+	ledger.Assign(now, InitialOwners(candidates[:1], nil))
+	ledger.MarkStored(ledger.RecordVersion())
 	for _, outcome := range outcomes {
-		book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: outcome})
-		now = now.Add(book.config.RetryDelay)
+		ledger.HandleReply(now, grantDue(t, ledger, now), Reply{Outcome: outcome})
+		now = now.Add(ledger.config.RetryDelay)
 	}
-	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	return book, candidates
+	ledger.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	return ledger, candidates
 }
 
-func TestAnOwnerThatNoGrantReachedIsNotWaitedFor(t *testing.T) {
+func TestMoveFromUnreachedOwnerDoesNotWait(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcomes []Outcome
 		waited   bool
@@ -41,10 +41,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			book, candidates := unreached(t, now, test.outcomes...)
-			book.SetDelegations([]Delegation{{Until: now.Add(6 * time.Second)}}) // it has heard of no holds
-			book.MarkStored(book.RecordVersion())
-			due := book.Due(now.Add(time.Second), false)
+			ledger, candidates := movedFromUnreached(t, now, test.outcomes...)
+			ledger.SetDelegations([]Delegation{{Until: now.Add(6 * time.Second)}}) // it has heard of no holds
+			ledger.MarkStored(ledger.RecordVersion())
+			due := ledger.Due(now.Add(time.Second), false)
 			assert.Equal(t, len(due), 1)
 			assert.Equal(t, due[0].Release, test.waited)
 			if !test.waited {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestTheNextLeaderDoesNotWaitForAnOwnerThatNoGrantReached(t *testing.T) {
+func TestNextLeaderDoesNotWaitForUnreachedOwner(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome Outcome
 		waited  bool
@@ -64,7 +64,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			before, candidates := unreached(t, now, test.outcome)
+			before, candidates := movedFromUnreached(t, now, test.outcome)
 			value, err := before.Encode(1, "")
 			assert.NilError(t, err)
 			next := NewLedger(before.config, 2)
@@ -78,29 +78,29 @@
 }
 
 // While the record says that the first owner never had the keys, it gets no grant.
-func TestAnOwnerThatTheRecordLeavesOutGetsNoGrant(t *testing.T) {
+func TestOwnerMissingFromRecordGetsNoGrant(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book, _ := unreached(t, now, OutcomeUnreachable)
-	assert.Equal(t, len(book.Due(now.Add(time.Second), false)), 0)
+	ledger, _ := movedFromUnreached(t, now, OutcomeUnreachable)
+	assert.Equal(t, len(ledger.Due(now.Add(time.Second), false)), 0)
 }
 
 // A worker that gets its former keys back, and is not reached, may still take a grant of before.
-func TestAGrantInDoubtOutlivesAReturnOfTheKeys(t *testing.T) {
+func TestUnconfirmedGrantIsKeptWhenKeysReturn(t *testing.T) {
 	now := time.Unix(1000, 0)
-	book, candidates := unreached(t, now, OutcomeUnanswered)
-	book.MarkStored(book.RecordVersion())
-	due := grantDue(t, book, now)
+	ledger, candidates := movedFromUnreached(t, now, OutcomeUnanswered)
+	ledger.MarkStored(ledger.RecordVersion())
+	due := grantDue(t, ledger, now)
 	assert.Assert(t, due.Release)
-	book.HandleReply(now, due, Reply{Outcome: OutcomeUnreachable})
-	book.Move(KeyRange{0, KeyCount - 1}, candidates[0].ID, candidates[0].Address)
-	book.MarkStored(book.RecordVersion())
+	ledger.HandleReply(now, due, Reply{Outcome: OutcomeUnreachable})
+	ledger.Move(KeyRange{0, KeyCount - 1}, candidates[0].ID, candidates[0].Address)
+	ledger.MarkStored(ledger.RecordVersion())
 	now = now.Add(time.Second)
-	book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeUnreachable})
-	book.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
-	book.MarkStored(book.RecordVersion())
+	ledger.HandleReply(now, grantDue(t, ledger, now), Reply{Outcome: OutcomeUnreachable})
+	ledger.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
+	ledger.MarkStored(ledger.RecordVersion())
 	now = now.Add(5 * time.Second) // the first hold has surely ended
 	orders := map[bool]Order{}
-	for _, order := range book.Due(now, false) {
+	for _, order := range ledger.Due(now, false) {
 		orders[order.Release] = order
 	}
 	assert.Equal(t, len(orders), 2, "the grant to the new owner, and the new fence to the old one")
@@ -108,7 +108,7 @@
 }
 
 // A worker that got some of its former keys back was no longer told the new fence of the others.
-func TestADoubtStaysForTheKeysThatDoNotReturn(t *testing.T) {
+func TestUnconfirmedGrantIsKeptForOtherKeys(t *testing.T) {
 	for name, test := range map[string]struct {
 		back KeyRange
 		left []KeyRange
@@ -121,12 +121,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			until := time.Unix(1000, 0)
-			book := NewLedger(DefaultConfig(10*time.Second), 1)
-			book.doubts = []*doubt{{worker: "w", keys: KeyRange{0, 100}, fence: 7, until: until, told: true}}
-			book.dropDoubts("w", test.back)
+			ledger := NewLedger(DefaultConfig(10*time.Second), 1)
+			ledger.unconfirmed = []*unconfirmedGrant{{worker: "w", keys: KeyRange{0, 100}, fence: 7, until: until, acknowledged: true}}
+			ledger.dropUnconfirmed("w", test.back)
 			var left []KeyRange
-			for _, one := range book.doubts {
-				assert.Assert(t, one.fence == 7 && one.until.Equal(until) && one.told)
+			for _, one := range ledger.unconfirmed {
+				assert.Assert(t, one.fence == 7 && one.until.Equal(until) && one.acknowledged)
 				left = append(left, one.keys)
 			}
 			assert.DeepEqual(t, left, test.left)
