--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -68,7 +68,7 @@
 	{
 		name: "standby-renews-another-life",
 		file: "internal/owner/standby.go",
-		old:  "hold.Target.ID == life.ID && hold.Target.Incarnation != life.Born &&",
+		old:  "hold.Target.ID == incarnation.ID && hold.Target.Incarnation != incarnation.Born &&",
 		new:  "false &&",
 		pkg:  "./internal/owner", test: "TestStandbyDoesNotRenewOtherIncarnation",
 	},
--- a/internal/owner/dispatch_test.go
+++ b/internal/owner/dispatch_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// grantDue returns the book's one order that is due.
+// grantDue returns the ledger's only due order.
 func grantDue(t *testing.T, ledger *Ledger, now time.Time) Order {
 	t.Helper()
 	due := ledger.Due(now, false)
@@ -15,11 +15,11 @@
 	return due[0]
 }
 
-// Found by the soak of real processes (seed 3): after the leader was paused, or a
-// connection broke, orders counted as taken late, and a crashed worker's keys were
-// waited for 15 s.
+// Guards against a fault seen in a soak test of real processes (seed 3): after the leader was
+// paused or a connection broke, orders counted as delayed, and the keys of a crashed worker were
+// unavailable for 15 s.
 func TestOnlyTimedOutOrdersCountAsDelayed(t *testing.T) {
-	for after, late := range map[time.Duration]bool{
+	for after, delayed := range map[time.Duration]bool{
 		10 * time.Millisecond: false, 600 * time.Millisecond: true, 4 * time.Second: false,
 	} {
 		now := time.Unix(1000, 0)
@@ -31,7 +31,7 @@
 		ledger.HandleReply(now, lost, Reply{Outcome: OutcomeUnanswered})
 		now = now.Add(time.Second)
 		ledger.HandleReply(now, grantDue(t, ledger, now), Reply{Outcome: OutcomeDone})
-		assert.Equal(t, ledger.ordersDelayed(now), late, "%v", after)
+		assert.Equal(t, ledger.ordersDelayed(now), delayed, "%v", after)
 	}
 }
 
@@ -45,7 +45,7 @@
 	ledger.HandleReply(now, lost, Reply{Outcome: OutcomeUnanswered})
 	ledger.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
 	ledger.MarkStored(ledger.RecordVersion())
-	now = now.Add(10 * time.Second) // the hold has surely ended
+	now = now.Add(10 * time.Second) // the hold has certainly ended
 	due := ledger.Due(now, false)
 	assert.Equal(t, len(due), 2, "the grant to the new owner, and a release to the old one")
 	for _, order := range due {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Found by the model: a leader that another had followed raised its fence and tried
-// again at once, as fast as workers answer, until its authority ended.
+// Guards against a fault found by the model: a leader that had been succeeded by another raised its
+// fence and retried at once, as fast as workers replied, until its authority ended.
 func TestFencedLeaderDelaysRetry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	config := DefaultConfig(10 * time.Second)
@@ -71,17 +71,17 @@
 	assert.Assert(t, again[0].Fence > due[0].Fence)
 }
 
-// Found on a day of Tweede Leven (scale-2): a leader took over from one that was cut off
-// and silent, and the keys of workers that crashed after that were waited for until
-// all holds of the leader before had ended, 9 s, although the new leader had renewed
-// them itself under a fence that the one before could not reach.
+// Guards against a fault seen on a test day of the deployment Tweede Leven (scale-2): a leader took
+// over from one that was partitioned and did not respond. The keys of workers that crashed after
+// that were unavailable until all holds of the previous leader had ended, 9 s later, although the
+// new leader had renewed them itself under a fence that the previous leader could not reach.
 func TestRenewalReplacesPreviousLeadersHold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	config := DefaultConfig(10 * time.Second)
 	candidates := equalCandidates(2, 30)
-	before := NewLedger(config, 1)
-	before.Assign(now, InitialOwners(candidates[:1], nil))
-	value, err := before.Encode(1, "")
+	previous := NewLedger(config, 1)
+	previous.Assign(now, InitialOwners(candidates[:1], nil))
+	value, err := previous.Encode(1, "")
 	assert.NilError(t, err)
 	ledger := NewLedger(config, 2)
 	assert.NilError(t, ledger.Load(now, value, now.Add(config.RenewalGrace+config.MaxHold())))
@@ -94,11 +94,11 @@
 	ended := now.Add(config.MaxHold())
 	for at := now; at.Before(ended); at = at.Add(100 * time.Millisecond) {
 		for _, order := range ledger.Due(at, false) {
-			assert.Assert(t, order.Release, "the old owner may hold them still")
+			assert.Assert(t, order.Release, "the old owner may still hold the keys")
 			ledger.HandleReply(at, order, Reply{Outcome: OutcomeUnreachable})
 		}
 	}
-	given := grantDue(t, ledger, ended.Add(config.RetryDelay))
-	assert.Equal(t, given.Target.ID, candidates[1].ID)
-	assert.Assert(t, !given.Release)
+	grant := grantDue(t, ledger, ended.Add(config.RetryDelay))
+	assert.Equal(t, grant.Target.ID, candidates[1].ID)
+	assert.Assert(t, !grant.Release)
 }
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// ask counts requests for a key, evenly, for some time, and returns its end.
+// countRequests adds evenly distributed requests for a key over some time, and returns the end of
+// that time.
 func countRequests(loads *Loads, from time.Time, length time.Duration, key int, perSecond float64) time.Time {
 	const step = 200 * time.Millisecond
 	due := 0.0
@@ -21,9 +22,9 @@
 }
 
 func rateOf(loads *Loads, now time.Time, key int) float64 {
-	for _, one := range loads.Rates(now) {
-		if one.Key == key {
-			return one.Rate
+	for _, load := range loads.Rates(now) {
+		if load.Key == key {
+			return load.Rate
 		}
 	}
 	return 0
@@ -49,8 +50,8 @@
 	assert.Equal(t, len(loads.Rates(now.Add(time.Minute))), 0)
 }
 
-// Found in an incident of Tawila: a new leader, which knew a few requests only,
-// planned 66 moves in its first four seconds.
+// Guards against a fault seen in an incident of the deployment Tawila: a new leader that knew only
+// a few requests planned 66 moves in its first four seconds.
 func TestNewLeaderDoesNotBalanceBeforeLoadsAreReady(t *testing.T) {
 	start := time.Unix(1000, 0)
 	loads := NewLoads(start)
@@ -63,8 +64,8 @@
 	assert.Equal(t, len(ledger.Plan(candidates, loads.Rates(now), rules)), 0)
 	moved := ledger.Plan(candidates[1:], loads.Rates(now), rules)
 	assert.Assert(t, len(moved) > 0, "a lost worker's keys move at once")
-	for _, one := range moved {
-		assert.Assert(t, one.Forced)
+	for _, move := range moved {
+		assert.Assert(t, move.Forced)
 	}
 	assert.Assert(t, loads.Ready(start.Add(warmupTime)))
 }
--- a/internal/owner/model_explore_test.go
+++ b/internal/owner/model_explore_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// key describes the state, with times relative to now, so that equal states are
-// explored once.
+// stateKey describes the state, with times relative to now, so that equal states are explored once.
 func (m *model) stateKey() string {
 	var text strings.Builder
 	at := func(t time.Time) string {
@@ -19,43 +18,43 @@
 		return t.Sub(m.now).String()
 	}
 	fmt.Fprintf(&text, "%v %s|", m.bounds, at(m.lease))
-	for _, one := range m.workers {
-		fmt.Fprintf(&text, "%d %s %d %v %v|", one.fence, at(one.until), one.highestFence, one.partitioned, one.delayedWhilePartitioned)
-		fmt.Fprintf(&text, "%d %d %v|", one.incarnation, one.previousFence, one.unaware)
+	for _, worker := range m.workers {
+		fmt.Fprintf(&text, "%d %s %d %v %v|", worker.fence, at(worker.until), worker.highestFence, worker.partitioned, worker.unpreventable)
+		fmt.Fprintf(&text, "%d %d %v|", worker.incarnation, worker.previousFence, worker.unaware)
 	}
-	for _, one := range m.leaders {
-		fmt.Fprintf(&text, "%s %v %v %v %d %d %d %d|", at(one.authority), one.storeUnreachable, one.dead, one.write != nil,
-			one.ledger.fence, one.ledger.recordVersion, one.ledger.storedVersion, one.ledger.holdsVersion)
-		span := one.ledger.spans[0]
+	for _, leader := range m.leaders {
+		fmt.Fprintf(&text, "%s %v %v %v %d %d %d %d|", at(leader.authority), leader.storeUnreachable, leader.dead, leader.write != nil,
+			leader.ledger.fence, leader.ledger.recordVersion, leader.ledger.storedVersion, leader.ledger.holdsVersion)
+		span := leader.ledger.spans[0]
 		fmt.Fprintf(&text, "%s %d %v %s %s %v %d %s %v %s %v|", span.owner, span.fence, span.granted, at(span.heldUntil), at(span.delayedHeldUntil),
 			span.unconfirmed, span.unconfirmedFence, at(span.delayedGrantUntil), span.inFlight, at(span.nextOrderAt), span.pending)
-		fmt.Fprintf(&text, "%v %v %d %s %v|", span.mayHaveGrant(), span.maybeRestarted, span.acceptedFence, at(span.restartGrantUntil), one.incarnations)
+		fmt.Fprintf(&text, "%v %v %d %s %v|", span.mayHaveGrant(), span.maybeRestarted, span.acceptedFence, at(span.restartGrantUntil), leader.incarnations)
 		if span.pending != nil {
 			fmt.Fprintf(&text, "%v|", *span.pending)
 		}
 		for _, old := range span.previous {
 			fmt.Fprintf(&text, "%s %s %s %d|", old.worker, at(old.heldUntil), at(old.delayedGrantUntil), old.holdsVersion)
 		}
-		for _, one := range one.ledger.unconfirmed {
-			fmt.Fprintf(&text, "%s %d %s %s %v|", one.worker, one.fence, at(one.until), at(one.nextOrderAt), one.inFlight)
-			fmt.Fprintf(&text, "%v|", one.acknowledged)
+		for _, grant := range leader.ledger.unconfirmed {
+			fmt.Fprintf(&text, "%s %d %s %s %v|", grant.worker, grant.fence, at(grant.until), at(grant.nextOrderAt), grant.inFlight)
+			fmt.Fprintf(&text, "%v|", grant.acknowledged)
 		}
-		fmt.Fprintf(&text, "%s|", at(one.ledger.delaySuspectedAt.Add(2*modelConfig.MaxOrderDelay)))
+		fmt.Fprintf(&text, "%s|", at(leader.ledger.delaySuspectedAt.Add(2*modelConfig.MaxOrderDelay)))
 	}
 	fmt.Fprintf(&text, "%d %d %d %s %s %d|", m.standby.term, m.standby.delegation.KnownVersion, m.standby.standby.term,
 		at(m.standby.delegation.Until), at(m.standby.delegation.LastRenewal.Add(modelConfig.MaxOrderDelay)), m.standby.standby.version)
-	for _, one := range m.standby.standby.holds {
-		fmt.Fprintf(&text, "%s %d %v|", one.Target.ID, one.Fence, one.inFlight)
+	for _, hold := range m.standby.standby.holds {
+		fmt.Fprintf(&text, "%s %d %v|", hold.Target.ID, hold.Fence, hold.inFlight)
 	}
-	for _, one := range m.orders {
-		fmt.Fprintf(&text, "%d %d|", one.order.Target.Incarnation, one.incarnation)
-		fmt.Fprintf(&text, "%s %v %d %v %v %d %s|", one.order.Target.ID, one.order.Release, one.order.Fence, one.delayed, one.partitioned, one.leader, at(one.until))
+	for _, sent := range m.orders {
+		fmt.Fprintf(&text, "%d %d|", sent.order.Target.Incarnation, sent.incarnation)
+		fmt.Fprintf(&text, "%s %v %d %v %v %d %s|", sent.order.Target.ID, sent.order.Release, sent.order.Fence, sent.delayed, sent.partitioned, sent.leader, at(sent.until))
 	}
 	text.Write(m.record)
 	return text.String()
 }
 
-// replay plays a path of choices from the start.
+// replay applies a path of choices to the initial state.
 func replay(bounds modelBounds, path []string) *model {
 	m := newModel(bounds)
 	for _, choice := range path {
@@ -64,9 +63,9 @@
 	return m
 }
 
-// explore visits every state within the bounds; it returns their number, and the
-// path to a broken one.
-func explore(bounds modelBounds) (states int, path []string, broken string) {
+// explore visits every state within the bounds. It returns the number of states, and the path to
+// the first violation if there is one.
+func explore(bounds modelBounds) (states int, path []string, violation string) {
 	seen := map[string]bool{}
 	queue := [][]string{nil}
 	for len(queue) > 0 {
@@ -89,29 +88,29 @@
 
 func TestEveryOrderOfEvents(t *testing.T) {
 	for name, bounds := range map[string]modelBounds{
-		"late grants and cuts":          {ticks: 6, moves: 1, delays: 1, partitions: 1},
-		"two moves and lost answers":    {ticks: 6, moves: 2, lostReplies: 2},
-		"a leader that loses the store": {ticks: 7, moves: 1, leaders: 1, partitions: 1},
-		"a successor and late grants":   {ticks: 7, moves: 1, delays: 1, leaders: 1},
-		"a standby beside its leader":   {ticks: 6, moves: 1, partitions: 1, holdReports: 1, renewals: 2},
-		"a standby and a successor":     {ticks: 6, moves: 1, leaders: 1, holdReports: 1, renewals: 1},
-		"a standby that is asked":       {ticks: 5, moves: 1, leaders: 1, revocations: 1, partitions: 1, holdReports: 1, renewals: 1},
-		"owners that nobody reaches":    {ticks: 3, moves: 2, delays: 1, partitions: 1},
-		"unreached beside a standby":    {ticks: 3, moves: 2, partitions: 1, holdReports: 1, renewals: 1},
-		"unreached before a successor":  {ticks: 3, moves: 2, leaders: 1, partitions: 1},
-		"a restart and late grants":     {ticks: 4, moves: 1, delays: 1, restarts: 1},
-		"a restart and a cut":           {ticks: 3, moves: 1, partitions: 1, restarts: 1},
-		"a restart and lost answers":    {ticks: 3, moves: 1, lostReplies: 1, restarts: 1},
-		"two restarts":                  {ticks: 3, moves: 1, restarts: 2},
-		"a restart and a successor":     {ticks: 3, moves: 1, leaders: 1, restarts: 1},
-		"a restart and a standby":       {ticks: 3, moves: 1, holdReports: 1, renewals: 1, restarts: 1},
-		"a standby whose grant is late": {ticks: 7, moves: 1, delays: 1, holdReports: 1, renewals: 1},
+		"delayed grants and partitions":         {ticks: 6, moves: 1, delays: 1, partitions: 1},
+		"two moves and lost replies":            {ticks: 6, moves: 2, lostReplies: 2},
+		"a leader that loses the store":         {ticks: 7, moves: 1, leaders: 1, partitions: 1},
+		"a successor and delayed grants":        {ticks: 7, moves: 1, delays: 1, leaders: 1},
+		"a standby beside its leader":           {ticks: 6, moves: 1, partitions: 1, holdReports: 1, renewals: 2},
+		"a standby and a successor":             {ticks: 6, moves: 1, leaders: 1, holdReports: 1, renewals: 1},
+		"a standby that is asked to stop":       {ticks: 5, moves: 1, leaders: 1, revocations: 1, partitions: 1, holdReports: 1, renewals: 1},
+		"unreachable owners":                    {ticks: 3, moves: 2, delays: 1, partitions: 1},
+		"unreachable owners beside a standby":   {ticks: 3, moves: 2, partitions: 1, holdReports: 1, renewals: 1},
+		"unreachable owners before a successor": {ticks: 3, moves: 2, leaders: 1, partitions: 1},
+		"a restart and delayed grants":          {ticks: 4, moves: 1, delays: 1, restarts: 1},
+		"a restart and a partition":             {ticks: 3, moves: 1, partitions: 1, restarts: 1},
+		"a restart and lost replies":            {ticks: 3, moves: 1, lostReplies: 1, restarts: 1},
+		"two restarts":                          {ticks: 3, moves: 1, restarts: 2},
+		"a restart and a successor":             {ticks: 3, moves: 1, leaders: 1, restarts: 1},
+		"a restart and a standby":               {ticks: 3, moves: 1, holdReports: 1, renewals: 1, restarts: 1},
+		"a standby whose renewal is delayed":    {ticks: 7, moves: 1, delays: 1, holdReports: 1, renewals: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, path, broken := explore(bounds)
-			if broken != "" {
-				t.Fatalf("%s, by %s", broken, strings.Join(path, ", "))
+			states, path, violation := explore(bounds)
+			if violation != "" {
+				t.Fatalf("%s, after %s", violation, strings.Join(path, ", "))
 			}
 			t.Logf("%d states", states)
 		})
--- a/internal/owner/model_restart_test.go
+++ b/internal/owner/model_restart_test.go
@@ -6,58 +6,59 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A worker may start again under its ID: it holds nothing and has seen no fence. Leaders and the
-// standby hear of it later, each on its own. Until the one that leads has, nobody can tell the new
-// life of higher fences, and what it takes meanwhile of orders to the life before is passed over.
+// A worker may restart under the same ID. It then holds no keys and has seen no fences. Each leader
+// is notified of the restart at some later time. Until the current leader has been, no process can
+// inform the new incarnation of higher fences, so grants for the previous incarnation that the new
+// one accepts meanwhile are not checked.
 
-// lifeChoices are restarts, and who hears of them.
+// restartChoices returns the possible restarts, and the leaders that may be notified of one.
 func (m *model) restartChoices() []string {
 	var list []string
 	for index := range m.workers {
 		if m.bounds.restarts > 0 {
 			list = append(list, fmt.Sprintf("restart %d", index))
 		}
-		for leader, one := range m.leaders {
-			if !one.dead && one.incarnations[index] != m.workers[index].incarnation {
-				list = append(list, fmt.Sprintf("restart-heard %d", leader*modelWorkerCount+index))
+		for leaderIndex, leader := range m.leaders {
+			if !leader.dead && leader.incarnations[index] != m.workers[index].incarnation {
+				list = append(list, fmt.Sprintf("restart-heard %d", leaderIndex*modelWorkerCount+index))
 			}
 		}
 	}
 	return list
 }
 
-func (m *model) restart(holder *modelWorker) {
-	holder.incarnation++
-	holder.previousFence = max(holder.previousFence, holder.fence)
-	holder.fence, holder.highestFence, holder.until, holder.delayedWhilePartitioned = 0, 0, m.now, false
-	holder.unaware = true
+func (m *model) restart(worker *modelWorker) {
+	worker.incarnation++
+	worker.previousFence = max(worker.previousFence, worker.fence)
+	worker.fence, worker.highestFence, worker.until, worker.unpreventable = 0, 0, m.now, false
+	worker.unaware = true
 }
 
-func (m *model) observeRestart(leader, index int) {
-	one, holder := m.leaders[leader], m.workers[index]
-	one.incarnations[index] = holder.incarnation
-	one.ledger.ObserveIncarnation(m.now, workers.Life{ID: holder.id, Born: holder.incarnation}, "a")
+func (m *model) observeRestart(leaderIndex, workerIndex int) {
+	leader, worker := m.leaders[leaderIndex], m.workers[workerIndex]
+	leader.incarnations[workerIndex] = worker.incarnation
+	leader.ledger.ObserveIncarnation(m.now, workers.Life{ID: worker.id, Born: worker.incarnation}, "a")
 }
 
-// tellLives ends the time in which a new life is told of fences: whoever leads has heard of
-// it a tick ago, and reaches it.
+// propagateFences marks the incarnations that have been informed of fences: the last leader was
+// notified of them at least one tick ago and can reach them.
 func (m *model) propagateFences() {
 	leader := m.leaders[len(m.leaders)-1]
-	for index, one := range m.workers {
-		if leader.incarnations[index] == one.incarnation && !one.partitioned && !leader.dead && !m.now.After(leader.authority) {
-			one.unaware = false
+	for index, worker := range m.workers {
+		if leader.incarnations[index] == worker.incarnation && !worker.partitioned && !leader.dead && !m.now.After(leader.authority) {
+			worker.unaware = false
 		}
 	}
 }
 
-// unaware reports whether the sender of an order has not heard of the life that gets it, or
-// its authority has ended while the order was on its way: a worker that has seen the fences of the
-// leader after it would refuse the order.
+// senderOutdated reports whether the sender of an order has not been notified of the incarnation
+// that receives it, or has lost its authority while the order was on its way. A worker that had
+// seen the next leader's fences would reject such an order.
 func (m *model) senderOutdated(of *modelOrder) bool {
-	holder := m.worker(of.order.Target.ID)
-	if holder.previousFence == 0 {
+	worker := m.worker(of.order.Target.ID)
+	if worker.previousFence == 0 {
 		return false
 	}
 	ended := of.leader != fromStandby && !m.now.Before(m.leaders[of.leader].authority)
-	return ended || of.incarnation != holder.incarnation
+	return ended || of.incarnation != worker.incarnation
 }
--- a/internal/owner/model_standby_test.go
+++ b/internal/owner/model_standby_test.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// modelStandby renews holds on its own. The leader of a term knows its leave.
+// modelStandby renews holds independently of the leader. The leader of the term knows its
+// delegation.
 type modelStandby struct {
 	standby    *Standby
 	delegation Delegation
 	term       Term
 }
 
-// fromStandby marks orders of the standby.
+// fromStandby is the leader index of orders that the standby sent.
 const fromStandby = -1
 
-// standbyChoices are what the standby may do next.
+// standbyChoices returns what the standby may do next.
 func (m *model) standbyChoices() []string {
 	var list []string
 	if m.bounds.holdReports > 0 {
-		for index, one := range m.leaders {
-			if !one.dead && !m.now.After(one.authority.Add(modelConfig.RenewalGrace)) {
+		for index, leader := range m.leaders {
+			if !leader.dead && !m.now.After(leader.authority.Add(modelConfig.RenewalGrace)) {
 				list = append(list, fmt.Sprintf("tell-standby %d", index))
 			}
 		}
@@ -36,12 +37,12 @@
 	return len(holds) > 0 && !holds[0].inFlight && !m.now.After(m.standby.standby.until)
 }
 
-// tellStandby is what a leader does for a standby that it reaches.
+// sendHoldsToStandby does what a leader does for a standby that it can reach.
 func (m *model) sendHoldsToStandby(from *modelLeader) {
 	until := from.authority.Add(modelConfig.RenewalGrace)
 	m.standby.standby.SetHolds(from.term, from.ledger.HoldsVersion(), from.ledger.Holds(), until)
 	if m.standby.standby.term != from.term {
-		return // it was asked to stop
+		return // its delegation was revoked
 	}
 	renewed := m.standby.delegation.LastRenewal
 	if m.standby.term != from.term {
@@ -52,14 +53,15 @@
 	from.ledger.SetDelegations([]Delegation{m.standby.delegation})
 }
 
-// renewByStandby sends a renewal whenever the standby may, lost leader or not.
+// renewByStandby sends a renewal whenever the standby is allowed to, even if it has not lost the
+// leader.
 func (m *model) renewByStandby() {
-	one := m.standby.standby.holds[0]
-	one.inFlight = true
-	grant := Grant{Keys: one.Keys, Fence: one.Fence, Hold: modelConfig.Hold}
-	renewal := Renewal{Target: one.Target, Grant: grant, sentAt: m.now, hold: one}
-	order := Order{Target: one.Target, Keys: one.Keys, Fence: one.Fence, Grant: grant, sentAt: m.now}
-	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, incarnation: one.Target.Incarnation})
+	hold := m.standby.standby.holds[0]
+	hold.inFlight = true
+	grant := Grant{Keys: hold.Keys, Fence: hold.Fence, Hold: modelConfig.Hold}
+	renewal := Renewal{Target: hold.Target, Grant: grant, sentAt: m.now, hold: hold}
+	order := Order{Target: hold.Target, Keys: hold.Keys, Fence: hold.Fence, Grant: grant, sentAt: m.now}
+	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, incarnation: hold.Target.Incarnation})
 	m.standby.delegation.LastRenewal = m.now
 	for _, leader := range m.leaders {
 		if leader.term == m.standby.term {
@@ -68,11 +70,12 @@
 	}
 }
 
-// stopAll is what the answers to a next leader's questions prove: the leader before
-// and the standby have stopped, and nothing of theirs is under way but late orders.
+// revokeAll has the effect of the replies to a new leader's stop requests: they prove that the
+// previous leaders and the standby have stopped, and that nothing they sent except delayed orders
+// is still on its way.
 func (m *model) revokeAll() {
-	for _, one := range m.leaders {
-		one.dead = true
+	for _, leader := range m.leaders {
+		leader.dead = true
 	}
 	m.standby.standby.Revoke(Term(len(m.leaders) + 1))
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -8,19 +8,19 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// The model drives the real books through every order of events within bounds: two
-// workers, one run of keys, a leader and its successor, orders that are answered,
-// left without an answer or taken late, a worker that is cut off and comes back, a
-// store that is slow, a leader that no longer reaches it, and a standby that renews
-// what it was told of whenever it may. Time passes in ticks.
+// The model drives real ledgers through every order of events within bounds. It has two workers,
+// one key range, a leader and its successor, and a standby that renews the holds that it knows
+// whenever it may. Orders are answered, remain unanswered or are accepted with a delay; a worker is
+// partitioned and returns; the store is slow, or a leader can no longer reach it. Time passes in
+// ticks.
 
 const (
 	modelTick = time.Second
-	// modelWorkerCount is the number of workers; the clock of the first one runs slow.
+	// modelWorkerCount is the number of workers. The clock of the first one runs slow.
 	modelWorkerCount = 2
 )
 
-// modelConfig has times of a few ticks.
+// modelConfig uses times of a few ticks.
 var modelConfig = Config{
 	Hold:          2 * modelTick,
 	RenewInterval: modelTick,
@@ -32,17 +32,18 @@
 
 const modelLease = 2 * modelTick
 
-// modelBounds bound what may happen on one path.
+// modelBounds limit the number of events of each kind on a path.
 type modelBounds struct {
 	ticks, moves, delays, lostReplies, partitions, leaders int
-	// restarts of workers under their IDs.
+	// restarts are restarts of workers that keep their ID.
 	restarts int
-	// tellings of holds to the standby, its renewals, and successors that ask it to
-	// stop and need not outwait it.
+	// holdReports are reports of holds to the standby and renewals are its renewals. revocations
+	// are successors that ask the standby to stop and therefore need not wait for its delegation to
+	// end.
 	holdReports, renewals, revocations int
 }
 
-// modelWorker is a worker's side.
+// modelWorker is the state of a worker.
 type modelWorker struct {
 	id           workers.ID
 	length       time.Duration
@@ -50,35 +51,37 @@
 	until        time.Time
 	highestFence Fence
 	partitioned  bool
-	// lateCut says that the hold was taken late, and the worker was cut off while
-	// the order was on its way: nobody could tell it of a higher fence.
-	delayedWhilePartitioned bool
-	// born tells its lives apart; zero if it does not tell them. before is the highest fence of
-	// its earlier lives.
+	// unpreventable means that the current hold comes from a grant during whose delivery no leader
+	// could have informed the worker of a higher fence, because the worker was partitioned or had
+	// restarted unnoticed. Such holds are not checked.
+	unpreventable bool
+	// incarnation identifies the run of the worker; zero if it does not report it. previousFence is
+	// the highest fence of its earlier incarnations.
 	incarnation   workers.Born
 	previousFence Fence
-	// untold says that nobody can have told this life of a higher fence yet.
+	// unaware means that no leader can have informed this incarnation of a higher fence yet.
 	unaware bool
 }
 
-func (h *modelWorker) holds(now time.Time) bool { return now.Before(h.until) }
+func (w *modelWorker) holds(now time.Time) bool { return now.Before(w.until) }
 
-// modelOrder is an order on its way.
+// modelOrder is an order that has been sent.
 type modelOrder struct {
 	order   Order
 	renewal Renewal
-	// leader that sent it, or fromStandby.
+	// leader is the index of the leader that sent it, or fromStandby.
 	leader int
-	// late orders were given up and may still be taken, until then.
+	// delayed means that the sender gave up waiting for a reply; the worker may still accept the
+	// order by the time until.
 	delayed bool
 	until   time.Time
-	// cut says that the worker was cut off while the order was late.
+	// partitioned means that the worker was partitioned while the order was delayed.
 	partitioned bool
-	// born is the life of the worker that the sender had heard of.
+	// incarnation is the worker's incarnation that the sender knew.
 	incarnation workers.Born
 }
 
-// modelWrite is a record on its way to the store.
+// modelWrite is a record that is being written to the store.
 type modelWrite struct {
 	recordVersion uint64
 	value         []byte
@@ -88,14 +91,14 @@
 	ledger    *Ledger
 	term      Term
 	authority time.Time
-	// cutOff leaders no longer reach the store.
+	// storeUnreachable means that the leader can't reach the store.
 	storeUnreachable, dead bool
 	write                  *modelWrite
-	// lives are those that the leader was told of.
+	// incarnations are the workers' incarnations that the leader was notified of.
 	incarnations [modelWorkerCount]workers.Born
 }
 
-// model is one state, reached by a path of choices.
+// model is a state that is reached by a path of choices.
 type model struct {
 	bounds    modelBounds
 	now       time.Time
@@ -115,11 +118,11 @@
 		if index == 0 {
 			length = time.Duration(float64(length) * (1 + modelConfig.ClockSlack))
 		}
-		holder := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
+		worker := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
 		if bounds.restarts > 0 {
-			holder.incarnation = 1
+			worker.incarnation = 1
 		}
-		m.workers = append(m.workers, holder)
+		m.workers = append(m.workers, worker)
 	}
 	m.elect(0)
 	ledger := m.leaders[0].ledger
@@ -131,12 +134,12 @@
 	return m
 }
 
-// choices are the names of what may happen next, in a fixed order.
+// choices returns the names of the events that may happen next, in a fixed order.
 func (m *model) choices() []string {
 	var list []string
 	waiting := false
-	for index, one := range m.orders {
-		if one.delayed {
+	for index, sent := range m.orders {
+		if sent.delayed {
 			list = append(list, fmt.Sprintf("taken-late %d", index))
 			continue
 		}
@@ -145,27 +148,27 @@
 		if m.bounds.lostReplies > 0 {
 			list = append(list, fmt.Sprintf("lost %d", index))
 		}
-		if m.bounds.delays > 0 && !one.order.Release {
+		if m.bounds.delays > 0 && !sent.order.Release {
 			list = append(list, fmt.Sprintf("late %d", index))
 		}
 	}
-	for index, one := range m.leaders {
-		if one.dead {
+	for index, leader := range m.leaders {
+		if leader.dead {
 			continue
 		}
-		if one.write != nil {
+		if leader.write != nil {
 			list = append(list, fmt.Sprintf("written %d", index))
 		}
-		if m.mayMove(one) {
+		if m.mayMove(leader) {
 			list = append(list, fmt.Sprintf("move %d", index))
 		}
-		if !one.storeUnreachable && m.bounds.leaders > 0 {
+		if !leader.storeUnreachable && m.bounds.leaders > 0 {
 			list = append(list, fmt.Sprintf("cut-off %d", index))
 		}
 	}
 	list = append(list, m.standbyChoices()...)
-	for index, one := range m.workers {
-		if one.partitioned || m.bounds.partitions > 0 {
+	for index, worker := range m.workers {
+		if worker.partitioned || m.bounds.partitions > 0 {
 			list = append(list, fmt.Sprintf("cut %d", index))
 		}
 	}
@@ -184,12 +187,12 @@
 	return list
 }
 
-func (m *model) mayMove(one *modelLeader) bool {
-	span := one.ledger.spans[0]
-	return m.bounds.moves > 0 && !m.now.After(one.authority) && one.write == nil && !span.inFlight && span.pending == nil
+func (m *model) mayMove(leader *modelLeader) bool {
+	span := leader.ledger.spans[0]
+	return m.bounds.moves > 0 && !m.now.After(leader.authority) && leader.write == nil && !span.inFlight && span.pending == nil
 }
 
-// take makes a choice.
+// apply makes the event of a choice happen.
 func (m *model) apply(choice string) {
 	var verb string
 	var index int
@@ -202,13 +205,13 @@
 		m.answer(index, false)
 	case "late":
 		m.bounds.delays--
-		one := m.orders[index]
-		one.delayed, one.until, one.partitioned = true, m.now.Add(modelConfig.MaxOrderDelay), m.worker(one.order.Target.ID).partitioned
-		m.handleReply(one, Reply{Outcome: OutcomeUnanswered})
+		sent := m.orders[index]
+		sent.delayed, sent.until, sent.partitioned = true, m.now.Add(modelConfig.MaxOrderDelay), m.worker(sent.order.Target.ID).partitioned
+		m.handleReply(sent, Reply{Outcome: OutcomeUnanswered})
 	case "taken-late":
-		one := m.orders[index]
+		sent := m.orders[index]
 		m.orders = slices.Delete(m.orders, index, index+1)
-		m.deliver(one.order, one.partitioned || m.worker(one.order.Target.ID).unaware, false)
+		m.deliver(sent.order, sent.partitioned || m.worker(sent.order.Target.ID).unaware, false)
 	case "written":
 		m.written(m.leaders[index])
 	case "move":
@@ -242,56 +245,57 @@
 		m.bounds.ticks--
 		m.propagateFences()
 		m.now = m.now.Add(modelTick)
-		m.orders = slices.DeleteFunc(m.orders, func(one *modelOrder) bool { return one.delayed && m.now.After(one.until) })
+		m.orders = slices.DeleteFunc(m.orders, func(sent *modelOrder) bool { return sent.delayed && m.now.After(sent.until) })
 		m.renew()
 	}
 	m.sendDueOrders()
 	m.check()
 }
 
-// cut cuts a worker off, or ends that.
-func (m *model) togglePartition(holder *modelWorker) {
-	holder.partitioned = !holder.partitioned
-	for _, one := range m.orders {
-		one.partitioned = one.partitioned || (one.delayed && one.order.Target.ID == holder.id)
+// togglePartition starts or ends a worker's partition from the leaders.
+func (m *model) togglePartition(worker *modelWorker) {
+	worker.partitioned = !worker.partitioned
+	for _, sent := range m.orders {
+		sent.partitioned = sent.partitioned || (sent.delayed && sent.order.Target.ID == worker.id)
 	}
 }
 
 func (m *model) worker(id workers.ID) *modelWorker {
-	index := slices.IndexFunc(m.workers, func(h *modelWorker) bool { return h.id == id })
+	index := slices.IndexFunc(m.workers, func(w *modelWorker) bool { return w.id == id })
 	return m.workers[index]
 }
 
-// answer delivers an order, and its answer unless that is lost.
-func (m *model) answer(index int, heard bool) {
-	one := m.orders[index]
+// answer delivers an order, and its reply unless that is lost.
+func (m *model) answer(index int, received bool) {
+	sent := m.orders[index]
 	m.orders = slices.Delete(m.orders, index, index+1)
-	// Cut workers are cut off from the leaders: the standby may reach them still.
-	reply := m.deliver(one.order, m.senderOutdated(one), one.leader == fromStandby)
-	if !heard && reply.Outcome != OutcomeUnreachable {
+	// Partitions separate workers from leaders; the standby may still reach them.
+	reply := m.deliver(sent.order, m.senderOutdated(sent), sent.leader == fromStandby)
+	if !received && reply.Outcome != OutcomeUnreachable {
 		reply = Reply{Outcome: OutcomeUnanswered}
 	}
-	m.handleReply(one, reply)
+	m.handleReply(sent, reply)
 }
 
-func (m *model) handleReply(one *modelOrder, reply Reply) {
-	if one.leader == fromStandby {
-		m.standby.standby.HandleOutcome(m.now, one.renewal, reply.Outcome)
+func (m *model) handleReply(sent *modelOrder, reply Reply) {
+	if sent.leader == fromStandby {
+		m.standby.standby.HandleOutcome(m.now, sent.renewal, reply.Outcome)
 		return
 	}
-	if from := m.leaders[one.leader]; !from.dead {
-		from.ledger.HandleReply(m.now, one.order, reply)
+	if from := m.leaders[sent.leader]; !from.dead {
+		from.ledger.HandleReply(m.now, sent.order, reply)
 	}
 }
 
-// deliver hands an order over. lateCut says that it is late, and the worker was cut
-// off meanwhile; apart, that its sender reaches workers that leaders do not.
-func (m *model) deliver(order Order, lateCut, apart bool) Reply {
+// deliver carries out an order at its worker. unpreventable means that no leader could have
+// informed the worker of a higher fence in time, so violations are not counted; bypassPartition
+// means that the sender can reach workers that leaders can't.
+func (m *model) deliver(order Order, unpreventable, bypassPartition bool) Reply {
 	to := m.worker(order.Target.ID)
-	if to.partitioned && !lateCut && !apart {
+	if to.partitioned && !unpreventable && !bypassPartition {
 		return Reply{Outcome: OutcomeUnreachable}
 	}
-	to.unaware = to.unaware && lateCut
+	to.unaware = to.unaware && unpreventable
 	if order.Release {
 		to.highestFence = max(to.highestFence, order.Fence)
 		to.until = m.now
@@ -300,49 +304,50 @@
 	if to.highestFence > order.Fence {
 		return Reply{Outcome: OutcomeFenced}
 	}
-	if !lateCut && m.violation == "" && order.Fence <= to.previousFence {
-		m.violation = fmt.Sprintf("%s starts again and takes keys under fence %d, its life before had %d", to.id, order.Fence, to.previousFence)
+	if !unpreventable && m.violation == "" && order.Fence <= to.previousFence {
+		m.violation = fmt.Sprintf("%s restarts and accepts keys under fence %d, its previous incarnation had fence %d", to.id, order.Fence, to.previousFence)
 	}
 	for _, other := range m.workers {
-		if other != to && other.holds(m.now) && other.fence >= order.Fence && !lateCut {
-			m.violation = fmt.Sprintf("%s takes keys under fence %d, %s holds them under %d", to.id, order.Fence, other.id, other.fence)
+		if other != to && other.holds(m.now) && other.fence >= order.Fence && !unpreventable {
+			m.violation = fmt.Sprintf("%s accepts keys under fence %d, %s holds them under fence %d", to.id, order.Fence, other.id, other.fence)
 		}
 	}
-	to.highestFence, to.fence, to.until, to.delayedWhilePartitioned = order.Fence, order.Fence, m.now.Add(to.length), lateCut
+	to.highestFence, to.fence, to.until, to.unpreventable = order.Fence, order.Fence, m.now.Add(to.length), unpreventable
 	return Reply{Outcome: OutcomeDone}
 }
 
-// written ends a write: it holds only if the leader still has the lease.
-func (m *model) written(one *modelLeader) {
-	if one.storeUnreachable {
-		return // it never arrives
+// written ends a write, which takes effect only if the leader still has the lease.
+func (m *model) written(leader *modelLeader) {
+	if leader.storeUnreachable {
+		return // the write never reaches the store
 	}
-	write := one.write
-	one.write = nil
-	if one.term != m.leaders[len(m.leaders)-1].term || !m.now.Before(m.lease) {
-		one.dead = true
+	write := leader.write
+	leader.write = nil
+	if leader.term != m.leaders[len(m.leaders)-1].term || !m.now.Before(m.lease) {
+		leader.dead = true
 		return
 	}
 	m.record = write.value
-	one.ledger.MarkStored(write.recordVersion)
+	leader.ledger.MarkStored(write.recordVersion)
 }
 
-func (m *model) move(one *modelLeader) {
-	for index, holder := range m.workers {
-		if holder.id == one.ledger.spans[0].owner {
+func (m *model) move(leader *modelLeader) {
+	for index, worker := range m.workers {
+		if worker.id == leader.ledger.spans[0].owner {
 			to := m.workers[1-index]
-			one.ledger.Move(KeyRange{0, KeyCount - 1}, to.id, "a")
+			leader.ledger.Move(KeyRange{0, KeyCount - 1}, to.id, "a")
 			return
 		}
 	}
 }
 
-// elect makes the next leader, which outwaits renewals of the one before for a time.
-func (m *model) elect(stale time.Duration) {
+// elect starts the next leader, which waits renewalGrace longer for the holds of the previous
+// leader to end.
+func (m *model) elect(renewalGrace time.Duration) {
 	next := &modelLeader{term: Term(len(m.leaders) + 1), authority: m.now.Add(modelLease)}
 	next.ledger = NewLedger(modelConfig, next.term)
 	if m.record != nil {
-		until := m.now.Add(stale + modelConfig.MaxHold())
+		until := m.now.Add(renewalGrace + modelConfig.MaxHold())
 		if err := next.ledger.Load(m.now, m.record, until); err != nil {
 			panic(err)
 		}
@@ -354,7 +359,7 @@
 	}
 }
 
-// renew renews the lease of the last leader, if it reaches the store.
+// renew renews the lease of the last leader if it can reach the store.
 func (m *model) renew() {
 	last := m.leaders[len(m.leaders)-1]
 	if !last.storeUnreachable && !last.dead && m.now.Before(m.lease) {
@@ -363,33 +368,33 @@
 	}
 }
 
-// drive is what the keeper does for each leader.
+// sendDueOrders does what the keeper does for each leader.
 func (m *model) sendDueOrders() {
-	for index, one := range m.leaders {
-		if one.dead || m.now.After(one.authority.Add(modelConfig.RenewalGrace)) {
+	for index, leader := range m.leaders {
+		if leader.dead || m.now.After(leader.authority.Add(modelConfig.RenewalGrace)) {
 			continue
 		}
-		renewOnly := m.now.After(one.authority)
-		if !renewOnly && one.write == nil && one.ledger.RecordVersion() != one.ledger.StoredVersion() {
-			value, err := one.ledger.Encode(one.term, "")
+		renewOnly := m.now.After(leader.authority)
+		if !renewOnly && leader.write == nil && leader.ledger.RecordVersion() != leader.ledger.StoredVersion() {
+			value, err := leader.ledger.Encode(leader.term, "")
 			if err != nil {
 				panic(err)
 			}
-			one.write = &modelWrite{recordVersion: one.ledger.RecordVersion(), value: value}
+			leader.write = &modelWrite{recordVersion: leader.ledger.RecordVersion(), value: value}
 		}
-		for _, order := range one.ledger.Due(m.now, renewOnly) {
-			born := one.incarnations[slices.Index(m.workers, m.worker(order.Target.ID))]
-			m.orders = append(m.orders, &modelOrder{order: order, leader: index, incarnation: born})
+		for _, order := range leader.ledger.Due(m.now, renewOnly) {
+			incarnation := leader.incarnations[slices.Index(m.workers, m.worker(order.Target.ID))]
+			m.orders = append(m.orders, &modelOrder{order: order, leader: index, incarnation: incarnation})
 		}
 	}
 }
 
-// check: no two workers hold the keys, but for a grant that was taken late by a
-// worker that was cut off then, as in the worlds.
+// check verifies that no two workers hold the keys. Unpreventable holds are excluded, as in the
+// simulation.
 func (m *model) check() {
 	holding := 0
-	for _, one := range m.workers {
-		if one.holds(m.now) && !one.delayedWhilePartitioned {
+	for _, worker := range m.workers {
+		if worker.holds(m.now) && !worker.unpreventable {
 			holding++
 		}
 	}
--- a/internal/owner/placement_test.go
+++ b/internal/owner/placement_test.go
@@ -11,13 +11,13 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-var testPlaces = []PlacementRule{
+var testPlacement = []PlacementRule{
 	{Keys: KeyRange{0, 19999}, Zones: []string{"a"}},
 	{Keys: KeyRange{20000, 29999}, Zones: []string{"a", "b"}},
 	{Keys: KeyRange{40000, KeyCount - 1}, Zones: []string{"c"}},
 }
 
-// zoned returns candidates in zones.
+// candidatesInZones returns one candidate for each zone.
 func candidatesInZones(zones ...string) []Candidate {
 	candidates := make([]Candidate, 0, len(zones))
 	for index, zone := range zones {
@@ -27,68 +27,68 @@
 	return candidates
 }
 
-// checkPlaces fails for an owner in a zone that may not hold its keys.
-func checkPlaces(t assert.TestingT, owners []Owner, all []Candidate, places []PlacementRule) {
+// checkPlacement fails if the zone of an owner may not hold its keys.
+func checkPlacement(t assert.TestingT, owners []Owner, all []Candidate, rules []PlacementRule) {
 	zones := map[workers.ID]string{}
-	for _, one := range all {
-		zones[one.ID] = one.Zone
+	for _, candidate := range all {
+		zones[candidate.ID] = candidate.Zone
 	}
-	for _, one := range owners {
-		for _, place := range places {
-			allowed := !place.Keys.overlaps(one.Keys) || place.allows(zones[one.Worker])
-			assert.Assert(t, allowed, "%v is owned by %s in %s, allowed are %v", one.Keys, one.Worker, zones[one.Worker], place.Zones)
+	for _, owner := range owners {
+		for _, rule := range rules {
+			allowed := !rule.Keys.overlaps(owner.Keys) || rule.allows(zones[owner.Worker])
+			assert.Assert(t, allowed, "%v is owned by %s in %s, allowed are %v", owner.Keys, owner.Worker, zones[owner.Worker], rule.Zones)
 		}
 	}
 }
 
 func TestInitialOwnersNeedACandidateForEachRule(t *testing.T) {
-	assert.Assert(t, InitialOwners(candidatesInZones("a", "b"), testPlaces) == nil)
+	assert.Assert(t, InitialOwners(candidatesInZones("a", "b"), testPlacement) == nil)
 	all := candidatesInZones("a", "b", "c", "c")
-	owners := InitialOwners(all, testPlaces)
-	checkPlaces(t, owners, all, testPlaces)
+	owners := InitialOwners(all, testPlacement)
+	checkPlacement(t, owners, all, testPlacement)
 	next := 0
-	for _, one := range owners {
-		assert.Equal(t, one.Keys.From, next)
-		next = one.Keys.To + 1
+	for _, owner := range owners {
+		assert.Equal(t, owner.Keys.From, next)
+		next = owner.Keys.To + 1
 	}
 	assert.Equal(t, next, KeyCount)
 }
 
-// Whatever workers come and go and whatever the load, keys are planned only to
-// zones that may hold them, and stay where they are while there is none.
+// Whichever workers come and go, and whatever the load, keys are only moved to zones that may hold
+// them. They stay where they are while no such worker exists.
 func TestPlanObeysPlacementRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		all := candidatesInZones("a", "a", "b", "b", "c", "c", "c")
 		ledger := NewLedger(DefaultConfig(10*time.Second), 1)
-		ledger.Assign(now, InitialOwners(all, testPlaces))
+		ledger.Assign(now, InitialOwners(all, testPlacement))
 		answerAllOrders(ledger, now)
 		for range rapid.IntRange(1, 8).Draw(t, "rounds") {
 			var candidates []Candidate
-			for _, one := range all {
-				if rapid.Bool().Draw(t, string(one.ID)) {
-					candidates = append(candidates, one)
+			for _, candidate := range all {
+				if rapid.Bool().Draw(t, string(candidate.ID)) {
+					candidates = append(candidates, candidate)
 				}
 			}
 			rates := hotRates(rapid.IntRange(0, 60000).Draw(t, "hot"), rapid.IntRange(1, 500).Draw(t, "keys"), 80)
-			ledger.Plan(candidates, rates, Rules{Balance: true, MaxMoves: maxMovesPerRound, Placement: testPlaces})
+			ledger.Plan(candidates, rates, Rules{Balance: true, MaxMoves: maxMovesPerRound, Placement: testPlacement})
 			answerAllOrders(ledger, now)
-			checkPlaces(t, ledger.Assignment(), all, testPlaces)
+			checkPlacement(t, ledger.Assignment(), all, testPlacement)
 		}
 	})
 }
 
-// Places that change move what may no longer stay.
+// Changed placement rules move the keys that may no longer stay with their owner.
 func TestChangedPlacementRulesMoveKeys(t *testing.T) {
 	now := time.Unix(1000, 0)
 	all := candidatesInZones("a", "b", "c")
 	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
 	ledger.Assign(now, InitialOwners(all, nil))
 	answerAllOrders(ledger, now)
-	assert.Assert(t, len(ledger.Plan(all, nil, Rules{Placement: testPlaces})) > 0)
+	assert.Assert(t, len(ledger.Plan(all, nil, Rules{Placement: testPlacement})) > 0)
 	answerAllOrders(ledger, now)
-	checkPlaces(t, ledger.Assignment(), all, testPlaces)
-	assert.Equal(t, len(ledger.Plan(all, nil, Rules{Placement: testPlaces})), 0)
+	checkPlacement(t, ledger.Assignment(), all, testPlacement)
+	assert.Equal(t, len(ledger.Plan(all, nil, Rules{Placement: testPlacement})), 0)
 }
 
 func TestChurnWeight(t *testing.T) {
@@ -115,17 +115,17 @@
 
 func TestRestrictToZones(t *testing.T) {
 	for name, test := range map[string]struct {
-		places []PlacementRule
-		zones  []string
-		want   []PlacementRule
+		rules []PlacementRule
+		zones []string
+		want  []PlacementRule
 	}{
-		"no places": {nil, []string{"a"}, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{"a"}}}},
-		"no zones":  {nil, nil, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{noZone}}}},
-		"places": {testPlaces, []string{"b", "c"}, []PlacementRule{
+		"no rules": {nil, []string{"a"}, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{"a"}}}},
+		"no zones": {nil, nil, []PlacementRule{{KeyRange{0, KeyCount - 1}, []string{noZone}}}},
+		"places": {testPlacement, []string{"b", "c"}, []PlacementRule{
 			{KeyRange{0, 19999}, []string{noZone}}, {KeyRange{20000, 29999}, []string{"b"}},
 			{KeyRange{30000, 39999}, []string{"b", "c"}}, {KeyRange{40000, KeyCount - 1}, []string{"c"}},
 		}},
 	} {
-		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, RestrictToZones(test.places, test.zones), test.want) })
+		t.Run(name, func(t *testing.T) { assert.DeepEqual(t, RestrictToZones(test.rules, test.zones), test.want) })
 	}
 }
--- a/internal/owner/planner_test.go
+++ b/internal/owner/planner_test.go
@@ -13,7 +13,7 @@
 // testRules allow moves for balance.
 var testRules = Rules{Balance: true, MaxMoves: maxMovesPerRound}
 
-// fleet returns a number of equal candidates.
+// equalCandidates returns candidates of equal capacity.
 func equalCandidates(count int, capacity float64) []Candidate {
 	candidates := make([]Candidate, 0, count)
 	for index := range count {
@@ -23,7 +23,7 @@
 	return candidates
 }
 
-// settle answers all orders until none is due.
+// answerAllOrders replies to all orders until none is due.
 func answerAllOrders(ledger *Ledger, now time.Time) {
 	for range 10 {
 		ledger.MarkStored(ledger.RecordVersion())
@@ -33,7 +33,7 @@
 	}
 }
 
-// busiest returns the utilization of the busiest candidate.
+// highestUtilization returns the utilization of the most utilized candidate.
 func highestUtilization(ledger *Ledger, candidates []Candidate, rates []KeyLoad) float64 {
 	worst := 0.0
 	for _, candidate := range candidates {
@@ -53,8 +53,8 @@
 	return worst
 }
 
-// hot are rates with a background of 70 requests a second over all keys and
-// busy neighbours.
+// hotRates returns rates with a background of 70 requests per second over all keys, and a range of
+// busy keys.
 func hotRates(from, count int, total float64) []KeyLoad {
 	var rates []KeyLoad
 	for key := 0; key < KeyCount; key += 128 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Found on a calm day of both deployments: one key was asked for more often than
-// its worker could answer, and stayed there.
+// Guards against a fault seen on a day without faults in both deployments: one key had more requests
+// than its worker could process, and was not moved.
 func TestPlanPutsABusyKeyOnAFastWorker(t *testing.T) {
 	now := time.Now()
 	candidates := equalCandidates(14, 20)
@@ -112,8 +112,7 @@
 	assert.Assert(t, highestUtilization(ledger, candidates, rates) < 0.8, "%f", highestUtilization(ledger, candidates, rates))
 }
 
-// A leader that has just begun knows no rates: the keys of lost workers must not all go
-// to one.
+// A new leader knows no rates. The keys of lost workers must not all move to one worker.
 func TestKeysWithoutKnownLoadAreSpread(t *testing.T) {
 	now := time.Now()
 	candidates := equalCandidates(8, 30)
@@ -127,12 +126,12 @@
 	for _, held := range ledger.Assignment() {
 		widths[held.Worker] += held.Keys.Width()
 	}
-	for _, one := range left {
-		assert.Equal(t, widths[one.ID], KeyCount/4, one.ID)
+	for _, candidate := range left {
+		assert.Equal(t, widths[candidate.ID], KeyCount/4, candidate.ID)
 	}
 }
 
-// Keys of a lost worker go to warm ones, and to a cold one only where no other may have
+// Keys of a lost worker move to warm workers, and to a cold one only if no other worker may hold
 // them.
 func TestColdWorkersGetKeysLast(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -142,7 +141,7 @@
 	}{
 		"one is warm":                     {cold: []int{1}, want: "w02"},
 		"all are cold":                    {cold: []int{1, 2}, want: "w01"},
-		"the warm one may not have them":  {cold: []int{1}, zones: []string{"z"}, want: "w01"},
+		"the warm one may not hold them":  {cold: []int{1}, zones: []string{"z"}, want: "w01"},
 		"none is cold, the first is idle": {want: "w01"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +165,6 @@
 	}
 }
 
-// For balance nothing moves to a cold worker.
 func TestBalanceMovesNothingToColdWorkers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
@@ -175,14 +173,15 @@
 	ledger.Assign(now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: "w00", Address: "w00"}})
 	answerAllOrders(ledger, now)
 	rates := hotRates(0, 10, 60)
-	for _, one := range ledger.Plan(candidates, rates, testRules) {
-		assert.Equal(t, one.To, workers.ID("w00"))
+	for _, move := range ledger.Plan(candidates, rates, testRules) {
+		assert.Equal(t, move.To, workers.ID("w00"))
 	}
 	candidates[1].Cold = false
 	assert.Assert(t, len(ledger.Plan(candidates, rates, testRules)) > 0)
 }
 
-// each is a rate for so many keys of the first candidate of four, spread evenly.
+// evenRates returns equal rates for a number of keys, spread evenly over the keys of the first of
+// four candidates.
 func evenRates(count int, rate float64) []KeyLoad {
 	var rates []KeyLoad
 	for index := range count {
@@ -191,7 +190,8 @@
 	return rates
 }
 
-// Single keys were each much of what a worker took that took next to nothing, and moved one by one.
+// Guards against a fault: for a limited worker of very low capacity, each single key counted as
+// hot, and its keys were moved one by one.
 func TestKeysLeaveSlowWorkerInRanges(t *testing.T) {
 	candidates, now := equalCandidates(4, 50), time.Now()
 	rates := evenRates(30, 0.5)
@@ -220,14 +220,14 @@
 	assert.Assert(t, others > 0.7 && others <= maxTargetUtilization+0.05, "%.2f", others)
 }
 
-// Keys that are asked for evenly are wide, and dear to move.
+// Keys with evenly spread requests form wide ranges, which are expensive to move.
 func TestExcessLoadLeavesLimitedWorker(t *testing.T) {
 	for name, test := range map[string]struct {
-		limited bool
-		keeps   float64
+		limited        bool
+		maxUtilization float64
 	}{
-		"limited":        {limited: true, keeps: 1},
-		"only estimated": {keeps: 5},
+		"limited":        {limited: true, maxUtilization: 1},
+		"only estimated": {maxUtilization: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidates, now := equalCandidates(5, 100), time.Now()
@@ -241,7 +241,7 @@
 				answerAllOrders(ledger, now)
 			}
 			load := highestUtilization(ledger, candidates[:1], rates)
-			assert.Assert(t, load <= test.keeps && load > 0, "%.1f times what it takes", load)
+			assert.Assert(t, load <= test.maxUtilization && load > 0, "%.1f times its capacity", load)
 		})
 	}
 }
--- a/internal/owner/restart.go
+++ b/internal/owner/restart.go
@@ -14,27 +14,27 @@
 // incarnation. Earlier holds therefore still have to expire or be released. Meanwhile the worker is
 // granted its own keys again under a higher fence, and fences that it has to know are sent again,
 // since a new incarnation has seen none of the earlier ones.
-func (l *Ledger) ObserveIncarnation(now time.Time, life workers.Life, address string) bool {
-	before, known := l.incarnations[life.ID]
-	if life.Born == 0 || before == life.Born {
+func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Life, address string) bool {
+	before, known := l.incarnations[incarnation.ID]
+	if incarnation.Born == 0 || before == incarnation.Born {
 		return false
 	}
-	l.incarnations[life.ID] = life.Born
+	l.incarnations[incarnation.ID] = incarnation.Born
 	if !known {
 		return false
 	}
-	delete(l.ended, life.ID)
-	delete(l.failing, life.ID)
-	delete(l.lastUnanswered, life.ID)
-	if l.addresses[life.ID] != address {
-		l.addresses[life.ID] = address
+	delete(l.ended, incarnation.ID)
+	delete(l.failing, incarnation.ID)
+	delete(l.lastUnanswered, incarnation.ID)
+	if l.addresses[incarnation.ID] != address {
+		l.addresses[incarnation.ID] = address
 		l.assignmentVersion++
 	}
 	for _, s := range l.spans {
-		l.handleRestart(now, s, life.ID)
+		l.handleRestart(now, s, incarnation.ID)
 	}
 	for _, grant := range l.unconfirmed {
-		if grant.worker == life.ID {
+		if grant.worker == incarnation.ID {
 			grant.acknowledged, grant.nextOrderAt = false, now
 		}
 	}
--- a/internal/owner/simulation_faults_test.go
+++ b/internal/owner/simulation_faults_test.go
@@ -11,77 +11,78 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// disturb is a kind of trouble that a second may bring.
-type fault func(w *simulation)
+// fault is a failure that a simulation injects.
+type fault func(s *simulation)
 
-func partitionWorker(w *simulation) {
-	worker := w.workers[w.random.IntN(len(w.workers))]
+func partitionWorker(s *simulation) {
+	worker := s.workers[s.random.IntN(len(s.workers))]
 	if worker.partitioned || worker.ended {
 		return
 	}
 	worker.partitioned = true
-	w.after(w.between(time.Second, 10*time.Second), func() { worker.partitioned = false })
+	s.after(s.between(time.Second, 10*time.Second), func() { worker.partitioned = false })
 }
 
-func replaceWorker(w *simulation) {
-	index := w.random.IntN(len(w.workers))
-	if len(w.workers) > 20 {
+func replaceWorker(s *simulation) {
+	index := s.random.IntN(len(s.workers))
+	if len(s.workers) > 20 {
 		return
 	}
-	w.workers[index].ended = true
-	w.workers = append(w.workers, &simWorker{id: workers.ID(fmt.Sprintf("w%d", len(w.workers)))})
+	s.workers[index].ended = true
+	s.workers = append(s.workers, &simWorker{id: workers.ID(fmt.Sprintf("w%d", len(s.workers)))})
 }
 
-func crashLeader(w *simulation) {
-	for _, one := range w.leaders {
-		if one.term == w.term {
-			one.dead = true
+func crashLeader(s *simulation) {
+	for _, leader := range s.leaders {
+		if leader.term == s.term {
+			leader.dead = true
 		}
 	}
 }
 
-func freezeLeader(w *simulation) {
-	for _, one := range w.leaders {
-		if one.term == w.term {
-			one.frozen = w.now.Add(w.between(time.Second, 5*time.Second))
+func freezeLeader(s *simulation) {
+	for _, leader := range s.leaders {
+		if leader.term == s.term {
+			leader.frozen = s.now.Add(s.between(time.Second, 5*time.Second))
 		}
 	}
 }
 
-// expireLease takes the leader's lease away while it goes on reaching workers.
-func expireLease(w *simulation) { w.lease = w.now }
+// expireLease ends the leader's lease while the leader can still reach workers.
+func expireLease(s *simulation) { s.lease = s.now }
 
-func delayOrders(w *simulation) {
-	w.delayOrders = true
-	w.after(5*time.Second, func() { w.delayOrders = false })
+func delayOrders(s *simulation) {
+	s.delayOrders = true
+	s.after(5*time.Second, func() { s.delayOrders = false })
 }
 
-func loseReplies(w *simulation) {
-	w.loseReplies = true
-	w.after(5*time.Second, func() { w.loseReplies = false })
+func loseReplies(s *simulation) {
+	s.loseReplies = true
+	s.after(5*time.Second, func() { s.loseReplies = false })
 }
 
-// play runs worlds of many seeds with some kinds of trouble.
-func runSimulations(t *testing.T, seeds *int, kinds ...fault) {
+// runSimulations runs simulations with a number of seeds and some kinds of faults.
+func runSimulations(t *testing.T, seeds *int, faults ...fault) {
 	t.Helper()
 	t.Parallel()
 	for seed := range *seeds {
-		w := newSimulation(uint64(seed))
-		broken := w.run(50, func(second int) {
-			w.noMoves = second >= 30
-			if second > 2 && second < 30 && w.chance(0.3) {
-				kinds[w.random.IntN(len(kinds))](w)
+		s := newSimulation(uint64(seed))
+		violation := s.run(50, func(second int) {
+			s.noMoves = second >= 30
+			if second > 2 && second < 30 && s.chance(0.3) {
+				faults[s.random.IntN(len(faults))](s)
 			}
 		})
-		assert.Equal(t, broken, "", "seed %d", seed)
-		assert.Equal(t, w.servedSegments(), segmentCount, "seed %d: all keys are held again at the end", seed)
-		assert.Assert(t, w.moves > 0)
+		assert.Equal(t, violation, "", "seed %d", seed)
+		assert.Equal(t, s.servedSegments(), segmentCount, "seed %d: all keys must be held at the end", seed)
+		assert.Assert(t, s.moves > 0)
 	}
 }
 
-// simulationSeeds is how many worlds of each kind are played; more of them by hand,
-// as with: go test ./internal/owner -run OneOwner -worlds 2000
-var simulationSeeds = flag.Int("worlds", 40, "how many worlds of each kind are played")
+// simulationSeeds is the number of simulations of each kind. To run more of them:
+//
+//	go test ./internal/owner -run OneOwner -worlds 2000
+var simulationSeeds = flag.Int("worlds", 40, "number of simulations of each kind")
 
 func TestOneOwnerWhileWorkersArePartitioned(t *testing.T) {
 	runSimulations(t, simulationSeeds, partitionWorker)
--- a/internal/owner/simulation_test.go
+++ b/internal/owner/simulation_test.go
@@ -9,28 +9,26 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// The world of these tests: workers with clocks of their own, a network that
-// loses and delays orders and their answers, and leaders that come and go, all in
-// virtual time. The rules are checked at each step.
-
-// pending is something that happens later.
+// event is an action at a later time.
 type event struct {
 	at time.Time
 	do func()
 }
 
-// leader is one process that drives a book.
+// simLeader is a process that drives a ledger.
 type simLeader struct {
 	ledger *Ledger
 	term   Term
-	// authority ends here; renewals go on for StaleRenewals after it.
+	// authority is when the leader's authority ends. Renewals continue for RenewalGrace after it.
 	authority time.Time
 	frozen    time.Time
 	dead      bool
 	writing   bool
 }
 
-// world is all of it.
+// simulation consists of workers with their own clocks, a network that loses and delays orders and
+// replies, and leaders that fail and are replaced, all in virtual time. The invariants are checked
+// at each step.
 type simulation struct {
 	random  *rand.Rand
 	now     time.Time
@@ -38,233 +36,234 @@
 	workers []*simWorker
 	leaders []*simLeader
 	record  []byte
-	version int // of the record
+	version int // version of the record
 	term    Term
 	queue   []event
-	// takenUntil: the lease of the leader's key.
+	// lease is when the lease of the leader's key ends.
 	lease     time.Time
 	violation string
-	// late makes orders be taken late, lost makes their answers go missing.
+	// delayOrders makes workers accept some orders with a delay, loseReplies loses some of their
+	// replies.
 	delayOrders, loseReplies bool
 	moves                    int
-	// calm says that no keys move any more but those that must.
+	// noMoves allows only moves off workers that are no longer candidates.
 	noMoves bool
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0),
 		config: DefaultConfig(10 * time.Second),
 	}
 	for index := range 4 {
-		w.workers = append(w.workers, &simWorker{id: workers.ID(fmt.Sprintf("w%d", index)), clockLag: 0.02 * w.random.Float64()})
+		s.workers = append(s.workers, &simWorker{id: workers.ID(fmt.Sprintf("w%d", index)), clockLag: 0.02 * s.random.Float64()})
 	}
-	return w
+	return s
 }
 
-func (w *simulation) after(delay time.Duration, do func()) {
-	w.queue = append(w.queue, event{at: w.now.Add(delay), do: do})
+func (s *simulation) after(delay time.Duration, do func()) {
+	s.queue = append(s.queue, event{at: s.now.Add(delay), do: do})
 }
 
-func (w *simulation) chance(probability float64) bool { return w.random.Float64() < probability }
+func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-func (w *simulation) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+func (s *simulation) between(least, most time.Duration) time.Duration {
+	return least + time.Duration(s.random.Int64N(int64(most-least)))
 }
 
-// step lets 20 ms pass.
-func (w *simulation) step() {
-	w.now = w.now.Add(20 * time.Millisecond)
-	due := w.queue
-	w.queue = nil
-	for _, one := range due {
-		if w.now.Before(one.at) {
-			w.queue = append(w.queue, one)
+// step advances the time by 20 ms.
+func (s *simulation) step() {
+	s.now = s.now.Add(20 * time.Millisecond)
+	due := s.queue
+	s.queue = nil
+	for _, pending := range due {
+		if s.now.Before(pending.at) {
+			s.queue = append(s.queue, pending)
 			continue
 		}
-		one.do()
+		pending.do()
 	}
-	w.elect()
-	for _, one := range w.leaders {
-		w.drive(one)
+	s.elect()
+	for _, leader := range s.leaders {
+		s.drive(leader)
 	}
-	w.check()
+	s.check()
 }
 
-// elect makes a new leader once the lease is over.
-func (w *simulation) elect() {
-	if w.now.Before(w.lease) {
+// elect starts a new leader once the lease has expired.
+func (s *simulation) elect() {
+	if s.now.Before(s.lease) {
 		return
 	}
-	w.term++
-	w.lease = w.now.Add(1500 * time.Millisecond)
-	next := &simLeader{ledger: NewLedger(w.config, w.term), term: w.term, authority: w.now.Add(1350 * time.Millisecond)}
-	if w.record != nil {
-		until := w.now.Add(w.config.RenewalGrace + w.config.MaxHold())
-		if err := next.ledger.Load(w.now, w.record, until); err != nil {
+	s.term++
+	s.lease = s.now.Add(1500 * time.Millisecond)
+	next := &simLeader{ledger: NewLedger(s.config, s.term), term: s.term, authority: s.now.Add(1350 * time.Millisecond)}
+	if s.record != nil {
+		until := s.now.Add(s.config.RenewalGrace + s.config.MaxHold())
+		if err := next.ledger.Load(s.now, s.record, until); err != nil {
 			panic(err)
 		}
 	}
-	w.leaders = append(w.leaders, next)
+	s.leaders = append(s.leaders, next)
 }
 
-// drive is what the keeper does, for one leader.
-func (w *simulation) drive(one *simLeader) {
-	if one.dead || w.now.Before(one.frozen) || w.now.After(one.authority.Add(w.config.RenewalGrace)) {
+// drive does what the keeper does, for one leader.
+func (s *simulation) drive(leader *simLeader) {
+	if leader.dead || s.now.Before(leader.frozen) || s.now.After(leader.authority.Add(s.config.RenewalGrace)) {
 		return
 	}
-	leads := one.term == w.term && w.now.Before(w.lease)
-	if leads && w.chance(0.2) {
-		w.lease = w.now.Add(1500 * time.Millisecond)
-		one.authority = w.now.Add(1350 * time.Millisecond)
+	leads := leader.term == s.term && s.now.Before(s.lease)
+	if leads && s.chance(0.2) {
+		s.lease = s.now.Add(1500 * time.Millisecond)
+		leader.authority = s.now.Add(1350 * time.Millisecond)
 	}
-	renewOnly := w.now.After(one.authority)
+	renewOnly := s.now.After(leader.authority)
 	if !renewOnly {
-		w.plan(one)
-		w.store(one, leads)
+		s.plan(leader)
+		s.store(leader, leads)
 	}
-	for _, order := range one.ledger.Due(w.now, renewOnly) {
-		w.send(one, order)
+	for _, order := range leader.ledger.Due(s.now, renewOnly) {
+		s.send(leader, order)
 	}
 }
 
-func (w *simulation) plan(one *simLeader) {
-	if one.writing {
+func (s *simulation) plan(leader *simLeader) {
+	if leader.writing {
 		return
 	}
 	var candidates []Candidate
-	for _, worker := range w.workers {
-		if !worker.ended && !one.ledger.Failing(w.now, worker.id, time.Second) {
+	for _, worker := range s.workers {
+		if !worker.ended && !leader.ledger.Failing(s.now, worker.id, time.Second) {
 			candidates = append(candidates, Candidate{ID: worker.id, Address: string(worker.id), Capacity: 30})
 		}
 	}
 	if len(candidates) == 0 {
 		return
 	}
-	if one.ledger.Empty() {
-		one.ledger.Assign(w.now, InitialOwners(candidates, nil))
+	if leader.ledger.Empty() {
+		leader.ledger.Assign(s.now, InitialOwners(candidates, nil))
 		return
 	}
-	one.ledger.Plan(candidates, nil, testRules)
-	if !w.noMoves && w.chance(0.05) {
-		to := candidates[w.random.IntN(len(candidates))]
-		one.ledger.Move(segmentKeys(w.random.IntN(segmentCount)), to.ID, to.Address)
-		w.moves++
+	leader.ledger.Plan(candidates, nil, testRules)
+	if !s.noMoves && s.chance(0.05) {
+		to := candidates[s.random.IntN(len(candidates))]
+		leader.ledger.Move(segmentKeys(s.random.IntN(segmentCount)), to.ID, to.Address)
+		s.moves++
 	}
 }
 
-// store writes the record, under the condition that the leader still leads.
-func (w *simulation) store(one *simLeader, leads bool) {
-	if one.writing || one.ledger.RecordVersion() == one.ledger.StoredVersion() {
+// store writes the record, on the condition that the leader still leads.
+func (s *simulation) store(leader *simLeader, leads bool) {
+	if leader.writing || leader.ledger.RecordVersion() == leader.ledger.StoredVersion() {
 		return
 	}
-	change := one.ledger.RecordVersion()
-	value, err := one.ledger.Encode(one.term, "")
+	version := leader.ledger.RecordVersion()
+	value, err := leader.ledger.Encode(leader.term, "")
 	if err != nil {
 		panic(err)
 	}
-	one.writing = true
-	w.after(w.between(4*time.Millisecond, 400*time.Millisecond), func() {
-		one.writing = false
-		if !leads || one.term != w.term {
-			one.dead = true // the service says that another leads
+	leader.writing = true
+	s.after(s.between(4*time.Millisecond, 400*time.Millisecond), func() {
+		leader.writing = false
+		if !leads || leader.term != s.term {
+			leader.dead = true // the store reports that another process leads
 			return
 		}
-		w.record = value
-		w.version++
-		one.ledger.MarkStored(change)
+		s.record = value
+		s.version++
+		leader.ledger.MarkStored(version)
 	})
 }
 
-// send carries an order to its worker and the answer back.
-func (w *simulation) send(from *simLeader, order Order) {
+// send delivers an order to its worker and returns the reply to the leader.
+func (s *simulation) send(from *simLeader, order Order) {
 	var to *simWorker
-	for _, worker := range w.workers {
+	for _, worker := range s.workers {
 		if worker.id == order.Target.ID {
 			to = worker
 		}
 	}
-	answer := func(reply Reply) {
+	respond := func(reply Reply) {
 		if !from.dead {
-			from.ledger.HandleReply(w.now, order, reply)
+			from.ledger.HandleReply(s.now, order, reply)
 		}
 	}
 	switch {
 	case to == nil || to.ended || to.partitioned:
-		w.after(400*time.Millisecond, func() { answer(Reply{Outcome: OutcomeUnreachable}) })
-	case w.delayOrders && w.chance(0.3):
-		w.after(w.between(2*time.Second, 12*time.Second), func() {
-			w.deliver(to, order, true)
+		s.after(400*time.Millisecond, func() { respond(Reply{Outcome: OutcomeUnreachable}) })
+	case s.delayOrders && s.chance(0.3):
+		s.after(s.between(2*time.Second, 12*time.Second), func() {
+			s.deliver(to, order, true)
 		})
-		w.after(600*time.Millisecond, func() { answer(Reply{Outcome: OutcomeUnanswered}) })
-	case w.loseReplies && w.chance(0.3):
-		w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { w.deliver(to, order, false) })
-		w.after(600*time.Millisecond, func() { answer(Reply{Outcome: OutcomeUnanswered}) })
+		s.after(600*time.Millisecond, func() { respond(Reply{Outcome: OutcomeUnanswered}) })
+	case s.loseReplies && s.chance(0.3):
+		s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { s.deliver(to, order, false) })
+		s.after(600*time.Millisecond, func() { respond(Reply{Outcome: OutcomeUnanswered}) })
 	default:
-		w.after(w.between(time.Millisecond, 60*time.Millisecond), func() {
-			reply := w.deliver(to, order, false)
-			w.after(w.between(time.Millisecond, 20*time.Millisecond), func() { answer(reply) })
+		s.after(s.between(time.Millisecond, 60*time.Millisecond), func() {
+			reply := s.deliver(to, order, false)
+			s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { respond(reply) })
 		})
 	}
 }
 
-func (w *simulation) deliver(to *simWorker, order Order, late bool) Reply {
+func (s *simulation) deliver(to *simWorker, order Order, delayed bool) Reply {
 	if to.ended {
 		return Reply{Outcome: OutcomeOtherWorker}
 	}
 	if order.Release {
-		to.release(w.now, order.Keys, order.Fence)
+		to.release(s.now, order.Keys, order.Fence)
 		return Reply{Outcome: OutcomeDone, Handover: "h"}
 	}
-	if !late || !to.partitioned { // as in check
-		w.checkFence(to, order.Grant)
+	if !delayed || !to.partitioned { // as in check
+		s.checkFence(to, order.Grant)
 	}
-	return Reply{Outcome: to.grant(w.now, order.Grant, late)}
+	return Reply{Outcome: to.grant(s.now, order.Grant, delayed)}
 }
 
-// checkFence: a worker that takes keys does so under a fence above all with
-// which other workers had them.
-func (w *simulation) checkFence(to *simWorker, grant Grant) {
-	for _, place := range segmentsOf(grant.Keys) {
-		if to.seen[place] > grant.Fence {
-			return // it will refuse
+// checkFence verifies that a worker accepts keys only under a fence higher than those under which
+// other workers hold them.
+func (s *simulation) checkFence(to *simWorker, grant Grant) {
+	for _, segment := range segmentsOf(grant.Keys) {
+		if to.highestFences[segment] > grant.Fence {
+			return // it will reject the grant
 		}
 	}
-	for _, place := range segmentsOf(grant.Keys) {
-		for _, other := range w.workers {
-			fence, holds := other.holds(w.now, place)
+	for _, segment := range segmentsOf(grant.Keys) {
+		for _, other := range s.workers {
+			fence, holds := other.holds(s.now, segment)
 			if other != to && holds && fence >= grant.Fence {
-				w.violation = fmt.Sprintf("%v: %s takes place %d under fence %d, %s holds it under %d",
-					w.now.Sub(time.Unix(1000, 0)), to.id, place, grant.Fence, other.id, fence)
+				s.violation = fmt.Sprintf("%v: %s accepts segment %d under fence %d, %s holds it under fence %d",
+					s.now.Sub(time.Unix(1000, 0)), to.id, segment, grant.Fence, other.id, fence)
 			}
 		}
 	}
 }
 
-// check: no two workers hold the same keys. One case does not count: a grant that
-// was taken late by a worker that no order reaches any more. Nothing but waiting
-// for the longest delay after each crash could prevent it, and no request goes
-// there, since requests follow the table.
-func (w *simulation) check() {
-	for place := range segmentCount {
+// check verifies that no two workers hold the same keys. One case is excluded: a delayed grant
+// accepted by a worker that orders can no longer reach. Only waiting for the longest delay after
+// each crash could prevent that, and no request is sent there, since requests follow the published
+// assignment.
+func (s *simulation) check() {
+	for segment := range segmentCount {
 		var holders []string
-		for _, worker := range w.workers {
-			if _, holds := worker.holds(w.now, place); holds && !worker.holdsDelayedGrant(w.now, place) {
+		for _, worker := range s.workers {
+			if _, holds := worker.holds(s.now, segment); holds && !worker.holdsDelayedGrant(s.now, segment) {
 				holders = append(holders, string(worker.id))
 			}
 		}
 		if len(holders) > 1 {
-			w.violation = fmt.Sprintf("%v: place %d is held by %v", w.now.Sub(time.Unix(1000, 0)), place, holders)
+			s.violation = fmt.Sprintf("%v: segment %d is held by %v", s.now.Sub(time.Unix(1000, 0)), segment, holders)
 		}
 	}
 }
 
-// served counts the places that some worker holds.
-func (w *simulation) servedSegments() int {
+// servedSegments returns the number of segments that are held by a reachable worker.
+func (s *simulation) servedSegments() int {
 	count := 0
-	for place := range segmentCount {
-		if slices.ContainsFunc(w.workers, func(worker *simWorker) bool {
-			_, holds := worker.holds(w.now, place)
+	for segment := range segmentCount {
+		if slices.ContainsFunc(s.workers, func(worker *simWorker) bool {
+			_, holds := worker.holds(s.now, segment)
 			return holds && !worker.partitioned
 		}) {
 			count++
@@ -273,14 +272,14 @@
 	return count
 }
 
-// run plays a number of seconds and returns what broke, if anything.
-func (w *simulation) run(seconds int, each func(second int)) string {
+// run simulates a number of seconds and returns the first violation, if there is one.
+func (s *simulation) run(seconds int, each func(second int)) string {
 	for second := range seconds {
 		each(second)
 		for range 50 {
-			w.step()
-			if w.violation != "" {
-				return w.violation
+			s.step()
+			if s.violation != "" {
+				return s.violation
 			}
 		}
 	}
--- a/internal/owner/simulation_worker_test.go
+++ b/internal/owner/simulation_worker_test.go
@@ -6,72 +6,73 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// heldKeys is a run of keys that a worker holds.
+// heldKeys is a key range that a worker holds.
 type heldKeys struct {
 	keys  KeyRange
 	fence Fence
 	until time.Time
-	// late says that the grant was taken late, while no order reached the worker.
+	// delayed means that the grant was accepted with a delay, while no order could reach the
+	// worker.
 	delayed bool
 }
 
-// simWorker is a worker that keeps the rules of its protocol.
+// simWorker is a worker that follows the ownership protocol.
 type simWorker struct {
 	id   workers.ID
 	held []heldKeys
-	// seen are the highest fences, by key of the small key space of the world.
-	seen [segmentCount]Fence
-	// cut workers are not reached; ended ones are gone for good.
+	// highestFences are the highest fences that the worker has seen, by segment.
+	highestFences [segmentCount]Fence
+	// partitioned workers can't be reached; ended ones never return.
 	partitioned, ended bool
-	// slow is how much slower its clock runs.
+	// clockLag is the fraction by which the worker's clock runs slow.
 	clockLag float64
 }
 
-// segmentCount is the number of places at which the rules are checked. Each stands
-// for KeyCount/segmentCount neighbouring keys.
+// segmentCount is the number of segments at which the invariants are checked. Each consists of
+// KeyCount/segmentCount adjacent keys.
 const segmentCount = 8
 
-func segmentKeys(place int) KeyRange {
+func segmentKeys(segment int) KeyRange {
 	width := KeyCount / segmentCount
-	return KeyRange{place * width, (place+1)*width - 1}
+	return KeyRange{segment * width, (segment+1)*width - 1}
 }
 
-// covers lists the places that a run touches.
+// segmentsOf returns the segments that a range overlaps.
 func segmentsOf(keys KeyRange) []int {
-	var places []int
-	for place := range segmentCount {
-		whole := segmentKeys(place)
+	var segments []int
+	for segment := range segmentCount {
+		whole := segmentKeys(segment)
 		if keys.From <= whole.To && keys.To >= whole.From {
-			places = append(places, place)
+			segments = append(segments, segment)
 		}
 	}
-	return places
+	return segments
 }
 
-func (w *simWorker) grant(now time.Time, grant Grant, late bool) Outcome {
-	for _, place := range segmentsOf(grant.Keys) {
-		if w.seen[place] > grant.Fence {
+func (w *simWorker) grant(now time.Time, grant Grant, delayed bool) Outcome {
+	for _, segment := range segmentsOf(grant.Keys) {
+		if w.highestFences[segment] > grant.Fence {
 			return OutcomeFenced
 		}
 	}
 	w.drop(now, grant.Keys)
-	for _, place := range segmentsOf(grant.Keys) {
-		w.seen[place] = grant.Fence
+	for _, segment := range segmentsOf(grant.Keys) {
+		w.highestFences[segment] = grant.Fence
 	}
 	length := time.Duration(float64(grant.Hold) * (1 + w.clockLag))
-	w.held = append(w.held, heldKeys{keys: grant.Keys, fence: grant.Fence, until: now.Add(length), delayed: late && w.partitioned})
+	w.held = append(w.held, heldKeys{keys: grant.Keys, fence: grant.Fence, until: now.Add(length), delayed: delayed && w.partitioned})
 	return OutcomeDone
 }
 
-// release is never refused; it raises the fences that were seen.
+// release is never rejected. It raises the highest fences that the worker has seen.
 func (w *simWorker) release(now time.Time, keys KeyRange, fence Fence) {
 	w.drop(now, keys)
-	for _, place := range segmentsOf(keys) {
-		w.seen[place] = max(w.seen[place], fence)
+	for _, segment := range segmentsOf(keys) {
+		w.highestFences[segment] = max(w.highestFences[segment], fence)
 	}
 }
 
-// drop ends the holds on keys, cutting those that reach further.
+// drop ends holds of keys. A hold that extends beyond them is reduced to the rest.
 func (w *simWorker) drop(now time.Time, keys KeyRange) {
 	var kept []heldKeys
 	for _, held := range w.held {
@@ -96,12 +97,12 @@
 	w.held = kept
 }
 
-// holds returns the fence under which the worker holds a whole place.
-func (w *simWorker) holds(now time.Time, place int) (Fence, bool) {
+// holds returns the fence under which the worker holds a whole segment.
+func (w *simWorker) holds(now time.Time, segment int) (Fence, bool) {
 	if w.ended {
 		return 0, false
 	}
-	whole := segmentKeys(place)
+	whole := segmentKeys(segment)
 	for _, held := range w.held {
 		if now.Before(held.until) && held.keys.From <= whole.From && held.keys.To >= whole.To {
 			return held.fence, true
@@ -110,10 +111,10 @@
 	return 0, false
 }
 
-// lateWhileCut reports whether the worker holds a place by a grant that it took
-// late, while it was cut.
-func (w *simWorker) holdsDelayedGrant(now time.Time, place int) bool {
-	whole := segmentKeys(place)
+// holdsDelayedGrant reports whether the worker holds a segment by a grant that it accepted with a
+// delay while it was partitioned.
+func (w *simWorker) holdsDelayedGrant(now time.Time, segment int) bool {
+	whole := segmentKeys(segment)
 	for _, held := range w.held {
 		if held.delayed && now.Before(held.until) && held.keys.From <= whole.From && held.keys.To >= whole.To {
 			return true
--- a/internal/owner/standby.go
+++ b/internal/owner/standby.go
@@ -66,9 +66,9 @@
 
 // ObserveIncarnation records the announced incarnation of a worker. Holds of other incarnations are
 // no longer renewed.
-func (s *Standby) ObserveIncarnation(life workers.Life) {
+func (s *Standby) ObserveIncarnation(incarnation workers.Life) {
 	s.holds = slices.DeleteFunc(s.holds, func(hold *standbyHold) bool {
-		return hold.Target.ID == life.ID && hold.Target.Incarnation != life.Born && hold.Target.Incarnation != 0 && life.Born != 0
+		return hold.Target.ID == incarnation.ID && hold.Target.Incarnation != incarnation.Born && hold.Target.Incarnation != 0 && incarnation.Born != 0
 	})
 }
 
--- a/internal/owner/unreachable_test.go
+++ b/internal/owner/unreachable_test.go
@@ -7,12 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Found by the soak of real processes (seeds 436, 514, 522, 561, 579): keys were given to a
-// worker that had crashed before any grant reached it, and given on. They waited until a lost
-// standby could no longer renew what it was never told of, and a hold; or, under a leader that
-// was elected in between, until all holds of the leader before had surely ended.
-
-// unreached returns a book whose first owner no grant has reached, with its keys given on.
+// movedFromUnreached returns a ledger whose first owner has not been reached by any grant, and in
+// which all keys have since been moved to a second one.
+//
+// The tests with it guard against a fault seen in soak tests of real processes (seeds 436, 514,
+// 522, 561, 579): keys were granted to a worker that had crashed before any grant reached it, and
+// were then moved. They stayed unavailable until a lost standby could no longer renew a hold that
+// it had never been informed of, plus the duration of a hold; or, under a leader elected in
+// between, until all holds of the previous leader had ended.
 func movedFromUnreached(t *testing.T, now time.Time, outcomes ...Outcome) (*Ledger, []Candidate) {
 	t.Helper()
 	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
@@ -34,15 +36,15 @@
 	}{
 		"never sent":           {},
 		"no connection":        {outcomes: []Outcome{OutcomeUnreachable, OutcomeUnreachable}},
-		"no answer":            {outcomes: []Outcome{OutcomeUnanswered}, waited: true},
-		"no answer at first":   {outcomes: []Outcome{OutcomeUnanswered, OutcomeUnreachable}, waited: true},
-		"taken, then no more":  {outcomes: []Outcome{OutcomeDone}, waited: true},
+		"no reply":             {outcomes: []Outcome{OutcomeUnanswered}, waited: true},
+		"no reply at first":    {outcomes: []Outcome{OutcomeUnanswered, OutcomeUnreachable}, waited: true},
+		"accepted once":        {outcomes: []Outcome{OutcomeDone}, waited: true},
 		"a connection at last": {outcomes: []Outcome{OutcomeUnreachable, OutcomeUnanswered}, waited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			ledger, candidates := movedFromUnreached(t, now, test.outcomes...)
-			ledger.SetDelegations([]Delegation{{Until: now.Add(6 * time.Second)}}) // it has heard of no holds
+			ledger.SetDelegations([]Delegation{{Until: now.Add(6 * time.Second)}}) // the standby knows of no holds
 			ledger.MarkStored(ledger.RecordVersion())
 			due := ledger.Due(now.Add(time.Second), false)
 			assert.Equal(t, len(due), 1)
@@ -60,14 +62,14 @@
 		waited  bool
 	}{
 		"no connection": {outcome: OutcomeUnreachable},
-		"no answer":     {outcome: OutcomeUnanswered, waited: true},
+		"no reply":      {outcome: OutcomeUnanswered, waited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			before, candidates := movedFromUnreached(t, now, test.outcome)
-			value, err := before.Encode(1, "")
+			previous, candidates := movedFromUnreached(t, now, test.outcome)
+			value, err := previous.Encode(1, "")
 			assert.NilError(t, err)
-			next := NewLedger(before.config, 2)
+			next := NewLedger(previous.config, 2)
 			assert.NilError(t, next.Load(now, value, now.Add(9*time.Second)))
 			next.MarkStored(next.RecordVersion())
 			due := grantDue(t, next, now)
@@ -77,14 +79,14 @@
 	}
 }
 
-// While the record says that the first owner never had the keys, it gets no grant.
+// While the record being stored omits the first owner, that owner gets no grant.
 func TestOwnerMissingFromRecordGetsNoGrant(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger, _ := movedFromUnreached(t, now, OutcomeUnreachable)
 	assert.Equal(t, len(ledger.Due(now.Add(time.Second), false)), 0)
 }
 
-// A worker that gets its former keys back, and is not reached, may still take a grant of before.
+// A worker to which keys return, and which can't be reached, may still accept an earlier grant.
 func TestUnconfirmedGrantIsKeptWhenKeysReturn(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger, candidates := movedFromUnreached(t, now, OutcomeUnanswered)
@@ -98,7 +100,7 @@
 	ledger.HandleReply(now, grantDue(t, ledger, now), Reply{Outcome: OutcomeUnreachable})
 	ledger.Move(KeyRange{0, KeyCount - 1}, candidates[1].ID, candidates[1].Address)
 	ledger.MarkStored(ledger.RecordVersion())
-	now = now.Add(5 * time.Second) // the first hold has surely ended
+	now = now.Add(5 * time.Second) // the first hold has certainly ended
 	orders := map[bool]Order{}
 	for _, order := range ledger.Due(now, false) {
 		orders[order.Release] = order
@@ -107,29 +109,30 @@
 	assert.Equal(t, orders[true].Target.ID, candidates[0].ID)
 }
 
-// A worker that got some of its former keys back was no longer told the new fence of the others.
+// Guards against a fault: when some of its keys returned to a worker, it was no longer sent the new
+// fence of the others.
 func TestUnconfirmedGrantIsKeptForOtherKeys(t *testing.T) {
 	for name, test := range map[string]struct {
-		back KeyRange
-		left []KeyRange
+		returned  KeyRange
+		remaining []KeyRange
 	}{
-		"inside":     {back: KeyRange{10, 20}, left: []KeyRange{{0, 9}, {21, 100}}},
-		"first keys": {back: KeyRange{0, 20}, left: []KeyRange{{21, 100}}},
-		"last keys":  {back: KeyRange{90, 200}, left: []KeyRange{{0, 89}}},
-		"all":        {back: KeyRange{0, 100}},
-		"others":     {back: KeyRange{101, 200}, left: []KeyRange{{0, 100}}},
+		"inside":     {returned: KeyRange{10, 20}, remaining: []KeyRange{{0, 9}, {21, 100}}},
+		"first keys": {returned: KeyRange{0, 20}, remaining: []KeyRange{{21, 100}}},
+		"last keys":  {returned: KeyRange{90, 200}, remaining: []KeyRange{{0, 89}}},
+		"all":        {returned: KeyRange{0, 100}},
+		"others":     {returned: KeyRange{101, 200}, remaining: []KeyRange{{0, 100}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			until := time.Unix(1000, 0)
 			ledger := NewLedger(DefaultConfig(10*time.Second), 1)
 			ledger.unconfirmed = []*unconfirmedGrant{{worker: "w", keys: KeyRange{0, 100}, fence: 7, until: until, acknowledged: true}}
-			ledger.dropUnconfirmed("w", test.back)
-			var left []KeyRange
-			for _, one := range ledger.unconfirmed {
-				assert.Assert(t, one.fence == 7 && one.until.Equal(until) && one.acknowledged)
-				left = append(left, one.keys)
+			ledger.dropUnconfirmed("w", test.returned)
+			var remaining []KeyRange
+			for _, grant := range ledger.unconfirmed {
+				assert.Assert(t, grant.fence == 7 && grant.until.Equal(until) && grant.acknowledged)
+				remaining = append(remaining, grant.keys)
 			}
-			assert.DeepEqual(t, left, test.left)
+			assert.DeepEqual(t, remaining, test.remaining)
 		})
 	}
 }
