--- a/internal/owner/balance.go
+++ b/internal/owner/balance.go
@@ -101,7 +101,7 @@
 }
 
 // lossRate approximates the fraction of requests that a worker answers late or not at all at a
-// utilization. There is no loss up to noLossUtilization; above a utilization of 1 it includes all load
+// utilization. It is 0 up to noLossUtilization; above a utilization of 1 it includes all load
 // beyond the worker's capacity.
 func lossRate(utilization float64) float64 {
 	const noLossUtilization, lossAtCapacity = 0.6, 0.3
@@ -115,9 +115,9 @@
 }
 
 // hottestKey returns the key of a worker with the highest request rate.
-func (p *planner) hottestKey(of workers.ID) (key int, rate float64, found bool) {
+func (p *planner) hottestKey(id workers.ID) (key int, rate float64, found bool) {
 	for _, s := range p.ledger.spans {
-		if s.owner != of || s.inFlight || !s.stable() {
+		if s.owner != id || s.inFlight || !s.stable() {
 			continue
 		}
 		from, to := p.rateIndexes(s.keys)
@@ -198,15 +198,15 @@
 	return max(1, p.utilization(from))
 }
 
-func (p *planner) cost(index int, of *span, keys KeyRange, to workers.ID, want float64) float64 {
+func (p *planner) cost(index int, source *span, keys KeyRange, to workers.ID, want float64) float64 {
 	cost := math.Abs(want-p.rate(keys)) / want
-	cost += widthCost * (1 + churnCostFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.overload(of.owner)
-	if keys.From > of.keys.From {
+	cost += widthCost * (1 + churnCostFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.overload(source.owner)
+	if keys.From > source.keys.From {
 		cost += splitCost
 	} else if index > 0 && p.ledger.spans[index-1].owner == to {
 		cost -= joinBonus
 	}
-	if keys.To < of.keys.To {
+	if keys.To < source.keys.To {
 		cost += splitCost
 	} else if index+1 < len(p.ledger.spans) && p.ledger.spans[index+1].owner == to {
 		cost -= joinBonus
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -131,7 +131,7 @@
 	case OutcomeOtherWorker:
 		l.ended[worker] = true
 	default:
-		if failed, had := l.lastUnanswered[worker]; had && now.Sub(failed) < l.config.MaxOrderDelay {
+		if failed, known := l.lastUnanswered[worker]; known && now.Sub(failed) < l.config.MaxOrderDelay {
 			l.delaySuspectedAt = now
 		}
 		delete(l.lastUnanswered, worker)
@@ -213,7 +213,7 @@
 		}
 		s.granted, s.sentToStandbys, s.maybeRestarted, s.acceptedFence = true, true, false, order.Fence
 		if !s.unconfirmed || order.Fence > s.unconfirmedFence {
-			// This incarnation rejects all earlier grants from now on, and those that it accepted end
+			// This incarnation now rejects all earlier grants, and those that it has accepted end
 			// sooner.
 			s.unconfirmed = false
 			if l.reportsIncarnation(s.owner) {
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -140,23 +140,23 @@
 }
 
 // previousOwnerOf returns what to remember of a span's owner when its keys move to another worker.
-func (l *Ledger) previousOwnerOf(of *span) previousOwner {
+func (l *Ledger) previousOwnerOf(s *span) previousOwner {
 	old := previousOwner{
-		worker: of.owner, heldUntil: l.maxHeldUntil(of), delayedGrantUntil: of.delayedGrantUntil,
-		restartGrantUntil: later(of.restartGrantUntil, of.delayedGrantUntil),
+		worker: s.owner, heldUntil: l.maxHeldUntil(s), delayedGrantUntil: s.delayedGrantUntil,
+		restartGrantUntil: later(s.restartGrantUntil, s.delayedGrantUntil),
 	}
-	if of.sentToStandbys {
+	if s.sentToStandbys {
 		old.holdsVersion = l.holdsVersion
 	}
 	return old
 }
 
 // maxHeldUntil returns when the owner's hold has ended in any case.
-func (l *Ledger) maxHeldUntil(of *span) time.Time {
-	if of.unconfirmed && of.delayedHeldUntil.After(of.heldUntil) {
-		return of.delayedHeldUntil
+func (l *Ledger) maxHeldUntil(s *span) time.Time {
+	if s.unconfirmed && s.delayedHeldUntil.After(s.heldUntil) {
+		return s.delayedHeldUntil
 	}
-	return of.heldUntil
+	return s.heldUntil
 }
 
 // Assignment returns the owners by which requests are routed.
--- a/internal/owner/model_restart_test.go
+++ b/internal/owner/model_restart_test.go
@@ -54,11 +54,11 @@
 // senderOutdated reports whether the sender of an order has not been notified of the incarnation
 // that receives it, or has lost its authority while the order was on its way. A worker that had
 // seen the next leader's fences would reject such an order.
-func (m *model) senderOutdated(of *modelOrder) bool {
-	worker := m.worker(of.order.Target.ID)
+func (m *model) senderOutdated(sent *modelOrder) bool {
+	worker := m.worker(sent.order.Target.ID)
 	if worker.previousFence == 0 {
 		return false
 	}
-	ended := of.leader != fromStandby && !m.now.Before(m.leaders[of.leader].authority)
-	return ended || of.incarnation != worker.incarnation
+	ended := sent.leader != fromStandby && !m.now.Before(m.leaders[sent.leader].authority)
+	return ended || sent.incarnation != worker.incarnation
 }
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -167,8 +167,8 @@
 	}
 	owners := make([]Owner, 0, len(stored.Spans))
 	for _, entry := range stored.Spans {
-		of := stored.Workers[entry.Owner]
-		owners = append(owners, Owner{Keys: KeyRange{entry.From, entry.To}, Worker: of.ID, Address: of.Address})
+		worker := stored.Workers[entry.Owner]
+		owners = append(owners, Owner{Keys: KeyRange{entry.From, entry.To}, Worker: worker.ID, Address: worker.Address})
 	}
 	return stored.Term, owners, nil
 }
--- a/internal/owner/restart.go
+++ b/internal/owner/restart.go
@@ -6,17 +6,17 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// ObserveIncarnation records the announced incarnation and address of a worker, and reports whether
-// the worker has restarted. An announcement without a start time is attributed to the known
-// incarnation.
+// ObserveIncarnation records the announced incarnation of a worker, and its address if the worker
+// has restarted. It reports whether it has. An announcement without a start time is attributed to
+// the known incarnation.
 //
 // The ledger does not know when a worker restarted: its last replies may have come from either
 // incarnation. Earlier holds therefore still have to expire or be released. Meanwhile the worker is
 // granted its own keys again under a higher fence, and fences that it has to know are sent again,
 // since a new incarnation has seen none of the earlier ones.
 func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Life, address string) bool {
-	before, known := l.incarnations[incarnation.ID]
-	if incarnation.Born == 0 || before == incarnation.Born {
+	previous, known := l.incarnations[incarnation.ID]
+	if incarnation.Born == 0 || previous == incarnation.Born {
 		return false
 	}
 	l.incarnations[incarnation.ID] = incarnation.Born
--- a/internal/owner/unconfirmed.go
+++ b/internal/owner/unconfirmed.go
@@ -24,23 +24,23 @@
 
 // addUnconfirmed tracks a previous owner that did not release its keys, because its hold expired or
 // it ended. It returns false if the worker can no longer accept a delayed grant.
-func (l *Ledger) addUnconfirmed(now time.Time, old previousOwner, of *span) bool {
+func (l *Ledger) addUnconfirmed(now time.Time, old previousOwner, s *span) bool {
 	if !now.Before(old.delayedGrantUntil) {
 		return false
 	}
 	l.recordVersion++ // the next leader must know of it
 	until := later(old.delayedGrantUntil, old.restartGrantUntil)
-	l.unconfirmed = append(l.unconfirmed, &unconfirmedGrant{worker: old.worker, keys: of.keys, fence: of.fence, until: until, nextOrderAt: now})
+	l.unconfirmed = append(l.unconfirmed, &unconfirmedGrant{worker: old.worker, keys: s.keys, fence: s.fence, until: until, nextOrderAt: now})
 	return true
 }
 
 // addAcknowledged tracks a previous owner that rejects delayed grants, unless it restarts.
-func (l *Ledger) addAcknowledged(now time.Time, old previousOwner, of *span) {
+func (l *Ledger) addAcknowledged(now time.Time, old previousOwner, s *span) {
 	if !l.reportsIncarnation(old.worker) || !now.Before(old.restartGrantUntil) {
 		return
 	}
 	l.recordVersion++
-	l.unconfirmed = append(l.unconfirmed, &unconfirmedGrant{worker: old.worker, keys: of.keys, fence: of.fence, until: old.restartGrantUntil, acknowledged: true})
+	l.unconfirmed = append(l.unconfirmed, &unconfirmedGrant{worker: old.worker, keys: s.keys, fence: s.fence, until: old.restartGrantUntil, acknowledged: true})
 }
 
 // dropUnconfirmed stops tracking unconfirmed grants of keys that return to their worker: the new
