--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -55,7 +55,7 @@
 	{
 		name: "cut-answer-looks-whole",
 		file: "internal/proxy/answer.go",
-		old:  "\t\tc.breakOff()\n",
+		old:  "\t\tc.abortConnection()\n",
 		new:  "",
 		pkg:  "./internal/proxy", test: "TestADownloadThatBreaksLaterIsCutForItsCaller",
 	},
--- a/internal/lab/mutate/mutations_fair.go
+++ b/internal/lab/mutate/mutations_fair.go
@@ -54,7 +54,7 @@
 	{
 		name: "yielding-request-waits-at-a-worker",
 		file: "internal/proxy/pick.go",
-		old:  "!ok || asks.free && !candidate.free",
+		old:  "!ok || required.free && !candidate.hasFreeSlot",
 		new:  "!ok",
 		pkg:  "./internal/proxy", test: "TestATenantBeyondItsShareTakesFreeWorkersOnly",
 	},
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -54,8 +54,8 @@
 	{
 		name: "suspect-sent-to-several",
 		file: "internal/proxy/crash.go",
-		old:  "	return c.arrivedAs == quarantine.Free && c.closed.Load() < mostClosed",
-		new:  "	return c.closed.Load() < mostClosed",
+		old:  "	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed",
+		new:  "	return c.closedConnections.Load() < mostClosed",
 		pkg:  "./internal/proxy", test: "TestASuspectGoesToOneWorkerOnly",
 	},
 	{
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -47,22 +47,22 @@
 	{
 		name: "keyed-request-asks-for-no-permit",
 		file: "internal/proxy/keyed.go",
-		old:  "	wait, ok := c.permitted(to, c.limitPatience())\n	if !ok {",
-		new:  "	wait, ok := c.permitted(to, c.limitPatience())\n	if !ok && false {",
+		old:  "	wait, ok := c.permitted(to, c.maxLimitWait())\n	if !ok {",
+		new:  "	wait, ok := c.permitted(to, c.maxLimitWait())\n	if !ok && false {",
 		pkg:  "./internal/proxy", test: "TestWhatNoWorkerTakesIsRefusedAtOnce",
 	},
 	{
 		name: "pooled-request-asks-for-no-permit",
 		file: "internal/proxy/pooled.go",
-		old:  "		if _, ok := c.permitted(picked.to, 0); ok {",
-		new:  "		if _, ok := c.permitted(picked.to, 0); ok || true {",
+		old:  "		if _, ok := c.permitted(picked.backend, 0); ok {",
+		new:  "		if _, ok := c.permitted(picked.backend, 0); ok || true {",
 		pkg:  "./internal/proxy", test: "TestWhatNoWorkerTakesIsRefusedAtOnce",
 	},
 	{
 		name: "second-copy-to-a-limited-worker",
 		file: "internal/proxy/pooled.go",
-		old:  "		asks.spare = true\n",
-		new:  "		asks.spare = false\n",
+		old:  "		required.spare = true\n",
+		new:  "		required.spare = false\n",
 		pkg:  "./internal/proxy", test: "TestNoSecondCopyGoesToALimitedWorker",
 	},
 	{
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -14,14 +14,14 @@
 		file: "internal/proxy/backend.go",
 		old:  "\treturn worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born",
 		new:  "\treturn false",
-		pkg:  "./internal/proxy", test: "TestAnotherLifeIsAnotherWorker",
+		pkg:  "./internal/proxy", test: "TestRestartedWorkerStartsWithFreshState",
 	},
 	{
 		name: "crash-missed-where-a-worker-is-back-at-once",
 		file: "internal/proxy/fleet.go",
 		old:  "\t\tif f.ended != nil {",
 		new:  "\t\tif false {",
-		pkg:  "./internal/proxy", test: "TestARestartAtOnceIsACrash",
+		pkg:  "./internal/proxy", test: "TestImmediateRestartCountsAsCrash",
 	},
 	{
 		name: "crashes-of-lives-counted-as-one",
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -13,7 +13,7 @@
 	{
 		name: "owner-in-an-evacuated-zone-used",
 		file: "internal/proxy/keyed.go",
-		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.described().Zone) > c.evacuationGrace():",
+		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():",
 		new:  "\tcase false:",
 		pkg:  "./internal/proxy", test: "TestOwnersInAnEvacuatedZoneGetWorkForAWhile",
 	},
@@ -71,14 +71,14 @@
 		file: "internal/workers/workers.go",
 		old:  "\tif _, announced := d.byID[id]; announced || !d.listed {",
 		new:  "\tif _, gone := d.goneAt[id]; !gone {",
-		pkg:  "./internal/proxy", test: "TestAnOwnerThatIsNotAnnouncedGetsWorkForAMomentOnly",
+		pkg:  "./internal/proxy", test: "TestUnannouncedOwnerReceivesRequestsOnlyBriefly",
 	},
 	{
 		name: "configuration-goes-back",
 		file: "internal/proxy/handler.go",
 		old:  "old.config.Version >= config.Version",
 		new:  "old.config.Version == config.Version",
-		pkg:  "./internal/proxy", test: "TestConfigurationNeverGoesBack",
+		pkg:  "./internal/proxy", test: "TestOlderConfigurationIsIgnored",
 	},
 	{
 		name: "bundle-approved-by-its-proposer",
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -55,23 +55,23 @@
 	{
 		name: "shorter-backoff-ends-a-longer-one",
 		file: "internal/proxy/backoff.go",
-		old:  "		if !until.After(known) {\n			return 0, false\n		}\n",
+		old:  "		if !until.After(currentEnd) {\n			return 0, false\n		}\n",
 		new:  "",
-		pkg:  "./internal/proxy", test: "TestTheLatestEndOfBackoffsHolds",
+		pkg:  "./internal/proxy", test: "TestBackoffEndsAtLatestRequestedTime",
 	},
 	{
 		name: "keyed-request-sent-in-a-backoff",
 		file: "internal/proxy/keyed.go",
 		old:  "	if wait := to.backoffLeft(now); wait > 0 {",
 		new:  "	if wait := to.backoffLeft(now); wait > time.Hour {",
-		pkg:  "./internal/proxy", test: "TestAWorkerThatAsksForABackoffIsNotAskedAgain",
+		pkg:  "./internal/proxy", test: "TestWorkerInBackoffIsNotSentTo",
 	},
 	{
 		name: "pooled-request-sent-in-a-backoff",
 		file: "internal/proxy/notices.go",
 		old:  "	return to.backoffLeft(now) > 0 || (",
 		new:  "	return (",
-		pkg:  "./internal/proxy", test: "TestAPoolPicksNoWorkerInABackoff",
+		pkg:  "./internal/proxy", test: "TestPoolSkipsWorkersInBackoff",
 	},
 	{
 		name: "not-asked-again-before-it-is-written",
@@ -118,15 +118,15 @@
 	{
 		name: "request-waits-for-a-move-that-can't-be-stored",
 		file: "internal/proxy/keyed.go",
-		old:  "	case c.keyStays(reason):\n		return 0\n",
+		old:  "	case c.cannotReassignKey(reason):\n		return 0\n",
 		new:  "",
-		pkg:  "./internal/proxy", test: "TestARequestForAKeyThatCantMoveIsRefusedAtOnce",
+		pkg:  "./internal/proxy", test: "TestRequestForUnassignableKeyIsRefusedImmediately",
 	},
 	{
 		name: "slow-worker-is-never-asked-again",
 		file: "internal/estimate/latency.go",
 		old:  "	kept := math.Exp(-silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
 		new:  "	kept := math.Exp(0 * -silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
-		pkg:  "./internal/proxy", test: "TestAWorkerThatWasSlowIsAskedAgain",
+		pkg:  "./internal/proxy", test: "TestFormerlySlowWorkerIsTriedAgain",
 	},
 }
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -5,14 +5,14 @@
 	{
 		name: "pool-serves-outside-its-regions",
 		file: "internal/proxy/pick.go",
-		old:  "tried[one.id] || asks.serves != nil && !asks.serves(one.region) ||",
+		old:  "tried[one.id] || required.serves != nil && !required.serves(one.region) ||",
 		new:  "tried[one.id] ||",
 		pkg:  "./internal/proxy", test: "TestPoolsServeInAllowedRegionsOnly",
 	},
 	{
 		name: "owner-serves-outside-its-regions",
 		file: "internal/proxy/keyed.go",
-		old:  "case c.bound() && !c.servedIn(c.proxy.fleet.regionOf(to.described())):",
+		old:  "case c.bound() && !c.servedIn(c.proxy.fleet.regionOf(to.info())):",
 		new:  "case false:",
 		pkg:  "./internal/proxy", test: "TestKeyOwnedInTheWrongRegionIsNotServed",
 	},
@@ -26,7 +26,7 @@
 	{
 		name: "copy-crosses-with-a-large-body",
 		file: "internal/proxy/pooled.go",
-		old:  "asks.stay = asks.bulk",
+		old:  "required.stay = required.bulk",
 		new:  "asks.stay = false",
 		pkg:  "./internal/proxy", test: "TestCopiesStayInside",
 	},
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -68,7 +68,7 @@
 	{
 		name: "refusal-awaits-the-body",
 		file: "internal/proxy/answer.go",
-		old:  "	if c.unread {\n		c.leaveUnread()\n	}\n	c.writer.WriteHeader(status)",
+		old:  "	if c.bodyUnread {\n		c.leaveUnread()\n	}\n	c.writer.WriteHeader(status)",
 		new:  "	c.writer.WriteHeader(status)",
 		pkg:  "./internal/proxy", test: "TestCallersWithoutATenantAreRefusedAtOnce",
 	},
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -14,21 +14,21 @@
 
 // Constants of judging workers.
 const (
-	// usualTime is a request's time at a worker of which nothing is known.
-	usualTime = 100 * time.Millisecond
-	// firstRest and longestRest bound how long a failing worker is left alone.
-	firstRest   = 300 * time.Millisecond
-	longestRest = 3 * time.Second
-	// fullRest is how long a worker that refused is left alone.
-	fullRest = 30 * time.Millisecond
-	// unreachedRest is how long no connection is tried to an owner of keys after
+	// defaultLatency is a request's time at a worker of which nothing is known.
+	defaultLatency = 100 * time.Millisecond
+	// minCooldown and maxCooldown bound how long a failing worker is left alone.
+	minCooldown = 300 * time.Millisecond
+	maxCooldown = 3 * time.Second
+	// fullCooldown is how long a worker that refused is left alone.
+	fullCooldown = 30 * time.Millisecond
+	// unreachableCooldown is how long no connection is tried to an owner of keys after
 	// one failed.
-	unreachedRest = 200 * time.Millisecond
-	// turnedAwayWithin is how soon a worker resets a connection that it has no room for;
+	unreachableCooldown = 200 * time.Millisecond
+	// rejectionResetWindow is how soon a worker resets a connection that it has no room for;
 	// later it may have begun to work.
-	turnedAwayWithin = 30 * time.Millisecond
-	// coldFactor is how much slower a worker is while it warms up.
-	coldFactor = 2
+	rejectionResetWindow = 30 * time.Millisecond
+	// coldSlowdown is how much slower a worker is while it warms up.
+	coldSlowdown = 2
 )
 
 // backend is what this process knows of one worker.
@@ -40,8 +40,8 @@
 	inFlight int
 	// others is the load by other processes, and slowdown how long work takes, as far as the
 	// worker tells them; means are those over the service's workers.
-	others, slowdown estimate.Told
-	means            *toldMeans
+	othersLoad, slowdown estimate.Told
+	means                *reportedMeans
 	// latency is the time of work on a request.
 	latency estimate.Latency
 	// throttle is for a worker of keys that turns requests away.
@@ -50,8 +50,8 @@
 	shares   fair.Ledger
 	failures int
 	// restUntil is until when a failing worker is left alone.
-	restUntil time.Time
-	fullUntil time.Time
+	cooldownUntil time.Time
+	fullUntil     time.Time
 	// limitUntil is until when the worker gets no more while it names a limit, a number of
 	// clock.Nanos.
 	limitUntil atomic.Int64
@@ -59,26 +59,26 @@
 	// clock.Nanos.
 	backoffUntil atomic.Int64
 	// unreachedUntil is until when no connection is tried to an owner of keys.
-	unreachedUntil time.Time
-	ended          bool
-	cold           coldGate
+	unreachableUntil time.Time
+	gone             bool
+	cold             coldGate
 	// witness is what was seen of the worker's end, and probeAt is when the last look at its
 	// address begins, or began.
 	witness quarantine.Witness
 	probeAt time.Time
 }
 
-// toldMeans are the means of what a service's workers tell.
-type toldMeans struct {
-	others, slowdown estimate.Mean
+// reportedMeans are the means of what a service's workers tell.
+type reportedMeans struct {
+	othersLoad, slowdown estimate.Mean
 }
 
-func newBackend(worker workers.Worker, means *toldMeans) *backend {
+func newBackend(worker workers.Worker, means *reportedMeans) *backend {
 	return &backend{pool: upstream.NewPool(worker.Address), worker: worker, means: means}
 }
 
 // isOtherLife reports whether an announcement is of another life of the worker.
-func (b *backend) isOtherLife(worker workers.Worker) bool {
+func (b *backend) isOtherIncarnation(worker workers.Worker) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born
@@ -86,7 +86,7 @@
 
 // announce takes what the worker announces. A life that was told stays known while the worker is
 // known by its address only.
-func (b *backend) announce(worker workers.Worker) {
+func (b *backend) update(worker workers.Worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if worker.Born == 0 {
@@ -96,10 +96,10 @@
 }
 
 // told takes what the worker tells of itself. The caller holds mu.
-func (b *backend) told(now time.Time, load upstream.Load) {
+func (b *backend) recordLoad(now time.Time, load upstream.Load) {
 	others := max(0, float64(load.Running+load.Waiting-b.inFlight))
-	b.others.Add(now, others)
-	b.means.others.Add(now, others)
+	b.othersLoad.Add(now, others)
+	b.means.othersLoad.Add(now, others)
 	if load.Slowdown > 0 {
 		b.slowdown.Add(now, load.Slowdown)
 		b.means.slowdown.Add(now, load.Slowdown)
@@ -107,7 +107,7 @@
 }
 
 // slowness is how much longer than usual work takes at the worker now. The caller holds mu.
-func (b *backend) slowness(now time.Time) float64 {
+func (b *backend) relativeSlowdown(now time.Time) float64 {
 	mean := b.means.slowdown.Get(now)
 	if mean == 0 {
 		return 1
@@ -117,64 +117,64 @@
 
 // assess returns how long a request sent now would take; false if none may be sent. A cold
 // worker bears so many requests a second from all processes, of which there are nodes.
-func (b *backend) assess(now time.Time, usual time.Duration, coldRate float64, nodes int) (choice, bool) {
+func (b *backend) assess(now time.Time, prior time.Duration, coldRate float64, nodes int) (choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	occupied, slots := b.occupied(now), float64(b.worker.Slots)
+	occupied, slots := b.estimatedLoad(now), float64(b.worker.Slots)
 	switch {
-	case b.ended || now.Before(b.restUntil) || now.Before(b.fullUntil):
+	case b.gone || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
 		return choice{}, false
-	case occupied >= fullCrowd*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
+	case occupied >= maxLoadRatio*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
 		return choice{}, false
 	}
-	return choice{to: b, estimate: b.expected(now, b.latency.Mean(usual)), free: occupied+1 <= slots}, true
+	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: occupied+1 <= slots}, true
 }
 
 // estimateAged returns how long a request sent now would take, where that decides whether one is sent at
 // all: answers of long ago count for less and less.
-func (b *backend) estimateAged(now time.Time, usual time.Duration) time.Duration {
+func (b *backend) estimateDecayed(now time.Time, prior time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.expected(now, b.latency.Expected(now, usual))
+	return b.expected(now, b.latency.Expected(now, prior))
 }
 
 // expected returns how long a request sent now would take, given the mean time of work. The caller holds
 // mu.
 func (b *backend) expected(now time.Time, work time.Duration) time.Duration {
-	mean := time.Duration(float64(work) * b.slowness(now))
+	mean := time.Duration(float64(work) * b.relativeSlowdown(now))
 	if now.Before(b.worker.WarmAt) {
-		mean *= coldFactor
+		mean *= coldSlowdown
 	}
 	slots := float64(b.worker.Slots)
-	waiting := max(0, b.occupied(now)+1-slots)
+	waiting := max(0, b.estimatedLoad(now)+1-slots)
 	return time.Duration(float64(mean) * (1 + waiting/slots))
 }
 
 // occupied estimates the requests at the worker. The caller holds mu.
-func (b *backend) occupied(now time.Time) float64 {
-	return float64(b.inFlight) + b.others.Expected(now, b.means.others.Get(now))
+func (b *backend) estimatedLoad(now time.Time) float64 {
+	return float64(b.inFlight) + b.othersLoad.Expected(now, b.means.othersLoad.Get(now))
 }
 
 // crowd returns the estimated requests at the worker, as a multiple of its slots.
-func (b *backend) crowd(now time.Time) float64 {
+func (b *backend) loadRatio(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.occupied(now) / float64(b.worker.Slots)
+	return b.estimatedLoad(now) / float64(b.worker.Slots)
 }
 
 // usable reports whether requests may be sent now.
 func (b *backend) usable(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.ended && !now.Before(b.restUntil)
+	return !b.gone && !now.Before(b.cooldownUntil)
 }
 
 // usableOwner reports whether requests for keys that the worker holds may be sent
 // to it. No other worker may serve them, so only what can't be sent stays away.
-func (b *backend) usableOwner(now time.Time) bool {
+func (b *backend) usableAsOwner(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.ended && !now.Before(b.unreachedUntil)
+	return !b.gone && !now.Before(b.unreachableUntil)
 }
 
 // admit counts a request that is about to be sent to a worker that may be cold, and bears so
@@ -186,20 +186,20 @@
 }
 
 // mean returns the mean time of work on a request; false if none was measured.
-func (b *backend) mean(usual time.Duration) (time.Duration, bool) {
+func (b *backend) meanLatency(prior time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.latency.Mean(usual), b.latency.Measured()
+	return b.latency.Mean(prior), b.latency.Measured()
 }
 
 // described returns the worker as it announced itself last.
-func (b *backend) described() workers.Worker {
+func (b *backend) info() workers.Worker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.worker
 }
 
-func (b *backend) id() workers.ID { return b.described().ID }
+func (b *backend) id() workers.ID { return b.info().ID }
 
 func (b *backend) begin() {
 	b.mu.Lock()
@@ -208,8 +208,8 @@
 }
 
 // leaveAfter counts a request as under way until a channel is closed.
-func (b *backend) leaveAfter(streaming <-chan struct{}) {
-	<-streaming
+func (b *backend) releaseAfter(done <-chan struct{}) {
+	<-done
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
@@ -217,52 +217,52 @@
 
 // end learns from the end of a send. It returns true if the worker is now seen
 // as failing or as well again.
-func (b *backend) end(now time.Time, got *upstream.Result) (changed bool) {
+func (b *backend) finish(now time.Time, result *upstream.Result) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
-	b.count(now, got)
-	if got.Loaded {
-		b.told(now, got.Load)
+	b.count(now, result)
+	if result.Loaded {
+		b.recordLoad(now, result.Load)
 	}
-	switch got.Outcome {
+	switch result.Outcome {
 	case upstream.Answered:
 		changed = b.failures > 0
 		b.failures = 0
-		b.restUntil = time.Time{}
-		b.learn(now, got)
+		b.cooldownUntil = time.Time{}
+		b.recordWorkTime(now, result)
 	case upstream.NotRun, upstream.TurnedAway:
-		b.fullUntil = now.Add(fullRest)
+		b.fullUntil = now.Add(fullCooldown)
 	case upstream.Misdirected:
-		b.ended = true
+		b.gone = true
 		changed = true
 	case upstream.Late:
 		changed = b.failures == 0
-		b.learn(now, got)
-		b.fail(now)
+		b.recordWorkTime(now, result)
+		b.recordFailure(now)
 	case upstream.Gone, upstream.BodyCut, upstream.Withheld: // say nothing of the worker
 	case upstream.NotSent:
 		changed = b.failures == 0
-		b.fail(now)
-		b.unreachedUntil = now.Add(unreachedRest)
+		b.recordFailure(now)
+		b.unreachableUntil = now.Add(unreachableCooldown)
 	case upstream.Broken:
-		if b.failures > 0 || got.Status == 0 {
-			b.fail(now)
+		if b.failures > 0 || result.Status == 0 {
+			b.recordFailure(now)
 		}
 	}
 	return changed
 }
 
-func (b *backend) fail(now time.Time) {
-	rest := firstRest << min(b.failures, 4)
+func (b *backend) recordFailure(now time.Time) {
+	rest := minCooldown << min(b.failures, 4)
 	b.failures++
-	b.restUntil = now.Add(min(rest, longestRest))
+	b.cooldownUntil = now.Add(min(rest, maxCooldown))
 }
 
 // learn measures the time that the worker worked on a request.
-func (b *backend) learn(now time.Time, got *upstream.Result) {
-	worked, telling := got.WorkTime(b.worker.Slots, b.latency.Mean(usualTime))
-	if telling {
-		b.latency.Add(now, worked, usualTime)
+func (b *backend) recordWorkTime(now time.Time, result *upstream.Result) {
+	worked, informative := result.WorkTime(b.worker.Slots, b.latency.Mean(defaultLatency))
+	if informative {
+		b.latency.Add(now, worked, defaultLatency)
 	}
 }
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -11,24 +11,24 @@
 // backOff keeps this process's requests away from the worker for as long as it asks for. The latest end
 // of all that it has asked for counts. It returns by how much longer that is than was known, and whether
 // none was under way.
-func (b *backend) backOff(now time.Time, asked time.Duration) (longer time.Duration, begins bool) {
-	if asked == 0 {
+func (b *backend) startBackoff(now time.Time, requested time.Duration) (extension time.Duration, started bool) {
+	if requested == 0 {
 		return 0, false
 	}
-	until := now.Add(asked)
+	until := now.Add(requested)
 	for {
 		before := b.backoffUntil.Load()
-		known := clock.OfNanos(before)
-		if !until.After(known) {
+		currentEnd := clock.OfNanos(before)
+		if !until.After(currentEnd) {
 			return 0, false
 		}
 		if !b.backoffUntil.CompareAndSwap(before, clock.Nanos(until)) {
 			continue
 		}
-		if known.Before(now) {
-			return asked, true
+		if currentEnd.Before(now) {
+			return requested, true
 		}
-		return until.Sub(known), false
+		return until.Sub(currentEnd), false
 	}
 }
 
@@ -39,28 +39,30 @@
 }
 
 // watchBackoff learns from the end of a send whether its worker asks for a backoff.
-func (c *call) watchBackoff(to *backend, got *upstream.Result) {
-	switch got.Backoff.Asking {
+func (c *call) recordBackoff(to *backend, result *upstream.Result) {
+	switch result.Backoff.Asking {
 	case upstream.BackoffAsked:
 		c.proxy.Metrics.noticed(c.service.Name, noticeBackoff)
-		longer, begins := to.backOff(clock.Now(), got.Backoff.For)
-		if c.service.Keyed && longer > 0 {
-			c.proxy.Meter.BackedOff(to.id(), longer)
+		extension, started := to.startBackoff(clock.Now(), result.Backoff.For)
+		if c.service.Keyed && extension > 0 {
+			c.proxy.Meter.BackedOff(to.id(), extension)
 		}
-		if begins {
+		if started {
 			c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
-				Float64("for", got.Backoff.For.Seconds()).Msg("")
+				Float64("for", result.Backoff.For.Seconds()).Msg("")
 		}
 	case upstream.UnreadableBackoff:
 		c.proxy.Metrics.noticed(c.service.Name, noticeUnreadableBackoff)
 		c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
-			Strs("unreadable", got.Header.Values("Retry-After")).Msg("")
+			Strs("unreadable", result.Header.Values("Retry-After")).Msg("")
 	}
 }
 
 // returnElsewhere is when a caller may come back whose request this process may not send for some time:
 // soon, since another one may, and the key may move.
-func (c *call) returnElsewhere(wait time.Duration) time.Duration { return min(wait, c.returnAfter()) }
+func (c *call) backoffRetryAfter(wait time.Duration) time.Duration {
+	return min(wait, c.jitteredRetryAfter())
+}
 
 // admits reports whether a worker that was chosen for the request may still get it: since then it may
 // have asked for a backoff, or have been leaving for too long.
--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -15,16 +15,16 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// asksForBackoff turns each request away and asks for some seconds.
-func asksForBackoff(seconds string) script {
+// requestsBackoff turns each request away and asks for some seconds.
+func requestsBackoff(seconds string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1", "Retry-After: "+seconds)
 		return true
 	}
 }
 
-// waysToSend are all on which a request may reach a worker, by the service that it must be of.
-var waysToSend = map[string]struct{ service, method, path, body string }{
+// sendPaths are all on which a request may reach a worker, by the service that it must be of.
+var sendPaths = map[string]struct{ service, method, path, body string }{
 	"to a pool":                {"pool", "GET", "/safe/", ""},
 	"to a pool, once":          {"pool", "POST", "/unsafe/", "b"},
 	"to a pool, to one only":   {"pool", "GET", "/single/", ""},
@@ -35,65 +35,65 @@
 	"a large upload for a key": {"keyed", "POST", "/keyed/", strings.Repeat("b", 300<<10)},
 }
 
-func TestNoRequestReachesAWorkerOnAnyWay(t *testing.T) {
-	for reason, keepAway := range map[string]func(*front, workers.Worker){
-		"that has asked for a backoff": func(f *front, w workers.Worker) {
-			f.proxy.fleet.get(w).backOff(clock.Now(), 3*time.Second)
+func TestBlockedWorkerReceivesNoRequests(t *testing.T) {
+	for reason, keepAway := range map[string]func(*testProxy, workers.Worker){
+		"that has asked for a backoff": func(f *testProxy, w workers.Worker) {
+			f.proxy.fleet.get(w).startBackoff(clock.Now(), 3*time.Second)
 		},
-		"that has said for long that it leaves": func(f *front, w workers.Worker) {
+		"that has said for long that it leaves": func(f *testProxy, w workers.Worker) {
 			f.directory.Leaves(w.Life(), clock.Now().Add(-testDrain))
 		},
 	} {
-		for name, way := range waysToSend {
+		for name, way := range sendPaths {
 			t.Run(reason+"/"+name, func(t *testing.T) {
-				w := newWorker(t, "w1", answers("x"))
-				f := newFront(t, w.entry(way.service))
-				f.owns(w.entry(way.service))
+				w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+				f := newTestProxy(t, w.entry(way.service))
+				f.assignAllKeys(w.entry(way.service))
 				keepAway(f, w.entry(way.service))
 				response, _ := f.get(t, way.method, way.path, way.body, "X-Key", "7")
 				assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-				assert.Equal(t, w.arrivals(), 0)
+				assert.Equal(t, w.receivedCount(), 0)
 			})
 		}
 		t.Run(reason+"/a second copy", func(t *testing.T) {
-			var f *front
-			silent := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			var f *testProxy
+			silent := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				time.Sleep(time.Second)
 				answer(connection, request, http.StatusOK, "slow")
 				return true
 			})
-			other := newWorker(t, "w2", answers("x"))
-			f = newFront(t, silent.entry("pool"), other.entry("pool"))
+			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
+			f = newTestProxy(t, silent.entry("pool"), other.entry("pool"))
 			keepAway(f, other.entry("pool"))
 			_, body := f.get(t, "GET", "/safe/", "")
 			assert.Equal(t, body, "slow")
-			assert.Equal(t, other.arrivals(), 0)
+			assert.Equal(t, other.receivedCount(), 0)
 		})
 		t.Run(reason+"/sent again", func(t *testing.T) {
-			var f *front
-			other := newWorker(t, "w2", answers("x"))
-			refusing := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			var f *testProxy
+			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
+			refusing := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				keepAway(f, other.entry("pool"))
-				return refuses(connection, request)
+				return refuse(connection, request)
 			})
-			f = newFront(t, refusing.entry("pool"), other.entry("pool"))
+			f = newTestProxy(t, refusing.entry("pool"), other.entry("pool"))
 			f.proxy.fleet.get(other.entry("pool")).fullUntil = clock.Now().Add(100 * time.Millisecond)
 			response, _ := f.get(t, "POST", "/unsafe/", "b")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-			assert.Equal(t, other.arrivals(), 0)
+			assert.Equal(t, other.receivedCount(), 0)
 		})
 	}
 }
 
-func TestAWorkerThatAsksForABackoffIsNotAskedAgain(t *testing.T) {
+func TestWorkerInBackoffIsNotSentTo(t *testing.T) {
 	for name, test := range map[string]struct{ service, method, path string }{
 		"pool": {"pool", "GET", "/safe/"}, "pool, runs once": {"pool", "POST", "/unsafe/"},
 		"keyed": {"keyed", "GET", "/keyed/"}, "keyed, runs once": {"keyed", "POST", "/keyed-once/"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", asksForBackoff("3"))
-			f := newFront(t, w.entry(test.service))
-			f.owns(w.entry(test.service))
+			w := newFakeWorker(t, "w1", requestsBackoff("3"))
+			f := newTestProxy(t, w.entry(test.service))
+			f.assignAllKeys(w.entry(test.service))
 			for range 5 {
 				began := time.Now()
 				response, body := f.get(t, test.method, test.path, "", "X-Key", "7")
@@ -104,39 +104,39 @@
 				assert.Assert(t, after < 0.4, "another router may serve it before %f s", after)
 				assert.Assert(t, time.Since(began) < 80*time.Millisecond, "nothing is waited for")
 			}
-			assert.Equal(t, w.arrivals(), 1)
+			assert.Equal(t, w.receivedCount(), 1)
 		})
 	}
 }
 
-func TestOthersServeWhatAWorkerTurnsAway(t *testing.T) {
-	asking, other := newWorker(t, "w1", asksForBackoff("3")), newWorker(t, "w2", answers("x"))
-	f := newFront(t, asking.entry("pool"), other.entry("pool"))
+func TestOtherWorkersServeRequestsDuringBackoff(t *testing.T) {
+	asking, other := newFakeWorker(t, "w1", requestsBackoff("3")), newFakeWorker(t, "w2", alwaysAnswer("x"))
+	f := newTestProxy(t, asking.entry("pool"), other.entry("pool"))
 	for range 20 {
 		response, _ := f.get(t, "POST", "/unsafe/", "")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 	}
-	assert.Assert(t, asking.arrivals() <= 1)
+	assert.Assert(t, asking.receivedCount() <= 1)
 }
 
-func TestAPoolPicksNoWorkerInABackoff(t *testing.T) {
-	asking, other := newWorker(t, "w1", answers("x")), newWorker(t, "w2", answers("x"))
-	f := newFront(t, asking.entry("pool"), other.entry("pool"))
-	f.proxy.fleet.get(asking.entry("pool")).backOff(clock.Now(), 3*time.Second)
+func TestPoolSkipsWorkersInBackoff(t *testing.T) {
+	asking, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
+	f := newTestProxy(t, asking.entry("pool"), other.entry("pool"))
+	f.proxy.fleet.get(asking.entry("pool")).startBackoff(clock.Now(), 3*time.Second)
 	of := f.proxy.Config().Services["pool"]
 	for range 50 {
 		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(of), of, need{target: time.Second}, nil, 1)
-		assert.Equal(t, picked.to.id(), other.entry("pool").ID)
+		assert.Equal(t, picked.backend.id(), other.entry("pool").ID)
 	}
 }
 
-func TestAWorkerGetsRequestsAgainOnceItsBackoffIsOver(t *testing.T) {
+func TestWorkerReceivesRequestsAfterBackoff(t *testing.T) {
 	for name, path := range map[string]string{"pool": "/safe/", "keyed": "/keyed/"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
-			f := newFront(t, w.entry(name))
-			f.owns(w.entry(name))
-			f.proxy.fleet.get(w.entry(name)).backOff(clock.Now(), 200*time.Millisecond)
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+			f := newTestProxy(t, w.entry(name))
+			f.assignAllKeys(w.entry(name))
+			f.proxy.fleet.get(w.entry(name)).startBackoff(clock.Now(), 200*time.Millisecond)
 			response, _ := f.get(t, "GET", path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 			time.Sleep(220 * time.Millisecond)
@@ -146,33 +146,33 @@
 	}
 }
 
-func TestTheLatestEndOfBackoffsHolds(t *testing.T) {
+func TestBackoffEndsAtLatestRequestedTime(t *testing.T) {
 	now := clock.Now()
 	b := &backend{}
-	longer, begins := b.backOff(now, 3*time.Second)
+	longer, begins := b.startBackoff(now, 3*time.Second)
 	assert.Assert(t, longer == 3*time.Second && begins)
-	longer, begins = b.backOff(now.Add(time.Second), time.Second)
+	longer, begins = b.startBackoff(now.Add(time.Second), time.Second)
 	assert.Assert(t, longer == 0 && !begins, "a shorter one ends nothing")
 	assert.Equal(t, b.backoffLeft(now.Add(time.Second)), 2*time.Second)
-	longer, begins = b.backOff(now.Add(2*time.Second), 3*time.Second)
+	longer, begins = b.startBackoff(now.Add(2*time.Second), 3*time.Second)
 	assert.Assert(t, longer == 2*time.Second && !begins)
 	assert.Equal(t, b.backoffLeft(now.Add(5*time.Second)), time.Duration(0))
-	_, begins = b.backOff(now.Add(6*time.Second), time.Second)
+	_, begins = b.startBackoff(now.Add(6*time.Second), time.Second)
 	assert.Assert(t, begins)
 }
 
-func TestAnotherLifeOfAWorkerHasAskedForNoBackoff(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+func TestRestartedWorkerHasNoBackoff(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	first, second := w.entry("pool"), w.entry("pool")
 	first.Born, second.Born = 1, 2
-	f := newFront(t, first)
-	f.proxy.fleet.get(first).backOff(clock.Now(), 3*time.Second)
+	f := newTestProxy(t, first)
+	f.proxy.fleet.get(first).startBackoff(clock.Now(), 3*time.Second)
 	assert.Assert(t, f.proxy.fleet.get(first).backoffLeft(clock.Now()) > 0)
 	assert.Equal(t, f.proxy.fleet.get(second).backoffLeft(clock.Now()), time.Duration(0))
 }
 
 // A request waited for a move that the leader could not store.
-func TestARequestForAKeyThatCantMoveIsRefusedAtOnce(t *testing.T) {
+func TestRequestForUnassignableKeyIsRefusedImmediately(t *testing.T) {
 	for name, test := range map[string]struct {
 		stay   bool
 		waited time.Duration
@@ -182,9 +182,9 @@
 		"the key may move yet": {waited: 80 * time.Millisecond, after: "0.200"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
-			f := newFront(t, w.entry("keyed"))
-			f.owns(w.entry("keyed"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+			f := newTestProxy(t, w.entry("keyed"))
+			f.assignAllKeys(w.entry("keyed"))
 			f.proxy.KeysStay = func() bool { return test.stay }
 			f.directory.Leaves(w.entry("keyed").Life(), clock.Now().Add(-testDrain))
 			began := time.Now()
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestABackoffLastsAsLongAsTheLongestAskedFor(t *testing.T) {
+func TestBackoffEndsAtLatestTimeForAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now, end, reported := &backend{}, clock.Now(), clock.Now(), time.Duration(0)
 		begun := now
@@ -208,7 +208,7 @@
 			if now.After(end) {
 				begun, reported = now, 0
 			}
-			longer, _ := b.backOff(now, asked)
+			longer, _ := b.startBackoff(now, asked)
 			reported += longer
 			if until := now.Add(asked); until.After(end) {
 				end = until
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -85,17 +85,17 @@
 func (c *call) readBody() bool {
 	body, length := c.request.Body, c.request.ContentLength
 	if body == nil || body == http.NoBody {
-		c.unread = false
+		c.bodyUnread = false
 		return true
 	}
-	c.unread = true
+	c.bodyUnread = true
 	if most := c.bodyLimit(); most > 0 && length > most {
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
 		return false
 	}
 	small := length <= bodies.Small // or not known yet
 	spool := bodies.NewSpool(c.proxy.Room, small)
-	c.holding.add(spool.Free)
+	c.cleanups.add(spool.Free)
 	if !small && !c.awaitRoom(spool) {
 		return false
 	}
@@ -110,7 +110,7 @@
 	}
 	switch {
 	case small && errors.Is(err, bodies.ErrNoRoom):
-		c.giveUp(reasonRoom, c.returnAfter())
+		c.giveUp(reasonRoom, c.jitteredRetryAfter())
 		return false
 	case err != nil && !errors.Is(err, bodies.ErrNoRoom):
 		c.bodyBroke(err)
@@ -122,7 +122,7 @@
 		c.message.Interrupt = func() { _ = controller.SetReadDeadline(time.Now()) }
 		return true
 	}
-	c.unread = false
+	c.bodyUnread = false
 	_ = controller.SetReadDeadline(time.Time{})
 	return true
 }
@@ -131,10 +131,10 @@
 func (c *call) awaitRoom(spool *bodies.Spool) bool {
 	if spool.Await(c.request.Context(), time.Duration(roomShare*float64(c.route.Target))) {
 		c.proxy.uploads.Add(1)
-		c.holding.add(func() { c.proxy.uploads.Add(-1) })
+		c.cleanups.add(func() { c.proxy.uploads.Add(-1) })
 		return true
 	}
-	c.giveUp(reasonRoom, c.returnAfter())
+	c.giveUp(reasonRoom, c.jitteredRetryAfter())
 	return false
 }
 
@@ -145,8 +145,8 @@
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		c.refuse(http.StatusBadRequest, reasonBody, 0)
-	case c.left() <= answerMargin:
-		c.giveUpForGood(reasonDeadline)
+	case c.timeLeft() <= answerMargin:
+		c.giveUpWithoutRetry(reasonDeadline)
 	default:
 		c.refuse(http.StatusRequestTimeout, reasonSlow, 0)
 	}
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -29,7 +29,7 @@
 type unsized struct{ io.Reader }
 
 // emptied waits until all memory for bodies is given back.
-func (f *front) emptied(t *testing.T) {
+func (f *testProxy) emptied(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.proxy.Room.Used() == 0 && f.proxy.uploads.Load() == 0 && f.proxy.downloads.Load() == 0 {
@@ -40,7 +40,7 @@
 }
 
 // inFlight is how many requests are under way at a worker.
-func (f *front) inFlight(at workers.Worker) int {
+func (f *testProxy) inFlight(at workers.Worker) int {
 	backend := f.proxy.fleet.get(at)
 	backend.mu.Lock()
 	defer backend.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // upload sends a body, of known length or in chunks.
-func (f *front) upload(t *testing.T, path string, body io.Reader, length int64) (*http.Response, string) {
+func (f *testProxy) upload(t *testing.T, path string, body io.Reader, length int64) (*http.Response, string) {
 	t.Helper()
 	request := f.request(t, "POST", path, "")
 	request.Body, request.ContentLength = io.NopCloser(body), length
@@ -64,24 +64,24 @@
 // worker got its beginning and what the first had not read, in chunks as a whole body. Found by
 // reading.
 func TestABodyThatWasPartlyPassedOnIsNotSentAgain(t *testing.T) {
-	once := refusesOnce()
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	once := refuseOnce()
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, _ := f.upload(t, "/up/", unsized{strings.NewReader(strings.Repeat("b", keptBody*3/2))}, -1)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable, "it did not run")
-	assert.Equal(t, one.arrivals()+two.arrivals(), 1)
+	assert.Equal(t, one.receivedCount()+two.receivedCount(), 1)
 	f.emptied(t)
 }
 
 // One that is kept can be.
 func TestALargeBodyThatDidNotRunGoesToAnother(t *testing.T) {
-	once := refusesOnce()
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	once := refuseOnce()
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	const length = 360_000
 	response, _ := f.upload(t, "/up/", bytes.NewReader(make([]byte, length)), length)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	for _, w := range []*worker{one, two} {
+	for _, w := range []*fakeWorker{one, two} {
 		assert.Equal(t, len(w.bodies[0]), length)
 	}
 	f.emptied(t)
@@ -89,14 +89,14 @@
 
 // A worker that is asked while its caller still sends has one slot less for others.
 func TestNoWorkerWaitsForASlowCaller(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	const length = 300_000
 	reader, writer := io.Pipe()
 	go func() {
 		_, _ = writer.Write(make([]byte, length-1))
 		time.Sleep(300 * time.Millisecond)
-		assert.Check(t, w.connections() == 0, "a worker is asked already")
+		assert.Check(t, w.openedConnections() == 0, "a worker is asked already")
 		_, _ = writer.Write(make([]byte, 1))
 	}()
 	response, _ := f.upload(t, "/up/", reader, length)
@@ -108,13 +108,13 @@
 func TestConnectionsOfLargeBodiesAreKept(t *testing.T) {
 	for name, length := range map[string]int64{"kept": 300_000, "passed on": keptBody * 3 / 2} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
-			f := newFront(t, w.entry("pool"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+			f := newTestProxy(t, w.entry("pool"))
 			for range 3 {
 				response, _ := f.upload(t, "/up/", bytes.NewReader(make([]byte, length)), length)
 				assert.Equal(t, response.StatusCode, http.StatusOK)
 			}
-			assert.Equal(t, w.connections(), 1)
+			assert.Equal(t, w.openedConnections(), 1)
 			f.emptied(t)
 		})
 	}
@@ -124,8 +124,8 @@
 func TestABodyThatItsCallerCutRunsNowhere(t *testing.T) {
 	for name, sent := range map[string]int{"kept": 100_000, "passed on": keptBody * 5 / 4} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
-			f := newFront(t, w.entry("pool"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+			f := newTestProxy(t, w.entry("pool"))
 			connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 			assert.NilError(t, err)
 			_, err = io.WriteString(connection, "POST /up/ HTTP/1.1\r\nHost: app.example\r\nX-Id: cut\r\nX-Deadline: 1500\r\nTransfer-Encoding: chunked\r\n\r\nf4240\r\n")
@@ -135,7 +135,7 @@
 			time.Sleep(100 * time.Millisecond)
 			abort(connection)
 			f.emptied(t)
-			assert.Equal(t, w.arrivals(), 0)
+			assert.Equal(t, w.receivedCount(), 0)
 		})
 	}
 }
@@ -143,8 +143,8 @@
 // Where the memory for bodies is used up, a large body is refused soon and with a promise, and
 // small ones go on.
 func TestLargeBodiesBeyondTheRoomAreRefused(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.Room = bodies.NewRoom(100_000)
 	assert.Assert(t, f.proxy.Room.Take(87_000))
 	for name, length := range map[string]int64{"of known length": testDownload, "in chunks": -1} {
@@ -155,7 +155,7 @@
 		assert.Assert(t, response.Header.Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "%s: %s", name, time.Since(began))
 	}
-	assert.Equal(t, w.arrivals(), 0)
+	assert.Equal(t, w.receivedCount(), 0)
 	response, _ := f.get(t, "POST", "/unsafe/", "small")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	f.proxy.Room.Give(87_000)
@@ -166,12 +166,12 @@
 
 // A long answer was passed on without a look at its head. Found by reading.
 func TestALongAnswerNeedsItsSignatureToo(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+"\r\nContent-Length: 2000000\r\n\r\n")
 		_, _ = connection.Write(make([]byte, 2_000_000))
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 }
@@ -194,12 +194,12 @@
 	once := func(connection net.Conn, request *http.Request) bool {
 		return download(0, !first.CompareAndSwap(false, true))(connection, request)
 	}
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, body := f.get(t, "GET", "/down/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, len(body), testDownload)
-	assert.Equal(t, one.arrivals()+two.arrivals(), 2)
+	assert.Equal(t, one.receivedCount()+two.receivedCount(), 2)
 	f.emptied(t)
 }
 
@@ -215,8 +215,8 @@
 				time.Sleep(300 * time.Millisecond)
 				return false
 			}
-			w, other := newWorker(t, "w1", half), newWorker(t, "w2", half)
-			f := newFront(t, w.entry("pool"), other.entry("pool"))
+			w, other := newFakeWorker(t, "w1", half), newFakeWorker(t, "w2", half)
+			f := newTestProxy(t, w.entry("pool"), other.entry("pool"))
 			log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 			assert.NilError(t, err)
 			f.proxy.Log = decision.NewTo(log, "test")
@@ -225,7 +225,7 @@
 			body, err := io.ReadAll(response.Body)
 			assert.Assert(t, err != nil, "it looks whole")
 			assert.Equal(t, len(body), testDownload/2)
-			assert.Equal(t, w.arrivals()+other.arrivals(), 1)
+			assert.Equal(t, w.receivedCount()+other.receivedCount(), 1)
 			f.emptied(t)
 			f.server.Close()
 			f.proxy.Log.Flush()
@@ -238,13 +238,13 @@
 
 // A caller of HTTP/1.0 takes the end of the connection for that of an answer without a length.
 func TestADownloadThatBreaksIsCutForOldCallersToo(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+
 			"\r\nX-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n15f90\r\n"+strings.Repeat("a", testDownload/2))
 		time.Sleep(300 * time.Millisecond)
 		return false
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
 	_, err = io.WriteString(connection, "GET /down/ HTTP/1.0\r\nHost: app.example\r\nX-Id: old\r\nX-Deadline: 1500\r\n\r\n")
@@ -255,8 +255,8 @@
 
 // A download that has begun goes on when the process is about to end.
 func TestAPlannedStopEndsNoDownload(t *testing.T) {
-	w := newWorker(t, "w1", download(400*time.Millisecond, true))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", download(400*time.Millisecond, true))
+	f := newTestProxy(t, w.entry("pool"))
 	response, err := http.DefaultClient.Do(f.request(t, "GET", "/down/", ""))
 	assert.NilError(t, err)
 	list, _ := f.directory.Usable("pool")
@@ -276,8 +276,8 @@
 
 // A caller who does not read holds no worker: the same connection serves the next request.
 func TestACallerWhoDoesNotReadHoldsNoWorker(t *testing.T) {
-	w := newWorker(t, "w1", answers(strings.Repeat("a", keptDownload-bodies.Small)))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer(strings.Repeat("a", keptDownload-bodies.Small)))
+	f := newTestProxy(t, w.entry("pool"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer abort(connection)
@@ -285,7 +285,7 @@
 	_, err = io.WriteString(connection, "GET /down/ HTTP/1.1\r\nHost: app.example\r\nX-Id: slow\r\nX-Deadline: 1500\r\n\r\n")
 	assert.NilError(t, err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if w.arrivals() == 1 {
+		if w.receivedCount() == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("not asked yet")
@@ -293,7 +293,7 @@
 	time.Sleep(200 * time.Millisecond)
 	response, _ := f.get(t, "GET", "/down/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	assert.Equal(t, w.connections(), 1)
+	assert.Equal(t, w.openedConnections(), 1)
 	abort(connection)
 	f.emptied(t)
 }
--- a/internal/proxy/bodylimit_test.go
+++ b/internal/proxy/bodylimit_test.go
@@ -24,8 +24,8 @@
 		"told, passed on, within the limit": {limit: 2 * keptBody, length: 2 * keptBody, status: http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
-			f := newFront(t, w.entry("pool"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+			f := newTestProxy(t, w.entry("pool"))
 			config := testConfig(t, 2)
 			config.Services["pool"].BodyBytes = test.limit
 			assert.Assert(t, f.proxy.Use(config))
@@ -36,7 +36,7 @@
 			response, _ := f.upload(t, "/up/", unsized{strings.NewReader(strings.Repeat("b", int(test.length)))}, told)
 			assert.Equal(t, response.StatusCode, test.status)
 			if test.status != http.StatusOK {
-				assert.Equal(t, w.arrivals(), 0, "no worker has it whole")
+				assert.Equal(t, w.receivedCount(), 0, "no worker has it whole")
 			}
 			f.emptied(t)
 		})
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -19,11 +19,11 @@
 const (
 	// budgetShare is the part of the limit that is used.
 	budgetShare = 0.75
-	// scarceShare is that of the ratio where the slack is scarce: what is sent within a window
+	// scarceBudgetShare is that of the ratio where the slack is scarce: what is sent within a window
 	// was earned within two of them, of which the users' limit counts the busier one.
-	scarceShare = 0.5
-	// assumedNodes is how many processes share the slack until it is known.
-	assumedNodes = 14
+	scarceBudgetShare = 0.5
+	// defaultNodes is how many processes share the slack until it is known.
+	defaultNodes = 14
 )
 
 // budget counts one service's second sends in one process.
@@ -34,26 +34,26 @@
 // what it has earned lapses after a window. A process that may save up one send whatever its share
 // is broke the limit by 69 of 20 with 60 processes that get 5 requests a second together.
 type budget struct {
-	mu     sync.Mutex
-	limits BudgetLimits
-	tokens float64
-	at     time.Time
+	mu         sync.Mutex
+	limits     BudgetLimits
+	tokens     float64
+	refilledAt time.Time
 	// earnedSince is when tokens began to be earned that lapse; zero while none lapse.
 	earnedSince time.Time
 }
 
 func newBudget(limits BudgetLimits) *budget {
-	return &budget{limits: limits, tokens: 1, at: clock.Now()}
+	return &budget{limits: limits, tokens: 1, refilledAt: clock.Now()}
 }
 
 // request counts a request that may be sent for the first time.
-func (b *budget) request(nodes int, now time.Time) {
+func (b *budget) recordRequest(nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lapse(nodes, now)
+	b.expire(nodes, now)
 	share := budgetShare
 	if b.scarce(nodes) {
-		share = scarceShare
+		share = scarceBudgetShare
 	}
 	b.tokens = min(b.burst(nodes), b.tokens+b.limits.Ratio*share)
 }
@@ -65,7 +65,7 @@
 }
 
 // left returns how many second sends may be made at once.
-func (b *budget) left() float64 {
+func (b *budget) available() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tokens
@@ -74,7 +74,7 @@
 // slack returns a process's part of the slack.
 func (b *budget) slack(nodes int) float64 {
 	if nodes <= 0 {
-		nodes = assumedNodes
+		nodes = defaultNodes
 	}
 	return b.limits.Slack / float64(nodes)
 }
@@ -93,7 +93,7 @@
 }
 
 // lapse drops what was earned too long ago, where the slack is scarce. The caller holds mu.
-func (b *budget) lapse(nodes int, now time.Time) {
+func (b *budget) expire(nodes int, now time.Time) {
 	switch {
 	case !b.scarce(nodes):
 		b.earnedSince = time.Time{}
@@ -106,9 +106,9 @@
 func (b *budget) spend(nodes int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lapse(nodes, now)
-	refill := now.Sub(b.at).Seconds() / max(b.limits.Window.Seconds(), 1) * b.refill(nodes)
-	b.at = now
+	b.expire(nodes, now)
+	refill := now.Sub(b.refilledAt).Seconds() / max(b.limits.Window.Seconds(), 1) * b.refill(nodes)
+	b.refilledAt = now
 	b.tokens = min(b.burst(nodes), b.tokens+refill)
 	if b.tokens < 1 {
 		return false
--- a/internal/proxy/bulkgate.go
+++ b/internal/proxy/bulkgate.go
@@ -28,7 +28,7 @@
 // take asks whether a body of that many bytes may pass now.
 func (g *bulkGate) take(now time.Time, bytes float64, routers int) bool {
 	if routers <= 0 {
-		routers = assumedNodes
+		routers = defaultNodes
 	}
 	pause := time.Duration(bytes * float64(routers) / bulkAcross * float64(time.Second))
 	g.mu.Lock()
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -28,31 +28,31 @@
 	// tenant whose API key the caller has shown; nil if there is none.
 	tenant *routing.Tenant
 	// former says who held the caller's key, where it was taken away.
-	former   tenant.Former
-	state    *serviceState
-	key      int
-	began    time.Time
-	deadline time.Time
+	removedKey tenant.Former
+	state      *serviceState
+	key        int
+	began      time.Time
+	deadline   time.Time
 	// counted is when the request was last counted against its tenant's limit; zero: never.
-	counted time.Time
+	quotaCountedAt time.Time
 	// claim is what the request counts for where workers are short.
 	claim claim
 	// allowed grants each send before it leaves.
-	allowed allowance
-	tried   map[workers.ID]bool
+	sends sendTracker
+	tried map[workers.ID]bool
 	// named is the request's fingerprint; nil until it is asked for.
-	named atomic.Pointer[quarantine.Fingerprint]
+	fingerprintCache atomic.Pointer[quarantine.Fingerprint]
 	// arrivedAs is how the request could be sent when it came, and closed counts the workers
 	// that have closed its connection in mid-run.
-	arrivedAs quarantine.Standing
-	closed    atomic.Int32
+	initialStanding   quarantine.Standing
+	closedConnections atomic.Int32
 	// last is what is known of the last send.
-	last   *upstream.Result
-	lastTo workers.ID
+	lastResult *upstream.Result
+	lastWorker workers.ID
 	// holding is what the request holds of the memory for bodies.
-	holding holding
+	cleanups holding
 	// unread says that the caller's body has not been read to its end.
-	unread bool
+	bodyUnread bool
 	// detach lets the request go on when the process is about to end.
 	detach func() bool
 }
@@ -72,9 +72,9 @@
 			c.refuse(http.StatusBadRequest, reasonMalformed, 0)
 			return false
 		}
-		own := c.began.Add(time.Duration(millis * float64(time.Millisecond)))
-		if own.Before(c.deadline) {
-			c.deadline = own
+		callerDeadline := c.began.Add(time.Duration(millis * float64(time.Millisecond)))
+		if callerDeadline.Before(c.deadline) {
+			c.deadline = callerDeadline
 		}
 	}
 	c.message.Once = !c.route.Repeatable
@@ -88,7 +88,7 @@
 }
 
 // left is the time until the deadline.
-func (c *call) left() time.Duration { return clock.Until(c.deadline) }
+func (c *call) timeLeft() time.Duration { return clock.Until(c.deadline) }
 
 // repeatable reports whether the request may be sent after it may have run.
 func (c *call) repeatable() bool { return c.route.Repeatable && c.message.Rest == nil }
@@ -96,44 +96,44 @@
 // sendTo sends the request once and takes note of how it ended. The caller has asked
 // whether a send is left.
 func (c *call) sendTo(to *backend, until time.Time) *upstream.Result {
-	c.allowed.take()
+	c.sends.begin()
 	c.countSend()
-	worker, got := c.exchange(c.request.Context(), to, until)
-	c.note(worker, &got)
-	return &got
+	worker, result := c.exchange(c.request.Context(), to, until)
+	c.recordResult(worker, &result)
+	return &result
 }
 
 // exchange sends the request once; it may run beside another copy.
 func (c *call) exchange(ctx context.Context, to *backend, until time.Time) (workers.ID, upstream.Result) {
 	p := c.proxy
-	worker := to.described()
-	mean, measured := to.mean(usualTime)
+	worker := to.info()
+	mean, measured := to.meanLatency(defaultLatency)
 	to.begin()
-	got := upstream.Send(ctx, p.Headers, to.pool, &c.message, c.target(to, &worker), c.deadline, until)
-	c.holding.add(got.Free)
-	if streaming := got.Streaming(); streaming != nil {
+	result := upstream.Send(ctx, p.Headers, to.pool, &c.message, c.target(to, &worker), c.deadline, until)
+	c.cleanups.add(result.Free)
+	if streaming := result.Streaming(); streaming != nil {
 		to.begin()
-		go to.leaveAfter(streaming)
+		go to.releaseAfter(streaming)
 	}
-	if to.end(clock.Now(), &got) {
-		p.Log.Line(decision.KindWorkerHealth).Str("worker", string(worker.ID)).Str("outcome", string(got.Outcome)).
-			Str("id", c.message.ID).AnErr("error", got.Err).Msg("")
+	if to.finish(clock.Now(), &result) {
+		p.Log.Line(decision.KindWorkerHealth).Str("worker", string(worker.ID)).Str("outcome", string(result.Outcome)).
+			Str("id", c.message.ID).AnErr("error", result.Err).Msg("")
 	}
-	if c.service.Keyed && (got.Outcome == upstream.Answered || got.Outcome == upstream.Late) {
-		p.Meter.Served(worker.ID, got.Took)
+	if c.service.Keyed && (result.Outcome == upstream.Answered || result.Outcome == upstream.Late) {
+		p.Meter.Served(worker.ID, result.Took)
 	}
-	if got.Outcome == upstream.Answered {
-		c.weigh(&worker, &got)
+	if result.Outcome == upstream.Answered {
+		c.weigh(&worker, &result)
 		if measured {
-			c.state.answered(got.Took, mean)
+			c.state.recordLatency(result.Took, mean)
 		}
 	}
-	p.Metrics.sent(c.service.Name, got.Outcome)
-	c.watchLimit(&worker, &got)
-	c.watchNotice(to, &got)
-	c.watchEnd(to, &got)
-	c.cleared(&got)
-	return worker.ID, got
+	p.Metrics.sent(c.service.Name, result.Outcome)
+	c.watchLimit(&worker, &result)
+	c.recordNotice(to, &result)
+	c.watchEnd(to, &result)
+	c.cleared(&result)
+	return worker.ID, result
 }
 
 // target describes the worker that a send is for.
@@ -142,20 +142,20 @@
 }
 
 // note takes note of a send that has ended.
-func (c *call) note(worker workers.ID, got *upstream.Result) {
-	c.last, c.lastTo = got, worker
-	c.allowed.settle(got.Outcome)
+func (c *call) recordResult(worker workers.ID, result *upstream.Result) {
+	c.lastResult, c.lastWorker = result, worker
+	c.sends.finish(result.Outcome)
 }
 
 // finish ends the request if the last send decided it; false if another may be
 // tried.
-func (c *call) finish(got *upstream.Result) bool {
-	switch got.Outcome {
+func (c *call) finish(result *upstream.Result) bool {
+	switch result.Outcome {
 	case upstream.Answered:
-		if got.Status == http.StatusInternalServerError && c.mayRepeat() {
+		if result.Status == http.StatusInternalServerError && c.mayResend() {
 			return false
 		}
-		c.pass(got)
+		c.forwardAnswer(result)
 		return true
 	case upstream.Gone:
 		c.abandon()
@@ -164,19 +164,19 @@
 		c.refuse(http.StatusBadGateway, reasonBody, 0)
 		return true
 	case upstream.Broken:
-		if c.mayRepeat() {
+		if c.mayResend() {
 			return false
 		}
 		c.refuse(http.StatusBadGateway, reasonBroken, 0)
 		return true
 	case upstream.Late:
-		if c.mayRepeat() && c.left() > answerMargin {
+		if c.mayResend() && c.timeLeft() > answerMargin {
 			return false
 		}
 		c.refuse(http.StatusGatewayTimeout, reasonDeadline, 0)
 		return true
 	}
-	if c.left() <= answerMargin {
+	if c.timeLeft() <= answerMargin {
 		c.giveUp(reasonDeadline, 0)
 		return true
 	}
@@ -190,43 +190,43 @@
 // abandon ends a request whose client has left, or that is under way when the process ends.
 func (c *call) abandon() {
 	if c.proxy.ending.Err() == nil {
-		c.tell(0, "client-gone")
+		c.recordEnd(0, "client-gone")
 		return
 	}
-	c.giveUp(reasonEnding, leastRetryAfter)
+	c.giveUp(reasonEnding, minRetryAfter)
 }
 
 // mayRepeat reports whether a request that may have run can be sent again.
-func (c *call) mayRepeat() bool {
-	return c.repeatable() && c.allowed.left() && c.maySpread()
+func (c *call) mayResend() bool {
+	return c.repeatable() && c.sends.maySend() && c.maySpread()
 }
 
 // giveUp ends a request that no worker answered: with a promise if it did not run.
 func (c *call) giveUp(reason string, retryAfter time.Duration) {
 	c.countLost(reason)
-	c.giveUpWith(reason, max(retryAfter, leastRetryAfter))
+	c.giveUpWith(reason, max(retryAfter, minRetryAfter))
 }
 
 // giveUpForGood does the same and tells no time to come back.
-func (c *call) giveUpForGood(reason string) { c.giveUpWith(reason, 0) }
+func (c *call) giveUpWithoutRetry(reason string) { c.giveUpWith(reason, 0) }
 
 func (c *call) giveUpWith(reason string, retryAfter time.Duration) {
-	if c.allowed.mayHaveRun() > 0 && !c.route.Repeatable {
+	if c.sends.mayHaveRun() > 0 && !c.route.Repeatable {
 		c.refuse(http.StatusBadGateway, reason, 0)
 		return
 	}
 	c.refuse(http.StatusServiceUnavailable, reason, retryAfter)
 }
 
-// leastRetryAfter is the shortest wait that a client is told.
-const leastRetryAfter = 50 * time.Millisecond
+// minRetryAfter is the shortest wait that a client is told.
+const minRetryAfter = 50 * time.Millisecond
 
 // returnSoon is when a client may come back whose request was turned away by the last worker that
 // was asked: at once if that had slots to spare, since it may well take the next one, and a caller
 // that waits misses its target for nothing; otherwise after the time for workers that are full.
-func (c *call) returnSoon(full time.Duration) time.Duration {
-	if c.last != nil && c.last.Outcome == upstream.NotRun && c.last.Load.Idle(c.last.Loaded) {
-		return leastRetryAfter
+func (c *call) retryAfterRejection(whenFull time.Duration) time.Duration {
+	if c.lastResult != nil && c.lastResult.Outcome == upstream.NotRun && c.lastResult.Load.Idle(c.lastResult.Loaded) {
+		return minRetryAfter
 	}
-	return full
+	return whenFull
 }
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -14,23 +14,23 @@
 // Bytes after a whole answer belong to no request: their connection is not used
 // again.
 func TestConnectionWithSurplusBytesIsNotReused(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "right")
 		answer(connection, request, http.StatusOK, "again")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	for range 3 {
 		_, body := f.get(t, "POST", "/unsafe/", "x")
 		assert.Equal(t, body, "right")
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Equal(t, w.arrivals(), 3)
+	assert.Equal(t, w.receivedCount(), 3)
 }
 
 func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+		w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+"\r\nX-Signature: s\r\n\r\nbody")
 			time.Sleep(20 * time.Millisecond)
 			if broken {
@@ -38,7 +38,7 @@
 			}
 			return false
 		})
-		f := newFront(t, w.entry("pool"))
+		f := newTestProxy(t, w.entry("pool"))
 		response, body := f.get(t, "POST", "/unsafe/", "x")
 		if broken {
 			assert.Equal(t, response.StatusCode, http.StatusBadGateway)
@@ -49,12 +49,12 @@
 	}
 }
 
-func TestConnectionThatTheWorkerClosedIsNotUsed(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x")
 		return false
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	for range 5 {
 		response, _ := f.get(t, "POST", "/unsafe/", "x")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -63,10 +63,10 @@
 }
 
 // Kept connections may go silent for good: one that was shows that the others may be.
-func TestConnectionsBesideASilentOneAreNotUsed(t *testing.T) {
+func TestIdleConnectionsAreDroppedAfterOneTimesOut(t *testing.T) {
 	var mu sync.Mutex
 	served := map[net.Conn]bool{}
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		mu.Lock()
 		kept := served[connection]
 		served[connection] = true
@@ -79,7 +79,7 @@
 		answer(connection, request, http.StatusOK, "x")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	var wait sync.WaitGroup
 	for range 4 {
 		request := f.request(t, "POST", "/unsafe/", "x")
@@ -92,7 +92,7 @@
 	wait.Wait()
 	response, _ := f.get(t, "POST", "/unsafe/", "x", "X-Deadline", "200")
 	assert.Equal(t, response.StatusCode, http.StatusGatewayTimeout)
-	time.Sleep(2 * firstRest)
+	time.Sleep(2 * minCooldown)
 	response, _ = f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
--- a/internal/proxy/turnedaway_test.go
+++ b/internal/proxy/connreset_test.go
@@ -11,8 +11,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// crowdedWorker resets all new connections, as a worker does that has no room for them.
-func crowdedWorker(t *testing.T, service string) workers.Worker {
+// resettingWorker resets all new connections, as a worker does that has no room for them.
+func resettingWorker(t *testing.T, service string) workers.Worker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -34,16 +34,16 @@
 
 // A request that may run once has surely not run where its connection was reset before
 // anything was written: the client may be told so, and come back.
-func TestARequestThatAWorkerHasNoConnectionForDidNotRun(t *testing.T) {
+func TestConnectionResetBeforeWriteMeansNotRun(t *testing.T) {
 	for name, path := range map[string]string{"keyed": "/keyed-once/", "pool": "/unsafe/"} {
 		t.Run(name, func(t *testing.T) {
 			service := "pool"
 			if name == "keyed" {
 				service = "keyed"
 			}
-			entry := crowdedWorker(t, service)
-			f := newFront(t, entry)
-			f.owns(entry)
+			entry := resettingWorker(t, service)
+			f := newTestProxy(t, entry)
+			f.assignAllKeys(entry)
 			response, _ := f.get(t, "POST", path, "x", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 			assert.Assert(t, response.Header.Get("Retry-After") != "")
@@ -52,9 +52,9 @@
 }
 
 // Another worker of the pool may have room.
-func TestARequestThatAWorkerHasNoConnectionForGoesToAnother(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, crowdedWorker(t, "pool"), w.entry("pool"))
+func TestConnectionResetBeforeWriteTriesAnotherWorker(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, resettingWorker(t, "pool"), w.entry("pool"))
 	for range 5 {
 		response, _ := f.get(t, "POST", "/unsafe/", "x")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -30,14 +30,14 @@
 
 // fingerprint names the request over all its attempts.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if known := c.named.Load(); known != nil {
+	if known := c.fingerprintCache.Load(); known != nil {
 		return *known
 	}
 	named := quarantine.Request{
 		Method: c.message.Method, Host: c.message.Host, URI: c.message.URI,
 		Body: c.message.Body.Start(namedBody), Length: c.message.Length,
 	}.Fingerprint()
-	c.named.Store(&named)
+	c.fingerprintCache.Store(&named)
 	return named
 }
 
@@ -89,7 +89,7 @@
 	if !closed {
 		return
 	}
-	c.closed.Add(1)
+	c.closedConnections.Add(1)
 	if wait, due := to.nextProbe(clock.Now()); due {
 		served := c.proxy.wasServing(to)
 		time.AfterFunc(wait, func() { c.proxy.probe(to, served) })
@@ -157,9 +157,9 @@
 	if !first {
 		return
 	}
-	p.Metrics.crashed(to.described().Service)
+	p.Metrics.crashed(to.info().Service)
 	p.Log.Line(decision.KindWorkerCrashed).Str("worker", string(to.id())).
-		Str("service", string(to.described().Service)).Int("requests", len(attempts)).Msg("")
+		Str("service", string(to.info().Service)).Int("requests", len(attempts)).Msg("")
 	for _, attempt := range attempts {
 		p.suspect(to, attempt)
 	}
@@ -168,7 +168,7 @@
 // wasServing reports whether a worker is announced and does not leave; one that has started
 // again meanwhile, whether it did not then.
 func (p *Proxy) wasServing(to *backend) bool {
-	life := to.described().Life()
+	life := to.info().Life()
 	worker, announced := p.fleet.directory.Get(life.ID)
 	if announced && life.Born != 0 && worker.Born != life.Born {
 		worker, announced = p.fleet.directory.Before(life.ID)
@@ -182,7 +182,7 @@
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
-	life := to.described().Life()
+	life := to.info().Life()
 	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
 		TellQuarantined(p.Log, held)
 	}
@@ -215,7 +215,7 @@
 	if c.standing() != quarantine.Quarantined {
 		return false
 	}
-	c.giveUpForGood(reasonQuarantined)
+	c.giveUpWithoutRetry(reasonQuarantined)
 	return true
 }
 
@@ -234,5 +234,5 @@
 // maySpread reports whether the request may be sent to a second worker while it may run, or
 // have run, at a first: a request that crashes its workers would crash that one too.
 func (c *call) maySpread() bool {
-	return c.arrivedAs == quarantine.Free && c.closed.Load() < mostClosed && c.standing() != quarantine.Quarantined
+	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed && c.standing() != quarantine.Quarantined
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -38,7 +38,7 @@
 }
 
 // crashes ends the worker that runs a request: nobody listens at its address from then on.
-func crashes(of **worker) script {
+func crashes(of **fakeWorker) script {
 	return func(net.Conn, *http.Request) bool {
 		_ = (*of).listener.Close()
 		return false
@@ -48,30 +48,30 @@
 // A crash is told from all else that ends a connection with a request under way.
 func TestOnlyACrashMakesSuspects(t *testing.T) {
 	tests := map[string]struct {
-		run     func(of **worker) script
+		run     func(of **fakeWorker) script
 		state   workers.State
 		crashed int
 	}{
 		"crash":                       {run: crashes, state: workers.StateReady, crashed: 1},
-		"answer lost":                 {run: func(**worker) script { return reset }, state: workers.StateReady},
-		"refused for want of room":    {run: func(**worker) script { return refuses }, state: workers.StateReady},
+		"answer lost":                 {run: func(**fakeWorker) script { return reset }, state: workers.StateReady},
+		"refused for want of room":    {run: func(**fakeWorker) script { return refuse }, state: workers.StateReady},
 		"end of one that was leaving": {run: crashes, state: workers.StateDraining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var w *worker
-			w = newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			var w *fakeWorker
+			w = newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				return test.run(&w)(connection, request)
 			})
 			entry := w.entry("keyed")
-			f := newFront(t, entry)
+			f := newTestProxy(t, entry)
 			entry.State = test.state
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
-			f.owns(entry)
+			f.assignAllKeys(entry)
 			logged := &lines{}
 			f.proxy.Log = decision.NewTo(logged, "test")
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
-			assert.Assert(t, w.arrivals() > 0, "it was sent")
+			assert.Assert(t, w.receivedCount() > 0, "it was sent")
 			if test.crashed == 0 {
 				time.Sleep(2 * probeTimeout / 3)
 				assert.Equal(t, logged.count(decision.KindWorkerCrashed), 0)
@@ -92,19 +92,19 @@
 // machine that is short of processor time, for a while longer. The crash was then missed, and one
 // worker more was sent the request that crashes them.
 func TestACrashIsSeenWhoseEntryWentBeforeTheLook(t *testing.T) {
-	var w *worker
-	w = newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
-		if w.arrivals() == 1 {
+	var w *fakeWorker
+	w = newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+		if w.receivedCount() == 1 {
 			return reset(connection, request) // the next look waits for its turn
 		}
 		return crashes(&w)(connection, request)
 	})
 	entry := w.entry("keyed")
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	logged := &lines{}
 	f.proxy.Log = decision.NewTo(logged, "test")
-	for w.arrivals() < 2 {
+	for w.receivedCount() < 2 {
 		f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	}
 	f.directory.Update(nil, []workers.ID{entry.ID}, nil)
@@ -136,7 +136,7 @@
 		"another life, was leaving": {then: []workers.Worker{draining, again}, served: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, ready)
+			f := newTestProxy(t, ready)
 			to := f.proxy.fleet.get(ready)
 			for _, entry := range test.then {
 				f.directory.Update([]workers.Worker{entry}, nil, nil)
@@ -154,7 +154,7 @@
 // A send that a crash cut off may be seen to end only once the worker's entry is gone.
 func TestASendThatACrashCutOffIsSuspectThoughTheEntryWent(t *testing.T) {
 	entry := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady}
-	f := newFront(t, entry)
+	f := newTestProxy(t, entry)
 	logged := &lines{}
 	f.proxy.Log = decision.NewTo(logged, "test")
 	to := f.proxy.fleet.get(entry)
@@ -172,7 +172,7 @@
 
 // A worker that closes many connections is looked at now and then only.
 func TestProbesAreFew(t *testing.T) {
-	b := newBackend(workers.Worker{}, &toldMeans{})
+	b := newBackend(workers.Worker{}, &reportedMeans{})
 	began := time.Unix(1000, 0)
 	tests := []struct {
 		after, wait time.Duration
--- a/internal/proxy/crossing.go
+++ b/internal/proxy/crossing.go
@@ -83,10 +83,10 @@
 	}
 	across := by[topology.OtherRegion]
 	switch {
-	case across.to == nil || of.stay:
+	case across.backend == nil || of.stay:
 		return best
 	case of.bulk && c.bulkLate > 0:
-		short := best.to == nil || late(best.estimate) >= c.bulkLate && late(across.estimate) < late(best.estimate)
+		short := best.backend == nil || late(best.estimate) >= c.bulkLate && late(across.estimate) < late(best.estimate)
 		if short && spare() {
 			return across
 		}
@@ -99,8 +99,8 @@
 
 // gains reports whether a worker farther away answers so many more requests in time.
 func (c crossing) gains(near, far choice, late func(time.Duration) float64, least float64) bool {
-	if far.to == nil || near.to == nil {
-		return far.to != nil
+	if far.backend == nil || near.backend == nil {
+		return far.backend != nil
 	}
 	return late(near.estimate)-late(far.estimate) > least
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -17,7 +17,7 @@
 func TestChoiceByDistance(t *testing.T) {
 	zone, region, across := &backend{}, &backend{}, &backend{}
 	at := func(to *backend, late float64) choice {
-		return choice{to: to, estimate: time.Duration(late * float64(time.Second))}
+		return choice{backend: to, estimate: time.Duration(late * float64(time.Second))}
 	}
 	none := choice{}
 	small, large := need{bytes: 2000}, need{bytes: 90_000, bulk: true}
@@ -44,14 +44,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := test.policy.choose(test.by, test.asks, lateBy, func() bool { return test.spare })
-			assert.Assert(t, got.to == test.want)
+			assert.Assert(t, got.backend == test.want)
 		})
 	}
 }
 
 // Only a large body that would cross asks for room on the link.
 func TestRoomIsAskedForLargeBodiesThatCross(t *testing.T) {
-	near, across := choice{to: &backend{}}, choice{to: &backend{}}
+	near, across := choice{backend: &backend{}}, choice{backend: &backend{}}
 	for name, test := range map[string]struct {
 		by   nearest
 		asks need
@@ -82,7 +82,7 @@
 	of, service := &routing.Service{Name: "s"}, &serviceState{}
 	now := time.Now()
 	small, large := need{target: 150 * time.Millisecond, bytes: 3000}, need{target: 150 * time.Millisecond, bytes: 90_000, bulk: true}
-	pick := func(asks need) workers.ID { return f.pick(now, service, of, asks, nil, 1).to.id() }
+	pick := func(asks need) workers.ID { return f.pick(now, service, of, asks, nil, 1).backend.id() }
 	assert.Equal(t, pick(small), workers.ID("near"))
 	near, _ := directory.Get("near")
 	f.get(near).begin()
--- a/internal/proxy/evacuation_test.go
+++ b/internal/proxy/evacuation_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestNoWorkGoesToAnEvacuatedZone(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	other := newWorker(t, "w2", answers("y"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	other := newFakeWorker(t, "w2", alwaysAnswer("y"))
 	far := other.entry("pool")
 	far.Zone = "far"
-	f := newFront(t, w.entry("pool"), far)
+	f := newTestProxy(t, w.entry("pool"), far)
 	f.directory.SetEvacuated([]string{"z"}, time.Now())
 	for range 5 {
 		_, body := f.get(t, "GET", "/safe/", "")
@@ -22,17 +22,17 @@
 	f.directory.SetEvacuated([]string{"z", "far"}, time.Now())
 	response, _ := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, w.arrivals(), 0)
+	assert.Equal(t, w.receivedCount(), 0)
 	f.directory.SetEvacuated([]string{"far"}, time.Now())
 	_, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, body, "x")
 }
 
 func TestOwnersInAnEvacuatedZoneGetWorkForAWhile(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	f.proxy.Evacuate = 2 * time.Second
 	for name, c := range map[string]struct {
 		since  time.Time
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -25,7 +25,7 @@
 const sharesKnown = time.Second
 
 // callOf is a request of a tenant at a service of a front.
-func callOf(f *front, service routing.ServiceName, tenant routing.TenantName) *call {
+func callOf(f *testProxy, service routing.ServiceName, tenant routing.TenantName) *call {
 	config := f.proxy.Config()
 	c := &call{
 		proxy: f.proxy, config: config, service: config.Services[service], route: config.Match("app.example", "/safe/"),
@@ -39,9 +39,9 @@
 }
 
 // flooded is a front of whose two tenants a has asked ten times as much as b, and half in vain.
-func flooded(t *testing.T, service routing.ServiceName, list ...workers.Worker) *front {
+func flooded(t *testing.T, service routing.ServiceName, list ...workers.Worker) *testProxy {
 	t.Helper()
-	f := newFront(t, list...)
+	f := newTestProxy(t, list...)
 	assert.Assert(t, f.proxy.Use(tenantsConfig(t, 2, twoTenants)))
 	now := clock.Now()
 	for range 10 {
@@ -62,7 +62,7 @@
 		c := callOf(f, "keyed", name)
 		for range fairTries {
 			c.claim.owner = nil
-			to := newBackend(workers.Worker{ID: "w"}, &toldMeans{})
+			to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
 			for range 20 {
 				to.throttle.Sent(now, false)
 			}
@@ -80,7 +80,7 @@
 func TestAnOwnerWithRoomTurnsNobodyBack(t *testing.T) {
 	f := flooded(t, "keyed")
 	now := clock.Now()
-	to := newBackend(workers.Worker{ID: "w"}, &toldMeans{})
+	to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
 	c := callOf(f, "keyed", "a")
 	for range 2 * judgedBy {
 		to.shares.Wanted(now, c.claim.caller, 1)
@@ -95,7 +95,7 @@
 // A request of a tenant beyond its share does not wait at a worker, where others would wait
 // behind it.
 func TestATenantBeyondItsShareTakesFreeWorkersOnly(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := flooded(t, "pool", w.entry("pool"))
 	yields := 0
 	const tries = 30 // few, since b counts for more with each
@@ -107,18 +107,18 @@
 	}
 	assert.Assert(t, yields > 0 && yields < tries, "%d", yields)
 	c := callOf(f, "pool", "a")
-	list, _ := f.proxy.fleet.membersOf(clock.Now(), c.state, "pool", 1)
+	list, _ := f.proxy.fleet.members(clock.Now(), c.state, "pool", 1)
 	for _, yields := range []bool{false, true} {
 		c.claim.yields = yields
-		assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).to != nil, "the worker is free")
+		assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend != nil, "the worker is free")
 	}
 	for range w.entry("pool").Slots {
 		list[0].backend.begin()
 	}
 	c.claim.yields = true
-	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).to == nil)
+	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend == nil)
 	c.claim.yields = false
-	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).to != nil)
+	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend != nil)
 }
 
 func TestARefusalForATenantsShareIsToldOnce(t *testing.T) {
@@ -127,7 +127,7 @@
 	f.proxy.Log = decision.NewTo(&log, "test")
 	for range 3 {
 		c := callOf(f, "pool", "a")
-		c.giveUp(reasonShare, c.returnAfter())
+		c.giveUp(reasonShare, c.jitteredRetryAfter())
 		recorder := c.writer.(*httptest.ResponseRecorder)
 		assert.Equal(t, recorder.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, recorder.Header().Get("Retry-After") != "")
@@ -153,10 +153,10 @@
 			c.service = &routing.Service{Name: "pool", Queue: 4}
 			c.claim.yields = test.yields
 			for range 2 {
-				assert.Assert(t, c.state.enter(0))
-				defer c.state.leave()
+				assert.Assert(t, c.state.enqueue(0))
+				defer c.state.dequeue()
 			}
-			assert.Equal(t, c.queue(), test.want)
+			assert.Equal(t, c.waitInQueue(), test.want)
 			if !test.want {
 				assert.Equal(t, c.writer.(*httptest.ResponseRecorder).Code, http.StatusServiceUnavailable)
 			}
@@ -166,7 +166,7 @@
 
 // Where the configuration holds no tenants, nothing is counted and nobody yields.
 func TestWithoutTenantsNothingIsCounted(t *testing.T) {
-	f := newFront(t)
+	f := newTestProxy(t)
 	c := callOf(f, "pool", "")
 	c.countLost(reasonBusy)
 	assert.Equal(t, c.claim, claim{})
@@ -181,7 +181,7 @@
 
 // The tenant's priority goes before the route's.
 func TestSharesGoByTheTenantsPriority(t *testing.T) {
-	f := newFront(t)
+	f := newTestProxy(t)
 	config := tenantsConfig(t, 2, twoTenants)
 	config.Tenants["a"].Priority = 3
 	assert.Assert(t, f.proxy.Use(config))
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -19,7 +19,7 @@
 	byID      map[workers.ID]*backend
 	services  map[routing.ServiceName]*serviceState
 	// means are those of what each service's workers tell.
-	means  map[routing.ServiceName]*toldMeans
+	means  map[routing.ServiceName]*reportedMeans
 	limits BudgetLimits
 	// ended is called with what is known of a worker that has started again, outside of mu.
 	ended func(*backend)
@@ -38,7 +38,7 @@
 	return &fleet{
 		zone: zone, directory: directory, limits: limits, seed: maphash.MakeSeed(), policy: zoned, sizes: newSizes(),
 		byID: map[workers.ID]*backend{}, services: map[routing.ServiceName]*serviceState{},
-		means:    map[routing.ServiceName]*toldMeans{},
+		means:    map[routing.ServiceName]*reportedMeans{},
 		keptAway: func(time.Time, *backend) bool { return false },
 	}
 }
@@ -61,22 +61,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known = f.byID[worker.ID]
-	if known != nil && known.isOtherLife(worker) {
+	if known != nil && known.isOtherIncarnation(worker) {
 		known, before = nil, known
 	}
 	if known == nil {
 		known = newBackend(worker, f.meansOf(worker.Service))
 		f.byID[worker.ID] = known
 	}
-	known.announce(worker)
+	known.update(worker)
 	return known, before
 }
 
 // meansOf returns the means of what a service's workers tell. The caller holds mu.
-func (f *fleet) meansOf(service routing.ServiceName) *toldMeans {
+func (f *fleet) meansOf(service routing.ServiceName) *reportedMeans {
 	known := f.means[service]
 	if known == nil {
-		known = &toldMeans{}
+		known = &reportedMeans{}
 		f.means[service] = known
 	}
 	return known
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -140,7 +140,7 @@
 		Room: bodies.NewRoom(0), Turns: bodies.NewTurns(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // it never fails
-	p.fleet.keptAway = p.isKeptAway
+	p.fleet.keptAway = p.isBlocked
 	p.fleet.ended = func(before *backend) { p.workerEnded(before, false) }
 	return p
 }
@@ -225,9 +225,9 @@
 	detach := context.AfterFunc(p.ending, cancel)
 	defer detach()
 	c := &call{proxy: p, writer: writer, request: request.WithContext(ctx), began: clock.Now(), tried: map[workers.ID]bool{}, detach: detach}
-	defer c.holding.end()
+	defer c.cleanups.end()
 	c.message.ID = request.Header.Get(p.Headers.RequestID)
-	c.unread = request.ContentLength < 0 || request.ContentLength > bodies.Small
+	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.Small
 	if p.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
@@ -245,7 +245,7 @@
 		return
 	}
 	defer c.returnQuota()
-	c.allowed.attempts = max(1, c.route.Attempts)
+	c.sends.maxRuns = max(1, c.route.Attempts)
 	c.service = c.part(used)
 	if !c.prepare() {
 		return
@@ -253,9 +253,9 @@
 	if c.quarantined() {
 		return
 	}
-	c.arrivedAs = c.standing()
+	c.initialStanding = c.standing()
 	c.state = p.fleet.service(c.service)
-	c.state.budget.request(int(p.Nodes.Load()), c.began)
+	c.state.budget.recordRequest(int(p.Nodes.Load()), c.began)
 	c.demand(used)
 	if c.service.Keyed {
 		c.serveKeyed()
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSilentWorkerIsHedged(t *testing.T) {
+func TestUnresponsiveWorkerIsHedged(t *testing.T) {
 	release := make(chan struct{})
 	silent := func(connection net.Conn, request *http.Request) bool {
 		<-release
@@ -25,9 +25,9 @@
 		answer(connection, request, http.StatusOK, "second")
 		return true
 	}
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	defer close(release)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "second")
@@ -48,8 +48,8 @@
 		time.Sleep(time.Second)
 		return false
 	}
-	one, two := newWorker(t, "w1", run), newWorker(t, "w2", run)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	one, two := newFakeWorker(t, "w1", run), newFakeWorker(t, "w2", run)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	_, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, body, "first")
 }
@@ -60,9 +60,9 @@
 		answer(connection, request, http.StatusOK, "slow")
 		return true
 	}
-	one, two := newWorker(t, "w1", run), newWorker(t, "w2", run)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	one, two := newFakeWorker(t, "w1", run), newFakeWorker(t, "w2", run)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	assert.Equal(t, one.arrivals()+two.arrivals(), 1)
+	assert.Equal(t, one.receivedCount()+two.receivedCount(), 1)
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -34,7 +34,7 @@
 
 // isLimited reports whether a worker names a limit. While none does it costs one load.
 func (p *Proxy) isLimited(to *backend) bool {
-	return p.anyLimited() && p.Limits.Limited(to.described().Life())
+	return p.anyLimited() && p.Limits.Limited(to.info().Life())
 }
 
 // permitted asks whether the request may leave for a worker that may name a limit, within some
@@ -47,8 +47,8 @@
 	if until := to.limitedUntil(); until.Sub(now) > patience {
 		return until.Sub(now), false
 	}
-	within := min(time.Duration(permitShare*float64(c.route.Target)), max(0, c.left()-answerMargin))
-	wait, ok = c.proxy.Limits.Take(to.described().Life(), patience, within)
+	within := min(time.Duration(permitShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
+	wait, ok = c.proxy.Limits.Take(to.info().Life(), patience, within)
 	if !ok {
 		to.limit(clock.Now().Add(wait))
 	}
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -77,9 +77,9 @@
 }
 
 // newLimitedFront is a front with limits that let none through for a second and a half.
-func newLimitedFront(t *testing.T, limited []workers.ID, entries ...workers.Worker) (*front, *fakeLimits) {
+func newLimitedFront(t *testing.T, limited []workers.ID, entries ...workers.Worker) (*testProxy, *fakeLimits) {
 	t.Helper()
-	f := newFront(t, entries...)
+	f := newTestProxy(t, entries...)
 	limits := &fakeLimits{named: map[workers.ID]float64{}, wait: 1500 * time.Millisecond}
 	for _, id := range limited {
 		limits.named[id] = 1
@@ -89,14 +89,14 @@
 }
 
 func TestWhatALimitedWorkerDoesNotTakeGoesToAnother(t *testing.T) {
-	limited, other := newWorker(t, "w1", answers("x")), newWorker(t, "w2", answers("x"))
+	limited, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	f, _ := newLimitedFront(t, []workers.ID{"w1"}, limited.entry("pool"), other.entry("pool"))
 	for range 10 {
 		response, _ := f.get(t, "GET", "/safe/", "")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, limited.arrivals(), 0)
-	assert.Equal(t, other.arrivals(), 10)
+	assert.Equal(t, limited.receivedCount(), 0)
+	assert.Equal(t, other.receivedCount(), 10)
 }
 
 func TestWhatNoWorkerTakesIsRefusedAtOnce(t *testing.T) {
@@ -106,9 +106,9 @@
 			if name == "keyed" {
 				service = "keyed"
 			}
-			w := newWorker(t, "w1", answers("x"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f, limits := newLimitedFront(t, []workers.ID{"w1"}, w.entry(service))
-			f.owns(w.entry(service))
+			f.assignAllKeys(w.entry(service))
 			for range 5 {
 				began := time.Now()
 				response, body := f.get(t, "GET", path, "", "X-Key", "7")
@@ -119,7 +119,7 @@
 				assert.Assert(t, after > 1 && after < 2, "%f s", after)
 				assert.Assert(t, time.Since(began) < 300*time.Millisecond, "nothing is waited for")
 			}
-			assert.Equal(t, w.arrivals(), 0)
+			assert.Equal(t, w.receivedCount(), 0)
 			assert.Equal(t, limits.asks(), 1, "what is known is not asked again")
 		})
 	}
@@ -128,9 +128,9 @@
 func TestTheEndOfALimitCountsAtOnce(t *testing.T) {
 	for name, path := range map[string]string{"pool": "/safe/", "keyed": "/keyed/"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f, limits := newLimitedFront(t, []workers.ID{"w1"}, w.entry(name))
-			f.owns(w.entry(name))
+			f.assignAllKeys(w.entry(name))
 			response, _ := f.get(t, "GET", path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 			limits.end()
@@ -147,20 +147,20 @@
 		// permits are asked for.
 		permits int
 	}{
-		"pool":                        {service: "pool", path: "/safe/", run: answers("x"), permits: 1},
-		"keyed":                       {service: "keyed", path: "/keyed/", run: answers("x"), permits: 1},
-		"sent again to another":       {service: "pool", path: "/unsafe/", run: refusesOnce(), permits: 2},
+		"pool":                        {service: "pool", path: "/safe/", run: alwaysAnswer("x"), permits: 1},
+		"keyed":                       {service: "keyed", path: "/keyed/", run: alwaysAnswer("x"), permits: 1},
+		"sent again to another":       {service: "pool", path: "/unsafe/", run: refuseOnce(), permits: 2},
 		"sent again after it may run": {service: "pool", path: "/safe/", run: breaksOnce(), permits: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			one, two := newWorker(t, "w1", test.run), newWorker(t, "w2", test.run)
+			one, two := newFakeWorker(t, "w1", test.run), newFakeWorker(t, "w2", test.run)
 			f, limits := newLimitedFront(t, []workers.ID{"w1", "w2"}, one.entry(test.service), two.entry(test.service))
-			f.owns(one.entry(test.service))
+			f.assignAllKeys(one.entry(test.service))
 			limits.left = 5
 			response, _ := f.get(t, "GET", test.path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 			assert.Equal(t, limits.asks(), test.permits)
-			assert.Equal(t, one.arrivals()+two.arrivals(), test.permits)
+			assert.Equal(t, one.receivedCount()+two.receivedCount(), test.permits)
 		})
 	}
 }
@@ -185,17 +185,17 @@
 		answer(connection, request, http.StatusOK, "slow")
 		return true
 	}
-	first, limited := newWorker(t, "w1", slow), newWorker(t, "w2", answers("x"))
-	var f *front
+	first, limited := newFakeWorker(t, "w1", slow), newFakeWorker(t, "w2", alwaysAnswer("x"))
+	var f *testProxy
 	f, limits = newLimitedFront(t, []workers.ID{"w2"}, first.entry("pool"), limited.entry("pool"))
 	limits.wait = time.Millisecond
 	_, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, body, "slow")
-	assert.Equal(t, limited.arrivals(), 0)
+	assert.Equal(t, limited.receivedCount(), 0)
 }
 
 func TestAnswersAndRefusalsTellTheLimit(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x", "X-Limit: 2.5")
 		return true
 	})
--- a/internal/proxy/odd_test.go
+++ b/internal/proxy/malformed_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request of any caller comes to each router in turn: whatever it says, none must end by it.
-func TestOddRequestsEndNoRouter(t *testing.T) {
+func TestMalformedRequestsDoNotCrashRouter(t *testing.T) {
 	tests := map[string]struct {
 		path    string
 		headers []string
@@ -27,13 +27,13 @@
 		"worker's headers from caller": {path: "/safe/", headers: []string{"X-Load", "1,2,0", "X-Not-Run", "1", "X-Target", "other"}},
 	}
 	odd := []string{"X-Load: -1,99999999999,0", "Keep-Alive: timeout=99999999999999999", "Retry-After: -1"}
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x", odd...)
 		return true
 	})
 	entry := w.entry("pool")
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			response, err := http.DefaultClient.Do(f.request(t, "GET", test.path, "", test.headers...))
@@ -49,9 +49,9 @@
 
 // A copy of a request runs beside its caller's handler. If it panics, the handler does, as it
 // would without copies: the caller's connection breaks, and the process goes on.
-func TestAPanicInACopyEndsTheRequestOnly(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+func TestPanicInCopyAbortsOnlyItsRequest(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	f.get(t, "GET", "/safe/", "")
 	list, _ := f.directory.Usable("pool")
 	broken := f.proxy.fleet.get(list[0])
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -14,25 +14,25 @@
 )
 
 // watchNotice learns from the end of a send whether its worker leaves, or asks for a backoff.
-func (c *call) watchNotice(to *backend, got *upstream.Result) {
-	if got.Leaving {
+func (c *call) recordNotice(to *backend, result *upstream.Result) {
+	if result.Leaving {
 		c.proxy.Metrics.noticed(c.service.Name, noticeLeaving)
 		if c.proxy.Leaving != nil {
-			c.proxy.Leaving(to.described().Life())
+			c.proxy.Leaving(to.info().Life())
 		}
 	}
-	c.watchBackoff(to, got)
-	c.proxy.countUnread(to.id(), got.Header)
+	c.recordBackoff(to, result)
+	c.proxy.countUnread(to.id(), result.Header)
 }
 
 // isKeptAway reports whether a worker gets no more for now, since it names a limit or has asked for a
 // backoff.
-func (p *Proxy) isKeptAway(now time.Time, to *backend) bool {
+func (p *Proxy) isBlocked(now time.Time, to *backend) bool {
 	return to.backoffLeft(now) > 0 || (now.Before(to.limitedUntil()) && p.isLimited(to))
 }
 
 // keptAwayUntil returns until when a worker gets no more; zero if it may get some.
-func (p *Proxy) keptAwayUntil(now time.Time, to *backend) (until time.Time, reason string) {
+func (p *Proxy) blockedUntil(now time.Time, to *backend) (until time.Time, reason string) {
 	if p.isLimited(to) && now.Before(to.limitedUntil()) {
 		until, reason = to.limitedUntil(), reasonLimited
 	}
@@ -44,27 +44,27 @@
 
 // allKeptAway reports whether all workers that a request might be sent to get no more for now, and by
 // what the first that may get some again is kept away, until when.
-func (c *call) allKeptAway(now time.Time) (until time.Time, reason string) {
-	list, _ := c.proxy.fleet.membersOf(now, c.state, c.service.Name, int(c.proxy.Nodes.Load()))
+func (c *call) allBlocked(now time.Time) (until time.Time, reason string) {
+	list, _ := c.proxy.fleet.members(now, c.state, c.service.Name, int(c.proxy.Nodes.Load()))
 	for _, one := range list {
 		if !one.backend.usable(now) {
 			continue
 		}
-		kept, why := c.proxy.keptAwayUntil(now, one.backend)
-		if why == "" {
+		blockedUntil, cause := c.proxy.blockedUntil(now, one.backend)
+		if cause == "" {
 			return time.Time{}, ""
 		}
-		if reason == "" || kept.Before(until) {
-			until, reason = kept, why
+		if reason == "" || blockedUntil.Before(until) {
+			until, reason = blockedUntil, cause
 		}
 	}
 	return until, reason
 }
 
 // returnWhenNotKept is when a caller may come back that no worker takes for some time.
-func (c *call) returnWhenNotKept(reason string, wait time.Duration) time.Duration {
+func (c *call) blockedRetryAfter(reason string, wait time.Duration) time.Duration {
 	if reason == reasonBackoff {
-		return c.returnElsewhere(wait)
+		return c.backoffRetryAfter(wait)
 	}
 	return returnWhenLet(wait)
 }
--- a/internal/proxy/sheds_test.go
+++ b/internal/proxy/overload_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// turnsAway refuses requests and tells a load, but runs each so many-th.
-func turnsAway(load string, runs int32) script {
+// rejects refuses requests and tells a load, but runs each so many-th.
+func rejects(load string, runs int32) script {
 	var count atomic.Int32
 	return func(connection net.Conn, request *http.Request) bool {
 		if runs > 0 && count.Add(1)%runs == 0 {
@@ -26,7 +26,7 @@
 // An owner of keys that turns requests away although it has slots to spare may take the next one:
 // callers lose each request that is refused without asking it. One that is full takes none, and
 // each request that it is asked for costs it work and the caller time.
-func TestOwnersThatTurnRequestsAwayAreAskedByTheirLoad(t *testing.T) {
+func TestRejectingOwnersAreThrottledByLoad(t *testing.T) {
 	const requests = 120
 	for name, test := range map[string]struct {
 		run script
@@ -34,13 +34,13 @@
 		mostUnasked, leastServed int
 		leastUnasked             int
 	}{
-		"idle, takes a third": {run: turnsAway("0,0,4", 3), leastServed: requests / 3},
-		"full, takes none":    {run: turnsAway("4,8,4", 0), mostUnasked: requests, leastUnasked: requests / 2},
+		"idle, takes a third": {run: rejects("0,0,4", 3), leastServed: requests / 3},
+		"full, takes none":    {run: rejects("4,8,4", 0), mostUnasked: requests, leastUnasked: requests / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", test.run)
-			f := newFront(t, w.entry("keyed"))
-			f.owns(w.entry("keyed"))
+			w := newFakeWorker(t, "w1", test.run)
+			f := newTestProxy(t, w.entry("keyed"))
+			f.assignAllKeys(w.entry("keyed"))
 			f.proxy.SetLimits(BudgetLimits{}) // no second sends
 			served := 0
 			for range requests {
@@ -49,7 +49,7 @@
 					served++
 				}
 			}
-			unasked := max(0, requests-w.arrivals())
+			unasked := max(0, requests-w.receivedCount())
 			assert.Assert(t, unasked <= test.mostUnasked && unasked >= test.leastUnasked, "%d refused unasked", unasked)
 			assert.Assert(t, served >= test.leastServed, "%d served", served)
 		})
@@ -59,7 +59,7 @@
 // Callers come back when they are told, up to twice. From an owner that turns two of three requests
 // away while it has slots to spare, what they wait for in all leaves them the time for their work;
 // from one that is full they stay away longer.
-func TestCallersReturnSoonToWhoHasRoom(t *testing.T) {
+func TestRetryAfterIsShortWhenOwnerHasCapacity(t *testing.T) {
 	const callers, tries = 30, 3
 	for name, test := range map[string]struct {
 		run    script
@@ -67,13 +67,13 @@
 		// most and least are what one caller is told to wait for in all.
 		least, most time.Duration
 	}{
-		"idle, takes a third": {run: turnsAway("0,0,4", 3), served: callers, most: 2 * leastRetryAfter},
-		"full, takes none":    {run: turnsAway("4,8,4", 0), least: tries * 100 * time.Millisecond, most: time.Hour},
+		"idle, takes a third": {run: rejects("0,0,4", 3), served: callers, most: 2 * minRetryAfter},
+		"full, takes none":    {run: rejects("4,8,4", 0), least: tries * 100 * time.Millisecond, most: time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", test.run)
-			f := newFront(t, w.entry("keyed"))
-			f.owns(w.entry("keyed"))
+			w := newFakeWorker(t, "w1", test.run)
+			f := newTestProxy(t, w.entry("keyed"))
+			f.assignAllKeys(w.entry("keyed"))
 			f.proxy.SetLimits(BudgetLimits{}) // no second sends
 			served := 0
 			for range callers {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -12,25 +12,25 @@
 // Constants of picking.
 const (
 	// jitter keeps processes that know the same from picking the same worker.
-	jitter = 0.12
-	// fullCrowd is the number of requests at a worker, as a multiple of its
+	estimateJitter = 0.12
+	// maxLoadRatio is the number of requests at a worker, as a multiple of its
 	// slots, above which no more are sent.
-	fullCrowd = 3.5
-	// usualEvery is the pause between averages over a service's workers.
-	usualEvery = 200 * time.Millisecond
+	maxLoadRatio = 3.5
+	// meanLatencyInterval is the pause between averages over a service's workers.
+	meanLatencyInterval = 200 * time.Millisecond
 )
 
 // choice is a worker and how long a request sent to it now would take.
 type choice struct {
-	to       *backend
+	backend  *backend
 	estimate time.Duration
 	// free says that the request would probably not wait there.
-	free bool
+	hasFreeSlot bool
 }
 
 // sooner returns the choice that answers sooner.
-func (c choice) sooner(other choice) choice {
-	if c.to == nil || (other.to != nil && other.estimate < c.estimate) {
+func (c choice) faster(other choice) choice {
+	if c.backend == nil || (other.backend != nil && other.estimate < c.estimate) {
 		return other
 	}
 	return c
@@ -51,35 +51,35 @@
 // list of workers or the number of processes changes: a pick among 98 workers took 27 µs
 // when it looked each of them up, and 11 µs since (BenchmarkPick), which counts where
 // requests that wait pick again every 5 ms on a sixth of a core.
-type members struct {
+type memberCache struct {
 	list    []member
 	version uint64
 	nodes   int
-	known   bool
+	valid   bool
 	// usual is the mean time over the workers that were measured, as of usualAt.
-	usual   time.Duration
-	usualAt time.Time
+	meanLatency   time.Duration
+	meanLatencyAt time.Time
 }
 
 // membersOf returns a service's workers, and the mean time of work at them.
-func (f *fleet) membersOf(now time.Time, service *serviceState, name routing.ServiceName, nodes int) ([]member, time.Duration) {
-	service.membersMu.Lock()
-	defer service.membersMu.Unlock()
-	m := &service.members
+func (f *fleet) members(now time.Time, state *serviceState, name routing.ServiceName, nodes int) ([]member, time.Duration) {
+	state.membersMu.Lock()
+	defer state.membersMu.Unlock()
+	m := &state.members
 	announced, version := f.directory.Usable(name)
-	if !m.known || m.version != version || m.nodes != nodes {
-		m.list, m.version, m.nodes, m.known = f.list(service, announced, version, nodes), version, nodes, true
-		m.usualAt = time.Time{}
+	if !m.valid || m.version != version || m.nodes != nodes {
+		m.list, m.version, m.nodes, m.valid = f.buildMembers(state, announced, version, nodes), version, nodes, true
+		m.meanLatencyAt = time.Time{}
 	}
-	if now.Sub(m.usualAt) >= usualEvery {
-		m.usual, m.usualAt = usualOf(m.list), now
+	if now.Sub(m.meanLatencyAt) >= meanLatencyInterval {
+		m.meanLatency, m.meanLatencyAt = meanLatencyOf(m.list), now
 	}
-	return m.list, m.usual
+	return m.list, m.meanLatency
 }
 
 // list looks workers up.
-func (f *fleet) list(service *serviceState, announced []workers.Worker, version uint64, nodes int) []member {
-	preferred := f.preferred(service, announced, version, nodes)
+func (f *fleet) buildMembers(state *serviceState, announced []workers.Worker, version uint64, nodes int) []member {
+	preferred := f.preferred(state, announced, version, nodes)
 	considered := f.considered(announced, len(preferred))
 	list := make([]member, 0, len(considered))
 	for _, worker := range considered {
@@ -92,68 +92,68 @@
 }
 
 // preferred returns the workers of the own zone that this process sends to first.
-func (f *fleet) preferred(service *serviceState, list []workers.Worker, version uint64, nodes int) map[workers.ID]bool {
+func (f *fleet) preferred(state *serviceState, list []workers.Worker, version uint64, nodes int) map[workers.ID]bool {
 	zones := map[string]bool{}
-	var near []workers.ID
+	var sameZone []workers.ID
 	for _, worker := range list {
 		zones[worker.Zone] = true
 		if worker.Zone == f.zone {
-			near = append(near, worker.ID)
+			sameZone = append(sameZone, worker.ID)
 		}
 	}
-	return service.subset.of(f.seed, near, version, subsetSize(len(near), nodes/max(1, len(zones))))
+	return state.subset.of(f.seed, sameZone, version, subsetSize(len(sameZone), nodes/max(1, len(zones))))
 }
 
-// usualOf is the mean time over the workers that were measured.
-func usualOf(list []member) time.Duration {
+// meanLatencyOf is the mean time over the workers that were measured.
+func meanLatencyOf(list []member) time.Duration {
 	total, count := time.Duration(0), 0
 	for _, one := range list {
-		if mean, measured := one.backend.mean(usualTime); measured {
+		if mean, measured := one.backend.meanLatency(defaultLatency); measured {
 			total += mean
 			count++
 		}
 	}
 	if count == 0 {
-		return usualTime
+		return defaultLatency
 	}
 	return total / time.Duration(count)
 }
 
 // pick chooses a worker of a pool; none may be sent to now if it has no backend. nodes is
 // how many processes there are.
-func (f *fleet) pick(now time.Time, service *serviceState, of *routing.Service, asks need, tried map[workers.ID]bool, nodes int) choice {
+func (f *fleet) pick(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
 	for {
-		picked := f.soonest(now, service, of, asks, tried, nodes)
-		if picked.to == nil || picked.to.admit(now, of.ColdRate, nodes) {
+		picked := f.fastest(now, state, service, required, tried, nodes)
+		if picked.backend == nil || picked.backend.admit(now, service.ColdRate, nodes) {
 			return picked
 		}
 	}
 }
 
 // soonest returns the worker that a request is best sent to.
-func (f *fleet) soonest(now time.Time, service *serviceState, of *routing.Service, asks need, tried map[workers.ID]bool, nodes int) choice {
-	list, usual := f.membersOf(now, service, of.Name, nodes)
-	var first choice
-	var by nearest
+func (f *fleet) fastest(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
+	list, meanLatency := f.members(now, state, service.Name, nodes)
+	var preferred choice
+	var byDistance nearest
 	for _, one := range list {
-		if tried[one.id] || asks.serves != nil && !asks.serves(one.region) || f.keptAway(now, one.backend) {
+		if tried[one.id] || required.serves != nil && !required.serves(one.region) || f.keptAway(now, one.backend) {
 			continue
 		}
-		candidate, ok := one.backend.assess(now, usual, of.ColdRate, nodes)
-		if !ok || asks.free && !candidate.free {
+		candidate, ok := one.backend.assess(now, meanLatency, service.ColdRate, nodes)
+		if !ok || required.free && !candidate.hasFreeSlot {
 			continue
 		}
-		candidate.estimate = time.Duration(float64(candidate.estimate) * (1 + jitter*rand.Float64()))
+		candidate.estimate = time.Duration(float64(candidate.estimate) * (1 + estimateJitter*rand.Float64()))
 		if one.preferred {
-			first = first.sooner(candidate)
+			preferred = preferred.faster(candidate)
 		} else {
-			by[one.distance] = by[one.distance].sooner(candidate)
+			byDistance[one.distance] = byDistance[one.distance].faster(candidate)
 		}
 	}
-	if first.to == nil || !first.free {
-		first = by[topology.SameZone].sooner(first)
+	if preferred.backend == nil || !preferred.hasFreeSlot {
+		preferred = byDistance[topology.SameZone].faster(preferred)
 	}
-	by[topology.SameZone] = first
-	late := func(mean time.Duration) float64 { return service.late(mean, asks.target) }
-	return f.policy.choose(by, asks, late, func() bool { return f.bulk.take(now, asks.bytes, nodes) })
+	byDistance[topology.SameZone] = preferred
+	lateShare := func(mean time.Duration) float64 { return state.lateShare(mean, required.target) }
+	return f.policy.choose(byDistance, required, lateShare, func() bool { return f.bulk.take(now, required.bytes, nodes) })
 }
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -42,11 +42,13 @@
 	of, service := &routing.Service{Name: "s"}, &serviceState{}
 	now := time.Now()
 	announced, version := f.directory.Usable("s")
-	for _, one := range f.list(service, announced, version, 74) {
+	for _, one := range f.buildMembers(service, announced, version, 74) {
 		one.backend.begin()
-		one.backend.end(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{Loaded: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
+		one.backend.finish(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{Loaded: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
+	}
+	pick := func(at time.Time) *backend {
+		return f.pick(at, service, of, need{target: time.Second}, nil, 74).backend
 	}
-	pick := func(at time.Time) *backend { return f.pick(at, service, of, need{target: time.Second}, nil, 74).to }
 	assert.Assert(t, pick(now.Add(100*time.Millisecond)) == nil)
 	assert.Assert(t, pick(now.Add(5*time.Second)) != nil)
 }
--- a/internal/proxy/pooled.go
+++ b/internal/proxy/pooled.go
@@ -10,65 +10,65 @@
 
 // Times of requests to pools.
 const (
-	// queuePause is the pause between looks for a worker.
-	queuePause = 5 * time.Millisecond
-	// queueShare is the share of the target for which a request waits for one.
-	queueShare = 0.22
+	// queuePollInterval is the pause between looks for a worker.
+	queuePollInterval = 5 * time.Millisecond
+	// queueWaitShare is the share of the target for which a request waits for one.
+	queueWaitShare = 0.22
 )
 
 // servePooled sends the request to a worker of a pool.
 func (c *call) servePooled() {
 	for {
-		picked := c.await()
-		if picked.to == nil {
+		picked := c.awaitWorker()
+		if picked.backend == nil {
 			return
 		}
 		if c.quarantined() {
 			return
 		}
-		if !c.spend() {
-			c.giveUp(reasonBudget, c.returnSoon(100*time.Millisecond))
+		if !c.spendRetryBudget() {
+			c.giveUp(reasonBudget, c.retryAfterRejection(100*time.Millisecond))
 			return
 		}
-		got := c.sendPooled(picked)
-		if c.finish(got) {
+		result := c.sendPooled(picked)
+		if c.finish(result) {
 			return
 		}
-		c.tried[c.lastTo] = true
-		if !c.allowed.left() {
-			c.giveUp(reasonRefused, c.returnSoon(100*time.Millisecond))
+		c.tried[c.lastWorker] = true
+		if !c.sends.maySend() {
+			c.giveUp(reasonRefused, c.retryAfterRejection(100*time.Millisecond))
 			return
 		}
-		c.tellAgain(got)
+		c.logResend(result)
 	}
 }
 
 // sendPooled sends the request, and where it may be repeated a second copy to
 // another worker if the first stays silent.
 func (c *call) sendPooled(picked choice) *upstream.Result {
-	if !c.repeatable() || c.allowed.mayHaveRun() > 0 || !c.maySpread() {
-		return c.sendTo(picked.to, c.deadline.Add(-answerMargin))
+	if !c.repeatable() || c.sends.mayHaveRun() > 0 || !c.maySpread() {
+		return c.sendTo(picked.backend, c.deadline.Add(-answerMargin))
 	}
 	return c.sendHedged(picked, func() *backend {
-		asks := c.need()
-		asks.stay = asks.bulk // the link between regions must not carry a large body twice
-		asks.spare = true
-		return c.pick(clock.Now(), asks, map[workers.ID]bool{picked.to.id(): true}).to
+		required := c.need()
+		required.stay = required.bulk // the link between regions must not carry a large body twice
+		required.spare = true
+		return c.pick(clock.Now(), required, map[workers.ID]bool{picked.backend.id(): true}).backend
 	})
 }
 
 // pick chooses a worker that was not tried, and that may get one more request now.
-func (c *call) pick(now time.Time, asks need, tried map[workers.ID]bool) choice {
+func (c *call) pick(now time.Time, required need, tried map[workers.ID]bool) choice {
 	for {
-		picked := c.proxy.fleet.pick(now, c.state, c.service, asks, tried, int(c.proxy.Nodes.Load()))
-		if picked.to == nil {
+		picked := c.proxy.fleet.pick(now, c.state, c.service, required, tried, int(c.proxy.Nodes.Load()))
+		if picked.backend == nil {
 			return picked
 		}
-		if asks.spare && c.proxy.isLimited(picked.to) {
-			tried[picked.to.id()] = true
+		if required.spare && c.proxy.isLimited(picked.backend) {
+			tried[picked.backend.id()] = true
 			continue
 		}
-		if _, ok := c.permitted(picked.to, 0); ok {
+		if _, ok := c.permitted(picked.backend, 0); ok {
 			return picked
 		}
 		now = clock.Now()
@@ -77,33 +77,33 @@
 
 // await picks a worker, and waits a moment for one. It returns none after it has
 // answered the request.
-func (c *call) await() choice {
-	patient := c.began.Add(time.Duration(queueShare * float64(c.route.Target)))
+func (c *call) awaitWorker() choice {
+	waitLimit := c.began.Add(time.Duration(queueWaitShare * float64(c.route.Target)))
 	for {
 		now := clock.Now()
-		if picked := c.pick(now, c.need(), c.tried); picked.to != nil {
-			if picked.estimate < c.left() || c.allowed.sends() > 0 || picked.to.estimateAged(now, usualTime) < c.left() {
+		if picked := c.pick(now, c.need(), c.tried); picked.backend != nil {
+			if picked.estimate < c.timeLeft() || c.sends.mayHaveArrived() > 0 || picked.backend.estimateDecayed(now, defaultLatency) < c.timeLeft() {
 				return picked
 			}
 			c.giveUp(reasonBusy, 100*time.Millisecond)
 			return choice{}
 		}
-		if len(c.tried) > 0 && c.forget() {
+		if len(c.tried) > 0 && c.resetTried() {
 			continue
 		}
-		if until, reason := c.allKeptAway(now); reason != "" && until.After(patient) {
-			c.giveUp(reason, c.returnWhenNotKept(reason, until.Sub(now)))
+		if until, reason := c.allBlocked(now); reason != "" && until.After(waitLimit) {
+			c.giveUp(reason, c.blockedRetryAfter(reason, until.Sub(now)))
 			return choice{}
 		}
 		if c.nowhere() {
 			c.giveUp(reasonRegion, regionReturn)
 			return choice{}
 		}
-		if now.After(patient) || c.left() <= answerMargin {
-			c.giveUp(c.noWorker(), 100*time.Millisecond)
+		if now.After(waitLimit) || c.timeLeft() <= answerMargin {
+			c.giveUp(c.noWorkerReason(), 100*time.Millisecond)
 			return choice{}
 		}
-		if !c.queue() {
+		if !c.waitInQueue() {
 			return choice{}
 		}
 	}
@@ -111,22 +111,22 @@
 
 // queue waits a moment among the service's other waiting requests; false if the
 // request has ended.
-func (c *call) queue() bool {
-	if c.claim.yields && c.state.crowded(c.service.Queue) {
-		c.giveUp(reasonShare, c.returnAfter())
+func (c *call) waitInQueue() bool {
+	if c.claim.yields && c.state.halfFull(c.service.Queue) {
+		c.giveUp(reasonShare, c.jitteredRetryAfter())
 		return false
 	}
-	if !c.state.enter(c.service.Queue) {
+	if !c.state.enqueue(c.service.Queue) {
 		c.giveUp(reasonQueue, 100*time.Millisecond)
 		return false
 	}
-	defer c.state.leave()
-	return c.pause(queuePause)
+	defer c.state.dequeue()
+	return c.pause(queuePollInterval)
 }
 
 // forget lets workers be tried again that did not run the request, once all
 // others were tried.
-func (c *call) forget() bool {
+func (c *call) resetTried() bool {
 	if len(c.tried) < c.usable() {
 		return false
 	}
@@ -134,7 +134,7 @@
 	return true
 }
 
-func (c *call) noWorker() string {
+func (c *call) noWorkerReason() string {
 	switch {
 	case c.usable() == 0:
 		return reasonNoWorker
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,56 +18,56 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusAccepted, "body", "X-Other: o", "Keep-Alive: timeout=10")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, body := f.get(t, "POST", "/unsafe/a?b=c", "sent")
 	assert.Equal(t, response.StatusCode, http.StatusAccepted)
 	assert.Equal(t, body, "body")
 	assert.Equal(t, response.Header.Get("X-Other"), "o")
 	assert.Equal(t, response.Header.Get("X-Signature"), "s")
 	assert.Equal(t, response.Header.Get("Keep-Alive"), "", "concerns the other connection")
-	assert.Equal(t, w.arrived[0].RequestURI, "/unsafe/a?b=c")
-	assert.Equal(t, w.arrived[0].Host, "app.example")
-	assert.Equal(t, w.arrived[0].Header.Get("X-Target"), "w1")
+	assert.Equal(t, w.received[0].RequestURI, "/unsafe/a?b=c")
+	assert.Equal(t, w.received[0].Host, "app.example")
+	assert.Equal(t, w.received[0].Header.Get("X-Target"), "w1")
 	assert.Equal(t, w.bodies[0], "sent")
 }
 
-func TestDeadlineIsWhatIsLeft(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+func TestDeadlineHeaderCarriesRemainingTime(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	f.get(t, "GET", "/safe/", "", "X-Deadline", "700")
-	left, err := strconv.Atoi(w.arrived[0].Header.Get("X-Deadline"))
+	left, err := strconv.Atoi(w.received[0].Header.Get("X-Deadline"))
 	assert.NilError(t, err)
 	assert.Assert(t, left <= 700 && left > 300, "%d", left)
 }
 
-func TestUnsafeRequestIsSentOnceAfterItsFirstByte(t *testing.T) {
-	w := newWorker(t, "w1", reset)
-	other := newWorker(t, "w2", reset)
-	f := newFront(t, w.entry("pool"), other.entry("pool"))
+func TestUnsafeRequestIsNotResentAfterFirstByte(t *testing.T) {
+	w := newFakeWorker(t, "w1", reset)
+	other := newFakeWorker(t, "w2", reset)
+	f := newTestProxy(t, w.entry("pool"), other.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway, "503 would promise that it did not run")
-	assert.Equal(t, w.arrivals()+other.arrivals(), 1)
+	assert.Equal(t, w.receivedCount()+other.receivedCount(), 1)
 }
 
-func TestUnsafeRequestThatDidNotRunGoesToAnother(t *testing.T) {
-	once := refusesOnce()
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+func TestUnsafeRequestThatDidNotRunIsRetried(t *testing.T) {
+	once := refuseOnce()
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, body := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "done")
-	assert.Equal(t, one.arrivals(), 1)
-	assert.Equal(t, two.arrivals(), 1)
+	assert.Equal(t, one.receivedCount(), 1)
+	assert.Equal(t, two.receivedCount(), 1)
 }
 
-func TestRefusedEverywhereIsAPromiseWithATime(t *testing.T) {
-	w := newWorker(t, "w1", refuses)
-	f := newFront(t, w.entry("pool"))
+func TestRefusedByAllWorkersReturns503WithRetryAfter(t *testing.T) {
+	w := newFakeWorker(t, "w1", refuse)
+	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
@@ -75,7 +75,7 @@
 	assert.Assert(t, after > 0)
 }
 
-func TestSafeRequestIsSentAgainAfterABrokenAnswer(t *testing.T) {
+func TestSafeRequestIsResentAfterTruncatedAnswer(t *testing.T) {
 	var first atomic.Bool
 	once := func(connection net.Conn, request *http.Request) bool {
 		if first.CompareAndSwap(false, true) {
@@ -86,63 +86,63 @@
 		answer(connection, request, http.StatusOK, "whole")
 		return true
 	}
-	one, two := newWorker(t, "w1", once), newWorker(t, "w2", once)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "whole")
 }
 
-func TestAnswerCutShortOfAnUnsafeRequestIsNotPassedOn(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+func TestTruncatedAnswerToUnsafeRequestIsNotForwarded(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+
 			"\r\nX-Signature: s\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 	assert.Equal(t, response.Header.Get("X-Signature"), "")
-	assert.Equal(t, w.arrivals(), 1)
+	assert.Equal(t, w.receivedCount(), 1)
 }
 
 // A second answer may come late, where the next one is due.
-func TestSurplusAnswerIsReadPast(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: another\r\nX-Signature: s\r\nContent-Length: 5\r\n\r\nwrong")
 		answer(connection, request, http.StatusOK, "right")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, body := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "right")
 }
 
-func TestSuccessWithoutSignatureIsNotTheWorkers(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+func TestUnsignedSuccessIsRejected(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+"\r\nContent-Length: 1\r\n\r\nx")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 }
 
-func TestWorkIsStoppedWhenTheClientLeaves(t *testing.T) {
+func TestClientDisconnectCancelsWork(t *testing.T) {
 	asked := make(chan struct{}, 1)
-	w := newWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
 		asked <- struct{}{}
 		_, _ = connection.Read(make([]byte, 1)) // until the connection ends
 		return false
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { _, _ = http.DefaultClient.Do(f.request(t, "GET", "/safe/", "").WithContext(ctx)) }()
 	<-asked
 	leave()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if w.ends() == 1 {
+		if w.closedConnections() == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("the worker's connection is open")
@@ -152,36 +152,36 @@
 // Found by a hunt at Tweede Leven (hunt-82f6-35, BUDGET): the address of a worker
 // that had gone belonged to another service, and requests went there again and
 // again.
-func TestAddressOfAnotherWorkerIsAskedOnce(t *testing.T) {
-	w := newWorker(t, "other", func(connection net.Conn, request *http.Request) bool {
+func TestMisdirectedAddressIsTriedOnce(t *testing.T) {
+	w := newFakeWorker(t, "other", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusMisdirectedRequest, "", "X-Worker: other", "X-Not-Run: 1")
 		return true
 	})
 	entry := w.entry("keyed")
 	entry.ID = "gone"
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	for range 4 {
 		response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 		assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	}
-	assert.Equal(t, w.arrivals(), 1)
+	assert.Equal(t, w.receivedCount(), 1)
 }
 
-func TestKeyedRequestFollowsItsOwner(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+func TestKeyedRequestWaitsForOwner(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
-	f := newFront(t, entry)
+	f := newTestProxy(t, entry)
 	go func() {
 		time.Sleep(30 * time.Millisecond)
-		f.owns(entry)
+		f.assignAllKeys(entry)
 	}()
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-func TestKeyWithoutOwnerIsRefusedAtOnce(t *testing.T) {
-	f := newFront(t)
+func TestKeyWithoutOwnerIsRefusedQuickly(t *testing.T) {
+	f := newTestProxy(t)
 	began := time.Now()
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
@@ -189,11 +189,11 @@
 	assert.Assert(t, time.Since(began) < time.Second)
 }
 
-func TestKeysOfADrainingWorkerEndBeforeItDoes(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+func TestDrainingOwnerStopsReceivingRequests(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	entry.State = workers.StateDraining
 	f.directory.Update([]workers.Worker{entry}, nil, nil)
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
@@ -207,11 +207,11 @@
 // are stored. They may name a worker that left before: it is in no list, so nothing says that
 // its entry went, and requests for its keys reached it until its keys had moved, however long
 // that took. Found by reading, when requests had reached a worker 12 s after it had left.
-func TestAnOwnerThatIsNotAnnouncedGetsWorkForAMomentOnly(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	other := newWorker(t, "w2", answers("x"))
-	f := newFront(t, other.entry("keyed"))
-	f.owns(w.entry("keyed"))
+func TestUnannouncedOwnerReceivesRequestsOnlyBriefly(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	other := newFakeWorker(t, "w2", alwaysAnswer("x"))
+	f := newTestProxy(t, other.entry("keyed"))
+	f.assignAllKeys(w.entry("keyed"))
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusOK, "its entry may be on its way")
 	time.Sleep(testDrain - testDrain/2)
@@ -222,15 +222,15 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK, "it is announced")
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	f := newFront(t)
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	f := newTestProxy(t)
 	assert.Assert(t, f.proxy.Use(testConfig(t, 5)))
 	assert.Assert(t, !f.proxy.Use(testConfig(t, 4)))
 	assert.Equal(t, f.proxy.Config().Version, testConfig(t, 5).Version)
 }
 
-func TestNoConfigurationIsNoMissingRoute(t *testing.T) {
-	f := newFront(t)
+func TestMissingConfigurationReturns503(t *testing.T) {
+	f := newTestProxy(t)
 	response, _ := f.get(t, "GET", "/unknown/", "")
 	assert.Equal(t, response.StatusCode, http.StatusNotFound)
 	f.proxy.current.Store(nil)
@@ -239,8 +239,8 @@
 }
 
 func TestLongBodyIsStreamedOnce(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	long := strings.Repeat("0123456789", keptBody*3/2/10)
 	response, _ := f.get(t, "POST", "/unsafe/", long)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -249,13 +249,13 @@
 
 // Found on quiet-1 of tlb-gateway-large: the owner of a hot key reset 5,000 connections
 // that were over its limit, and 850 requests that reached no worker were answered 502.
-func TestAnOwnerThatTurnsRequestsAwayIsAskedSeldom(t *testing.T) {
-	for name, script := range map[string]script{"resets": reset, "says that it is full": refuses} {
+func TestRejectingOwnerIsThrottled(t *testing.T) {
+	for name, script := range map[string]script{"resets": reset, "says that it is full": refuse} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", script)
+			w := newFakeWorker(t, "w1", script)
 			entry := w.entry("keyed")
-			f := newFront(t, entry)
-			f.owns(entry)
+			f := newTestProxy(t, entry)
+			f.assignAllKeys(entry)
 			refused := 0
 			const requests = 60
 			for range requests {
@@ -266,14 +266,14 @@
 				}
 			}
 			assert.Assert(t, refused > requests/2, "%d", refused)
-			assert.Assert(t, w.arrivals() < requests/2, "%d", w.arrivals())
+			assert.Assert(t, w.receivedCount() < requests/2, "%d", w.receivedCount())
 		})
 	}
 }
 
 // A process that ends answers what is still under way; what no worker has got is refused
 // with a promise.
-func TestWhatIsUnderWayIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestInFlightRequestsAreAnsweredOnShutdown(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, path string
 		status       int
@@ -284,12 +284,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked := make(chan struct{}, 2)
-			w := newWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
+			w := newFakeWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
 				asked <- struct{}{}
 				_, _ = connection.Read(make([]byte, 1)) // until the connection ends
 				return false
 			})
-			f := newFront(t, w.entry("pool"))
+			f := newTestProxy(t, w.entry("pool"))
 			moving := owner.Owner{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "k", Moving: true}
 			f.proxy.Table.Replace(1, "keyed", []owner.Owner{moving})
 			go func() {
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -23,7 +23,7 @@
 }
 
 // crashed tells the proxy that a request was under way at workers that crashed.
-func (f *front) crashed(attempt quarantine.Attempt, list ...workers.ID) {
+func (f *testProxy) crashed(attempt quarantine.Attempt, list ...workers.ID) {
 	for index, worker := range list {
 		at := time.Now().Add(time.Duration(3*(index-len(list))) * time.Second)
 		f.proxy.Suspects.Crashed(time.Now(), attempt, quarantine.Crash{Worker: worker, At: at})
@@ -33,17 +33,17 @@
 func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/keyed/x"} {
 		t.Run(path, func(t *testing.T) {
-			w := newWorker(t, "w1", answers("x"))
+			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			entry := w.entry("pool")
-			f := newFront(t, entry)
-			f.owns(entry)
+			f := newTestProxy(t, entry)
+			f.assignAllKeys(entry)
 			f.crashed(attemptAt("POST", path, "b"), "a", "b", "c")
 			began := time.Now()
 			response, body := f.get(t, "POST", path, "b", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 			assert.Equal(t, response.Header.Get("Retry-After"), "", "it would be refused again")
 			assert.Equal(t, body, reasonQuarantined+"\n")
-			assert.Equal(t, w.arrivals(), 0)
+			assert.Equal(t, w.receivedCount(), 0)
 			assert.Assert(t, time.Since(began) < time.Second)
 			response, _ = f.get(t, "POST", path+"?other", "b", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusOK, "another request")
@@ -53,13 +53,13 @@
 
 // Before a process knows which requests are quarantined it sends none.
 func TestARouterThatStartsKnowsTheListFirst(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.Starting.Store(true)
 	response, _ := f.get(t, "GET", "/safe/x", "")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, response.Header.Get("Retry-After") != "")
-	assert.Equal(t, w.arrivals(), 0)
+	assert.Equal(t, w.receivedCount(), 0)
 	f.proxy.Starting.Store(false)
 	response, _ = f.get(t, "GET", "/safe/x", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -77,12 +77,12 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			one, two := newWorker(t, "w1", reset), newWorker(t, "w2", reset)
-			f := newFront(t, one.entry("pool"), two.entry("pool"))
+			one, two := newFakeWorker(t, "w1", reset), newFakeWorker(t, "w2", reset)
+			f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 			f.crashed(attemptAt("GET", test.path, ""), test.crashes...)
 			response, _ := f.get(t, "GET", test.path, "")
 			assert.Equal(t, response.StatusCode, http.StatusBadGateway)
-			assert.Equal(t, one.arrivals()+two.arrivals(), test.want)
+			assert.Equal(t, one.receivedCount()+two.receivedCount(), test.want)
 		})
 	}
 }
@@ -98,11 +98,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				answer(connection, request, test.status, "x")
 				return true
 			})
-			f := newFront(t, w.entry("pool"))
+			f := newTestProxy(t, w.entry("pool"))
 			attempt := attemptAt("GET", "/safe/x", "")
 			f.crashed(attempt, "a")
 			f.get(t, "GET", "/safe/x", "")
@@ -113,15 +113,15 @@
 
 // A request that was given up may still run, and crash its worker: the next send finds nobody.
 func TestARequestThatWasGivenUpIsASuspectToo(t *testing.T) {
-	var w *worker
-	w = newWorker(t, "w1", func(net.Conn, *http.Request) bool {
+	var w *fakeWorker
+	w = newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool {
 		time.Sleep(400 * time.Millisecond)
 		_ = w.listener.Close()
 		return false
 	})
 	entry := w.entry("keyed")
-	f := newFront(t, entry)
-	f.owns(entry)
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
 	response, _ := f.get(t, "GET", "/keyed/x", "", "X-Key", "7", "X-Deadline", "200")
 	assert.Equal(t, response.StatusCode, http.StatusGatewayTimeout)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -35,24 +35,24 @@
 	}
 	granted, wait := c.proxy.Quota.Take(c.request.Context(), c.tenant)
 	if granted.IsZero() {
-		c.refuse(http.StatusTooManyRequests, reasonQuota, max(wait, leastRetryAfter))
+		c.refuse(http.StatusTooManyRequests, reasonQuota, max(wait, minRetryAfter))
 		return false
 	}
-	c.counted = granted
+	c.quotaCountedAt = granted
 	return true
 }
 
 // countSend lets a request that leaves for a worker count from now on. Second sends and copies
 // are of the same request, which counts once.
 func (c *call) countSend() {
-	if !c.counted.IsZero() && clock.Since(c.counted) > quotaGrain {
-		c.counted = c.proxy.Quota.Sent(c.counted, c.tenant)
+	if !c.quotaCountedAt.IsZero() && clock.Since(c.quotaCountedAt) > quotaGrain {
+		c.quotaCountedAt = c.proxy.Quota.Sent(c.quotaCountedAt, c.tenant)
 	}
 }
 
 // returnQuota gives back what was taken for a request that no worker has run.
 func (c *call) returnQuota() {
-	if !c.counted.IsZero() && c.allowed.mayHaveRun() == 0 {
-		c.proxy.Quota.Return(c.counted, c.tenant)
+	if !c.quotaCountedAt.IsZero() && c.sends.mayHaveRun() == 0 {
+		c.proxy.Quota.Return(c.quotaCountedAt, c.tenant)
 	}
 }
--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -51,10 +51,10 @@
 }
 
 // newQuotaFront is a front whose tenant a has a limit, and whose worker runs a script.
-func newQuotaFront(t *testing.T, units int, run script) (*front, *worker, *fakeQuota) {
+func newQuotaFront(t *testing.T, units int, run script) (*testProxy, *fakeWorker, *fakeQuota) {
 	t.Helper()
-	w := newWorker(t, "w1", run)
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", run)
+	f := newTestProxy(t, w.entry("pool"))
 	config := tenantsConfig(t, 2, twoTenants)
 	config.Tenants["a"].Rate = 1
 	quota := &fakeQuota{units: units}
@@ -66,7 +66,7 @@
 const askedByA = "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\nAuthorization: Bearer " + keyOfA + "\r\n\r\n"
 
 func TestATenantBeyondItsLimitIsRefusedAtOnce(t *testing.T) {
-	f, w, quota := newQuotaFront(t, 1, answers("x"))
+	f, w, quota := newQuotaFront(t, 1, alwaysAnswer("x"))
 	assert.Equal(t, f.sendRaw(t, askedByA), http.StatusOK)
 	request, err := http.NewRequest(http.MethodGet, f.server.URL+"/safe/", nil)
 	assert.NilError(t, err)
@@ -81,12 +81,12 @@
 	after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
 	assert.Equal(t, after, 1.7, "as the quota tells")
-	assert.Equal(t, w.arrivals(), 1)
+	assert.Equal(t, w.receivedCount(), 1)
 	assert.Equal(t, quota.counts(), [3]int{1, 0, 0})
 }
 
 func TestATenantWithoutALimitIsNotCounted(t *testing.T) {
-	f, _, quota := newQuotaFront(t, 0, answers("x"))
+	f, _, quota := newQuotaFront(t, 0, alwaysAnswer("x"))
 	raw := "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\nAuthorization: Bearer " + keyOfB + "\r\n\r\n"
 	assert.Equal(t, f.sendRaw(t, raw), http.StatusOK)
 	assert.Equal(t, quota.counts(), [3]int{})
@@ -97,8 +97,8 @@
 		run      script
 		returned int
 	}{
-		"ran":             {answers("x"), 0},
-		"workers refused": {refuses, 1},
+		"ran":             {alwaysAnswer("x"), 0},
+		"workers refused": {refuse, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _, quota := newQuotaFront(t, 1, test.run)
--- a/internal/proxy/regionlink_test.go
+++ b/internal/proxy/regionlink_test.go
@@ -31,7 +31,7 @@
 		leastLooks = 50
 	)
 	large := strings.Repeat("x", answerBytes)
-	far := newWorker(t, "w1", answers(large))
+	far := newFakeWorker(t, "w1", alwaysAnswer(large))
 	rate := link.NewRate(perSecond)
 	between, err := link.New("127.0.0.1:0", far.listener.Addr().String())
 	assert.NilError(t, err)
@@ -40,9 +40,9 @@
 	entry := far.entry("pool")
 	entry.Address, entry.Zone, entry.Slots = between.Address(), "far", 1000
 	started := time.Now()
-	var fronts []*front
+	var fronts []*testProxy
 	for index := range routers {
-		f := newFront(t, entry)
+		f := newTestProxy(t, entry)
 		f.proxy.Locate(twoRegions)
 		f.proxy.Nodes.Store(routers)
 		config := testConfig(t, 2)
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -17,7 +17,7 @@
 var twoRegions = topology.New(map[topology.Zone]topology.Region{"z": "near", "far": "abroad"})
 
 // binds lets the routes be served in some regions only.
-func (f *front) binds(t *testing.T, version routing.Version, regions ...topology.Region) {
+func (f *testProxy) binds(t *testing.T, version routing.Version, regions ...topology.Region) {
 	t.Helper()
 	config := testConfig(t, version)
 	for _, prefix := range []string{"/safe/", "/unsafe/", "/keyed/"} {
@@ -27,7 +27,7 @@
 }
 
 func TestPoolsServeInAllowedRegionsOnly(t *testing.T) {
-	near, far := newWorker(t, "w1", answers("near")), newWorker(t, "w2", answers("far"))
+	near, far := newFakeWorker(t, "w1", alwaysAnswer("near")), newFakeWorker(t, "w2", alwaysAnswer("far"))
 	abroad := far.entry("pool")
 	abroad.Zone = "far"
 	for name, test := range map[string]struct {
@@ -42,7 +42,7 @@
 		"a region without any": {[]workers.Worker{near.entry("pool"), abroad}, []topology.Region{"elsewhere"}, reasonRegion + "\n", http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, test.list...)
+			f := newTestProxy(t, test.list...)
 			f.proxy.Locate(twoRegions)
 			f.binds(t, 2, test.regions...)
 			for range 5 {
@@ -56,25 +56,25 @@
 
 // A worker inside that refuses is tried again, and none outside.
 func TestRefusedInsideStaysInside(t *testing.T) {
-	inside, outside := newWorker(t, "w1", refuses), newWorker(t, "w2", answers("x"))
+	inside, outside := newFakeWorker(t, "w1", refuse), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	abroad := outside.entry("pool")
 	abroad.Zone = "far"
-	f := newFront(t, inside.entry("pool"), abroad)
+	f := newTestProxy(t, inside.entry("pool"), abroad)
 	f.proxy.Locate(twoRegions)
 	f.binds(t, 2, "near")
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, outside.arrivals(), 0)
-	assert.Assert(t, inside.arrivals() > 1)
+	assert.Equal(t, outside.receivedCount(), 0)
+	assert.Assert(t, inside.receivedCount() > 1)
 }
 
 func TestKeyOwnedInTheWrongRegionIsNotServed(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
 	entry.Zone = "far"
-	f := newFront(t, entry)
+	f := newTestProxy(t, entry)
 	f.proxy.Locate(twoRegions)
-	f.owns(entry)
+	f.assignAllKeys(entry)
 	_, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, body, "x", "any region may serve")
 	f.binds(t, 2, "near")
@@ -82,25 +82,25 @@
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, body, reasonRegion+"\n")
 	assert.Assert(t, response.Header.Get("Retry-After") != "")
-	assert.Equal(t, w.arrivals(), 1)
+	assert.Equal(t, w.receivedCount(), 1)
 }
 
 // An owner that is no longer announced stands in a zone that nobody knows.
 func TestVanishedOwnerServesNoBoundRequest(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
-	f := newFront(t)
+	f := newTestProxy(t)
 	f.proxy.Locate(twoRegions)
-	f.owns(entry)
+	f.assignAllKeys(entry)
 	f.binds(t, 2, "near")
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, w.arrivals(), 0)
+	assert.Equal(t, w.receivedCount(), 0)
 }
 
 // A tenant's regions bind beside those of the route, for its callers only.
 func TestTenantsAreServedInTheirRegionsOnly(t *testing.T) {
-	near, far := newWorker(t, "w1", answers("near")), newWorker(t, "w2", answers("far"))
+	near, far := newFakeWorker(t, "w1", alwaysAnswer("near")), newFakeWorker(t, "w2", alwaysAnswer("far"))
 	abroad := far.entry("pool")
 	abroad.Zone = "far"
 	for name, test := range map[string]struct {
@@ -115,7 +115,7 @@
 		"the route's, tenant any": {nil, []topology.Region{"abroad"}, "far"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t, near.entry("pool"), abroad)
+			f := newTestProxy(t, near.entry("pool"), abroad)
 			f.proxy.Locate(twoRegions)
 			config := tenantsConfig(t, 2, twoTenants)
 			config.Tenants["a"].Regions = test.tenant
@@ -145,14 +145,14 @@
 		"large, anywhere": {routing.BulkDown, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			silent := newWorker(t, "w1", func(net.Conn, *http.Request) bool {
+			silent := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool {
 				<-t.Context().Done()
 				return false
 			})
-			outside := newWorker(t, "w2", answers("x"))
+			outside := newFakeWorker(t, "w2", alwaysAnswer("x"))
 			abroad := outside.entry("pool")
 			abroad.Zone = "far"
-			f := newFront(t, silent.entry("pool"), abroad)
+			f := newTestProxy(t, silent.entry("pool"), abroad)
 			f.proxy.Locate(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
@@ -160,8 +160,8 @@
 			assert.Assert(t, f.proxy.Use(config))
 			f.proxy.fleet.bulk.next = time.Now() // the link has room
 			f.get(t, "GET", "/safe/", "", "X-Deadline", "900")
-			assert.Equal(t, silent.arrivals(), 1)
-			assert.Equal(t, outside.arrivals(), test.copies)
+			assert.Equal(t, silent.receivedCount(), 1)
+			assert.Equal(t, outside.receivedCount(), test.copies)
 		})
 	}
 }
--- a/internal/proxy/request_bench_test.go
+++ b/internal/proxy/request_bench_test.go
@@ -187,7 +187,7 @@
 		assert.NilError(b, err)
 	}
 	p.Use(config)
-	(&front{proxy: p}).owns(list[1])
+	(&testProxy{proxy: p}).assignAllKeys(list[1])
 	return p
 }
 
--- a/internal/proxy/life_test.go
+++ b/internal/proxy/restart_test.go
@@ -16,14 +16,14 @@
 
 // What a process has learned of the first life was held against the second: it rested after the
 // failures of the first, was taken to have ended, and as fast and as loaded as the first had been.
-func TestAnotherLifeIsAnotherWorker(t *testing.T) {
+func TestRestartedWorkerStartsWithFreshState(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
 	first := workers.Worker{ID: "w", Service: "s", Address: "127.0.0.1:1", Slots: 2, Born: 1}
 	before := f.get(first)
 	before.begin()
-	before.end(now, &upstream.Result{Outcome: upstream.Misdirected})
-	before.fail(now)
+	before.finish(now, &upstream.Result{Outcome: upstream.Misdirected})
+	before.recordFailure(now)
 	assert.Assert(t, !before.usable(now))
 	assert.Assert(t, f.get(first) == before)
 
@@ -33,7 +33,7 @@
 	assert.Assert(t, after.usable(now))
 	assert.Equal(t, after.pool.Address(), second.Address)
 	assert.Equal(t, after.inFlight, 0)
-	_, measured := after.mean(usualTime)
+	_, measured := after.meanLatency(defaultLatency)
 	assert.Assert(t, !measured)
 
 	byAddress := second
@@ -44,7 +44,7 @@
 
 // A cold worker's part of requests is counted from a random point in each of its spells; the spell
 // of the second life was taken to go on from that of the first, with what was saved up then.
-func TestAnotherLifeIsColdFromItsOwnStart(t *testing.T) {
+func TestRestartedWorkerWarmsUpFromItsOwnStart(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
 	first := workers.Worker{ID: "w", Service: "s", Slots: 2, Born: 1, WarmAt: now.Add(3 * time.Second)}
@@ -65,7 +65,7 @@
 
 // A worker that crashed and came back at once, under its ID and address, answered the look at its
 // address: the request that had crashed it went on to others.
-func TestARestartAtOnceIsACrash(t *testing.T) {
+func TestImmediateRestartCountsAsCrash(t *testing.T) {
 	for name, test := range map[string]struct {
 		state   workers.State
 		again   workers.Born
@@ -79,11 +79,11 @@
 		"the first life's entry went": {state: workers.StateReady, again: 2, left: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
+			w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
 			entry := w.entry("keyed")
 			entry.Born = 1
-			f := newFront(t, entry)
-			f.owns(entry)
+			f := newTestProxy(t, entry)
+			f.assignAllKeys(entry)
 			logged := &lines{}
 			f.proxy.Log = decision.NewTo(logged, "test")
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
@@ -108,11 +108,11 @@
 }
 
 // A request that may run once and was sent to the first life is not sent to the second.
-func TestARequestOfTheFirstLifeIsNotSentToTheSecond(t *testing.T) {
-	w := newWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
+func TestRequestSentBeforeRestartIsNotResent(t *testing.T) {
+	w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
 	entry := w.entry("pool")
 	entry.Born = 1
-	f := newFront(t, entry)
+	f := newTestProxy(t, entry)
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		entry.Born = 2
@@ -122,5 +122,5 @@
 	assert.Assert(t, response.StatusCode != http.StatusServiceUnavailable, "it may have run")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	assert.Equal(t, len(w.arrived), 1)
+	assert.Equal(t, len(w.received), 1)
 }
--- a/internal/proxy/allowance.go
+++ b/internal/proxy/sendtracker.go
@@ -20,51 +20,51 @@
 // It guards the route's limit of workers that one request may run on. Counting sends when
 // they ended let requests run on 2 workers of 1 and on 3 of 2: 13 of them in the first 3 s of
 // a day of 74 routers (second copies of silent requests).
-type allowance struct {
+type sendTracker struct {
 	// attempts is how many workers the request may run on.
-	attempts int
+	maxRuns int
 	// underWay have left and not ended; ran may have run; refused did not run, by their
 	// workers' word; unsent found no connection that lasted,
 	// or were withheld.
-	underWay, ran, refused, unsent int
+	inFlight, ran, notRun, unsent int
 }
 
 // take counts a send that is about to leave; false if none may.
-func (a *allowance) take() bool {
-	if !a.left() {
+func (a *sendTracker) begin() bool {
+	if !a.maySend() {
 		return false
 	}
-	a.underWay++
+	a.inFlight++
 	return true
 }
 
 // left reports whether one more send may leave.
-func (a *allowance) left() bool {
-	return a.underWay+a.ran < a.attempts && a.sends() < maxSends && a.unsent < maxUnsent
+func (a *sendTracker) maySend() bool {
+	return a.inFlight+a.ran < a.maxRuns && a.mayHaveArrived() < maxSends && a.unsent < maxUnsent
 }
 
 // settle notes how a send that was taken ended.
-func (a *allowance) settle(ended upstream.Outcome) {
-	a.underWay--
-	switch ended {
+func (a *sendTracker) finish(outcome upstream.Outcome) {
+	a.inFlight--
+	switch outcome {
 	case upstream.NotSent, upstream.TurnedAway, upstream.Withheld:
 		a.unsent++
 	case upstream.NotRun, upstream.Misdirected:
-		a.refused++
+		a.notRun++
 	default:
 		a.ran++
 	}
 }
 
 // sends returns how many may have reached a worker.
-func (a *allowance) sends() int { return a.underWay + a.ran + a.refused }
+func (a *sendTracker) mayHaveArrived() int { return a.inFlight + a.ran + a.notRun }
 
 // mayHaveRun returns how many may have run.
-func (a *allowance) mayHaveRun() int { return a.underWay + a.ran }
+func (a *sendTracker) mayHaveRun() int { return a.inFlight + a.ran }
 
 // spend takes a second send from the service's budget where one is needed.
-func (c *call) spend() bool {
-	if c.allowed.sends() == 0 {
+func (c *call) spendRetryBudget() bool {
+	if c.sends.mayHaveArrived() == 0 {
 		return true
 	}
 	return c.state.budget.spend(int(c.proxy.Nodes.Load()), clock.Now())
--- a/internal/proxy/allowance_test.go
+++ b/internal/proxy/sendtracker_test.go
@@ -15,23 +15,23 @@
 
 // Whatever order sends leave and end in, no more may run than the route allows, and no
 // more leave than one request may send.
-func TestNoOrderOfEndsRunsARequestTooOften(t *testing.T) {
+func TestSendLimitsHoldForAnyOrderOfResults(t *testing.T) {
 	ends := []upstream.Outcome{
 		upstream.Answered, upstream.NotSent, upstream.NotRun, upstream.Misdirected, upstream.Broken, upstream.Late, upstream.Gone,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		attempts := rapid.IntRange(1, 4).Draw(t, "attempts")
-		a := allowance{attempts: attempts}
+		a := sendTracker{maxRuns: attempts}
 		underWay, mayHaveRun, left := 0, 0, 0
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			if underWay == 0 || rapid.Bool().Draw(t, "send") {
-				if a.take() {
+				if a.begin() {
 					underWay++
 					left++
 				}
 			} else {
 				end := rapid.SampledFrom(ends).Draw(t, "end")
-				a.settle(end)
+				a.finish(end)
 				underWay--
 				switch end {
 				case upstream.NotRun, upstream.Misdirected:
@@ -44,27 +44,27 @@
 			assert.Assert(t, underWay+mayHaveRun <= attempts)
 			assert.Assert(t, left <= maxSends)
 			assert.Equal(t, a.mayHaveRun(), underWay+mayHaveRun)
-			assert.Equal(t, a.sends(), left)
+			assert.Equal(t, a.mayHaveArrived(), left)
 		}
 	})
 }
 
 // The copy that is under way counts.
-func TestNoSecondCopyBeyondTheAttempts(t *testing.T) {
+func TestNoHedgeBeyondMaxAttempts(t *testing.T) {
 	slow := func(connection net.Conn, request *http.Request) bool {
 		time.Sleep(700 * time.Millisecond) // a second copy leaves within 520 ms
 		answer(connection, request, http.StatusOK, "slow")
 		return true
 	}
-	one, two := newWorker(t, "w1", slow), newWorker(t, "w2", slow)
-	f := newFront(t, one.entry("pool"), two.entry("pool"))
+	one, two := newFakeWorker(t, "w1", slow), newFakeWorker(t, "w2", slow)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, _ := f.get(t, "GET", "/single/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	assert.Equal(t, one.arrivals()+two.arrivals(), 1)
+	assert.Equal(t, one.receivedCount()+two.receivedCount(), 1)
 }
 
 // One copy's failure neither gives the other up, which still runs, nor lets a third leave.
-func TestAFailedCopyLeavesTheOtherAtWork(t *testing.T) {
+func TestFailedCopyDoesNotCancelTheOther(t *testing.T) {
 	hedged := make(chan struct{})
 	var count atomic.Int32
 	run := func(connection net.Conn, request *http.Request) bool {
@@ -81,8 +81,8 @@
 		}
 		return true
 	}
-	one, two, three := newWorker(t, "w1", run), newWorker(t, "w2", run), newWorker(t, "w3", run)
-	f := newFront(t, one.entry("pool"), two.entry("pool"), three.entry("pool"))
+	one, two, three := newFakeWorker(t, "w1", run), newFakeWorker(t, "w2", run), newFakeWorker(t, "w3", run)
+	f := newTestProxy(t, one.entry("pool"), two.entry("pool"), three.entry("pool"))
 	response, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, body, "first")
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -18,34 +18,34 @@
 	// subset is the workers that this process prefers.
 	subset    subset
 	membersMu sync.Mutex
-	members   members
+	members   memberCache
 	// waiting counts the requests that wait for a worker or an owner.
 	waiting atomic.Int32
 	// shares count what tenants ask of the service.
-	shares fair.Ledger
-	mu     sync.Mutex
-	spread estimate.Spread
+	shares        fair.Ledger
+	mu            sync.Mutex
+	latencySpread estimate.Spread
 }
 
 // answered measures how much the times of answers vary around their workers' means.
-func (s *serviceState) answered(took, mean time.Duration) {
+func (s *serviceState) recordLatency(took, mean time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread.Add(took, mean)
+	s.latencySpread.Add(took, mean)
 }
 
 // late returns the share of answers that would miss a target, given their mean time.
-func (s *serviceState) late(mean, target time.Duration) float64 {
+func (s *serviceState) lateShare(mean, target time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spread.Late(mean, target)
+	return s.latencySpread.Late(mean, target)
 }
 
 // enter counts one more waiting request; false if there are as many as may wait,
 // zero for any number.
-func (s *serviceState) enter(most int) bool {
-	if waiting := s.waiting.Add(1); most > 0 && int(waiting) > most {
-		s.leave()
+func (s *serviceState) enqueue(limit int) bool {
+	if waiting := s.waiting.Add(1); limit > 0 && int(waiting) > limit {
+		s.dequeue()
 		return false
 	}
 	return true
@@ -53,11 +53,11 @@
 
 // crowded reports whether half as many requests wait as may, zero for any number: the rest of the
 // places is for those that do not yield.
-func (s *serviceState) crowded(most int) bool {
-	return most > 0 && 2*int(s.waiting.Load()) >= most
+func (s *serviceState) halfFull(limit int) bool {
+	return limit > 0 && 2*int(s.waiting.Load()) >= limit
 }
 
-func (s *serviceState) leave() { s.waiting.Add(-1) }
+func (s *serviceState) dequeue() { s.waiting.Add(-1) }
 
 var (
 	waitingDescription = prometheus.NewDesc("shalefork_router_waiting",
@@ -96,6 +96,6 @@
 	for name, state := range services {
 		waiting := float64(state.waiting.Load())
 		metrics <- prometheus.MustNewConstMetric(waitingDescription, prometheus.GaugeValue, waiting, string(name))
-		metrics <- prometheus.MustNewConstMetric(tokensDescription, prometheus.GaugeValue, state.budget.left(), string(name))
+		metrics <- prometheus.MustNewConstMetric(tokensDescription, prometheus.GaugeValue, state.budget.available(), string(name))
 	}
 }
--- a/internal/proxy/sizes_test.go
+++ b/internal/proxy/sizes_test.go
@@ -28,7 +28,7 @@
 		"upload of known length":   {up: 90_000, learned: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(t)
+			f := newTestProxy(t)
 			c := &call{
 				proxy: f.proxy, route: &routing.Route{Name: "r", Class: routing.BulkDown},
 				service: &routing.Service{Name: "pool"}, message: upstream.Message{Length: test.up},
--- a/internal/proxy/slow_test.go
+++ b/internal/proxy/slow_test.go
@@ -11,7 +11,7 @@
 )
 
 // A router that had stood still took its workers for slow, and refused all requests for them from then on.
-func TestAWorkerThatWasSlowIsAskedAgain(t *testing.T) {
+func TestFormerlySlowWorkerIsTriedAgain(t *testing.T) {
 	for service, path := range map[string]string{"keyed": "/keyed/", "pool": "/safe/"} {
 		for name, test := range map[string]struct {
 			ago    time.Duration
@@ -21,12 +21,12 @@
 			"long ago": {ago: 15 * time.Second, status: http.StatusOK},
 		} {
 			t.Run(service+", "+name, func(t *testing.T) {
-				w := newWorker(t, "w1", answers("x"))
-				f := newFront(t, w.entry(service))
-				f.owns(w.entry(service))
+				w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+				f := newTestProxy(t, w.entry(service))
+				f.assignAllKeys(w.entry(service))
 				slow := f.proxy.fleet.get(w.entry(service))
 				for range 10 {
-					slow.latency.Add(clock.Now().Add(-test.ago), 5*time.Second, usualTime)
+					slow.latency.Add(clock.Now().Add(-test.ago), 5*time.Second, defaultLatency)
 				}
 				response, _ := f.get(t, "GET", path, "", "X-Key", "7")
 				assert.Equal(t, response.StatusCode, test.status)
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -67,12 +67,12 @@
 	chosen := map[workers.ID]int{}
 	for range 2 * leastSubset {
 		picked := f.pick(now, service, &routing.Service{Name: "s"}, need{target: time.Second}, nil, 30)
-		picked.to.begin()
-		chosen[picked.to.id()]++
+		picked.backend.begin()
+		chosen[picked.backend.id()]++
 	}
 	assert.Equal(t, len(chosen), leastSubset)
 	picked := f.pick(now, service, &routing.Service{Name: "s"}, need{target: time.Second}, nil, 30)
-	assert.Equal(t, chosen[picked.to.id()], 0, "all slots of the preferred ones are taken")
+	assert.Equal(t, chosen[picked.backend.id()], 0, "all slots of the preferred ones are taken")
 }
 
 // A process that shares thousands of workers with hundreds of others chooses among some of them,
@@ -92,7 +92,7 @@
 		f := newFleet("z0", directory, BudgetLimits{})
 		service := &serviceState{}
 		announced, version := directory.Usable("s")
-		members := f.list(service, announced, version, processes)
+		members := f.buildMembers(service, announced, version, processes)
 		preferred, far := 0, 0
 		for _, one := range members {
 			chosen[one.id]++
--- a/internal/proxy/swaps.go
+++ b/internal/proxy/swaps.go
@@ -117,7 +117,7 @@
 	fleet := c.proxy.fleet
 	worker, announced := fleet.directory.Get(held.Worker)
 	switch {
-	case !announced || worker.State != workers.StateReady || !fleet.get(worker).usableOwner(clock.Now()),
+	case !announced || worker.State != workers.StateReady || !fleet.get(worker).usableAsOwner(clock.Now()),
 		fleet.get(worker).backoffLeft(clock.Now()) > 0:
 		return unserved
 	case fleet.distance(worker.Zone) == topology.OtherRegion:
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -55,10 +55,10 @@
 
 // Downloads whose owner is far go to the route's pool, and the pool's to near owners.
 func TestDownloadsStayInTheRegion(t *testing.T) {
-	near, far, pool := newWorker(t, "w1", answers("n")), newWorker(t, "w2", answers("f")), newWorker(t, "w3", answers("p"))
+	near, far, pool := newFakeWorker(t, "w1", alwaysAnswer("n")), newFakeWorker(t, "w2", alwaysAnswer("f")), newFakeWorker(t, "w3", alwaysAnswer("p"))
 	abroad := far.entry("keyed")
 	abroad.Zone = "far"
-	f := newFront(t, near.entry("keyed"), abroad, pool.entry("pool"))
+	f := newTestProxy(t, near.entry("keyed"), abroad, pool.entry("pool"))
 	f.proxy.Locate(twoRegions)
 	config := testConfig(t, 2)
 	route := config.Match("app.example", "/safe/")
@@ -76,8 +76,8 @@
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 		}
 	}
-	assert.Equal(t, far.arrivals(), 0)
-	assert.Assert(t, near.arrivals() >= 18 && pool.arrivals() >= 18, "%d and %d", near.arrivals(), pool.arrivals())
+	assert.Equal(t, far.receivedCount(), 0)
+	assert.Assert(t, near.receivedCount() >= 18 && pool.receivedCount() >= 18, "%d and %d", near.receivedCount(), pool.receivedCount())
 }
 
 // A request is exchanged only for one that the other part can serve in the region: one without a
@@ -127,8 +127,8 @@
 		"owner is gone": {key: "7", owner: "w9"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, pool := newWorker(t, "w1", answers("n")), newWorker(t, "w3", answers("p"))
-			f := newFront(t, near.entry("keyed"), pool.entry("pool"))
+			near, pool := newFakeWorker(t, "w1", alwaysAnswer("n")), newFakeWorker(t, "w3", alwaysAnswer("p"))
+			f := newTestProxy(t, near.entry("keyed"), pool.entry("pool"))
 			f.proxy.Locate(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -51,7 +51,7 @@
 		return true
 	}
 	if caller.Finding != tenant.Proved {
-		c.former = caller.Former
+		c.removedKey = caller.Former
 		c.writer.Header().Set("WWW-Authenticate", tenant.Scheme)
 		c.refuse(http.StatusUnauthorized, string(caller.Finding), 0)
 		return false
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -80,11 +80,11 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// newTenantsFront is newFront under a configuration with two tenants, and what it logs.
-func newTenantsFront(t *testing.T, run script) (*front, *worker, *logged) {
+// newTenantsFront is newTestProxy under a configuration with two tenants, and what it logs.
+func newTenantsFront(t *testing.T, run script) (*testProxy, *fakeWorker, *logged) {
 	t.Helper()
-	w := newWorker(t, "w1", run)
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", run)
+	f := newTestProxy(t, w.entry("pool"))
 	lines := &logged{}
 	f.proxy.Log = decision.NewTo(lines, "test")
 	assert.Assert(t, f.proxy.Use(tenantsConfig(t, 2, twoTenants)))
@@ -92,7 +92,7 @@
 }
 
 // sendRaw sends the bytes of one request, and returns the answer's status.
-func (f *front) sendRaw(t *testing.T, raw string) int {
+func (f *testProxy) sendRaw(t *testing.T, raw string) int {
 	t.Helper()
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
@@ -127,10 +127,10 @@
 		"line folded": start + showsA + "X-Other: 1\r\n X-Tenant: b\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, logged := newTenantsFront(t, answers("x"))
+			f, w, logged := newTenantsFront(t, alwaysAnswer("x"))
 			assert.Equal(t, f.sendRaw(t, raw), http.StatusOK)
-			assert.Equal(t, w.arrivals(), 1)
-			arrived := w.arrived[0]
+			assert.Equal(t, w.receivedCount(), 1)
+			arrived := w.received[0]
 			assert.DeepEqual(t, arrived.Header["X-Tenant"], []string{"a"})
 			assert.Equal(t, arrived.Header.Get("X-Id"), "i")
 			assert.Equal(t, arrived.Header.Get("X-Target"), "w1")
@@ -160,7 +160,7 @@
 		"listed Connection": {lines: "Connection: Authorization\r\n", reason: reasonKeyMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, logged := newTenantsFront(t, answers("x"))
+			f, w, logged := newTenantsFront(t, alwaysAnswer("x"))
 			connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 			assert.NilError(t, err)
 			defer func() { _ = connection.Close() }()
@@ -174,7 +174,7 @@
 			assert.Equal(t, response.Header.Get("WWW-Authenticate"), "Bearer")
 			assert.Equal(t, response.Header.Get("X-Id"), "i-7")
 			assert.Equal(t, response.Header.Get("Retry-After"), "", "it would be refused again")
-			assert.Equal(t, w.arrivals(), 0)
+			assert.Equal(t, w.receivedCount(), 0)
 			logged.awaits(t, test.reason, `"id":"i-7"`)
 			assert.Assert(t, !strings.Contains(logged.String(), keyOfA) && !strings.Contains(logged.String(), "sk-c"))
 		})
@@ -191,28 +191,28 @@
 		"a name listed":  {"X-Tenant", "a", "Connection", "X-Tenant"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, _ := newTenantsFront(t, answers("x"))
+			f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
 			response, _ := f.get(t, "GET", "/safe/public/", "", headers...)
 			assert.Equal(t, response.StatusCode, http.StatusOK)
-			assert.Equal(t, len(w.arrived[0].Header["X-Tenant"]), 0)
-			assert.Equal(t, len(w.arrived[0].Header[tenant.Header]), 0)
+			assert.Equal(t, len(w.received[0].Header["X-Tenant"]), 0)
+			assert.Equal(t, len(w.received[0].Header[tenant.Header]), 0)
 		})
 	}
 }
 
 // Where nobody is a tenant, what callers send travels on as it is.
 func TestWithoutTenantsHeadersTravelOn(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "GET", "/safe/", "", "Authorization", "Basic abc", "X-Tenant", "z")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	assert.Equal(t, w.arrived[0].Header.Get("Authorization"), "Basic abc")
-	assert.Equal(t, w.arrived[0].Header.Get("X-Tenant"), "z")
+	assert.Equal(t, w.received[0].Header.Get("Authorization"), "Basic abc")
+	assert.Equal(t, w.received[0].Header.Get("X-Tenant"), "z")
 }
 
 // One connection of a caller, as of a proxy before it, may bring requests of several tenants.
 func TestEachRequestOfAConnectionIsIdentified(t *testing.T) {
-	f, w, _ := newTenantsFront(t, answers("x"))
+	f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = connection.Close() }()
@@ -231,12 +231,12 @@
 	f.proxy.Use(tenantsConfig(t, 3, map[routing.TenantName][]string{"b": {keyOfB}}))
 	assert.Equal(t, ask("Authorization: Bearer "+keyOfA+"\r\n"), http.StatusUnauthorized)
 	assert.Equal(t, ask("Authorization: Bearer "+keyOfB+"\r\n"), http.StatusOK)
-	assert.Equal(t, w.arrivals(), 3)
-	assert.Equal(t, w.arrived[1].Header.Get("X-Tenant"), "b")
+	assert.Equal(t, w.receivedCount(), 3)
+	assert.Equal(t, w.received[1].Header.Get("X-Tenant"), "b")
 }
 
 func TestKeysComeAndGoWithConfigurations(t *testing.T) {
-	f, _, logged := newTenantsFront(t, answers("x"))
+	f, _, logged := newTenantsFront(t, alwaysAnswer("x"))
 	status := func(key string) int {
 		response, body := f.get(t, "GET", "/safe/", "", "Authorization", "Bearer "+key)
 		assert.Assert(t, response.StatusCode == http.StatusOK || body == reasonKeyUnknown+"\n", "%s: what became of a key is not for who shows it", body)
@@ -261,7 +261,7 @@
 		if first.CompareAndSwap(false, true) {
 			close(asked)
 			<-goOn
-			return refuses(connection, request)
+			return refuse(connection, request)
 		}
 		answer(connection, request, http.StatusOK, "done")
 		return true
@@ -278,21 +278,21 @@
 	f.proxy.Use(tenantsConfig(t, 3, nil))
 	close(goOn)
 	assert.Equal(t, <-status, http.StatusOK)
-	assert.Equal(t, w.arrivals(), 2)
-	assert.Equal(t, w.arrived[1].Header.Get("X-Tenant"), "a")
+	assert.Equal(t, w.receivedCount(), 2)
+	assert.Equal(t, w.received[1].Header.Get("X-Tenant"), "a")
 }
 
 // A configuration that is not known says nothing against a key.
 func TestWithoutAConfigurationNoKeyIsUnknown(t *testing.T) {
-	w := newWorker(t, "w1", answers("x"))
-	f := newFront(t, w.entry("pool"))
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.current.Store(nil)
 	response, _ := f.get(t, "GET", "/safe/", "", "Authorization", "Bearer "+keyOfA)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 }
 
 func TestCallersWithKeysAreRefusedWhereKeysMayBeGone(t *testing.T) {
-	f, w, _ := newTenantsFront(t, answers("x"))
+	f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
 	var outdated atomic.Bool
 	f.proxy.Outdated = outdated.Load
 	status := func(path string, headers ...string) int {
@@ -303,7 +303,7 @@
 	assert.Equal(t, status("/unsafe/", showsA...), http.StatusOK)
 	outdated.Store(true)
 	assert.Equal(t, status("/unsafe/", showsA...), http.StatusServiceUnavailable)
-	assert.Equal(t, w.arrivals(), 1, "it promises that it did not run")
+	assert.Equal(t, w.receivedCount(), 1, "it promises that it did not run")
 	assert.Equal(t, status("/unsafe/"), http.StatusUnauthorized)
 	assert.Equal(t, status("/safe/public/"), http.StatusOK)
 	outdated.Store(false)
@@ -312,7 +312,7 @@
 
 // A refusal for which the body need not be read leaves the caller's connection open.
 func TestRefusalsKeepConnectionsOpen(t *testing.T) {
-	f, _, _ := newTenantsFront(t, answers("x"))
+	f, _, _ := newTenantsFront(t, alwaysAnswer("x"))
 	response, _ := f.get(t, "POST", "/unsafe/", "short")
 	assert.Equal(t, response.StatusCode, http.StatusUnauthorized)
 	assert.Assert(t, !response.Close)
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -31,7 +31,7 @@
 			b.throttle.Sent(now, false)
 		}
 	case upstream.Broken:
-		b.throttle.Sent(now, got.Status != 0 || got.Took > turnedAwayWithin)
+		b.throttle.Sent(now, got.Status != 0 || got.Took > rejectionResetWindow)
 	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // say nothing of the worker's room
 	}
 }
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -13,11 +13,11 @@
 )
 
 func TestHeadersThatNobodyReadsAreCountedByName(t *testing.T) {
-	w := newWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x", "X-New-Word: secret", "Content-Type: text/plain", "X-Load: 1,0,2")
 		return true
 	})
-	f := newFront(t, w.entry("pool"))
+	f := newTestProxy(t, w.entry("pool"))
 	for range 3 {
 		f.get(t, "GET", "/safe/", "")
 	}
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -36,22 +36,22 @@
 type script func(connection net.Conn, request *http.Request) bool
 
 // worker is a stand-in whose every byte is scripted.
-type worker struct {
-	id       workers.ID
-	listener net.Listener
-	mu       sync.Mutex
-	arrived  []*http.Request
-	bodies   []string
-	opened   int
-	closed   int
+type fakeWorker struct {
+	id          workers.ID
+	listener    net.Listener
+	mu          sync.Mutex
+	received    []*http.Request
+	bodies      []string
+	openedCount int
+	closedCount int
 }
 
-func newWorker(t *testing.T, id workers.ID, run script) *worker {
+func newFakeWorker(t *testing.T, id workers.ID, run script) *fakeWorker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	w := &worker{id: id, listener: listener}
+	w := &fakeWorker{id: id, listener: listener}
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -59,7 +59,7 @@
 				return
 			}
 			w.mu.Lock()
-			w.opened++
+			w.openedCount++
 			w.mu.Unlock()
 			go w.serve(connection, run)
 		}
@@ -67,11 +67,11 @@
 	return w
 }
 
-func (w *worker) serve(connection net.Conn, run script) {
+func (w *fakeWorker) serve(connection net.Conn, run script) {
 	defer func() {
 		_ = connection.Close()
 		w.mu.Lock()
-		w.closed++
+		w.closedCount++
 		w.mu.Unlock()
 	}()
 	reader := bufio.NewReader(connection)
@@ -85,7 +85,7 @@
 			return
 		}
 		w.mu.Lock()
-		w.arrived = append(w.arrived, request)
+		w.received = append(w.received, request)
 		w.bodies = append(w.bodies, string(body))
 		w.mu.Unlock()
 		if !run(connection, request) {
@@ -94,25 +94,25 @@
 	}
 }
 
-func (w *worker) arrivals() int {
+func (w *fakeWorker) receivedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.arrived)
+	return len(w.received)
 }
 
-func (w *worker) connections() int {
+func (w *fakeWorker) openedConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.opened
+	return w.openedCount
 }
 
-func (w *worker) ends() int {
+func (w *fakeWorker) closedConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.closed
+	return w.closedCount
 }
 
-func (w *worker) entry(service string) workers.Worker {
+func (w *fakeWorker) entry(service string) workers.Worker {
 	return workers.Worker{
 		ID: w.id, Service: routing.ServiceName(service), Address: w.listener.Addr().String(),
 		Zone: "z", Slots: 4, State: workers.StateReady,
@@ -129,7 +129,7 @@
 	_, _ = io.WriteString(connection, head+"\r\n"+body)
 }
 
-func answers(body string) script {
+func alwaysAnswer(body string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, body)
 		return true
@@ -149,18 +149,18 @@
 }
 
 // refuses says that it did not run the request.
-func refuses(connection net.Conn, request *http.Request) bool {
+func refuse(connection net.Conn, request *http.Request) bool {
 	answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1")
 	return true
 }
 
-// refusesOnce refuses the first request, over all workers that have the same script, and answers
+// refuseOnce refuses the first request, over all workers that have the same script, and answers
 // the others.
-func refusesOnce() script {
+func refuseOnce() script {
 	var first atomic.Bool
 	return func(connection net.Conn, request *http.Request) bool {
 		if first.CompareAndSwap(false, true) {
-			return refuses(connection, request)
+			return refuse(connection, request)
 		}
 		answer(connection, request, http.StatusOK, "done")
 		return true
@@ -168,7 +168,7 @@
 }
 
 // front is a proxy under test with its clients' address.
-type front struct {
+type testProxy struct {
 	proxy     *Proxy
 	directory *workers.Directory
 	server    *httptest.Server
@@ -178,9 +178,9 @@
 // testDrain is how long workers that leave may get requests.
 const testDrain = 2 * time.Second
 
-// newFront serves "/safe/", "/unsafe/" and "/single/", which may run on one worker only,
+// newTestProxy serves "/safe/", "/unsafe/" and "/single/", which may run on one worker only,
 // at service "pool", "/keyed/" and "/keyed-once/" at service "keyed".
-func newFront(t *testing.T, list ...workers.Worker) *front {
+func newTestProxy(t *testing.T, list ...workers.Worker) *testProxy {
 	t.Helper()
 	directory := workers.NewDirectory()
 	directory.Replace(list, nil, time.Now())
@@ -189,12 +189,12 @@
 	proxy.Drain = testDrain
 	proxy.Log, proxy.Metrics = decision.NewTo(io.Discard, "test"), NewMetrics(prometheus.NewRegistry())
 	proxy.Use(testConfig(t, 1))
-	f := &front{proxy: proxy, directory: directory, server: httptest.NewServer(proxy)}
+	f := &testProxy{proxy: proxy, directory: directory, server: httptest.NewServer(proxy)}
 	t.Cleanup(f.server.Close)
 	return f
 }
 
-// testConfig returns the configuration of newFront, with further routes.
+// testConfig returns the configuration of newTestProxy, with further routes.
 func testConfig(t testing.TB, version routing.Version, more ...*routing.Route) *routing.Config {
 	t.Helper()
 	route := func(prefix, service string, repeatable bool) *routing.Route {
@@ -221,14 +221,14 @@
 }
 
 // owns makes a worker the owner of all keys.
-func (f *front) owns(w workers.Worker) {
+func (f *testProxy) assignAllKeys(w workers.Worker) {
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{{
 		Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: w.ID, Address: w.Address,
 	}})
 }
 
 // request builds a client's request.
-func (f *front) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+func (f *testProxy) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	f.calls++
 	request, err := http.NewRequestWithContext(t.Context(), method, f.server.URL+path, strings.NewReader(body))
@@ -243,7 +243,7 @@
 }
 
 // get does a request and returns its answer's status and body.
-func (f *front) get(t *testing.T, method, path, body string, headers ...string) (*http.Response, string) {
+func (f *testProxy) get(t *testing.T, method, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	response, err := http.DefaultClient.Do(f.request(t, method, path, body, headers...))
 	assert.NilError(t, err)
