--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -12,8 +12,8 @@
 	{
 		name: "sends-under-way-not-counted",
 		file: "internal/proxy/sendtracker.go",
-		old:  "\treturn a.inFlight+a.ran < a.maxRuns",
-		new:  "\treturn a.ran < a.maxRuns",
+		old:  "\treturn t.inFlight+t.ran < t.maxRuns",
+		new:  "\treturn t.ran < t.maxRuns",
 		pkg:  "./internal/proxy", test: "TestSendLimitsHoldForAnyOrderOfResults",
 	},
 	{
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -14,7 +14,7 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// pass gives a worker's answer to the client, unchanged.
+// forwardAnswer sends a worker's answer to the client. Status and body are unchanged.
 func (c *call) forwardAnswer(result *upstream.Result) {
 	c.detach()
 	if c.bodyUnread {
@@ -24,7 +24,7 @@
 	connectionHeader := header.Get("Connection")
 	c.proxy.Headers.Pass(result.Header, func(name string, values []string) { header[name] = values })
 	if _, present := result.Header["Content-Type"]; !present {
-		header["Content-Type"] = nil // net/http must not guess one
+		header["Content-Type"] = nil // prevents net/http from detecting one
 	}
 	if connectionHeader != "" {
 		header.Set("Connection", connectionHeader)
@@ -44,8 +44,8 @@
 	c.recordEnd(result.Status, "")
 }
 
-// passBody gives the answer's body to the client: a large one in turns with others, and for as
-// long as the client takes it.
+// forwardBody sends the answer's body to the client. Large bodies share the link's bandwidth with
+// others, and are sent for as long as the client keeps reading.
 func (c *call) forwardBody(result *upstream.Result) error {
 	if result.Stream == nil && result.Body.Length() <= bodies.Small {
 		small := result.Body.Start(bodies.Small)
@@ -61,11 +61,11 @@
 	if err := writeAnswer(paced, result, controller.Flush); err != nil {
 		return err
 	}
-	_ = controller.SetWriteDeadline(time.Time{}) // fails with the connection only
+	_ = controller.SetWriteDeadline(time.Time{}) // fails only if the connection is closed
 	return nil
 }
 
-// writeAnswer writes an answer that is whole, or as it comes.
+// writeAnswer writes a buffered answer, or a streamed one as it arrives.
 func writeAnswer(to io.Writer, result *upstream.Result, flush func() error) error {
 	if result.Stream != nil {
 		_, err := result.Stream.WriteTo(to, flush)
@@ -76,8 +76,9 @@
 	return err
 }
 
-// breakOff ends the connection to the caller: what is cut must not look whole. To a caller of
-// HTTP/1.0 the end of a connection is that of the answer, but a reset is not.
+// abortConnection aborts the connection to the caller, so that a truncated answer is not taken for a
+// complete one. For HTTP/1.0 the connection is reset, since there a regular close marks the end of
+// the answer.
 func (c *call) abortConnection() {
 	if !c.request.ProtoAtLeast(1, 1) {
 		if connection, _, err := http.NewResponseController(c.writer).Hijack(); err == nil {
@@ -90,7 +91,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// cutBy says who ended an answer before it was whole.
+// truncationReason returns the reason for which an answer was truncated.
 func (c *call) truncationReason(result *upstream.Result, err error) string {
 	switch {
 	case result.Stream != nil && result.Stream.Err() != nil && c.timeLeft() <= answerMargin:
@@ -103,7 +104,8 @@
 	return reasonCutByClient
 }
 
-// refuse answers in the system's own name. retryAfter zero tells no time.
+// refuse answers the request on behalf of the router itself. No Retry-After header is sent if
+// retryAfter is zero.
 func (c *call) refuse(status int, reason string, retryAfter time.Duration) {
 	header := c.writer.Header()
 	if retryAfter > 0 {
@@ -123,11 +125,11 @@
 	c.recordEnd(status, reason)
 }
 
-// slowLogShare: an answer later than this share of the target is told.
+// slowLogShare is the fraction of the target latency above which an answer is logged as slow.
 const slowLogShare = 1.0
 
-// tell counts the end of the request, and writes a line unless it went as
-// planned.
+// recordEnd updates the metrics at the end of the request, and logs it unless it was answered in
+// time, after at most one send, and without a refusal, truncation or server error.
 func (c *call) recordEnd(status int, reason string) {
 	took := clock.Since(c.began)
 	service := ""
@@ -171,7 +173,7 @@
 	line.Msg("")
 }
 
-// tellAgain writes a line before the request is sent once more.
+// logResend logs the previous result before the request is sent again.
 func (c *call) logResend(result *upstream.Result) {
 	c.proxy.Log.Line(decision.KindSent).Str("id", c.message.ID).Str("worker", string(c.lastWorker)).
 		Str("outcome", string(result.Outcome)).Int("status", result.Status).AnErr("error", result.Err).
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -16,7 +16,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// call is one client's request on its way.
+// call is the state of one client request while it is being handled.
 type call struct {
 	proxy   *Proxy
 	writer  http.ResponseWriter
@@ -25,39 +25,42 @@
 	config  *routing.Config
 	route   *routing.Route
 	service *routing.Service
-	// tenant whose API key the caller has shown; nil if there is none.
+	// tenant is the one whose API key the caller presented; nil if there is none.
 	tenant *routing.Tenant
-	// former says who held the caller's key, where it was taken away.
+	// removedKey describes the caller's API key if that has been removed from the configuration.
 	removedKey tenant.Former
 	state      *serviceState
 	key        int
 	began      time.Time
 	deadline   time.Time
-	// counted is when the request was last counted against its tenant's limit; zero: never.
+	// quotaCountedAt is when the request was last counted against its tenant's limit; zero if it
+	// was not.
 	quotaCountedAt time.Time
-	// claim is what the request counts for where workers are short.
+	// claim is the request's tenant, priority and weight for fair sharing of scarce workers.
 	claim claim
-	// allowed grants each send before it leaves.
+	// sends permits and counts each send before it starts.
 	sends sendTracker
+	// tried contains workers that are not picked again, until all usable ones have been tried.
 	tried map[workers.ID]bool
-	// named is the request's fingerprint; nil until it is asked for.
+	// fingerprintCache is the request's fingerprint; nil until it is first computed.
 	fingerprintCache atomic.Pointer[quarantine.Fingerprint]
-	// arrivedAs is how the request could be sent when it came, and closed counts the workers
-	// that have closed its connection in mid-run.
+	// initialStanding is the request's quarantine standing on arrival. closedConnections counts
+	// the sends during which the worker closed the connection.
 	initialStanding   quarantine.Standing
 	closedConnections atomic.Int32
-	// last is what is known of the last send.
+	// lastResult and lastWorker describe the most recently completed send.
 	lastResult *upstream.Result
 	lastWorker workers.ID
-	// holding is what the request holds of the memory for bodies.
+	// cleanups release the request's body memory and other resources when it ends.
 	cleanups holding
-	// unread says that the caller's body has not been read to its end.
+	// bodyUnread reports that the caller's body has not been read to its end.
 	bodyUnread bool
-	// detach lets the request go on when the process is about to end.
+	// detach keeps the request from being canceled when the process shuts down.
 	detach func() bool
 }
 
-// prepare reads the request; false if it was answered.
+// prepare parses the headers and reads the body. It returns false if it has already answered the
+// request.
 func (c *call) prepare() bool {
 	header := c.request.Header
 	c.message = upstream.Message{
@@ -87,14 +90,14 @@
 	return c.readBody()
 }
 
-// left is the time until the deadline.
+// timeLeft returns the time until the deadline.
 func (c *call) timeLeft() time.Duration { return clock.Until(c.deadline) }
 
-// repeatable reports whether the request may be sent after it may have run.
+// repeatable reports whether the request may be sent again although it may already have run.
 func (c *call) repeatable() bool { return c.route.Repeatable && c.message.Rest == nil }
 
-// sendTo sends the request once and takes note of how it ended. The caller has asked
-// whether a send is left.
+// sendTo sends the request once and records the result. The caller has checked that another send
+// is permitted.
 func (c *call) sendTo(to *backend, until time.Time) *upstream.Result {
 	c.sends.begin()
 	c.countSend()
@@ -103,7 +106,7 @@
 	return &result
 }
 
-// exchange sends the request once; it may run beside another copy.
+// exchange sends the request once. It may run concurrently with another copy of the request.
 func (c *call) exchange(ctx context.Context, to *backend, until time.Time) (workers.ID, upstream.Result) {
 	p := c.proxy
 	worker := to.info()
@@ -136,19 +139,19 @@
 	return worker.ID, result
 }
 
-// target describes the worker that a send is for.
+// target describes the worker to send to.
 func (c *call) target(to *backend, worker *workers.Worker) upstream.Target {
 	return upstream.Target{ID: string(worker.ID), Admits: func() bool { return c.admits(to) }}
 }
 
-// note takes note of a send that has ended.
+// recordResult records the result of a completed send.
 func (c *call) recordResult(worker workers.ID, result *upstream.Result) {
 	c.lastResult, c.lastWorker = result, worker
 	c.sends.finish(result.Outcome)
 }
 
-// finish ends the request if the last send decided it; false if another may be
-// tried.
+// finish answers the request if the result of the send is final. It returns false if another send
+// may be tried.
 func (c *call) finish(result *upstream.Result) bool {
 	switch result.Outcome {
 	case upstream.Answered:
@@ -180,14 +183,15 @@
 		c.giveUp(reasonDeadline, 0)
 		return true
 	}
-	if c.message.Spent() { // what is left of the body is no longer the whole of it
+	if c.message.Spent() { // part of the streamed body was consumed, so that it can't be sent again
 		c.giveUp(reasonRefused, 0)
 		return true
 	}
 	return false
 }
 
-// abandon ends a request whose client has left, or that is under way when the process ends.
+// abandon ends a request whose context was canceled: the client disconnected, or the process shuts
+// down.
 func (c *call) abandon() {
 	if c.proxy.ending.Err() == nil {
 		c.recordEnd(0, "client-gone")
@@ -196,18 +200,20 @@
 	c.giveUp(reasonEnding, minRetryAfter)
 }
 
-// mayRepeat reports whether a request that may have run can be sent again.
+// mayResend reports whether a request that may have run can be sent again.
 func (c *call) mayResend() bool {
 	return c.repeatable() && c.sends.maySend() && c.maySpread()
 }
 
-// giveUp ends a request that no worker answered: with a promise if it did not run.
+// giveUp refuses a request that no worker answered. The status is 503 with a Retry-After header of
+// at least minRetryAfter if the request did not run or is repeatable, and 502 otherwise.
 func (c *call) giveUp(reason string, retryAfter time.Duration) {
 	c.countLost(reason)
 	c.giveUpWith(reason, max(retryAfter, minRetryAfter))
 }
 
-// giveUpForGood does the same and tells no time to come back.
+// giveUpWithoutRetry is like giveUp, but sends no Retry-After header and does not count the request
+// as lost.
 func (c *call) giveUpWithoutRetry(reason string) { c.giveUpWith(reason, 0) }
 
 func (c *call) giveUpWith(reason string, retryAfter time.Duration) {
@@ -218,12 +224,12 @@
 	c.refuse(http.StatusServiceUnavailable, reason, retryAfter)
 }
 
-// minRetryAfter is the shortest wait that a client is told.
+// minRetryAfter is the shortest Retry-After delay that is sent to clients.
 const minRetryAfter = 50 * time.Millisecond
 
-// returnSoon is when a client may come back whose request was turned away by the last worker that
-// was asked: at once if that had slots to spare, since it may well take the next one, and a caller
-// that waits misses its target for nothing; otherwise after the time for workers that are full.
+// retryAfterRejection returns the Retry-After delay after the last worker refused the request:
+// minRetryAfter if that worker reported free slots, since it may well accept the next request and a
+// longer wait would make the caller miss its target needlessly; otherwise whenFull.
 func (c *call) retryAfterRejection(whenFull time.Duration) time.Duration {
 	if c.lastResult != nil && c.lastResult.Outcome == upstream.NotRun && c.lastResult.Load.Idle(c.lastResult.Loaded) {
 		return minRetryAfter
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -11,29 +11,29 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// When a second copy of a repeatable request goes out while the first has no
-// answer: its worker may be slow, or the answer may be lost.
+// Parameters of hedging: a second copy of a repeatable request is sent if the first has not been
+// answered after some time, since its worker may be slow or the answer may have been lost.
 const (
-	// hedgeFactor times the estimated time must have passed,
+	// hedgeFactor is the delay before the second copy as a multiple of the estimated latency.
 	hedgeFactor = 3.0
-	// but at least hedgeMinShare and no more than hedgeMaxShare of the target.
+	// hedgeMinShare and hedgeMaxShare bound that delay as fractions of the target latency.
 	hedgeMinShare = 0.9
 	hedgeMaxShare = 1.3
-	// hedgeMaxLoad: no copy goes to a worker with more requests than this multiple
-	// of its slots, where waiting explains the silence.
+	// hedgeMaxLoad is the load ratio (requests per slot) of a worker above which it gets no second
+	// copy: the lack of an answer is then explained by waiting.
 	hedgeMaxLoad = 0.7
 )
 
-// ended is the end of one copy.
+// copyResult is the result of sending one copy of a request.
 type copyResult struct {
 	backend *backend
 	worker  workers.ID
 	result  upstream.Result
-	// panicked is what the copy panicked with; nil if it did not.
+	// panicked is the value with which the copy's goroutine panicked; nil if it did not.
 	panicked any
 }
 
-// copies are the copies of one request that are under way.
+// hedgedSend sends up to two copies of one request.
 type hedgedSend struct {
 	call     *call
 	ctx      context.Context
@@ -42,7 +42,7 @@
 	inFlight int
 }
 
-// launch sends one copy.
+// launch starts sending one copy.
 func (h *hedgedSend) launch(to *backend) {
 	h.inFlight++
 	c := h.call
@@ -52,9 +52,9 @@
 	go h.run(to, until)
 }
 
-// run sends one copy. A panic is passed on to the caller's handler, where it breaks one
-// connection: in this goroutine it would end the process, and the request comes again at the
-// next one.
+// run sends one copy and reports its result. A panic is passed to the goroutine of the request's
+// handler, where it aborts one connection. In this goroutine it would terminate the process, and
+// the client would then retry the request at the next router.
 func (h *hedgedSend) run(to *backend, until time.Time) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
@@ -65,8 +65,8 @@
 	h.results <- copyResult{backend: to, worker: worker, result: result}
 }
 
-// sendHedged sends a repeatable request, and a second copy if the first stays
-// silent. second returns where it goes; nil for nowhere.
+// sendHedged sends a repeatable request, and a second copy if the first is not answered within
+// hedgeAfter. second returns the worker for the second copy, or nil if there is none.
 func (c *call) sendHedged(first choice, second func() *backend) *upstream.Result {
 	ctx, cancel := context.WithCancel(c.request.Context())
 	h := &hedgedSend{call: c, ctx: ctx, cancel: cancel, results: make(chan copyResult, 2)}
@@ -93,15 +93,15 @@
 	}
 }
 
-// decides reports whether the other copy of a request need not be awaited. A worker's own
-// failure does not: the other may still succeed, and giving it up would break off work
-// that runs.
+// isDecisive reports whether the result makes the other copy of the request superfluous. A worker's
+// server error does not: the other copy may still succeed, and canceling it would interrupt work
+// that is running.
 func isDecisive(result *upstream.Result) bool {
 	return result.Outcome == upstream.Answered && result.Status < http.StatusInternalServerError
 }
 
-// take returns a copy's result and gives the other copy up: at once, or after a
-// long answer was streamed.
+// accept returns a copy's result and cancels the other copy: immediately, or after a streamed
+// answer has been forwarded.
 func (h *hedgedSend) accept(finished copyResult) *upstream.Result {
 	if finished.result.Stream == nil {
 		h.cancel()
@@ -111,7 +111,7 @@
 	return &finished.result
 }
 
-// hedgeAfter is how long the first copy may stay silent.
+// hedgeAfter returns the delay before the second copy is sent.
 func (c *call) hedgeAfter(estimated time.Duration) time.Duration {
 	if c.service.HedgeAfter > 0 {
 		return c.service.HedgeAfter
@@ -121,7 +121,8 @@
 	return time.Duration(min(max(wait, hedgeMinShare*target), hedgeMaxShare*target))
 }
 
-// hedgeTo returns where a second copy goes; nil if none may be sent.
+// hedgeTarget returns the worker to send the second copy to, or nil if none may be sent. It charges
+// the retry budget.
 func (c *call) hedgeTarget(second func() *backend) *backend {
 	if !c.sends.maySend() || !c.maySpread() || c.timeLeft() <= answerMargin || c.request.Context().Err() != nil {
 		return nil
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -13,22 +13,23 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Times of keyed requests.
+// Waiting and retry times of keyed requests.
 const (
-	// movingKeyWaitShare is the share of the target for which a request waits while its
-	// key moves.
+	// movingKeyWaitShare is the fraction of the target latency for which a request waits while its
+	// key is moving to another owner.
 	movingKeyWaitShare = 0.8
-	// missingOwnerWaitShare is the share for which it waits where no owner is known.
+	// missingOwnerWaitShare is the fraction for which it waits if there is no usable owner, or for
+	// the owner's rate limit.
 	missingOwnerWaitShare = 0.22
-	// noOwnerRetryAfter is when a caller may come back that has found no owner, and stuckKeyRetryAfter when its key
-	// can't move for now.
+	// noOwnerRetryAfter is the Retry-After delay if the key has no usable owner, and
+	// stuckKeyRetryAfter the one if the key also can't be moved for now.
 	noOwnerRetryAfter  = 200 * time.Millisecond
 	stuckKeyRetryAfter = time.Second
-	// ownerRetryPause is the pause before an owner that refused is asked again.
+	// ownerRetryPause is the pause before the request is sent to its owner again.
 	ownerRetryPause = 25 * time.Millisecond
 )
 
-// serveKeyed sends the request to the worker that holds its key.
+// serveKeyed sends the request to the worker that owns its key.
 func (c *call) serveKeyed() {
 	key, found := c.readKey(c.service)
 	if !found {
@@ -53,7 +54,7 @@
 		if c.finish(result) {
 			return
 		}
-		if result.Outcome == upstream.TurnedAway { // no other may run it, and this one has no room
+		if result.Outcome == upstream.TurnedAway { // no other worker may run it, and the owner has no capacity
 			c.giveUp(reasonBusy, c.jitteredRetryAfter())
 			return
 		}
@@ -62,7 +63,7 @@
 			return
 		}
 		if to.backoffLeft(clock.Now()) > 0 {
-			continue // it is refused, unless its key has moved
+			continue // awaitOwner refuses the request unless its key has moved
 		}
 		c.logResend(result)
 		if !c.pause(ownerRetryPause) {
@@ -71,7 +72,8 @@
 	}
 }
 
-// readKey returns the number of the request's key at a service; false if it has none.
+// readKey returns the number of the request's key at a service, or false if the request has no
+// valid key.
 func (c *call) readKey(service *routing.Service) (int, bool) {
 	if service.Key != nil {
 		return service.Key(c.request)
@@ -80,7 +82,8 @@
 	return key, err == nil && key >= 0 && key < owner.KeyCount
 }
 
-// awaitOwner returns the worker that holds the key, nil after it has answered.
+// awaitOwner waits for the worker that owns the key and returns it. It returns nil if it has already
+// answered the request.
 func (c *call) awaitOwner() *backend {
 	for {
 		changed := c.proxy.Table.Changed()
@@ -105,8 +108,8 @@
 	}
 }
 
-// ownerPatience is the share of the target for which a request waits for an owner, by why there is none:
-// none where it would wait in vain.
+// ownerWaitShare returns the fraction of the target for which a request waits for a usable owner,
+// given the reason why there is none. It is 0 if waiting can't help.
 func (c *call) ownerWaitShare(reason string) float64 {
 	switch {
 	case reason == reasonMoving:
@@ -117,13 +120,13 @@
 	return missingOwnerWaitShare
 }
 
-// keyStays reports whether the key has lost its owner and can't get another one now.
+// cannotReassignKey reports whether the key has lost its owner and can't get another one for now.
 func (c *call) cannotReassignKey(reason string) bool {
 	return reason == reasonOwnerGone && c.proxy.KeysStay != nil && c.proxy.KeysStay()
 }
 
-// ownerReturn is when a caller may come back for whose key there is no owner. While the key can't move
-// each router refuses it, and the later a caller tries the better.
+// ownerRetryAfter returns the Retry-After delay of a request whose key has no usable owner. While
+// the key can't be moved every router refuses the request, so that the longer delay is better.
 func (c *call) ownerRetryAfter(reason string) time.Duration {
 	if c.cannotReassignKey(reason) {
 		return stuckKeyRetryAfter
@@ -131,8 +134,8 @@
 	return noOwnerRetryAfter
 }
 
-// findOwner returns the worker that may be sent the key's requests now, or why
-// there is none.
+// findOwner returns the worker to which the key's requests may be sent now, or the reason why there
+// is none.
 func (c *call) findOwner() (*backend, string) {
 	assigned, known := c.proxy.Table.Lookup(c.service.Name, c.key)
 	switch {
@@ -155,10 +158,12 @@
 	return to, ""
 }
 
-// ownerLookupInterval is the longest wait before the owner is looked up again.
+// ownerLookupInterval is the longest wait before the owner is looked up again. A table change ends
+// the wait earlier.
 const ownerLookupInterval = 20 * time.Millisecond
 
-// awaitTable waits for a change of owners; false if the request has ended.
+// awaitTableChange waits for a change of the key table, but no longer than wait or
+// ownerLookupInterval. It returns false if it has already ended the request.
 func (c *call) awaitTableChange(changed <-chan struct{}, wait time.Duration) bool {
 	if !c.state.enqueue(c.service.Queue) {
 		c.giveUp(reasonQueue, 100*time.Millisecond)
@@ -177,15 +182,16 @@
 	return true
 }
 
-// Where an owner turns requests away, a client is told to come back after between these
-// shares of the target, so that not all are back at once.
+// If an owner rejects requests, the Retry-After delay is between these fractions of the target, so
+// that clients do not all retry at the same time.
 const (
 	minRetryAfterShare = 0.25
 	maxRetryAfterShare = 0.75
 )
 
-// unlessBusy refuses a request that the owner could not answer in time, or would
-// probably turn away.
+// admitToOwner returns the owner if the request may be sent to it now, after any wait that the
+// owner's rate limit requires. It refuses the request and returns nil if the owner is in a backoff,
+// could not answer in time, would probably reject the request, or gets no more for now.
 func (c *call) admitToOwner(to *backend) *backend {
 	now := clock.Now()
 	if wait := to.backoffLeft(now); wait > 0 {
@@ -216,18 +222,20 @@
 	return to
 }
 
-// limitPatience is for how long a request waits for its turn at an owner that names a limit.
+// maxLimitWait returns for how long a request may wait for the rate limit of its owner.
 func (c *call) maxLimitWait() time.Duration {
 	return min(time.Duration(missingOwnerWaitShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
 }
 
-// returnAfter is when a client may come back whose owner takes no more now.
+// jitteredRetryAfter returns a random Retry-After delay, as a fraction of the target, for a request
+// that can't be accepted now.
 func (c *call) jitteredRetryAfter() time.Duration {
 	share := minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*rand.Float64()
 	return time.Duration(share * float64(c.route.Target))
 }
 
-// holder returns the backend that the table names; nil if it must not get work.
+// ownerBackend returns the backend of the key's assigned worker, or nil if that worker must not
+// receive requests.
 func (c *call) ownerBackend(assigned owner.Owner) *backend {
 	worker, announced := c.proxy.fleet.directory.Get(assigned.Worker)
 	if !announced {
@@ -242,29 +250,29 @@
 	return c.proxy.fleet.get(worker)
 }
 
-// detectionShare of the time for which a worker that leaves may get requests is kept for
-// hearing of it late: a leader's silence counts for 1.1 s, and what it did not tell is
-// read after that.
+// detectionShare is the fraction of the drain and evacuation periods that is reserved for late
+// detection: a leader is considered lost only after 1.1 s of silence, and updates that it did not
+// send are read after that.
 const detectionShare = 0.5
 
-// leavingGrace is for how long a worker that leaves still gets requests for the keys
-// that it holds, once this process has heard of it.
+// leavingGrace returns for how long a worker still gets requests for its keys after it is known to be
+// draining or is no longer announced.
 func (c *call) leavingGrace() time.Duration {
 	return time.Duration((1 - detectionShare) * float64(c.proxy.Drain))
 }
 
-// evacuationGrace is for how long owners of keys in an evacuated zone still get requests,
-// once this process has heard of it: their keys move meanwhile.
+// evacuationGrace returns for how long owners in an evacuated zone still get requests after this
+// process has learned of the evacuation. Their keys move to other workers during that time.
 func (c *call) evacuationGrace() time.Duration {
 	return time.Duration((1 - detectionShare) * float64(c.proxy.Evacuate))
 }
 
-// drainedFor returns how long a worker has been draining.
+// drainedFor returns for how long a worker has been draining.
 func (c *call) drainedFor(id workers.ID) time.Duration {
 	return c.proxy.fleet.directory.DrainingFor(id)
 }
 
-// pause waits; false if the request ended meanwhile.
+// pause waits, at most until the deadline. It returns false if the request was canceled meanwhile.
 func (c *call) pause(wait time.Duration) bool {
 	timer := time.NewTimer(min(wait, max(0, c.timeLeft())))
 	defer timer.Stop()
--- a/internal/proxy/pooled.go
+++ b/internal/proxy/pooled.go
@@ -8,15 +8,15 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Times of requests to pools.
+// Waiting times of requests to pools.
 const (
-	// queuePollInterval is the pause between looks for a worker.
+	// queuePollInterval is the interval at which a waiting request tries to pick a worker again.
 	queuePollInterval = 5 * time.Millisecond
-	// queueWaitShare is the share of the target for which a request waits for one.
+	// queueWaitShare is the fraction of the target latency for which a request waits for a worker.
 	queueWaitShare = 0.22
 )
 
-// servePooled sends the request to a worker of a pool.
+// servePooled sends the request to a worker of the service's pool.
 func (c *call) servePooled() {
 	for {
 		picked := c.awaitWorker()
@@ -43,8 +43,9 @@
 	}
 }
 
-// sendPooled sends the request, and where it may be repeated a second copy to
-// another worker if the first stays silent.
+// sendPooled sends the request to the picked worker. If the request is repeatable, can't have run yet
+// and may run on several workers, it is hedged: a second copy goes to another worker if the first does
+// not answer.
 func (c *call) sendPooled(picked choice) *upstream.Result {
 	if !c.repeatable() || c.sends.mayHaveRun() > 0 || !c.maySpread() {
 		return c.sendTo(picked.backend, c.deadline.Add(-answerMargin))
@@ -57,7 +58,7 @@
 	})
 }
 
-// pick chooses a worker that was not tried, and that may get one more request now.
+// pick chooses a worker that has not been tried and may get one more request now.
 func (c *call) pick(now time.Time, required need, tried map[workers.ID]bool) choice {
 	for {
 		picked := c.proxy.fleet.pick(now, c.state, c.service, required, tried, int(c.proxy.Nodes.Load()))
@@ -75,8 +76,8 @@
 	}
 }
 
-// await picks a worker, and waits a moment for one. It returns none after it has
-// answered the request.
+// awaitWorker picks a worker, and waits up to queueWaitShare of the target for one. It returns an
+// empty choice if it has already answered the request.
 func (c *call) awaitWorker() choice {
 	waitLimit := c.began.Add(time.Duration(queueWaitShare * float64(c.route.Target)))
 	for {
@@ -109,8 +110,8 @@
 	}
 }
 
-// queue waits a moment among the service's other waiting requests; false if the
-// request has ended.
+// waitInQueue waits for queuePollInterval as one of the service's waiting requests. It returns false
+// if it has already ended the request.
 func (c *call) waitInQueue() bool {
 	if c.claim.yields && c.state.halfFull(c.service.Queue) {
 		c.giveUp(reasonShare, c.jitteredRetryAfter())
@@ -124,8 +125,8 @@
 	return c.pause(queuePollInterval)
 }
 
-// forget lets workers be tried again that did not run the request, once all
-// others were tried.
+// resetTried makes all workers eligible again once each usable one has been tried. It returns false
+// if some have not been tried.
 func (c *call) resetTried() bool {
 	if len(c.tried) < c.usable() {
 		return false
@@ -134,6 +135,7 @@
 	return true
 }
 
+// noWorkerReason returns the reason for which no worker could be picked.
 func (c *call) noWorkerReason() string {
 	switch {
 	case c.usable() == 0:
--- a/internal/proxy/sendtracker.go
+++ b/internal/proxy/sendtracker.go
@@ -6,63 +6,63 @@
 )
 
 const (
-	// maxSends bounds the sends of one request, those included that its workers did not
+	// maxSends is the maximum number of sends of one request, including those that workers refused to
 	// run.
 	maxSends = 4
-	// maxUnsent bounds the tries that did not even connect.
+	// maxUnsent is the maximum number of attempts in which nothing was sent.
 	maxUnsent = 5
 )
 
-// allowance counts the sends of one request and says whether another may leave. A send
-// counts from before it leaves: one that is under way, or was given up, may run. It is
-// given back only if it surely did not run.
+// sendTracker counts the sends of one request and reports whether another is permitted. A send is
+// counted before it starts, since one that is in flight or was canceled may run. It is uncounted only
+// if it certainly did not run.
 //
-// It guards the route's limit of workers that one request may run on. Counting sends when
-// they ended let requests run on 2 workers of 1 and on 3 of 2: 13 of them in the first 3 s of
-// a day of 74 routers (second copies of silent requests).
+// It enforces the route's limit on the number of workers that one request may run on. Counting sends
+// only on completion let hedged requests exceed that limit, on 2 workers instead of 1 and on 3
+// instead of 2: 13 requests did so within the first 3 s of a run with 74 routers.
 type sendTracker struct {
-	// attempts is how many workers the request may run on.
+	// maxRuns is the maximum number of workers that the request may run on.
 	maxRuns int
-	// underWay have left and not ended; ran may have run; refused did not run, by their
-	// workers' word; unsent found no connection that lasted,
-	// or were withheld.
+	// inFlight sends have not completed; ran sends may have run; notRun sends were reported by their
+	// workers as not run; unsent attempts found no usable connection or were withheld.
 	inFlight, ran, notRun, unsent int
 }
 
-// take counts a send that is about to leave; false if none may.
-func (a *sendTracker) begin() bool {
-	if !a.maySend() {
+// begin counts a send that is about to start. It returns false if none is permitted.
+func (t *sendTracker) begin() bool {
+	if !t.maySend() {
 		return false
 	}
-	a.inFlight++
+	t.inFlight++
 	return true
 }
 
-// left reports whether one more send may leave.
-func (a *sendTracker) maySend() bool {
-	return a.inFlight+a.ran < a.maxRuns && a.mayHaveArrived() < maxSends && a.unsent < maxUnsent
+// maySend reports whether one more send is permitted.
+func (t *sendTracker) maySend() bool {
+	return t.inFlight+t.ran < t.maxRuns && t.mayHaveArrived() < maxSends && t.unsent < maxUnsent
 }
 
-// settle notes how a send that was taken ended.
-func (a *sendTracker) finish(outcome upstream.Outcome) {
-	a.inFlight--
+// finish records the outcome of a send that begin has counted.
+func (t *sendTracker) finish(outcome upstream.Outcome) {
+	t.inFlight--
 	switch outcome {
 	case upstream.NotSent, upstream.TurnedAway, upstream.Withheld:
-		a.unsent++
+		t.unsent++
 	case upstream.NotRun, upstream.Misdirected:
-		a.notRun++
+		t.notRun++
 	default:
-		a.ran++
+		t.ran++
 	}
 }
 
-// sends returns how many may have reached a worker.
-func (a *sendTracker) mayHaveArrived() int { return a.inFlight + a.ran + a.notRun }
+// mayHaveArrived returns how many sends may have reached a worker.
+func (t *sendTracker) mayHaveArrived() int { return t.inFlight + t.ran + t.notRun }
 
-// mayHaveRun returns how many may have run.
-func (a *sendTracker) mayHaveRun() int { return a.inFlight + a.ran }
+// mayHaveRun returns how many sends may have run.
+func (t *sendTracker) mayHaveRun() int { return t.inFlight + t.ran }
 
-// spend takes a second send from the service's budget where one is needed.
+// spendRetryBudget charges the service's retry budget if an earlier send of the request may have
+// reached a worker. It returns false if the budget is used up.
 func (c *call) spendRetryBudget() bool {
 	if c.sends.mayHaveArrived() == 0 {
 		return true
