--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -12,63 +12,67 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Constants of judging workers.
+// Parameters of estimating the latency and availability of workers.
 const (
-	// defaultLatency is a request's time at a worker of which nothing is known.
+	// defaultLatency is the assumed latency of a worker without measurements.
 	defaultLatency = 100 * time.Millisecond
-	// minCooldown and maxCooldown bound how long a failing worker is left alone.
+	// minCooldown and maxCooldown bound for how long a failing worker is not picked.
 	minCooldown = 300 * time.Millisecond
 	maxCooldown = 3 * time.Second
-	// fullCooldown is how long a worker that refused is left alone.
+	// fullCooldown is for how long a worker is not picked after it refused a request.
 	fullCooldown = 30 * time.Millisecond
-	// unreachableCooldown is how long no connection is tried to an owner of keys after
-	// one failed.
+	// unreachableCooldown is for how long no request is sent to an owner of keys after a connection
+	// attempt failed.
 	unreachableCooldown = 200 * time.Millisecond
-	// rejectionResetWindow is how soon a worker resets a connection that it has no room for;
-	// later it may have begun to work.
+	// rejectionResetWindow is the time within which a worker resets a connection that it has no
+	// capacity for. After a later reset it may have started to run the request.
 	rejectionResetWindow = 30 * time.Millisecond
-	// coldSlowdown is how much slower a worker is while it warms up.
+	// coldSlowdown is the assumed increase in latency while a worker warms up, as a factor.
 	coldSlowdown = 2
 )
 
-// backend is what this process knows of one worker.
+// backend is this process's state of one worker.
 type backend struct {
 	pool *upstream.Pool
 
 	mu       sync.Mutex
 	worker   workers.Worker
 	inFlight int
-	// others is the load by other processes, and slowdown how long work takes, as far as the
-	// worker tells them; means are those over the service's workers.
+	// othersLoad is the number of requests of other processes at the worker, and slowdown the
+	// relative duration of work, as reported by the worker. means are the averages of both over the
+	// service's workers.
 	othersLoad, slowdown estimate.Told
 	means                *reportedMeans
-	// latency is the time of work on a request.
+	// latency measures the time that the worker works on a request.
 	latency estimate.Latency
-	// throttle is for a worker of keys that turns requests away.
+	// throttle limits requests to an owner of keys that rejects requests.
 	throttle estimate.Throttle
-	// shares count what tenants ask of a worker of keys that turns requests away.
+	// shares count the demand of each tenant for an owner of keys that rejects requests.
 	shares   fair.Ledger
 	failures int
-	// restUntil is until when a failing worker is left alone.
+	// cooldownUntil is the time before which a failing worker is not picked, and fullUntil that for a
+	// worker that refused a request.
 	cooldownUntil time.Time
 	fullUntil     time.Time
-	// limitUntil is until when the worker gets no more while it names a limit, a number of
+	// limitUntil is the time before which the worker's own rate limit admits no more requests, in
 	// clock.Nanos.
 	limitUntil atomic.Int64
-	// backoffUntil is until when the worker has asked this process to send it nothing, a number of
+	// backoffUntil is the end of the backoff that the worker has requested from this process, in
 	// clock.Nanos.
 	backoffUntil atomic.Int64
-	// unreachedUntil is until when no connection is tried to an owner of keys.
+	// unreachableUntil is the time before which no request is sent to an owner of keys after a
+	// failed connection attempt.
 	unreachableUntil time.Time
-	gone             bool
-	cold             coldGate
-	// witness is what was seen of the worker's end, and probeAt is when the last look at its
-	// address begins, or began.
+	// gone reports that another worker answered at the address.
+	gone bool
+	cold coldGate
+	// witness holds what was observed of the worker's end. probeAt is the start time of the last
+	// probe of its address, which may be in the future.
 	witness quarantine.Witness
 	probeAt time.Time
 }
 
-// reportedMeans are the means of what a service's workers tell.
+// reportedMeans are the averages of the loads that a service's workers report.
 type reportedMeans struct {
 	othersLoad, slowdown estimate.Mean
 }
@@ -77,15 +81,16 @@
 	return &backend{pool: upstream.NewPool(worker.Address), worker: worker, means: means}
 }
 
-// isOtherLife reports whether an announcement is of another life of the worker.
+// isOtherIncarnation reports whether the announcement is of another incarnation of the worker: one
+// whose process has been restarted.
 func (b *backend) isOtherIncarnation(worker workers.Worker) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born
 }
 
-// announce takes what the worker announces. A life that was told stays known while the worker is
-// known by its address only.
+// update replaces the worker's announced description. If the new one has no incarnation, because the
+// worker is known only by its address, the previous incarnation is kept.
 func (b *backend) update(worker workers.Worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +100,7 @@
 	b.worker = worker
 }
 
-// told takes what the worker tells of itself. The caller holds mu.
+// recordLoad records the load that the worker has reported. The caller holds mu.
 func (b *backend) recordLoad(now time.Time, load upstream.Load) {
 	others := max(0, float64(load.Running+load.Waiting-b.inFlight))
 	b.othersLoad.Add(now, others)
@@ -106,7 +111,8 @@
 	}
 }
 
-// slowness is how much longer than usual work takes at the worker now. The caller holds mu.
+// relativeSlowdown returns the worker's expected slowdown relative to the average of the service's
+// workers, or 1 if none reports one. The caller holds mu.
 func (b *backend) relativeSlowdown(now time.Time) float64 {
 	mean := b.means.slowdown.Get(now)
 	if mean == 0 {
@@ -115,8 +121,9 @@
 	return b.slowdown.Expected(now, mean) / mean
 }
 
-// assess returns how long a request sent now would take; false if none may be sent. A cold
-// worker bears so many requests a second from all processes, of which there are nodes.
+// assess returns the estimated duration of a request sent now, or false if none may be sent. prior is
+// the expected latency without measurements, coldRate the rate in requests per second that a worker
+// can take from all processes while it warms up, and nodes the number of processes.
 func (b *backend) assess(now time.Time, prior time.Duration, coldRate float64, nodes int) (choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,16 +137,16 @@
 	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: occupied+1 <= slots}, true
 }
 
-// estimateAged returns how long a request sent now would take, where that decides whether one is sent at
-// all: answers of long ago count for less and less.
+// estimateDecayed returns the estimated duration of a request sent now, with old measurements decaying
+// towards prior. It is for deciding whether to send to the worker at all.
 func (b *backend) estimateDecayed(now time.Time, prior time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.expected(now, b.latency.Expected(now, prior))
 }
 
-// expected returns how long a request sent now would take, given the mean time of work. The caller holds
-// mu.
+// expected returns the estimated duration of a request sent now, given the mean time of work on one.
+// The caller holds mu.
 func (b *backend) expected(now time.Time, work time.Duration) time.Duration {
 	mean := time.Duration(float64(work) * b.relativeSlowdown(now))
 	if now.Before(b.worker.WarmAt) {
@@ -150,49 +157,50 @@
 	return time.Duration(float64(mean) * (1 + waiting/slots))
 }
 
-// occupied estimates the requests at the worker. The caller holds mu.
+// estimatedLoad estimates the number of requests at the worker, running and waiting. The caller holds
+// mu.
 func (b *backend) estimatedLoad(now time.Time) float64 {
 	return float64(b.inFlight) + b.othersLoad.Expected(now, b.means.othersLoad.Get(now))
 }
 
-// crowd returns the estimated requests at the worker, as a multiple of its slots.
+// loadRatio returns the estimated number of requests at the worker as a multiple of its slots.
 func (b *backend) loadRatio(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.estimatedLoad(now) / float64(b.worker.Slots)
 }
 
-// usable reports whether requests may be sent now.
+// usable reports whether the worker has not gone and is not in a cooldown after failures.
 func (b *backend) usable(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.gone && !now.Before(b.cooldownUntil)
 }
 
-// usableOwner reports whether requests for keys that the worker holds may be sent
-// to it. No other worker may serve them, so only what can't be sent stays away.
+// usableAsOwner reports whether requests for keys that the worker owns may be sent to it. Since no
+// other worker may serve them, only an unreachable or replaced worker is excluded.
 func (b *backend) usableAsOwner(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.gone && !now.Before(b.unreachableUntil)
 }
 
-// admit counts a request that is about to be sent to a worker that may be cold, and bears so
-// many requests a second then from all processes; false if it may not.
+// admit counts a request that is about to be sent. It returns false if the worker is warming up and
+// this process's part of coldRate, the requests per second from all processes, is used up.
 func (b *backend) admit(now time.Time, coldRate float64, nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cold.take(now, b.worker.WarmAt, coldRate, nodes)
 }
 
-// mean returns the mean time of work on a request; false if none was measured.
+// meanLatency returns the mean time of work on a request, and false if there are no measurements.
 func (b *backend) meanLatency(prior time.Duration) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.latency.Mean(prior), b.latency.Measured()
 }
 
-// described returns the worker as it announced itself last.
+// info returns the worker as last announced.
 func (b *backend) info() workers.Worker {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -207,7 +215,7 @@
 	b.inFlight++
 }
 
-// leaveAfter counts a request as under way until a channel is closed.
+// releaseAfter counts a request as in flight until done is closed.
 func (b *backend) releaseAfter(done <-chan struct{}) {
 	<-done
 	b.mu.Lock()
@@ -215,8 +223,8 @@
 	b.inFlight--
 }
 
-// end learns from the end of a send. It returns true if the worker is now seen
-// as failing or as well again.
+// finish updates the state with the result of a send. It returns true if the worker starts or stops
+// being considered failing, or if it is gone.
 func (b *backend) finish(now time.Time, result *upstream.Result) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -240,7 +248,7 @@
 		changed = b.failures == 0
 		b.recordWorkTime(now, result)
 		b.recordFailure(now)
-	case upstream.Gone, upstream.BodyCut, upstream.Withheld: // say nothing of the worker
+	case upstream.Gone, upstream.BodyCut, upstream.Withheld: // independent of the worker's health
 	case upstream.NotSent:
 		changed = b.failures == 0
 		b.recordFailure(now)
@@ -253,13 +261,14 @@
 	return changed
 }
 
+// recordFailure starts a cooldown, which doubles with each consecutive failure. The caller holds mu.
 func (b *backend) recordFailure(now time.Time) {
 	rest := minCooldown << min(b.failures, 4)
 	b.failures++
 	b.cooldownUntil = now.Add(min(rest, maxCooldown))
 }
 
-// learn measures the time that the worker worked on a request.
+// recordWorkTime measures the time that the worker worked on a request. The caller holds mu.
 func (b *backend) recordWorkTime(now time.Time, result *upstream.Result) {
 	worked, informative := result.WorkTime(b.worker.Slots, b.latency.Mean(defaultLatency))
 	if informative {
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -8,9 +8,9 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// backOff keeps this process's requests away from the worker for as long as it asks for. The latest end
-// of all that it has asked for counts. It returns by how much longer that is than was known, and whether
-// none was under way.
+// startBackoff stops this process from sending requests to the worker for the requested time. Of
+// several backoffs the one that ends last applies. It returns by how much this extends the known
+// backoff, and whether it starts a new one.
 func (b *backend) startBackoff(now time.Time, requested time.Duration) (extension time.Duration, started bool) {
 	if requested == 0 {
 		return 0, false
@@ -32,13 +32,12 @@
 	}
 }
 
-// backoffLeft returns for how much longer the worker is to get nothing from this process; zero if it
-// may get requests.
+// backoffLeft returns the remaining time of the worker's backoff, or zero if there is none.
 func (b *backend) backoffLeft(now time.Time) time.Duration {
 	return max(0, clock.OfNanos(b.backoffUntil.Load()).Sub(now))
 }
 
-// watchBackoff learns from the end of a send whether its worker asks for a backoff.
+// recordBackoff starts a backoff, or logs that it can't be parsed, if the answer requests one.
 func (c *call) recordBackoff(to *backend, result *upstream.Result) {
 	switch result.Backoff.Asking {
 	case upstream.BackoffAsked:
@@ -58,14 +57,14 @@
 	}
 }
 
-// returnElsewhere is when a caller may come back whose request this process may not send for some time:
-// soon, since another one may, and the key may move.
+// backoffRetryAfter returns the Retry-After delay during a worker's backoff. It is bounded by
+// jitteredRetryAfter, since another router may be able to send the request, and the key may move.
 func (c *call) backoffRetryAfter(wait time.Duration) time.Duration {
 	return min(wait, c.jitteredRetryAfter())
 }
 
-// admits reports whether a worker that was chosen for the request may still get it: since then it may
-// have asked for a backoff, or have been leaving for too long.
+// admits reports whether the worker chosen for the request may still get it. In the meantime it may
+// have requested a backoff, or have been draining for too long.
 func (c *call) admits(to *backend) bool {
 	return to.backoffLeft(clock.Now()) == 0 && c.drainedFor(to.id()) <= c.leavingGrace()
 }
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -7,38 +7,41 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// BudgetLimits bound the second sends of all processes together.
+// BudgetLimits bound the resends of all processes together. A resend is any send of a request after
+// its first: a retry or a hedged copy.
 type BudgetLimits struct {
-	// Ratio of second sends to requests.
+	// Ratio is the permitted number of resends per request.
 	Ratio float64
-	// Slack is what all processes together may send again beyond it within Window.
+	// Slack is the number of additional resends that all processes together may make within Window.
 	Slack  float64
 	Window time.Duration
 }
 
 const (
-	// budgetShare is the part of the limit that is used.
+	// budgetShare is the fraction of the limits that is used.
 	budgetShare = 0.75
-	// scarceBudgetShare is that of the ratio where the slack is scarce: what is sent within a window
-	// was earned within two of them, of which the users' limit counts the busier one.
+	// scarceBudgetShare is the fraction of the ratio that is used if the slack is scarce: resends
+	// within a window were earned within two windows, of which the users' limit counts only the
+	// busier one.
 	scarceBudgetShare = 0.5
-	// defaultNodes is how many processes share the slack until it is known.
+	// defaultNodes is the assumed number of processes until it is known.
 	defaultNodes = 14
 )
 
-// budget counts one service's second sends in one process.
+// budget is a token bucket for one service's resends in one process.
 //
-// Where the slack is enough for a whole second send of each process, it comes back over the
-// window, by so much that the sends that all have saved up and those that come back stay within
-// it. Where it is not, a process has none of it: it earns second sends by its requests alone, and
-// what it has earned lapses after a window. A process that may save up one send whatever its share
-// is broke the limit by 69 of 20 with 60 processes that get 5 requests a second together.
+// If the slack suffices for at least one resend by each process, tokens are refilled over the window
+// such that all processes' full buckets and refills together stay within the slack. If it does not,
+// a process gets no part of the slack: it earns tokens by its requests only, and earned tokens expire
+// after a window. If each process could save up one token regardless of its share, 60 processes with
+// 5 requests per second in total would exceed a slack of 20 by 69 resends.
 type budget struct {
 	mu         sync.Mutex
 	limits     BudgetLimits
 	tokens     float64
 	refilledAt time.Time
-	// earnedSince is when tokens began to be earned that lapse; zero while none lapse.
+	// earnedSince is the start of the period in which the current tokens were earned; zero while
+	// tokens do not expire.
 	earnedSince time.Time
 }
 
@@ -46,7 +49,7 @@
 	return &budget{limits: limits, tokens: 1, refilledAt: clock.Now()}
 }
 
-// request counts a request that may be sent for the first time.
+// recordRequest adds the tokens that a request earns, before its first send.
 func (b *budget) recordRequest(nodes int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,14 +67,14 @@
 	b.limits = limits
 }
 
-// left returns how many second sends may be made at once.
+// available returns how many resends may be made at once.
 func (b *budget) available() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tokens
 }
 
-// slack returns a process's part of the slack.
+// slack returns this process's share of the slack.
 func (b *budget) slack(nodes int) float64 {
 	if nodes <= 0 {
 		nodes = defaultNodes
@@ -79,20 +82,21 @@
 	return b.limits.Slack / float64(nodes)
 }
 
-// scarce reports whether the slack is too little for one second send of each process.
+// scarce reports whether the slack is too small for one resend by each process.
 func (b *budget) scarce(nodes int) bool { return b.slack(nodes) < 1 }
 
-// burst is the most that may be sent again at once.
+// burst returns the capacity of the bucket.
 func (b *budget) burst(nodes int) float64 { return max(1, b.slack(nodes)/2*budgetShare) }
 
-// refill is how much of the slack comes back within a window: what is left of it where all
-// have saved up their burst.
+// refill returns how many tokens are refilled per window: the part of the slack that remains if the
+// bucket is full, at most a whole burst.
 func (b *budget) refill(nodes int) float64 {
 	burst := b.burst(nodes)
 	return min(burst, max(0, b.slack(nodes)-burst))
 }
 
-// lapse drops what was earned too long ago, where the slack is scarce. The caller holds mu.
+// expire discards the tokens once a window has passed since they began to be earned, if the slack is
+// scarce. The caller holds mu.
 func (b *budget) expire(nodes int, now time.Time) {
 	switch {
 	case !b.scarce(nodes):
@@ -102,7 +106,7 @@
 	}
 }
 
-// spend takes one second send; false if none is left.
+// spend takes a token for one resend, or returns false if there is none.
 func (b *budget) spend(nodes int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -6,14 +6,15 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// What answers say of their workers, as metrics name it.
+// Metric labels of the notices that workers give in answers.
 const (
 	noticeLeaving           = "leaving"
 	noticeBackoff           = "backoff"
 	noticeUnreadableBackoff = "unreadable-backoff"
 )
 
-// watchNotice learns from the end of a send whether its worker leaves, or asks for a backoff.
+// recordNotice handles an answer's notices that its worker is leaving or requests a backoff, and
+// counts headers that the router does not read.
 func (c *call) recordNotice(to *backend, result *upstream.Result) {
 	if result.Leaving {
 		c.proxy.Metrics.noticed(c.service.Name, noticeLeaving)
@@ -25,13 +26,14 @@
 	c.proxy.countUnread(to.id(), result.Header)
 }
 
-// isKeptAway reports whether a worker gets no more for now, since it names a limit or has asked for a
+// isBlocked reports whether the worker gets no requests for now, because of its rate limit or a
 // backoff.
 func (p *Proxy) isBlocked(now time.Time, to *backend) bool {
 	return to.backoffLeft(now) > 0 || (now.Before(to.limitedUntil()) && p.isLimited(to))
 }
 
-// keptAwayUntil returns until when a worker gets no more; zero if it may get some.
+// blockedUntil returns the time until which the worker gets no requests and the reason. They are zero
+// if it is not blocked.
 func (p *Proxy) blockedUntil(now time.Time, to *backend) (until time.Time, reason string) {
 	if p.isLimited(to) && now.Before(to.limitedUntil()) {
 		until, reason = to.limitedUntil(), reasonLimited
@@ -42,8 +44,8 @@
 	return until, reason
 }
 
-// allKeptAway reports whether all workers that a request might be sent to get no more for now, and by
-// what the first that may get some again is kept away, until when.
+// allBlocked returns the earliest time at which one of the service's usable workers is no longer
+// blocked, and why it is blocked. They are zero unless all of the usable workers are blocked.
 func (c *call) allBlocked(now time.Time) (until time.Time, reason string) {
 	list, _ := c.proxy.fleet.members(now, c.state, c.service.Name, int(c.proxy.Nodes.Load()))
 	for _, one := range list {
@@ -61,7 +63,7 @@
 	return until, reason
 }
 
-// returnWhenNotKept is when a caller may come back that no worker takes for some time.
+// blockedRetryAfter returns the Retry-After delay if all workers are blocked for the given time.
 func (c *call) blockedRetryAfter(reason string, wait time.Duration) time.Duration {
 	if reason == reasonBackoff {
 		return c.backoffRetryAfter(wait)
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -9,26 +9,27 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Constants of picking.
+// Parameters of picking workers.
 const (
-	// jitter keeps processes that know the same from picking the same worker.
+	// estimateJitter is the largest relative increase of an estimate at random. It keeps processes
+	// with the same information from picking the same worker.
 	estimateJitter = 0.12
-	// maxLoadRatio is the number of requests at a worker, as a multiple of its
-	// slots, above which no more are sent.
+	// maxLoadRatio is the number of requests at a worker, as a multiple of its slots, from which
+	// on no more are sent.
 	maxLoadRatio = 3.5
-	// meanLatencyInterval is the pause between averages over a service's workers.
+	// meanLatencyInterval is how often the mean latency over a service's workers is recomputed.
 	meanLatencyInterval = 200 * time.Millisecond
 )
 
-// choice is a worker and how long a request sent to it now would take.
+// choice is a worker with the estimated duration of a request sent to it now.
 type choice struct {
 	backend  *backend
 	estimate time.Duration
-	// free says that the request would probably not wait there.
+	// hasFreeSlot reports that the request would probably not wait at the worker.
 	hasFreeSlot bool
 }
 
-// sooner returns the choice that answers sooner.
+// faster returns the choice with the shorter estimate.
 func (c choice) faster(other choice) choice {
 	if c.backend == nil || (other.backend != nil && other.estimate < c.estimate) {
 		return other
@@ -36,32 +37,32 @@
 	return c
 }
 
-// member is a worker of a service that new work may go to.
+// member is a worker of a service that may receive new requests.
 type member struct {
 	id      workers.ID
 	backend *backend
 	region  topology.Region
-	// distance from this process; preferred workers are those of the own zone that it sends
-	// to first.
+	// distance is that from this process. preferred reports that the worker belongs to the subset
+	// of the local zone that this process sends to first.
 	distance  topology.Distance
 	preferred bool
 }
 
-// members are a service's workers as picking needs them. They are made anew only when the
-// list of workers or the number of processes changes: a pick among 98 workers took 27 µs
-// when it looked each of them up, and 11 µs since (BenchmarkPick), which counts where
-// requests that wait pick again every 5 ms on a sixth of a core.
+// memberCache caches a service's workers for picking. It is rebuilt only when the list of workers
+// or the number of processes changes: picking one of 98 workers takes 11 µs with the cache and
+// 27 µs if each worker is looked up (BenchmarkPick). That matters because waiting requests pick
+// again every 5 ms, with a sixth of a core available.
 type memberCache struct {
 	list    []member
 	version uint64
 	nodes   int
 	valid   bool
-	// usual is the mean time over the workers that were measured, as of usualAt.
+	// meanLatency is the mean over the workers with measurements, as of meanLatencyAt.
 	meanLatency   time.Duration
 	meanLatencyAt time.Time
 }
 
-// membersOf returns a service's workers, and the mean time of work at them.
+// members returns a service's workers and their mean latency.
 func (f *fleet) members(now time.Time, state *serviceState, name routing.ServiceName, nodes int) ([]member, time.Duration) {
 	state.membersMu.Lock()
 	defer state.membersMu.Unlock()
@@ -77,7 +78,7 @@
 	return m.list, m.meanLatency
 }
 
-// list looks workers up.
+// buildMembers looks up the workers that this process considers for a service.
 func (f *fleet) buildMembers(state *serviceState, announced []workers.Worker, version uint64, nodes int) []member {
 	preferred := f.preferred(state, announced, version, nodes)
 	considered := f.considered(announced, len(preferred))
@@ -91,7 +92,7 @@
 	return list
 }
 
-// preferred returns the workers of the own zone that this process sends to first.
+// preferred returns the workers of the local zone that this process sends to first.
 func (f *fleet) preferred(state *serviceState, list []workers.Worker, version uint64, nodes int) map[workers.ID]bool {
 	zones := map[string]bool{}
 	var sameZone []workers.ID
@@ -104,7 +105,8 @@
 	return state.subset.of(f.seed, sameZone, version, subsetSize(len(sameZone), nodes/max(1, len(zones))))
 }
 
-// meanLatencyOf is the mean time over the workers that were measured.
+// meanLatencyOf returns the mean latency over the workers with measurements, or defaultLatency if
+// there are none.
 func meanLatencyOf(list []member) time.Duration {
 	total, count := time.Duration(0), 0
 	for _, one := range list {
@@ -119,8 +121,8 @@
 	return total / time.Duration(count)
 }
 
-// pick chooses a worker of a pool; none may be sent to now if it has no backend. nodes is
-// how many processes there are.
+// pick chooses a worker of a pool. The choice has no backend if no worker may be sent to now. nodes
+// is the number of router processes.
 func (f *fleet) pick(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
 	for {
 		picked := f.fastest(now, state, service, required, tried, nodes)
@@ -130,7 +132,7 @@
 	}
 }
 
-// soonest returns the worker that a request is best sent to.
+// fastest returns the worker that should receive the request, by estimated latency and distance.
 func (f *fleet) fastest(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
 	list, meanLatency := f.members(now, state, service.Name, nodes)
 	var preferred choice
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -12,37 +12,37 @@
 	"github.com/shalefork/shalefork/internal/fair"
 )
 
-// serviceState is what this process keeps of one service.
+// serviceState is this process's state of one service.
 type serviceState struct {
 	budget *budget
-	// subset is the workers that this process prefers.
+	// subset holds the workers that this process prefers.
 	subset    subset
 	membersMu sync.Mutex
 	members   memberCache
-	// waiting counts the requests that wait for a worker or an owner.
+	// waiting is the number of requests that wait for a worker or an owner.
 	waiting atomic.Int32
-	// shares count what tenants ask of the service.
+	// shares count the demand of each tenant for the service.
 	shares        fair.Ledger
 	mu            sync.Mutex
 	latencySpread estimate.Spread
 }
 
-// answered measures how much the times of answers vary around their workers' means.
+// recordLatency records an answer's latency relative to the mean of its worker.
 func (s *serviceState) recordLatency(took, mean time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latencySpread.Add(took, mean)
 }
 
-// late returns the share of answers that would miss a target, given their mean time.
+// lateShare returns the fraction of answers that would miss the target, given their mean latency.
 func (s *serviceState) lateShare(mean, target time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latencySpread.Late(mean, target)
 }
 
-// enter counts one more waiting request; false if there are as many as may wait,
-// zero for any number.
+// enqueue counts one more waiting request. It returns false if limit requests are already waiting; a
+// limit of zero permits any number.
 func (s *serviceState) enqueue(limit int) bool {
 	if waiting := s.waiting.Add(1); limit > 0 && int(waiting) > limit {
 		s.dequeue()
@@ -51,8 +51,8 @@
 	return true
 }
 
-// crowded reports whether half as many requests wait as may, zero for any number: the rest of the
-// places is for those that do not yield.
+// halfFull reports whether at least half of limit requests are waiting; a limit of zero permits any
+// number. The other half is reserved for requests that do not yield.
 func (s *serviceState) halfFull(limit int) bool {
 	return limit > 0 && 2*int(s.waiting.Load()) >= limit
 }
