--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -15,7 +15,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// requestsBackoff turns each request away and asks for some seconds.
+// requestsBackoff returns a script that refuses each request and requests a backoff of the given
+// seconds.
 func requestsBackoff(seconds string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1", "Retry-After: "+seconds)
@@ -23,7 +24,8 @@
 	}
 }
 
-// sendPaths are all on which a request may reach a worker, by the service that it must be of.
+// sendPaths are requests that together cover all code paths on which a request is sent to a worker.
+// service is the one that the worker must belong to.
 var sendPaths = map[string]struct{ service, method, path, body string }{
 	"to a pool":                {"pool", "GET", "/safe/", ""},
 	"to a pool, once":          {"pool", "POST", "/unsafe/", "b"},
@@ -37,10 +39,10 @@
 
 func TestBlockedWorkerReceivesNoRequests(t *testing.T) {
 	for reason, keepAway := range map[string]func(*testProxy, workers.Worker){
-		"that has asked for a backoff": func(f *testProxy, w workers.Worker) {
+		"in a backoff": func(f *testProxy, w workers.Worker) {
 			f.proxy.fleet.get(w).startBackoff(clock.Now(), 3*time.Second)
 		},
-		"that has said for long that it leaves": func(f *testProxy, w workers.Worker) {
+		"draining for too long": func(f *testProxy, w workers.Worker) {
 			f.directory.Leaves(w.Life(), clock.Now().Add(-testDrain))
 		},
 	} {
@@ -55,7 +57,7 @@
 				assert.Equal(t, w.receivedCount(), 0)
 			})
 		}
-		t.Run(reason+"/a second copy", func(t *testing.T) {
+		t.Run(reason+"/hedged copy", func(t *testing.T) {
 			var f *testProxy
 			silent := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				time.Sleep(time.Second)
@@ -69,7 +71,7 @@
 			assert.Equal(t, body, "slow")
 			assert.Equal(t, other.receivedCount(), 0)
 		})
-		t.Run(reason+"/sent again", func(t *testing.T) {
+		t.Run(reason+"/a retry", func(t *testing.T) {
 			var f *testProxy
 			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
 			refusing := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
@@ -102,7 +104,7 @@
 				after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 				assert.NilError(t, err)
 				assert.Assert(t, after < 0.4, "another router may serve it before %f s", after)
-				assert.Assert(t, time.Since(began) < 80*time.Millisecond, "nothing is waited for")
+				assert.Assert(t, time.Since(began) < 80*time.Millisecond, "the request must not wait")
 			}
 			assert.Equal(t, w.receivedCount(), 1)
 		})
@@ -123,9 +125,9 @@
 	asking, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	f := newTestProxy(t, asking.entry("pool"), other.entry("pool"))
 	f.proxy.fleet.get(asking.entry("pool")).startBackoff(clock.Now(), 3*time.Second)
-	of := f.proxy.Config().Services["pool"]
+	service := f.proxy.Config().Services["pool"]
 	for range 50 {
-		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(of), of, need{target: time.Second}, nil, 1)
+		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(service), service, need{target: time.Second}, nil, 1)
 		assert.Equal(t, picked.backend.id(), other.entry("pool").ID)
 	}
 }
@@ -149,16 +151,16 @@
 func TestBackoffEndsAtLatestRequestedTime(t *testing.T) {
 	now := clock.Now()
 	b := &backend{}
-	longer, begins := b.startBackoff(now, 3*time.Second)
-	assert.Assert(t, longer == 3*time.Second && begins)
-	longer, begins = b.startBackoff(now.Add(time.Second), time.Second)
-	assert.Assert(t, longer == 0 && !begins, "a shorter one ends nothing")
+	extension, started := b.startBackoff(now, 3*time.Second)
+	assert.Assert(t, extension == 3*time.Second && started)
+	extension, started = b.startBackoff(now.Add(time.Second), time.Second)
+	assert.Assert(t, extension == 0 && !started, "a shorter backoff does not replace a longer one")
 	assert.Equal(t, b.backoffLeft(now.Add(time.Second)), 2*time.Second)
-	longer, begins = b.startBackoff(now.Add(2*time.Second), 3*time.Second)
-	assert.Assert(t, longer == 2*time.Second && !begins)
+	extension, started = b.startBackoff(now.Add(2*time.Second), 3*time.Second)
+	assert.Assert(t, extension == 2*time.Second && !started)
 	assert.Equal(t, b.backoffLeft(now.Add(5*time.Second)), time.Duration(0))
-	_, begins = b.startBackoff(now.Add(6*time.Second), time.Second)
-	assert.Assert(t, begins)
+	_, started = b.startBackoff(now.Add(6*time.Second), time.Second)
+	assert.Assert(t, started)
 }
 
 func TestRestartedWorkerHasNoBackoff(t *testing.T) {
@@ -171,15 +173,15 @@
 	assert.Equal(t, f.proxy.fleet.get(second).backoffLeft(clock.Now()), time.Duration(0))
 }
 
-// A request waited for a move that the leader could not store.
+// Guards against waiting for a key to move while the leader can't store the move.
 func TestRequestForUnassignableKeyIsRefusedImmediately(t *testing.T) {
 	for name, test := range map[string]struct {
 		stay   bool
 		waited time.Duration
 		after  string
 	}{
-		"the store is away":    {stay: true, after: "1.000"},
-		"the key may move yet": {waited: 80 * time.Millisecond, after: "0.200"},
+		"store is unreachable": {stay: true, after: "1.000"},
+		"key may still move":   {waited: 80 * time.Millisecond, after: "0.200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
@@ -204,13 +206,13 @@
 		begun := now
 		for range rapid.IntRange(1, 8).Draw(t, "answers") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "later")) * time.Millisecond)
-			asked := time.Duration(rapid.IntRange(0, 4000).Draw(t, "asked")) * time.Millisecond
+			requested := time.Duration(rapid.IntRange(0, 4000).Draw(t, "asked")) * time.Millisecond
 			if now.After(end) {
 				begun, reported = now, 0
 			}
-			longer, _ := b.startBackoff(now, asked)
-			reported += longer
-			if until := now.Add(asked); until.After(end) {
+			extension, _ := b.startBackoff(now, requested)
+			reported += extension
+			if until := now.Add(requested); until.After(end) {
 				end = until
 			}
 			if left := b.backoffLeft(now); (left - max(0, end.Sub(now))).Abs() > time.Microsecond {
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/budget_test.go
@@ -9,13 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// spends are the second sends of all processes, and requests the first ones, by
-// milliseconds.
+// retryHistory counts the resends and requests of all processes per millisecond.
 type retryHistory struct {
 	retries, requests []int
 }
 
-// within counts a window's events.
+// countWithin returns the number of events from one time up to another.
 func countWithin(events []int, from, to int) int {
 	sum := 0
 	for index := max(0, from); index < min(to, len(events)); index++ {
@@ -24,8 +23,9 @@
 	return sum
 }
 
-// exceeds returns by how much the worst window is over the limits. Requests count in
-// whichever has most: the window, the one before it, or the one half a window before it.
+// worstExcess returns by how many resends the worst window exceeds the limits. The number of requests
+// is the largest of those in the window itself, the previous window, and the window that starts half
+// a window earlier.
 func (s retryHistory) worstExcess(limits BudgetLimits) float64 {
 	window := int(limits.Window.Milliseconds())
 	worst := math.Inf(-1)
@@ -37,21 +37,21 @@
 	return worst
 }
 
-// spending is when second sends are wanted from how many processes.
+// retryScenario describes the load, and when processes try to resend requests.
 type retryScenario struct {
 	nodes int
-	// rate of requests a second over all processes, by second.
+	// rate returns the requests per second over all processes in the given second.
 	rate func(second int) float64
-	// wanted says whether second sends are wanted at a second.
+	// wantsRetries reports whether processes resend as much as permitted in the given second.
 	wantsRetries func(second int) bool
-	// restarts is the second at whose beginning all processes start again; zero: none does.
+	// restartAt is the second at whose start all processes restart; zero if they don't.
 	restartAt int
 }
 
 func everySecond(int) bool { return true }
 
-// All processes send again whatever they may, in the worst pattern: each saves up and they
-// all spend at once.
+// All processes resend as much as permitted, in the worst case after saving up tokens and at the same
+// time.
 func TestRetriesStayWithinLimitInEveryWindow(t *testing.T) {
 	limits := BudgetLimits{Ratio: 0.2, Slack: 188, Window: 10 * time.Second}
 	for name, c := range map[string]retryScenario{
@@ -66,9 +66,9 @@
 	}
 }
 
-// Each process saved up one whole second send, however small its share of the slack is: all
-// together sent 6.8 more than they may with 24 processes, and 69 more with 60 that hardly send.
-// Found by a check of processes with a slack below two for each of them.
+// Guards against letting each process save up one whole token regardless of its share of the slack.
+// All processes together then exceeded the limit by 6.8 resends with 24 processes, and by 69 with 60
+// processes that receive few requests. The cases have a slack of less than two per process.
 func TestSmallSlackHoldsWithManyProcesses(t *testing.T) {
 	limits := BudgetLimits{Ratio: 0.1, Slack: 20, Window: 10 * time.Second}
 	for name, c := range map[string]retryScenario{
@@ -83,7 +83,7 @@
 	}
 }
 
-// Where the slack is scarce, second sends are earned by requests.
+// If the slack is scarce, resends are earned by requests only.
 func TestScarceSlackAllowsOnlyEarnedRetries(t *testing.T) {
 	const nodes, perSend = 60, 20 // half of the ratio of 0.1
 	start := time.Unix(1000, 0)
@@ -93,15 +93,15 @@
 			b.recordRequest(nodes, at)
 		}
 	}
-	assert.Assert(t, !b.spend(nodes, start), "nothing is earned yet")
+	assert.Assert(t, !b.spend(nodes, start), "no tokens have been earned yet")
 	earn(perSend+1, start.Add(time.Second))
 	assert.Assert(t, b.spend(nodes, start.Add(2*time.Second)))
 	assert.Assert(t, !b.spend(nodes, start.Add(2*time.Second)))
 	earn(perSend+1, start.Add(3*time.Second))
-	assert.Assert(t, !b.spend(nodes, start.Add(11*time.Second)), "it lapsed")
+	assert.Assert(t, !b.spend(nodes, start.Add(11*time.Second)), "the earned tokens have expired")
 }
 
-// excess plays 40 s, and returns by how many second sends the worst window exceeds its limit.
+// worstExcess simulates 40 s, and returns by how many resends the worst window exceeds the limits.
 func (c retryScenario) worstExcess(limits BudgetLimits) float64 {
 	start := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bytes after a whole answer belong to no request: their connection is not used
-// again.
+// Bytes after a complete answer belong to no request, so that the connection must not be reused.
 func TestConnectionWithSurplusBytesIsNotReused(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "right")
@@ -62,7 +61,7 @@
 	}
 }
 
-// Kept connections may go silent for good: one that was shows that the others may be.
+// If a reused connection never answers, the worker's other idle connections are likely to be dead too.
 func TestIdleConnectionsAreDroppedAfterOneTimesOut(t *testing.T) {
 	var mu sync.Mutex
 	served := map[net.Conn]bool{}
@@ -72,7 +71,7 @@
 		served[connection] = true
 		mu.Unlock()
 		if kept {
-			time.Sleep(time.Second) // nothing more is answered on it
+			time.Sleep(time.Second) // a reused connection is never answered
 			return false
 		}
 		time.Sleep(20 * time.Millisecond) // so that each request opens a connection
--- a/internal/proxy/connreset_test.go
+++ b/internal/proxy/connreset_test.go
@@ -11,7 +11,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// resettingWorker resets all new connections, as a worker does that has no room for them.
+// resettingWorker starts a worker that resets all new connections, as an overloaded worker does.
 func resettingWorker(t *testing.T, service string) workers.Worker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,8 +32,8 @@
 	}
 }
 
-// A request that may run once has surely not run where its connection was reset before
-// anything was written: the client may be told so, and come back.
+// A request whose connection was reset before anything was written certainly did not run. The client
+// gets status 503 and may retry it, even if the request is not repeatable.
 func TestConnectionResetBeforeWriteMeansNotRun(t *testing.T) {
 	for name, path := range map[string]string{"keyed": "/keyed-once/", "pool": "/unsafe/"} {
 		t.Run(name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// Another worker of the pool may have room.
+// Another worker of the pool may have capacity.
 func TestConnectionResetBeforeWriteTriesAnotherWorker(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, resettingWorker(t, "pool"), w.entry("pool"))
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -33,8 +33,7 @@
 	assert.Equal(t, body, "second")
 }
 
-// A first copy is not given up while the second is under way: whichever answers
-// first is passed on.
+// The first copy is not canceled when the second one is sent: the first answer of either is forwarded.
 func TestFirstCopyMayStillAnswer(t *testing.T) {
 	hedged := make(chan struct{})
 	var count atomic.Int32
--- a/internal/proxy/malformed_test.go
+++ b/internal/proxy/malformed_test.go
@@ -8,23 +8,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// A request of any caller comes to each router in turn: whatever it says, none must end by it.
+// A caller's request may be retried at every router, so that one that crashes a router could crash
+// all of them.
 func TestMalformedRequestsDoNotCrashRouter(t *testing.T) {
 	tests := map[string]struct {
 		path    string
 		headers []string
 	}{
-		"deadline that is no number":   {path: "/safe/", headers: []string{"X-Deadline", "NaN"}},
-		"deadline without end":         {path: "/safe/", headers: []string{"X-Deadline", "Inf"}},
-		"deadline of ages":             {path: "/safe/", headers: []string{"X-Deadline", "1e300"}},
-		"deadline long past":           {path: "/safe/", headers: []string{"X-Deadline", "0"}},
-		"key below all":                {path: "/keyed/", headers: []string{"X-Key", "-1"}},
-		"key above all":                {path: "/keyed/", headers: []string{"X-Key", "99999999999999999999"}},
-		"no id":                        {path: "/safe/", headers: []string{"X-Id", ""}},
-		"path with escapes":            {path: "/safe/%00%ff%2f..%2f"},
-		"query of separators":          {path: "/safe/?&&=;%%"},
-		"two lengths of a body":        {path: "/unsafe/", headers: []string{"Content-Length", "7"}},
-		"worker's headers from caller": {path: "/safe/", headers: []string{"X-Load", "1,2,0", "X-Not-Run", "1", "X-Target", "other"}},
+		"deadline is not a number":   {path: "/safe/", headers: []string{"X-Deadline", "NaN"}},
+		"infinite deadline":          {path: "/safe/", headers: []string{"X-Deadline", "Inf"}},
+		"very long deadline":         {path: "/safe/", headers: []string{"X-Deadline", "1e300"}},
+		"deadline of zero":           {path: "/safe/", headers: []string{"X-Deadline", "0"}},
+		"negative key":               {path: "/keyed/", headers: []string{"X-Key", "-1"}},
+		"key too large":              {path: "/keyed/", headers: []string{"X-Key", "99999999999999999999"}},
+		"no id":                      {path: "/safe/", headers: []string{"X-Id", ""}},
+		"path with escapes":          {path: "/safe/%00%ff%2f..%2f"},
+		"query with separators only": {path: "/safe/?&&=;%%"},
+		"two body lengths":           {path: "/unsafe/", headers: []string{"Content-Length", "7"}},
+		"worker headers from caller": {path: "/safe/", headers: []string{"X-Load", "1,2,0", "X-Not-Run", "1", "X-Target", "other"}},
 	}
 	odd := []string{"X-Load: -1,99999999999,0", "Keep-Alive: timeout=99999999999999999", "Retry-After: -1"}
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
@@ -47,8 +48,8 @@
 	}
 }
 
-// A copy of a request runs beside its caller's handler. If it panics, the handler does, as it
-// would without copies: the caller's connection breaks, and the process goes on.
+// A copy of a request runs in another goroutine than the handler. A panic there must reach the
+// handler, where it aborts the caller's connection but does not terminate the process.
 func TestPanicInCopyAbortsOnlyItsRequest(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
@@ -58,7 +59,7 @@
 	working := broken.pool
 	broken.pool = nil
 	_, err := http.DefaultClient.Do(f.request(t, "GET", "/safe/", ""))
-	assert.Assert(t, err != nil, "the connection breaks")
+	assert.Assert(t, err != nil, "the connection is aborted")
 	broken.pool = working
 	response, _ := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// manyWorkers are the workers of one service in three zones.
+// manyWorkers returns a directory with count workers of one service in three zones.
 func manyWorkers(count int) *workers.Directory {
 	directory := workers.NewDirectory()
 	var list []workers.Worker
@@ -28,26 +28,26 @@
 
 func BenchmarkPick(b *testing.B) {
 	f := newFleet("z0", manyWorkers(98), BudgetLimits{})
-	of, service := &routing.Service{Name: "s", ColdRate: 4.2}, &serviceState{}
+	service, state := &routing.Service{Name: "s", ColdRate: 4.2}, &serviceState{}
 	now := time.Now()
 	for b.Loop() {
-		f.pick(now, service, of, need{target: time.Second}, nil, 74)
+		f.pick(now, state, service, need{target: time.Second}, nil, 74)
 	}
 }
 
-// A process that takes all workers for full sends to none and hears nothing of them: it must
-// try them again.
+// A process that considers all workers full sends no requests, and so receives no new load reports.
+// The old ones must lose their weight, so that workers are tried again.
 func TestFullWorkersAreTriedAgain(t *testing.T) {
 	f := newFleet("z0", manyWorkers(6), BudgetLimits{})
-	of, service := &routing.Service{Name: "s"}, &serviceState{}
+	service, state := &routing.Service{Name: "s"}, &serviceState{}
 	now := time.Now()
 	announced, version := f.directory.Usable("s")
-	for _, one := range f.buildMembers(service, announced, version, 74) {
+	for _, one := range f.buildMembers(state, announced, version, 74) {
 		one.backend.begin()
 		one.backend.finish(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{Loaded: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
 	}
 	pick := func(at time.Time) *backend {
-		return f.pick(at, service, of, need{target: time.Second}, nil, 74).backend
+		return f.pick(at, state, service, need{target: time.Second}, nil, 74).backend
 	}
 	assert.Assert(t, pick(now.Add(100*time.Millisecond)) == nil)
 	assert.Assert(t, pick(now.Add(5*time.Second)) != nil)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, body, "body")
 	assert.Equal(t, response.Header.Get("X-Other"), "o")
 	assert.Equal(t, response.Header.Get("X-Signature"), "s")
-	assert.Equal(t, response.Header.Get("Keep-Alive"), "", "concerns the other connection")
+	assert.Equal(t, response.Header.Get("Keep-Alive"), "", "hop-by-hop header")
 	assert.Equal(t, w.received[0].RequestURI, "/unsafe/a?b=c")
 	assert.Equal(t, w.received[0].Host, "app.example")
 	assert.Equal(t, w.received[0].Header.Get("X-Target"), "w1")
@@ -106,7 +106,7 @@
 	assert.Equal(t, w.receivedCount(), 1)
 }
 
-// A second answer may come late, where the next one is due.
+// A delayed second answer to an earlier request may arrive before the expected answer.
 func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: another\r\nX-Signature: s\r\nContent-Length: 5\r\n\r\nwrong")
@@ -130,16 +130,16 @@
 }
 
 func TestClientDisconnectCancelsWork(t *testing.T) {
-	asked := make(chan struct{}, 1)
+	received := make(chan struct{}, 1)
 	w := newFakeWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
-		asked <- struct{}{}
+		received <- struct{}{}
 		_, _ = connection.Read(make([]byte, 1)) // until the connection ends
 		return false
 	})
 	f := newTestProxy(t, w.entry("pool"))
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { _, _ = http.DefaultClient.Do(f.request(t, "GET", "/safe/", "").WithContext(ctx)) }()
-	<-asked
+	<-received
 	leave()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if w.closedConnections() == 1 {
@@ -149,9 +149,8 @@
 	}, poll.WithTimeout(time.Second))
 }
 
-// Found by a hunt at Tweede Leven (hunt-82f6-35, BUDGET): the address of a worker
-// that had gone belonged to another service, and requests went there again and
-// again.
+// Guards against sending requests repeatedly to the address of a worker that no longer exists, after
+// a worker of another service has taken over the address (found by hunt-82f6-35).
 func TestMisdirectedAddressIsTriedOnce(t *testing.T) {
 	w := newFakeWorker(t, "other", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusMisdirectedRequest, "", "X-Worker: other", "X-Not-Run: 1")
@@ -197,29 +196,28 @@
 	entry.State = workers.StateDraining
 	f.directory.Update([]workers.Worker{entry}, nil, nil)
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
-	assert.Equal(t, response.StatusCode, http.StatusOK, "it still holds the key")
+	assert.Equal(t, response.StatusCode, http.StatusOK, "the worker still owns the key")
 	time.Sleep(testDrain - testDrain/2)
 	response, _ = f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 }
 
-// A router that has just started takes the owners of keys from the leader or from where they
-// are stored. They may name a worker that left before: it is in no list, so nothing says that
-// its entry went, and requests for its keys reached it until its keys had moved, however long
-// that took. Found by reading, when requests had reached a worker 12 s after it had left.
+// A newly started router gets the owners of keys from the leader or the store. They may include a
+// worker that left earlier, whose removal the router never observes. Requests were sent to such a
+// worker until its keys had moved; in one case they reached it 12 s after it had left.
 func TestUnannouncedOwnerReceivesRequestsOnlyBriefly(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	other := newFakeWorker(t, "w2", alwaysAnswer("x"))
 	f := newTestProxy(t, other.entry("keyed"))
 	f.assignAllKeys(w.entry("keyed"))
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
-	assert.Equal(t, response.StatusCode, http.StatusOK, "its entry may be on its way")
+	assert.Equal(t, response.StatusCode, http.StatusOK, "its announcement may not have arrived yet")
 	time.Sleep(testDrain - testDrain/2)
 	response, _ = f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	f.directory.Update([]workers.Worker{w.entry("keyed")}, nil, nil)
 	response, _ = f.get(t, "GET", "/keyed/", "", "X-Key", "7")
-	assert.Equal(t, response.StatusCode, http.StatusOK, "it is announced")
+	assert.Equal(t, response.StatusCode, http.StatusOK, "the worker is announced")
 }
 
 func TestOlderConfigurationIsIgnored(t *testing.T) {
@@ -247,10 +245,10 @@
 	assert.Equal(t, w.bodies[0], long)
 }
 
-// Found on quiet-1 of tlb-gateway-large: the owner of a hot key reset 5,000 connections
-// that were over its limit, and 850 requests that reached no worker were answered 502.
+// Guards against overloading the owner of a hot key: one reset 5,000 connections that exceeded its
+// limit, and 850 requests that reached no worker were answered with status 502.
 func TestRejectingOwnerIsThrottled(t *testing.T) {
-	for name, script := range map[string]script{"resets": reset, "says that it is full": refuse} {
+	for name, script := range map[string]script{"resets": reset, "refuses all requests": refuse} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", script)
 			entry := w.entry("keyed")
@@ -271,21 +269,21 @@
 	}
 }
 
-// A process that ends answers what is still under way; what no worker has got is refused
-// with a promise.
+// On shutdown all requests in flight are answered. Those that no worker has received are refused with
+// status 503, which guarantees that they did not run.
 func TestInFlightRequestsAreAnsweredOnShutdown(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, path string
 		status       int
 	}{
-		"at a worker, may be repeated": {method: "GET", path: "/safe/", status: http.StatusServiceUnavailable},
-		"at a worker, may run once":    {method: "POST", path: "/unsafe/", status: http.StatusBadGateway},
-		"waits for an owner":           {method: "POST", path: "/keyed-once/", status: http.StatusServiceUnavailable},
+		"at a worker, repeatable":     {method: "GET", path: "/safe/", status: http.StatusServiceUnavailable},
+		"at a worker, not repeatable": {method: "POST", path: "/unsafe/", status: http.StatusBadGateway},
+		"waits for an owner":          {method: "POST", path: "/keyed-once/", status: http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan struct{}, 2)
+			received := make(chan struct{}, 2)
 			w := newFakeWorker(t, "w1", func(connection net.Conn, _ *http.Request) bool {
-				asked <- struct{}{}
+				received <- struct{}{}
 				_, _ = connection.Read(make([]byte, 1)) // until the connection ends
 				return false
 			})
@@ -294,7 +292,7 @@
 			f.proxy.Table.Replace(1, "keyed", []owner.Owner{moving})
 			go func() {
 				if c.path != "/keyed-once/" {
-					<-asked
+					<-received
 				} else {
 					time.Sleep(50 * time.Millisecond)
 				}
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -14,8 +14,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// What a process has learned of the first life was held against the second: it rested after the
-// failures of the first, was taken to have ended, and as fast and as loaded as the first had been.
+// Guards against applying the state of a worker's previous incarnation to the restarted worker: its
+// cooldown after failures, its end, its latency and its load.
 func TestRestartedWorkerStartsWithFreshState(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
@@ -37,13 +37,13 @@
 	assert.Assert(t, !measured)
 
 	byAddress := second
-	byAddress.Born = 0 // an owner of keys that is not announced
+	byAddress.Born = 0 // an owner of keys that is known only by its address
 	assert.Assert(t, f.get(byAddress) == after)
 	assert.Assert(t, f.get(second) == after)
 }
 
-// A cold worker's part of requests is counted from a random point in each of its spells; the spell
-// of the second life was taken to go on from that of the first, with what was saved up then.
+// The share of requests to a cold worker is counted from a random point in each warm-up period. Guards
+// against continuing the warm-up of the previous incarnation, with the tokens saved up in it.
 func TestRestartedWorkerWarmsUpFromItsOwnStart(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
@@ -60,23 +60,24 @@
 			admitted++
 		}
 	}
-	assert.Equal(t, admitted, 0, "none begins with a whole request")
+	assert.Equal(t, admitted, 0, "no warm-up starts with a whole token")
 }
 
-// A worker that crashed and came back at once, under its ID and address, answered the look at its
-// address: the request that had crashed it went on to others.
+// A worker that crashed and immediately restarted with the same ID and address answers the probe of
+// its address. Guards against missing the crash, after which the request that caused it is sent to
+// other workers.
 func TestImmediateRestartCountsAsCrash(t *testing.T) {
 	for name, test := range map[string]struct {
-		state   workers.State
-		again   workers.Born
-		left    bool
-		crashed int
+		state       workers.State
+		incarnation workers.Born
+		removed     bool
+		crashed     int
 	}{
-		"a crash":                     {state: workers.StateReady, again: 2, crashed: 1},
-		"the same life":               {state: workers.StateReady, again: 1},
-		"no life is told":             {state: workers.StateReady},
-		"the first life was draining": {state: workers.StateDraining, again: 2},
-		"the first life's entry went": {state: workers.StateReady, again: 2, left: true},
+		"new incarnation":                   {state: workers.StateReady, incarnation: 2, crashed: 1},
+		"same incarnation":                  {state: workers.StateReady, incarnation: 1},
+		"no incarnation announced":          {state: workers.StateReady},
+		"previous incarnation was draining": {state: workers.StateDraining, incarnation: 2},
+		"previous incarnation's entry went": {state: workers.StateReady, incarnation: 2, removed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
@@ -89,10 +90,10 @@
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			entry.State = test.state
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
-			if test.left {
+			if test.removed {
 				f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 			}
-			entry.State, entry.Born = workers.StateReady, test.again
+			entry.State, entry.Born = workers.StateReady, test.incarnation
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			f.proxy.Log.Close()
@@ -107,7 +108,8 @@
 	}
 }
 
-// A request that may run once and was sent to the first life is not sent to the second.
+// A request that is not repeatable and was sent to the previous incarnation is not resent to the new
+// one.
 func TestRequestSentBeforeRestartIsNotResent(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
 	entry := w.entry("pool")
--- a/internal/proxy/sendtracker_test.go
+++ b/internal/proxy/sendtracker_test.go
@@ -13,8 +13,8 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// Whatever order sends leave and end in, no more may run than the route allows, and no
-// more leave than one request may send.
+// In any order of sends and results, no more sends may run than the route permits, and no more than
+// maxSends may be sent.
 func TestSendLimitsHoldForAnyOrderOfResults(t *testing.T) {
 	ends := []upstream.Outcome{
 		upstream.Answered, upstream.NotSent, upstream.NotRun, upstream.Misdirected, upstream.Broken, upstream.Late, upstream.Gone,
@@ -49,10 +49,10 @@
 	})
 }
 
-// The copy that is under way counts.
+// A copy in flight counts towards the route's limit.
 func TestNoHedgeBeyondMaxAttempts(t *testing.T) {
 	slow := func(connection net.Conn, request *http.Request) bool {
-		time.Sleep(700 * time.Millisecond) // a second copy leaves within 520 ms
+		time.Sleep(700 * time.Millisecond) // a second copy would be sent within 520 ms
 		answer(connection, request, http.StatusOK, "slow")
 		return true
 	}
@@ -63,7 +63,8 @@
 	assert.Equal(t, one.receivedCount()+two.receivedCount(), 1)
 }
 
-// One copy's failure neither gives the other up, which still runs, nor lets a third leave.
+// A server error for one copy must neither cancel the other one, which is still running, nor cause a
+// third copy to be sent.
 func TestFailedCopyDoesNotCancelTheOther(t *testing.T) {
 	hedged := make(chan struct{})
 	var count atomic.Int32
--- a/internal/proxy/slow_test.go
+++ b/internal/proxy/slow_test.go
@@ -10,7 +10,8 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A router that had stood still took its workers for slow, and refused all requests for them from then on.
+// A router that was suspended measured its workers as slow, and then refused all requests for them
+// permanently.
 func TestFormerlySlowWorkerIsTriedAgain(t *testing.T) {
 	for service, path := range map[string]string{"keyed": "/keyed/", "pool": "/safe/"} {
 		for name, test := range map[string]struct {
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -25,17 +25,17 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// testHeaders are the names of headers in these tests.
+// testHeaders are the header names that the tests use.
 var testHeaders = upstream.Headers{
 	RequestID: "X-Id", DeadlineMillis: "X-Deadline", Signature: "X-Signature", Target: "X-Target",
 	Worker: "X-Worker", NotRun: "X-Not-Run", Load: "X-Load", Key: "X-Key", Tenant: "X-Tenant",
 }
 
-// script answers the requests of one connection; it may write anything. It
-// returns false to close the connection.
+// script handles one request that a fakeWorker has received, and may write any bytes to the connection.
+// It returns false to close the connection.
 type script func(connection net.Conn, request *http.Request) bool
 
-// worker is a stand-in whose every byte is scripted.
+// fakeWorker is a worker whose answers are written byte by byte by a script.
 type fakeWorker struct {
 	id          workers.ID
 	listener    net.Listener
@@ -46,7 +46,7 @@
 	closedCount int
 }
 
-func newFakeWorker(t *testing.T, id workers.ID, run script) *fakeWorker {
+func newFakeWorker(t *testing.T, id workers.ID, handle script) *fakeWorker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -61,13 +61,13 @@
 			w.mu.Lock()
 			w.openedCount++
 			w.mu.Unlock()
-			go w.serve(connection, run)
+			go w.serve(connection, handle)
 		}
 	}()
 	return w
 }
 
-func (w *fakeWorker) serve(connection net.Conn, run script) {
+func (w *fakeWorker) serve(connection net.Conn, handle script) {
 	defer func() {
 		_ = connection.Close()
 		w.mu.Lock()
@@ -88,7 +88,7 @@
 		w.received = append(w.received, request)
 		w.bodies = append(w.bodies, string(body))
 		w.mu.Unlock()
-		if !run(connection, request) {
+		if !handle(connection, request) {
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-// answer writes a whole answer with a body.
+// answer writes a complete answer with a body and additional header lines.
 func answer(connection net.Conn, request *http.Request, status int, body string, extra ...string) {
 	head := fmt.Sprintf("HTTP/1.1 %d x\r\nX-Id: %s\r\nX-Signature: s\r\nContent-Length: %d\r\n",
 		status, request.Header.Get("X-Id"), len(body))
@@ -129,6 +129,7 @@
 	_, _ = io.WriteString(connection, head+"\r\n"+body)
 }
 
+// alwaysAnswer returns a script that answers each request with status 200 and the body.
 func alwaysAnswer(body string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, body)
@@ -142,20 +143,20 @@
 	_ = connection.Close()
 }
 
-// reset breaks the connection off with a reset.
+// reset is a script that resets the connection without an answer.
 func reset(connection net.Conn, _ *http.Request) bool {
 	abort(connection)
 	return false
 }
 
-// refuses says that it did not run the request.
+// refuse is a script that answers that it did not run the request.
 func refuse(connection net.Conn, request *http.Request) bool {
 	answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1")
 	return true
 }
 
-// refuseOnce refuses the first request, over all workers that have the same script, and answers
-// the others.
+// refuseOnce returns a script that refuses the first request over all workers that share it, and
+// answers the others.
 func refuseOnce() script {
 	var first atomic.Bool
 	return func(connection net.Conn, request *http.Request) bool {
@@ -167,7 +168,7 @@
 	}
 }
 
-// front is a proxy under test with its clients' address.
+// testProxy is a proxy under test with an HTTP server for its clients.
 type testProxy struct {
 	proxy     *Proxy
 	directory *workers.Directory
@@ -175,11 +176,12 @@
 	calls     int
 }
 
-// testDrain is how long workers that leave may get requests.
+// testDrain is the drain period of the proxy under test.
 const testDrain = 2 * time.Second
 
-// newTestProxy serves "/safe/", "/unsafe/" and "/single/", which may run on one worker only,
-// at service "pool", "/keyed/" and "/keyed-once/" at service "keyed".
+// newTestProxy starts a proxy with the given workers. It routes "/safe/", "/unsafe/", "/up/", "/down/"
+// and "/single/", which may run on one worker only, to service "pool", and "/keyed/" and
+// "/keyed-once/" to service "keyed".
 func newTestProxy(t *testing.T, list ...workers.Worker) *testProxy {
 	t.Helper()
 	directory := workers.NewDirectory()
@@ -194,7 +196,7 @@
 	return f
 }
 
-// testConfig returns the configuration of newTestProxy, with further routes.
+// testConfig returns the configuration of newTestProxy with additional routes.
 func testConfig(t testing.TB, version routing.Version, more ...*routing.Route) *routing.Config {
 	t.Helper()
 	route := func(prefix, service string, repeatable bool) *routing.Route {
@@ -220,14 +222,14 @@
 	return config
 }
 
-// owns makes a worker the owner of all keys.
+// assignAllKeys makes a worker the owner of all keys.
 func (f *testProxy) assignAllKeys(w workers.Worker) {
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{{
 		Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: w.ID, Address: w.Address,
 	}})
 }
 
-// request builds a client's request.
+// request builds a client request. headers are pairs of names and values.
 func (f *testProxy) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	f.calls++
@@ -242,7 +244,7 @@
 	return request
 }
 
-// get does a request and returns its answer's status and body.
+// get sends a request and returns the response and its body.
 func (f *testProxy) get(t *testing.T, method, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	response, err := http.DefaultClient.Do(f.request(t, method, path, body, headers...))
