--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -127,14 +127,14 @@
 func (b *backend) assess(now time.Time, prior time.Duration, coldRate float64, nodes int) (choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	occupied, slots := b.estimatedLoad(now), float64(b.worker.Slots)
+	load, slots := b.estimatedLoad(now), float64(b.worker.Slots)
 	switch {
 	case b.gone || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
 		return choice{}, false
-	case occupied >= maxLoadRatio*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
+	case load >= maxLoadRatio*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
 		return choice{}, false
 	}
-	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: occupied+1 <= slots}, true
+	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: load+1 <= slots}, true
 }
 
 // estimateDecayed returns the estimated duration of a request sent now, with old measurements decaying
@@ -170,7 +170,7 @@
 	return b.estimatedLoad(now) / float64(b.worker.Slots)
 }
 
-// usable reports whether the worker has not gone and is not in a cooldown after failures.
+// usable reports whether the worker is neither gone nor in a cooldown after failures.
 func (b *backend) usable(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -223,8 +223,8 @@
 	b.inFlight--
 }
 
-// finish updates the state with the result of a send. It returns true if the worker starts or stops
-// being considered failing, or if it is gone.
+// finish updates the state with the result of a send. It returns true if the worker recovers, or starts
+// failing by a late answer or a failed connection, or is gone.
 func (b *backend) finish(now time.Time, result *upstream.Result) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -261,11 +261,12 @@
 	return changed
 }
 
-// recordFailure starts a cooldown, which doubles with each consecutive failure. The caller holds mu.
+// recordFailure starts a cooldown, which doubles with each consecutive failure up to maxCooldown. The
+// caller holds mu.
 func (b *backend) recordFailure(now time.Time) {
-	rest := minCooldown << min(b.failures, 4)
+	cooldown := minCooldown << min(b.failures, 4)
 	b.failures++
-	b.cooldownUntil = now.Add(min(rest, maxCooldown))
+	b.cooldownUntil = now.Add(min(cooldown, maxCooldown))
 }
 
 // recordWorkTime measures the time that the worker worked on a request. The caller holds mu.
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -29,7 +29,8 @@
 	hasFreeSlot bool
 }
 
-// faster returns the choice with the shorter estimate.
+// faster returns the choice with the shorter estimate. A choice without a backend never wins over one
+// with a backend.
 func (c choice) faster(other choice) choice {
 	if c.backend == nil || (other.backend != nil && other.estimate < c.estimate) {
 		return other
