--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -178,7 +178,7 @@
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ReadWorker}
-			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.AskNotices)
+			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
 	}}
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -175,9 +175,9 @@
 		return false
 	}
 	renewOnly := now.After(authority)
-	t.Hub.SetDoubtful(renewOnly)
-	t.Hub.SetDeaf(t.deaf(now))
-	t.Hub.SetLimit(authority.Add(t.Times.StaleRenewals))
+	t.Hub.SetLeadershipUncertain(renewOnly)
+	t.Hub.SetStoreUnreachable(t.deaf(now))
+	t.Hub.SetMandateLimit(authority.Add(t.Times.StaleRenewals))
 	if !renewOnly {
 		t.ensure()
 		t.appoint(now)
@@ -297,7 +297,7 @@
 		}
 		of.loads.Add(now, counts)
 	}
-	for id, sum := range report.Times {
+	for id, sum := range report.ResponseTimes {
 		if worker, known := t.Workers.Get(id); known && t.services[worker.Service] != nil && sum[0] > 0 {
 			t.services[worker.Service].measured(now, worker, sum[0], time.Duration(sum[1])*time.Millisecond)
 		}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -63,7 +63,7 @@
 		assert.NilError(t, err)
 		store := memory.Bounded{Store: b.store, Limit: time.Second}
 		b.election = election.New(store, "cell/", "a:1", "process", b.nonce)
-		known := func() peerlink.Known { return peerlink.Known{} }
+		known := func() peerlink.ReadState { return peerlink.ReadState{} }
 		b.keeper = &Keeper{
 			Store: store, Prefix: "cell/", Orders: b.orders, Workers: workers.NewDirectory(),
 			Config: func() *routing.Config { return config },
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -194,7 +194,7 @@
 	for _, of := range t.services {
 		for id, one := range of.backoffs {
 			if left := one.Left(now); left > 0 {
-				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), LeftMillis: left.Milliseconds()})
+				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
 			}
 		}
 	}
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -60,7 +60,7 @@
 	}
 	// Those that had a leave keep their place until it has ended.
 	for _, one := range t.standbys.stored {
-		if t.Hub.HasLeave(one.Process, now) && !slices.Contains(list, one) {
+		if t.Hub.HasMandate(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
 		}
 	}
@@ -72,7 +72,7 @@
 func (t *tenancy) grantLeaves(processes []string) {
 	if !slices.Equal(processes, t.standbys.appointed) {
 		t.standbys.appointed = processes
-		t.Hub.Appoint(processes)
+		t.Hub.AppointStandbys(processes)
 	}
 }
 
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -34,7 +34,7 @@
 	{
 		name: "vanished-entries-kept-whatever-the-leader-says",
 		file: "internal/router/follow.go",
-		old:  "\tif update.Known.Steady &&",
+		old:  "\tif update.ReadState.Settled &&",
 		new:  "\tif false &&",
 		pkg:  "./internal/router", test: "TestWhoWasCutOffAloneTakesVanishedWorkersToBeGone",
 	},
@@ -113,7 +113,7 @@
 		file: "internal/peerlink/entries.go",
 		old:  "	return max(0, now.Sub(learned).Milliseconds())",
 		new:  "	return 0",
-		pkg:  "./internal/peerlink", test: "TestChangesTellHowOldTheyAre",
+		pkg:  "./internal/peerlink", test: "TestEntryChangesCarryTheirAge",
 	},
 	{
 		name: "first-watch-after-failures-taken-for-fresh",
@@ -125,7 +125,7 @@
 	{
 		name: "deaf-leader-relied-on",
 		file: "internal/router/follow.go",
-		old:  "	r.told.heard(clock.Now(), update.Age(), !update.Deaf && !update.Stale())",
+		old:  "	r.told.heard(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())",
 		new:  "	r.told.heard(clock.Now(), update.Age(), !update.Stale())",
 		pkg:  "./internal/router", test: "TestADeafLeaderIsNotReliedOn",
 	},
@@ -139,8 +139,8 @@
 	{
 		name: "stale-relay-relied-on",
 		file: "internal/router/follow.go",
-		old:  "	r.told.heard(clock.Now(), update.Age(), !update.Deaf && !update.Stale())",
-		new:  "	r.told.heard(clock.Now(), update.Age(), !update.Deaf)",
+		old:  "	r.told.heard(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())",
+		new:  "	r.told.heard(clock.Now(), update.Age(), !update.StoreUnreachable)",
 		pkg:  "./internal/router", test: "TestAStaleRelayIsNotReliedOn",
 	},
 	{
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -103,7 +103,7 @@
 	{
 		name: "strict-relies-on-what-was-not-taken",
 		file: "internal/router/revocation.go",
-		old:  " || r.config.misses(update.Known.Config)",
+		old:  " || r.config.misses(update.ReadState.Config)",
 		new:  "",
 		pkg:  "./internal/router", test: "TestAConfigurationIsOutdatedWithoutNews",
 	},
--- a/internal/operator/notices.go
+++ b/internal/operator/notices.go
@@ -66,7 +66,7 @@
 		o.Leaving = append(o.Leaving, Leaving{Worker: one.Worker, Entry: states[one.Worker], SinceSeconds: seconds(one.AgeMillis)})
 	}
 	for _, one := range told.Backoffs {
-		o.Backoffs = append(o.Backoffs, AskedBackoff{Worker: one.Worker, Share: one.Share, LeftSeconds: seconds(one.LeftMillis)})
+		o.Backoffs = append(o.Backoffs, AskedBackoff{Worker: one.Worker, Share: one.Share, LeftSeconds: seconds(one.RemainingMillis)})
 	}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -126,7 +126,7 @@
 		return peerlink.WorkerNotices{
 			Limits:   []workerlimit.Told{{Worker: "w2", PerSecond: 2.5, AgeMillis: 7100}},
 			Leaving:  []departure.Told{{Worker: "w1", AgeMillis: 3200}, {Worker: "w9", AgeMillis: 60100}},
-			Backoffs: []peerlink.BackoffShare{{Worker: "w2", Share: 0.75, LeftMillis: 1900}},
+			Backoffs: []peerlink.BackoffShare{{Worker: "w2", Share: 0.75, RemainingMillis: 1900}},
 		}, nil
 	}
 	shown := &console{}
--- a/internal/peerlink/age_test.go
+++ b/internal/peerlink/age_test.go
@@ -14,50 +14,50 @@
 // What passes through others says for how long the first process has known it. A router that
 // heard 1.0 s later than its neighbour that a worker leaves gave it the whole time for leaving
 // from then, and sent to it 2.57 s after it had left, where 2.5 s were allowed.
-func TestChangesTellHowOldTheyAre(t *testing.T) {
+func TestEntryChangesCarryTheirAge(t *testing.T) {
 	for name, count := range map[string]int{"as they are": 1, "packed": fewChanges + 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				first, second := newAgeHub(), newAgeHub()
 				learned := time.Now()
-				first.EntriesChanged(leaving(count, learned), coord.Revision(count))
+				first.AddEntryChanges(leaving(count, learned), coord.Revision(count))
 				time.Sleep(300 * time.Millisecond)
 				first.entriesFor(&link{}, time.Now()) // another link hears sooner
 				time.Sleep(200 * time.Millisecond)
-				relayed, err := first.entriesFor(&link{}, time.Now()).All(time.Now())
+				relayed, err := first.entriesFor(&link{}, time.Now()).Decode(time.Now())
 				assert.NilError(t, err)
-				second.EntriesChanged(relayed, coord.Revision(count))
+				second.AddEntryChanges(relayed, coord.Revision(count))
 				time.Sleep(400 * time.Millisecond)
-				heard, err := second.entriesFor(&link{}, time.Now()).All(time.Now())
+				heard, err := second.entriesFor(&link{}, time.Now()).Decode(time.Now())
 				assert.NilError(t, err)
 				for _, one := range heard {
-					assert.Equal(t, one.Learned, learned)
+					assert.Equal(t, one.LearnedAt, learned)
 				}
 			})
 		})
 	}
 }
 
-func TestConfigurationsTellHowOldTheyAre(t *testing.T) {
+func TestConfigChangesCarryTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := newAgeHub()
 		learned := time.Now()
-		hub.ConfigRead([]coord.Item{{Key: "a", Revision: 1}}, 1, learned)
+		hub.SetConfig([]coord.Item{{Key: "a", Revision: 1}}, 1, learned)
 		time.Sleep(700 * time.Millisecond)
-		assert.Equal(t, hub.ConfigSince(0).Since(time.Now()), learned)
-		hub.ConfigRead([]coord.Item{{Key: "a", Revision: 1}}, 2, time.Time{})
-		assert.Assert(t, hub.ConfigSince(0).Since(time.Now()).IsZero(), "a list does not tell since when it stands")
+		assert.Equal(t, hub.ConfigSince(0).KnownSince(time.Now()), learned)
+		hub.SetConfig([]coord.Item{{Key: "a", Revision: 1}}, 2, time.Time{})
+		assert.Assert(t, hub.ConfigSince(0).KnownSince(time.Now()).IsZero(), "a list does not tell since when it stands")
 	})
 }
 
-func newAgeHub() *Hub { return NewHub("process", nil, func() Known { return Known{} }) }
+func newAgeHub() *Hub { return NewHub("process", nil, func() ReadState { return ReadState{} }) }
 
 // leaving are changes by which workers begin to drain.
 func leaving(count int, learned time.Time) []WorkerChange {
 	var changes []WorkerChange
 	for index := range count {
 		one := change(workers.ID(rune('a'+index)), coord.Revision(1+index))
-		one.Learned = learned
+		one.LearnedAt = learned
 		changes = append(changes, one)
 	}
 	return changes
--- a/internal/peerlink/pieces_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -28,7 +28,7 @@
 	for index := range count {
 		id := workers.ID(fmt.Sprintf("i-%010x", source.Uint64()>>24))
 		address := fmt.Sprintf("10.%d.%d.%d:%d", source.Intn(256), source.Intn(256), source.Intn(256), 1024+source.Intn(60000))
-		list = append(list, Changed(coord.Revision(1000+index), workers.Worker{
+		list = append(list, NewWorkerChange(coord.Revision(1000+index), workers.Worker{
 			ID: id, Service: "s", Address: address, Zone: "zone-a", Slots: 2, State: workers.StateReady, Born: workers.Born(1764739000000 + index),
 		}))
 		if index < keyed {
@@ -59,14 +59,14 @@
 func (c *collector) heard(update Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, news := range []*Entries{update.Page, update.Entries} {
+	for _, news := range []*EntryChanges{update.Page, update.Entries} {
 		if news == nil {
 			continue
 		}
 		if news.Whole && news.After == "" {
 			clear(c.known)
 		}
-		changes, _ := news.All(time.Now())
+		changes, _ := news.Decode(time.Now())
 		for _, one := range changes {
 			c.known[one.ID] = true
 		}
@@ -82,11 +82,11 @@
 // follow follows a process, again and again, until ctx ends.
 func (c *collector) follow(ctx context.Context, address string) {
 	follower := Follower{
-		Hello: Hello{Node: "n"}, Table: c.table, Take: NewMeter().Take, Nodes: &atomic.Int32{}, Linked: func() {}, Doubted: func() {},
-		Applied: func(routing.ServiceName) {}, Stays: func(Update) bool { return true }, Config: func() coord.Revision { return 0 },
-		Entries: func() coord.Revision { c.mu.Lock(); defer c.mu.Unlock(); return c.entries },
-		List:    func() (workers.ID, coord.Revision) { c.mu.Lock(); defer c.mu.Unlock(); return c.after, c.at },
-		Heard:   c.heard,
+		Hello: Hello{Node: "n"}, Table: c.table, TakeReport: NewMeter().Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
+		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true }, ConfigRevision: func() coord.Revision { return 0 },
+		EntriesRevision: func() coord.Revision { c.mu.Lock(); defer c.mu.Unlock(); return c.entries },
+		ListPosition:    func() (workers.ID, coord.Revision) { c.mu.Lock(); defer c.mu.Unlock(); return c.after, c.at },
+		OnUpdate:        c.heard,
 	}
 	for ctx.Err() == nil {
 		_ = follower.Follow(ctx, address)
@@ -107,12 +107,12 @@
 // A whole zone that starts at once is told all workers and owners over a link that takes several
 // times the longest silence for it. Told in one message each, no follower ever knew any: each link
 // broke before its message was through, and began with all of it again.
-func TestManyThatKnowNothingAreToldOverASlowLink(t *testing.T) {
+func TestManyFollowersSyncOverASlowLink(t *testing.T) {
 	const followers, workerCount, bytesPerSecond = 40, 3000, 4e6
 	hub, _, address := leading(t, 3)
 	hub.DirectNodes, hub.LinkRate = 2*followers, bytesPerSecond
 	list, owners := fleet(workerCount, 1000)
-	hub.EntriesRead(list, 99999, time.Time{})
+	hub.SetEntries(list, 99999, time.Time{})
 	hub.Publish("s", owners)
 	slow, err := lablink.New("127.0.0.1:0", address)
 	assert.NilError(t, err)
@@ -138,7 +138,7 @@
 }
 
 // A link has to wait while others are told, and is told once one of them knows all or has gone.
-func TestAFewLinksAreToldAtATime(t *testing.T) {
+func TestBulkTransfersAreLimitedToAFewLinks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var turns bulk
 	links := make([]*link, bulkLinks+2)
@@ -174,12 +174,12 @@
 
 // A process that was told a part of the list by one goes on at another, and misses nothing that has
 // changed since the first page: neither workers that came nor those that went.
-func TestAListGoesOnAtAnotherProcess(t *testing.T) {
+func TestPagedListResumesAtAnotherProcess(t *testing.T) {
 	list, _ := fleet(3*pageWorkers, 0)
 	first, second := newAgeHub(), newAgeHub()
 	for _, hub := range []*Hub{first, second} {
 		hub.Open(1)
-		hub.EntriesRead(list, 10_000, time.Time{})
+		hub.SetEntries(list, 10_000, time.Time{})
 	}
 	c := newCollector()
 	update := tell(first, newLink(Hello{}))
@@ -187,7 +187,7 @@
 	c.heard(update)
 	assert.Equal(t, len(c.known), pageWorkers)
 	gone := update.Page.Last
-	second.EntriesChanged([]WorkerChange{{ID: gone, Revision: 10_001, Gone: true}, ready("i-zzz", 10_002)}, 10_002)
+	second.AddEntryChanges([]WorkerChange{{ID: gone, Revision: 10_001, Gone: true}, ready("i-zzz", 10_002)}, 10_002)
 	after, at := c.after, c.at
 	one := newLink(Hello{ListAfter: after, ListAt: at})
 	for c.entries == 0 {
@@ -203,11 +203,11 @@
 }
 
 // What changed since the pages that a process has may no longer be kept where it goes on.
-func TestAListBeginsAnewWhereTooMuchHasChanged(t *testing.T) {
+func TestPagedListRestartsAfterTooManyChanges(t *testing.T) {
 	list, _ := fleet(3*pageWorkers, 0)
 	hub := newAgeHub()
 	hub.Open(1)
-	hub.EntriesRead(list, 10_000, time.Time{})
+	hub.SetEntries(list, 10_000, time.Time{})
 	update := tell(hub, newLink(Hello{ListAfter: list[0].ID, ListAt: 9_999}))
 	assert.Equal(t, update.Page.After, workers.ID(""))
 	// The same for one that knew all, long ago.
@@ -217,7 +217,7 @@
 
 // Owners change while they are told: what a link was told already changes with them, the rest is
 // told as it stands then.
-func TestOwnersChangeWhileTheyAreTold(t *testing.T) {
+func TestOwnersChangeDuringTransfer(t *testing.T) {
 	_, owners := fleet(4*pieceRuns, 4*pieceRuns)
 	hub := newAgeHub()
 	hub.Open(1)
@@ -251,9 +251,9 @@
 	assert.Equal(t, len(tell(hub, one).Services), 0, "all is told")
 }
 
-func TestOwnersThatCantBeReadAreRefused(t *testing.T) {
+func TestInvalidServiceOwnersAreRejected(t *testing.T) {
 	worker := []NamedWorker{{ID: "w", Address: "a"}}
-	for name, news := range map[string]ServiceNews{
+	for name, news := range map[string]ServiceOwners{
 		"an unknown worker": {Workers: worker, Runs: [][4]int{{0, 9, 1, 0}}},
 		"out of order":      {Workers: worker, Runs: [][4]int{{5, 9, 0, 0}, {0, 4, 0, 0}}},
 		"twice":             {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
@@ -271,20 +271,20 @@
 
 // A leader that reads the list anew, since the service has forgotten its history, told all of it to
 // each of hundreds of processes, which had missed a few changes of ten thousand workers.
-func TestAListThatIsReadAnewIsToldByWhatHasChanged(t *testing.T) {
+func TestListReadAgainIsSentAsChanges(t *testing.T) {
 	list, _ := fleet(3*pageWorkers, 0)
 	hub := newAgeHub()
 	hub.Open(1)
-	hub.EntriesRead(list, 10_000, time.Time{})
+	hub.SetEntries(list, 10_000, time.Time{})
 	one := newLink(Hello{Entries: 10_000})
 	again := append([]WorkerChange(nil), list[5:]...) // five went
 	again = append(again, ready("i-new", 10_007), change("i-leaves", 10_006))
-	hub.EntriesRead(again, 10_020, time.Time{})
+	hub.SetEntries(again, 10_020, time.Time{})
 	update := tell(hub, one)
 	assert.Assert(t, update.Page == nil)
 	assert.Equal(t, update.Entries.From, coord.Revision(10_000))
 	assert.Equal(t, update.Entries.To, coord.Revision(10_020))
-	changes, err := update.Entries.All(time.Now())
+	changes, err := update.Entries.Decode(time.Now())
 	assert.NilError(t, err)
 	assert.Equal(t, len(changes), 7)
 	gone := 0
--- a/internal/peerlink/config.go
+++ b/internal/peerlink/config.go
@@ -38,7 +38,7 @@
 }
 
 // since returns what has changed after a revision; nil if nothing has.
-func (l *configLog) since(revision coord.Revision, now time.Time) *ConfigNews {
+func (l *configLog) since(revision coord.Revision, now time.Time) *ConfigChanges {
 	if revision >= l.at {
 		return nil
 	}
@@ -49,16 +49,16 @@
 	if l.packed[newer] == nil {
 		l.packed[newer] = pack(l.items[:newer])
 	}
-	return &ConfigNews{
+	return &ConfigChanges{
 		Revision: l.at, Packed: l.packed[newer], Keys: l.keys,
-		AgeMillis: ageMillis(l.learned, now), Undated: l.learned.IsZero(),
+		AgeMillis: ageMillis(l.learned, now), AgeUnknown: l.learned.IsZero(),
 	}
 }
 
 // ConfigRead tells of all that the operators have written and that stands as of a
 // revision, unless more was known. learned is since when the first process knows of it; the
 // zero time if that can't be told.
-func (h *Hub) ConfigRead(items []coord.Item, at coord.Revision, learned time.Time) {
+func (h *Hub) SetConfig(items []coord.Item, at coord.Revision, learned time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.config.read(items, at, learned) {
@@ -67,17 +67,17 @@
 }
 
 // ConfigSince returns what has changed of it after a revision; nothing if nothing has.
-func (h *Hub) ConfigSince(revision coord.Revision) ConfigNews {
+func (h *Hub) ConfigSince(revision coord.Revision) ConfigChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if news := h.config.since(revision, clock.Now()); news != nil {
 		return *news
 	}
-	return ConfigNews{}
+	return ConfigChanges{}
 }
 
 // configFor returns what a link's process lacks of it. The caller holds mu.
-func (h *Hub) configFor(one *link, now time.Time) *ConfigNews {
+func (h *Hub) configFor(one *link, now time.Time) *ConfigChanges {
 	news := h.config.since(one.config, now)
 	if news != nil {
 		one.config = news.Revision
--- a/internal/peerlink/entries.go
+++ b/internal/peerlink/entries.go
@@ -71,7 +71,7 @@
 	slices.SortFunc(news, func(a, b WorkerChange) int { return cmp.Compare(a.Revision, b.Revision) })
 	for id := range l.all {
 		if !listed[id] {
-			news = append(news, WorkerChange{Revision: at, ID: id, Gone: true, Learned: since})
+			news = append(news, WorkerChange{Revision: at, ID: id, Gone: true, LearnedAt: since})
 		}
 	}
 	return news
@@ -111,15 +111,15 @@
 // announced describes a worker as it is told at a time.
 func (c WorkerChange) announced(now time.Time) WorkerChange {
 	if c.Draining {
-		c.AgeMillis = ageMillis(c.Learned, now)
+		c.AgeMillis = ageMillis(c.LearnedAt, now)
 	}
 	c.WarmMillis = max(0, c.warmAt.Sub(now).Milliseconds())
 	return c
 }
 
 // whole announces all workers, to who knows none.
-func (l *entryLog) whole(now time.Time) *Entries {
-	news := &Entries{From: l.to, To: l.to, Whole: true}
+func (l *entryLog) whole(now time.Time) *EntryChanges {
+	news := &EntryChanges{From: l.to, To: l.to, Whole: true}
 	for _, one := range l.all {
 		news.Changes = append(news.Changes, one.announced(now))
 	}
@@ -128,19 +128,19 @@
 
 // since returns all changes after a revision, or all workers to who knows none; without them if
 // they are too many or no longer kept, and nil if there are none. Each says how old it is now.
-func (l *entryLog) since(revision coord.Revision, now time.Time) *Entries {
+func (l *entryLog) since(revision coord.Revision, now time.Time) *EntryChanges {
 	switch {
 	case revision >= l.to:
 		return nil
 	case revision == 0 && l.all != nil:
 		return l.whole(now)
 	case revision < l.from:
-		return &Entries{From: l.to, To: l.to}
+		return &EntryChanges{From: l.to, To: l.to}
 	}
-	news := &Entries{From: revision, To: l.to}
+	news := &EntryChanges{From: revision, To: l.to}
 	for _, change := range l.changes {
 		if change.Revision > revision {
-			change.AgeMillis = ageMillis(change.Learned, now)
+			change.AgeMillis = ageMillis(change.LearnedAt, now)
 			news.Changes = append(news.Changes, change)
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // entriesFor returns what a link has not heard of the workers. The caller holds mu.
-func (h *Hub) entriesFor(one *link, now time.Time) *Entries {
+func (h *Hub) entriesFor(one *link, now time.Time) *EntryChanges {
 	news := h.entries.since(one.entries, now)
 	if news == nil {
 		return nil
@@ -201,7 +201,7 @@
 }
 
 // pack packs the changes of a message.
-func (p *packedEntries) pack(news *Entries, now time.Time) {
+func (p *packedEntries) pack(news *EntryChanges, now time.Time) {
 	if p.from != news.From || p.to != news.To || p.whole != news.Whole {
 		*p = packedEntries{from: news.From, to: news.To, whole: news.Whole, packed: pack(news.Changes), at: now}
 	}
@@ -210,7 +210,7 @@
 
 // EntriesRead tells which entries there are at a revision, up to which all were read at once. since
 // is as of when all was known before; the zero time: until now.
-func (h *Hub) EntriesRead(list []WorkerChange, at coord.Revision, since time.Time) {
+func (h *Hub) SetEntries(list []WorkerChange, at coord.Revision, since time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.entries.read(list, at, since, clock.Now())
@@ -218,14 +218,14 @@
 }
 
 // EntriesSince returns what has changed of them after a revision; nil if nothing has.
-func (h *Hub) EntriesSince(revision coord.Revision) *Entries {
+func (h *Hub) EntriesSince(revision coord.Revision) *EntryChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.entries.since(revision, clock.Now())
 }
 
 // EntriesChanged tells of changes that lead up to a revision.
-func (h *Hub) EntriesChanged(changes []WorkerChange, at coord.Revision) {
+func (h *Hub) AddEntryChanges(changes []WorkerChange, at coord.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.entries.add(changes, at, clock.Now())
--- a/internal/peerlink/follow.go
+++ b/internal/peerlink/follow.go
@@ -50,30 +50,30 @@
 	Hello Hello
 	Table *keytable.Table
 	// Take returns what was seen since it was last called.
-	Take func() Report
+	TakeReport func() Report
 	// Urgent gets a token when TakeUrgent is to be sent before the next report is due; both
 	// may be nil.
-	Urgent     <-chan struct{}
-	TakeUrgent func() Report
+	Urgent           <-chan struct{}
+	TakeUrgentReport func() Report
 	// Nodes is set to the number of processes.
 	Nodes *atomic.Int32
 	// Applied is called once a change of a service's owners stands in the table.
-	Applied func(service routing.ServiceName)
+	OnOwnersApplied func(service routing.ServiceName)
 	// Stays reports whether a process goes on following a relay that says this.
-	Stays func(Update) bool
+	KeepFollowing func(Update) bool
 	// Entries returns up to which revision the workers' entries were read.
-	Entries func() coord.Revision
+	EntriesRevision func() coord.Revision
 	// List returns the last worker of a list that was told in part, and as of which revision;
 	// nil: nothing is ever told in part.
-	List func() (after workers.ID, at coord.Revision)
+	ListPosition func() (after workers.ID, at coord.Revision)
 	// Config returns the revision of the configuration that was read.
-	Config func() coord.Revision
+	ConfigRevision func() coord.Revision
 	// Linked is called once the leader has told its owners.
-	Linked func()
+	OnFirstUpdate func()
 	// Heard is called with all else that the leader says.
-	Heard func(Update)
+	OnUpdate func(Update)
 	// Doubted is called when the leader says that another may lead.
-	Doubted func()
+	OnLeadershipUncertain func()
 }
 
 // Follow follows the leader at an address until the link breaks or ctx ends.
@@ -87,9 +87,9 @@
 	defer stop()
 	defer func() { _ = conn.Close() }()
 	hello := f.Hello
-	hello.Entries, hello.Config = f.Entries(), f.Config()
-	if f.List != nil {
-		hello.ListAfter, hello.ListAt = f.List()
+	hello.Entries, hello.Config = f.EntriesRevision(), f.ConfigRevision()
+	if f.ListPosition != nil {
+		hello.ListAfter, hello.ListAt = f.ListPosition()
 	}
 	if err := writeLine(conn, hello); err != nil {
 		return Error.Wrap(err)
@@ -114,14 +114,14 @@
 			return &RedirectError{Address: update.Redirect}
 		case !update.Leading && !update.Relayed:
 			return ErrNotLeading
-		case update.Relayed && !f.Stays(update):
+		case update.Relayed && !f.KeepFollowing(update):
 			return ErrNotLeading
 		}
 		f.Nodes.Store(int32(update.Nodes))
 		siblings.Store(int32(update.Links))
-		f.Heard(update)
-		if update.Doubtful {
-			f.Doubted()
+		f.OnUpdate(update)
+		if update.LeadershipUncertain {
+			f.OnLeadershipUncertain()
 		}
 		for _, news := range update.Services {
 			if !f.apply(update.Term, news) {
@@ -130,12 +130,12 @@
 		}
 		if first {
 			first = false
-			f.Linked()
+			f.OnFirstUpdate()
 		}
 	}
 }
 
-func (f *Follower) apply(term owner.Term, news ServiceNews) bool {
+func (f *Follower) apply(term owner.Term, news ServiceOwners) bool {
 	owners, readable := news.Owners()
 	if !readable {
 		return false
@@ -143,7 +143,7 @@
 	f.Table.Apply(news.Service, keytable.Change{
 		Term: term, Version: news.Version, Part: news.Part, Whole: news.Whole, Within: news.Keys, Owners: owners,
 	})
-	f.Applied(news.Service)
+	f.OnOwnersApplied(news.Service)
 	return true
 }
 
@@ -157,9 +157,9 @@
 		case <-done:
 			return
 		case <-f.Urgent:
-			report = f.TakeUrgent()
+			report = f.TakeUrgentReport()
 		case <-due.C:
-			report = f.Take()
+			report = f.TakeReport()
 			due.Reset(reportEvery + time.Duration(siblings.Load())*reportEach)
 		}
 		if report.Empty() && clock.Since(sent) < emptyEvery {
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -72,7 +72,7 @@
 	mostNodesAt time.Time
 	reports     chan<- Report
 	process     string
-	known       func() Known
+	known       func() ReadState
 	entries     entryLog
 	packed      packedEntries
 	pages       entryPages
@@ -93,7 +93,7 @@
 	// permit answers those that ask for permits.
 	limitsTold  func([]workerlimit.Told)
 	leavingTold func([]departure.Told)
-	permit      func(PermitAsk) (Permit, bool)
+	permit      func(PermitRequest) (Permit, bool)
 	// backoffs are those that owners of keys have asked for, as operators are told.
 	backoffs []BackoffShare
 	// followed is the address of the leader that this process follows; empty: none.
@@ -114,7 +114,7 @@
 
 // NewHub returns a closed hub that passes reports on to a channel. process is
 // unique to the life of this process; known returns what it has read.
-func NewHub(process string, reports chan<- Report, known func() Known) *Hub {
+func NewHub(process string, reports chan<- Report, known func() ReadState) *Hub {
 	h := &Hub{
 		process: process, owners: map[routing.ServiceName]published{}, links: map[*link]struct{}{},
 		relays: map[string]*link{}, reports: reports, known: known,
@@ -174,7 +174,7 @@
 
 // OnAsked sets what is called when a leader of a term asks whether this process leads,
 // before it gets an answer.
-func (h *Hub) OnAsked(call func(term owner.Term)) { h.asked = call }
+func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.asked = call }
 
 // Superseded is closed once a leader of a later term has asked.
 func (h *Hub) Superseded() <-chan struct{} {
@@ -191,13 +191,13 @@
 }
 
 // SetDoubtful tells the links that another process may lead.
-func (h *Hub) SetDoubtful(doubtful bool) { h.set(&h.doubtful, doubtful) }
+func (h *Hub) SetLeadershipUncertain(doubtful bool) { h.set(&h.doubtful, doubtful) }
 
 // SetDeaf tells the links that this process does not reach the key-value service.
-func (h *Hub) SetDeaf(deaf bool) { h.set(&h.deaf, deaf) }
+func (h *Hub) SetStoreUnreachable(deaf bool) { h.set(&h.deaf, deaf) }
 
 // Deaf reports whether this process leads, and does not reach the key-value service.
-func (h *Hub) Deaf() bool {
+func (h *Hub) StoreUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leading && h.deaf
@@ -317,7 +317,7 @@
 	}
 	h.expectNodes(hello.Nodes, one.since)
 	redirect := ""
-	takes := !hello.Ask && (leading || h.takesFollowers())
+	takes := !hello.QueryOnly && (leading || h.takesFollowers())
 	switch {
 	case takes && leading:
 		redirect = h.relayFor(one, one.since)
@@ -330,7 +330,7 @@
 	followed := h.followed
 	h.mu.Unlock()
 	if !takes {
-		answer := Update{Leading: leading, Term: term, Process: h.process, Redirect: redirect, Followed: followed}
+		answer := Update{Leading: leading, Term: term, Process: h.process, Redirect: redirect, FollowedLeader: followed}
 		h.addNotices(hello, &answer, one.since)
 		_ = writeLine(conn, answer)
 		return
--- a/internal/peerlink/ask.go
+++ b/internal/peerlink/leadership.go
@@ -10,7 +10,7 @@
 )
 
 // Answer is what a process says when it is asked whether it leads.
-type Answer struct {
+type LeadershipStatus struct {
 	Leading bool
 	// Process is unique to the life of the process that answered.
 	Process string
@@ -20,18 +20,18 @@
 
 // Ask asks the process at an address whether it leads; false if it does not
 // answer. term is that of the leader that asks, or zero.
-func Ask(ctx context.Context, address string, term owner.Term) (Answer, bool) {
+func QueryLeadership(ctx context.Context, address string, term owner.Term) (LeadershipStatus, bool) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return Answer{}, false
+		return LeadershipStatus{}, false
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
-	if writeLine(conn, Hello{Ask: true, Term: term}) != nil {
-		return Answer{}, false
+	if writeLine(conn, Hello{QueryOnly: true, Term: term}) != nil {
+		return LeadershipStatus{}, false
 	}
 	var update Update
 	err = readLine(bufio.NewReader(conn), &update)
-	return Answer{Leading: update.Leading, Process: update.Process, Leader: update.Followed}, err == nil
+	return LeadershipStatus{Leading: update.Leading, Process: update.Process, Leader: update.FollowedLeader}, err == nil
 }
--- a/internal/peerlink/lines_test.go
+++ b/internal/peerlink/lines_test.go
@@ -33,7 +33,7 @@
 	assert.Assert(t, errors.Is(readLine(reader, &got), io.EOF))
 }
 
-func TestLineOverTheLimitIsRefused(t *testing.T) {
+func TestLineOverTheLimitIsRejected(t *testing.T) {
 	line := `"` + strings.Repeat("a", maxLine) + "\"\n"
 	var got string
 	assert.Assert(t, readLine(bufio.NewReader(strings.NewReader(line)), &got) != nil)
@@ -44,10 +44,10 @@
 
 // A process that saw nothing, as all do before requests come, was taken for lost after a while: its
 // link ended, with those of all that followed it.
-func TestAProcessThatSeesNothingReportsNowAndThen(t *testing.T) {
+func TestIdleFollowerSendsEmptyReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		follower := Follower{Take: func() Report { return Report{} }}
+		follower := Follower{TakeReport: func() Report { return Report{} }}
 		done := make(chan struct{})
 		go follower.report(near, &atomic.Int32{}, done)
 		reader := bufio.NewReader(far)
@@ -93,14 +93,14 @@
 		}()
 		table := keytable.New()
 		view := quarantine.NewView()
-		hub := NewHub("process", nil, func() Known { return Known{} })
+		hub := NewHub("process", nil, func() ReadState { return ReadState{} })
 		follower := Follower{
-			Table: table, Nodes: &atomic.Int32{}, Linked: func() {}, Doubted: func() {}, Applied: func(routing.ServiceName) {},
-			Stays: func(Update) bool { return true },
-			Heard: func(update Update) {
-				for _, news := range []*Entries{update.Entries, update.Page} {
+			Table: table, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {}, OnOwnersApplied: func(routing.ServiceName) {},
+			KeepFollowing: func(Update) bool { return true },
+			OnUpdate: func(update Update) {
+				for _, news := range []*EntryChanges{update.Entries, update.Page} {
 					if news != nil {
-						_, _ = news.All(time.Unix(1000, 0))
+						_, _ = news.Decode(time.Unix(1000, 0))
 					}
 				}
 				if update.Config != nil {
@@ -111,8 +111,8 @@
 						_, _ = one.Holds()
 					}
 				}
-				if changes, tells, _ := update.SuspectsNews(); tells {
-					view.Told(time.Unix(1000, 0), hub.HearSuspects(changes))
+				if changes, tells, _ := update.DecodeSuspects(); tells {
+					view.Told(time.Unix(1000, 0), hub.ApplySuspects(changes))
 				}
 			},
 		}
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -1,6 +1,6 @@
 // Package peerlink is what the router processes say to one another: the leader
 // streams who owns which keys, the others report how often keys are asked for. Where
-// there are many processes, one relay in each zone stands between (see Hub.Relay).
+// there are many processes, one relay in each zone stands between (see Hub.RelayUpdate).
 //
 // Each message is one line of JSON over TCP. The side that dials sends a Hello
 // and then Reports; the leader answers with Updates. A process that does not
@@ -25,7 +25,7 @@
 	// Node names the process that dials.
 	Node string `json:"node"`
 	// Ask says that only the answer to "do you lead?" is wanted.
-	Ask bool `json:"ask,omitempty"`
+	QueryOnly bool `json:"ask,omitempty"`
 	// Term of the process that asks, if it leads: a leader of an earlier term
 	// stops before it answers.
 	Term owner.Term `json:"term,omitempty"`
@@ -49,10 +49,10 @@
 	Avoid     string `json:"avoid,omitempty"`
 	Followers int    `json:"followers,omitempty"`
 	// Changes says that the process takes changes of suspected requests.
-	Changes bool `json:"changes,omitempty"`
+	SuspectChanges bool `json:"changes,omitempty"`
 	// Limits says that the answer is to tell the limits that workers name, and what else they say of
 	// themselves.
-	Limits bool `json:"limits,omitempty"`
+	WorkerNotices bool `json:"limits,omitempty"`
 	// Permits says that the process asks for permits on this link, and nothing else. Ask is set
 	// too, so that a leader which knows no permits ends the link.
 	Permits bool `json:"permits,omitempty"`
@@ -78,37 +78,37 @@
 	// Redirect is the address of the process to follow instead; empty: none.
 	Redirect string `json:"v,omitempty"`
 	// Followed is the address of the leader that a process follows which does not lead.
-	Followed string `json:"h,omitempty"`
+	FollowedLeader string `json:"h,omitempty"`
 	// Peers are addresses of some other processes.
 	Peers []string `json:"i,omitempty"`
 	// Links is how many processes are linked to the sender.
 	Links int `json:"m,omitempty"`
 	// Doubtful says that the leader does not reach the key-value service: another
 	// may lead.
-	Doubtful bool `json:"d,omitempty"`
+	LeadershipUncertain bool `json:"d,omitempty"`
 	// Nodes is how many processes there are, the leader included.
 	Nodes int `json:"n,omitempty"`
 	// Known is what the leader has read from the key-value service, so that a
 	// process whose watch was lost sees that it lags.
-	Known Known `json:"k"`
+	ReadState ReadState `json:"k"`
 	// Deaf says that the leader has not reached the key-value service lately: the
 	// others look for changes themselves.
-	Deaf bool `json:"f,omitempty"`
+	StoreUnreachable bool `json:"f,omitempty"`
 	// Strongest is the greatest strength of the linked processes' machines.
 	Strongest float64 `json:"b,omitempty"`
 	// Entries are changes of workers' entries, or a list of all that one message holds, and Page
 	// is a part of a list that takes several.
-	Entries *Entries `json:"e,omitempty"`
-	Page    *Entries `json:"g,omitempty"`
+	Entries *EntryChanges `json:"e,omitempty"`
+	Page    *EntryChanges `json:"g,omitempty"`
 	// Config is told when it is newer than what the process has.
-	Config   *ConfigNews   `json:"c,omitempty"`
-	Services []ServiceNews `json:"z,omitempty"`
+	Config   *ConfigChanges  `json:"c,omitempty"`
+	Services []ServiceOwners `json:"z,omitempty"`
 	// Mandate is for a standby only.
 	Mandate *Mandate `json:"y,omitempty"`
 	// SuspectsChanged is what has changed of the requests that were under way at crashes,
 	// packed. Suspects are all of them instead, for processes that take no changes.
-	SuspectsChanged []byte `json:"x,omitempty"`
-	Suspects        []byte `json:"q,omitempty"`
+	SuspectChanges []byte `json:"x,omitempty"`
+	Suspects       []byte `json:"q,omitempty"`
 	// Quota is what processes may have run of tenants' requests, for the receiver and for
 	// those that it has told of.
 	Quota []quota.Grant `json:"u,omitempty"`
@@ -131,8 +131,8 @@
 	// Stamp is the last one of the standby's reports, and LeftMillis for how long
 	// after it the leave lasts. The standby sent the stamp before, so its leave ends
 	// no later than the leader reckons, however long this message took.
-	Stamp      int64 `json:"t"`
-	LeftMillis int64 `json:"l"`
+	Stamp           int64 `json:"t"`
+	RemainingMillis int64 `json:"l"`
 	// Services whose holds have changed.
 	Services []ServiceHolds `json:"s,omitempty"`
 }
@@ -146,8 +146,8 @@
 	Runs []byte `json:"r"`
 }
 
-// DescribeHolds writes holds as a message.
-func DescribeHolds(service routing.ServiceName, version uint64, holds []owner.Hold) ServiceHolds {
+// EncodeHolds writes holds as a message.
+func EncodeHolds(service routing.ServiceName, version uint64, holds []owner.Hold) ServiceHolds {
 	described := ServiceHolds{Service: service, Version: version}
 	runs := make([][4]int64, 0, len(holds))
 	places := map[workers.ID]int{}
@@ -185,13 +185,13 @@
 	return holds, true
 }
 
-// ConfigNews tells what the operators have written, as of a revision.
-type ConfigNews struct {
+// ConfigChanges tells what the operators have written, as of a revision.
+type ConfigChanges struct {
 	Revision coord.Revision `json:"r"`
 	// AgeMillis is for how long the first process has known that, and Undated that it cannot
 	// tell since when any of it stands, since it has found it in a list.
-	AgeMillis int64 `json:"a,omitempty"`
-	Undated   bool  `json:"u,omitempty"`
+	AgeMillis  int64 `json:"a,omitempty"`
+	AgeUnknown bool  `json:"u,omitempty"`
 	// Packed are the items that have changed since what the process has, and Keys are
 	// those of all that stand.
 	Packed []byte   `json:"p"`
@@ -199,7 +199,7 @@
 }
 
 // Items returns the items that have changed.
-func (c ConfigNews) Items() ([]coord.Item, error) {
+func (c ConfigChanges) Items() ([]coord.Item, error) {
 	var items []coord.Item
 	err := unpack(c.Packed, &items)
 	return items, err
@@ -207,15 +207,15 @@
 
 // Since returns since when what is told may stand, as it is heard at a time; the zero time if
 // that is not known.
-func (c ConfigNews) Since(now time.Time) time.Time {
-	if c.Undated {
+func (c ConfigChanges) KnownSince(now time.Time) time.Time {
+	if c.AgeUnknown {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(max(0, c.AgeMillis)) * time.Millisecond)
 }
 
 // Known are the last changes that a process has read, by what they are of.
-type Known struct {
+type ReadState struct {
 	Config  coord.Revision `json:"c"`
 	Workers coord.Revision `json:"w"`
 	// SettleMillis is for how long entries that vanish may have lapsed only, since the
@@ -223,11 +223,11 @@
 	SettleMillis int64 `json:"s,omitempty"`
 	// Steady says that the leader has reached the service for long enough: what it does not
 	// know any longer is gone, also for a process that was cut off from the service itself.
-	Steady bool `json:"y,omitempty"`
+	Settled bool `json:"y,omitempty"`
 }
 
-// ServiceNews tells owners of one service.
-type ServiceNews struct {
+// ServiceOwners tells owners of one service.
+type ServiceOwners struct {
 	Service routing.ServiceName `json:"s"`
 	// Version counts the leader's changes of the service's owners, and Part says that more of
 	// that version is to come.
@@ -259,14 +259,14 @@
 	Keys map[routing.ServiceName][]int `json:"k,omitempty"`
 	// Times are, by worker, the number of answers and the sum of their times in
 	// milliseconds, of requests that did not wait.
-	Times map[workers.ID][2]int `json:"w,omitempty"`
+	ResponseTimes map[workers.ID][2]int `json:"w,omitempty"`
 	// Backoffs are, by worker, the number of times at which it asked for a backoff, and the sum of
 	// those in milliseconds.
 	Backoffs map[workers.ID][2]int `json:"b,omitempty"`
 	// Stamp is a standby's time, in milliseconds since its start, and Heard are the
 	// versions of the holds that it knows; both are for a standby only.
-	Stamp int64                          `json:"t,omitempty"`
-	Heard map[routing.ServiceName]uint64 `json:"v,omitempty"`
+	Stamp        int64                          `json:"t,omitempty"`
+	HoldVersions map[routing.ServiceName]uint64 `json:"v,omitempty"`
 	// Followers is how many processes follow a relay, whose report adds up theirs.
 	Followers int `json:"f,omitempty"`
 	// Evidence is of requests that were under way at workers that crashed.
@@ -281,6 +281,6 @@
 
 // Empty reports whether nothing was seen and nothing is to be told.
 func (r Report) Empty() bool {
-	return len(r.Keys) == 0 && len(r.Times) == 0 && r.Stamp == 0 && r.Followers == 0 && r.Evidence == nil &&
+	return len(r.Keys) == 0 && len(r.ResponseTimes) == 0 && r.Stamp == 0 && r.Followers == 0 && r.Evidence == nil &&
 		len(r.Quota) == 0 && len(r.Limits) == 0 && len(r.Backoffs) == 0 && len(r.Leaving) == 0
 }
--- a/internal/peerlink/meter.go
+++ b/internal/peerlink/meter.go
@@ -33,7 +33,7 @@
 }
 
 // Asked counts a request for a key.
-func (m *Meter) Asked(service routing.ServiceName, key int) {
+func (m *Meter) CountRequest(service routing.ServiceName, key int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.count(service, key, 1)
@@ -50,7 +50,7 @@
 }
 
 // Served counts an answer of a worker whose request did not wait there.
-func (m *Meter) Served(worker workers.ID, took time.Duration) {
+func (m *Meter) CountResponse(worker workers.ID, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	add(m.times, worker, 1, int(took.Milliseconds()))
@@ -58,7 +58,7 @@
 
 // BackedOff counts that a worker has asked this process to send it nothing for a time, or for so much
 // longer.
-func (m *Meter) BackedOff(worker workers.ID, longer time.Duration) {
+func (m *Meter) CountBackoff(worker workers.ID, longer time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	add(m.backoffs, worker, 1, int(longer.Milliseconds()))
@@ -71,7 +71,7 @@
 }
 
 // Add adds what another process has counted.
-func (m *Meter) Add(report Report) {
+func (m *Meter) AddReport(report Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for service, pairs := range report.Keys {
@@ -79,7 +79,7 @@
 			m.count(service, pairs[index], pairs[index+1])
 		}
 	}
-	for worker, seen := range report.Times {
+	for worker, seen := range report.ResponseTimes {
 		add(m.times, worker, seen[0], seen[1])
 	}
 	for worker, seen := range report.Backoffs {
@@ -93,7 +93,7 @@
 	defer m.mu.Unlock()
 	report := Report{}
 	if now := clock.Now(); now.Sub(m.timesAt) >= timesEvery {
-		report.Times, m.times, m.timesAt = m.times, map[workers.ID][2]int{}, now
+		report.ResponseTimes, m.times, m.timesAt = m.times, map[workers.ID][2]int{}, now
 	}
 	if len(m.backoffs) > 0 {
 		report.Backoffs, m.backoffs = m.backoffs, map[workers.ID][2]int{}
--- a/internal/peerlink/notices.go
+++ b/internal/peerlink/notices.go
@@ -23,8 +23,8 @@
 type BackoffShare struct {
 	Worker workers.ID `json:"w"`
 	// Share of the routers that back off, and for how long the last of them does, in milliseconds.
-	Share      float64 `json:"h"`
-	LeftMillis int64   `json:"m"`
+	Share           float64 `json:"h"`
+	RemainingMillis int64   `json:"m"`
 }
 
 // OnLeaving sets what is called with what linked processes tell of workers that leave, by a leader and
@@ -42,8 +42,8 @@
 	h.backoffs = backoffs
 }
 
-// AskNotices asks the process at an address, which leads, what workers say of themselves, for operators.
-func AskNotices(ctx context.Context, address string) (WorkerNotices, error) {
+// QueryNotices asks the process at an address, which leads, what workers say of themselves, for operators.
+func QueryNotices(ctx context.Context, address string) (WorkerNotices, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
-	if err := writeLine(conn, Hello{Ask: true, Limits: true}); err != nil {
+	if err := writeLine(conn, Hello{QueryOnly: true, WorkerNotices: true}); err != nil {
 		return WorkerNotices{}, Error.Wrap(err)
 	}
 	var update Update
@@ -66,7 +66,7 @@
 
 // addNotices adds to an answer what workers say of themselves, if the question asks for it.
 func (h *Hub) addNotices(hello Hello, answer *Update, now time.Time) {
-	if !hello.Limits {
+	if !hello.WorkerNotices {
 		return
 	}
 	if h.Limits != nil {
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -33,7 +33,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-func TestAProcessThatLinksIsToldTheLimitsFirst(t *testing.T) {
+func TestFirstUpdateContainsAllLimits(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	hub.Limits = workerlimit.NewBook().Book
 	for index := range 200 {
@@ -59,36 +59,36 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-func TestOperatorsAreToldWhatWorkersSayByTheLeaderOnly(t *testing.T) {
+func TestOnlyLeaderReturnsWorkerNotices(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	hub.Limits = workerlimit.NewBook().Book
 	hub.Limits.Merge(limited("w", 2.5))
 	hub.Leaving = facts.NewBook[departure.Fact]()
 	hub.Leaving.Merge(departure.Fact{Worker: workers.Life{ID: "v"}, Since: time.Now()})
-	hub.SetBackoffs([]BackoffShare{{Worker: "u", Share: 0.5, LeftMillis: 900}})
-	told, err := AskNotices(t.Context(), address)
+	hub.SetBackoffs([]BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
+	told, err := QueryNotices(t.Context(), address)
 	assert.NilError(t, err)
 	assert.Equal(t, len(told.Limits), 1)
 	assert.Equal(t, told.Limits[0].PerSecond, 2.5)
 	assert.Equal(t, len(told.Leaving), 1)
 	assert.Equal(t, told.Leaving[0].Worker, workers.ID("v"))
-	assert.DeepEqual(t, told.Backoffs, []BackoffShare{{Worker: "u", Share: 0.5, LeftMillis: 900}})
+	assert.DeepEqual(t, told.Backoffs, []BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
 	hub.Close()
-	_, err = AskNotices(t.Context(), address)
+	_, err = QueryNotices(t.Context(), address)
 	assert.ErrorIs(t, err, ErrNotLeading)
 }
 
-func TestPermitsAreAnsweredToWhoAsked(t *testing.T) {
+func TestPermitResponsesMatchRequests(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	hub.OnPermit(func(ask PermitAsk) (Permit, bool) {
-		return Permit{Number: ask.Number, Granted: ask.Limit.PerSecond > 1, WaitMillis: ask.PatienceMillis}, true
+	hub.OnPermit(func(ask PermitRequest) (Permit, bool) {
+		return Permit{Number: ask.Number, Granted: ask.Limit.PerSecond > 1, WaitMillis: ask.MaxWaitMillis}, true
 	})
-	var l PermitLink
+	var l PermitClient
 	var asking sync.WaitGroup
 	for index := range 100 {
 		asking.Go(func() {
-			ask := PermitAsk{Limit: workerlimit.Told{Worker: "w", PerSecond: float64(index % 3)}, PatienceMillis: int64(index)}
-			permit, err := l.Ask(t.Context(), address, ask)
+			ask := PermitRequest{Limit: workerlimit.Told{Worker: "w", PerSecond: float64(index % 3)}, MaxWaitMillis: int64(index)}
+			permit, err := l.Request(t.Context(), address, ask)
 			assert.Check(t, err)
 			assert.Check(t, permit.WaitMillis == int64(index) && permit.Granted == (index%3 > 1))
 		})
@@ -96,7 +96,7 @@
 	asking.Wait()
 }
 
-func TestNobodyWaitsForALeaderThatDoesNotAnswer(t *testing.T) {
+func TestPermitRequestTimesOutWithoutResponse(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
@@ -111,7 +111,7 @@
 		}
 	}()
 	hub, _, other := leading(t, 3)
-	hub.OnPermit(func(PermitAsk) (Permit, bool) { return Permit{}, false })
+	hub.OnPermit(func(PermitRequest) (Permit, bool) { return Permit{}, false })
 	nobody, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	_ = nobody.Close()
@@ -119,10 +119,10 @@
 		"silent": silent.Addr().String(), "does not lead": other, "not there": nobody.Addr().String(),
 	} {
 		t.Run(name, func(t *testing.T) {
-			var l PermitLink
+			var l PermitClient
 			bounded, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, err := l.Ask(bounded, address, PermitAsk{})
+			_, err := l.Request(bounded, address, PermitRequest{})
 			assert.ErrorContains(t, err, "")
 			assert.Assert(t, err != nil)
 		})
@@ -133,14 +133,14 @@
 	assert.NilError(t, err, "a connection that is silent is given up")
 }
 
-func TestAnotherLeaderIsAskedOverAnotherConnection(t *testing.T) {
-	var l PermitLink
+func TestPermitClientReconnectsToNewLeader(t *testing.T) {
+	var l PermitClient
 	for number := range 3 {
 		hub, _, address := leading(t, 3)
-		hub.OnPermit(func(ask PermitAsk) (Permit, bool) {
+		hub.OnPermit(func(ask PermitRequest) (Permit, bool) {
 			return Permit{Number: ask.Number, WaitMillis: int64(number)}, true
 		})
-		permit, err := l.Ask(t.Context(), address, PermitAsk{})
+		permit, err := l.Request(t.Context(), address, PermitRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, permit.WaitMillis, int64(number))
 	}
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -74,7 +74,7 @@
 	if !sent.whole() {
 		changes = keytable.Within(changes, owner.Keys{To: sent.next - 1})
 	}
-	news := ServiceNews{Service: service, Version: state.version, Part: state.part || !sent.whole()}
+	news := ServiceOwners{Service: service, Version: state.version, Part: state.part || !sent.whole()}
 	if len(changes) == 0 && news.Version == sent.version && news.Part == sent.part {
 		return
 	}
@@ -91,7 +91,7 @@
 	}
 	keys := nextPiece(state.owners, sent.next)
 	sent.next = keys.To + 1
-	news := ServiceNews{
+	news := ServiceOwners{
 		Service: service, Version: state.version, Whole: true, Keys: &keys, Part: state.part || !sent.whole(),
 	}
 	news.describe(keytable.Within(state.owners, keys))
@@ -127,7 +127,7 @@
 }
 
 // describe writes owners into the message.
-func (n *ServiceNews) describe(owners []owner.Owner) {
+func (n *ServiceOwners) describe(owners []owner.Owner) {
 	var told ownerRuns
 	places := map[NamedWorker]int{}
 	for _, one := range owners {
@@ -152,11 +152,11 @@
 }
 
 // size is about how many bytes the message takes.
-func (n *ServiceNews) size() int { return len(n.Packed)*4/3 + 64*len(n.Runs) }
+func (n *ServiceOwners) size() int { return len(n.Packed)*4/3 + 64*len(n.Runs) }
 
 // Owners returns what the message tells; false if it can't be read, names a worker that it has not
 // introduced, is not in the order of the keys, or is of others than it says.
-func (n *ServiceNews) Owners() ([]owner.Owner, bool) {
+func (n *ServiceOwners) Owners() ([]owner.Owner, bool) {
 	told := ownerRuns{Workers: n.Workers, Runs: n.Runs}
 	if len(n.Packed) > 0 && unpack(n.Packed, &told) != nil {
 		return nil, false
--- a/internal/peerlink/pages.go
+++ b/internal/peerlink/pages.go
@@ -38,7 +38,7 @@
 }
 
 // pageFor returns the next page of the list for a link; nil if it has to wait. The caller holds mu.
-func (h *Hub) pageFor(one *link, now time.Time) *Entries {
+func (h *Hub) pageFor(one *link, now time.Time) *EntryChanges {
 	if !h.bulk.admits(one, now) {
 		return nil
 	}
@@ -59,7 +59,7 @@
 }
 
 // next returns the page of a list that begins after a worker.
-func (p *entryPages) next(log *entryLog, after workers.ID, now time.Time) *Entries {
+func (p *entryPages) next(log *entryLog, after workers.ID, now time.Time) *EntryChanges {
 	p.cut(log)
 	index, _ := slices.BinarySearch(p.cuts, after)
 	if index < len(p.cuts) && p.cuts[index] == after {
@@ -69,7 +69,7 @@
 	if one.revision == 0 || one.revision < log.from {
 		*one = packedPage{revision: log.to, packed: pack(p.announced(log, index, now)), at: now}
 	}
-	page := &Entries{To: one.revision, Whole: true, After: after, Packed: one.packed, PackedMillis: ageMillis(one.at, now)}
+	page := &EntryChanges{To: one.revision, Whole: true, After: after, Packed: one.packed, PackedMillis: ageMillis(one.at, now)}
 	if page.More = index < len(p.cuts); page.More {
 		page.Last = p.cuts[index]
 	}
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -24,7 +24,7 @@
 func leading(t *testing.T, term owner.Term) (*Hub, chan Report, string) {
 	t.Helper()
 	reports := make(chan Report, 16)
-	hub := NewHub("process", reports, func() Known { return Known{Config: 7} })
+	hub := NewHub("process", reports, func() ReadState { return ReadState{Config: 7} })
 	hub.Open(term)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -50,8 +50,8 @@
 
 // hear takes what the leader says, as the router does.
 func (f *followed) hear(update Update) {
-	f.known.Store(int64(update.Known.Config))
-	f.deaf.Store(update.Deaf)
+	f.known.Store(int64(update.ReadState.Config))
+	f.deaf.Store(update.StoreUnreachable)
 	if update.Entries == nil {
 		return
 	}
@@ -61,7 +61,7 @@
 	f.entries.Store(int64(update.Entries.To))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changes, err := update.Entries.All(time.Now())
+	changes, err := update.Entries.Decode(time.Now())
 	if err != nil {
 		f.gaps.Add(1)
 	}
@@ -87,10 +87,10 @@
 	t.Helper()
 	f := &followed{table: keytable.New(), meter: NewMeter(), ended: make(chan error, 1)}
 	follower := Follower{
-		Hello: hello, Table: f.table, Take: f.meter.Take, Nodes: &atomic.Int32{}, Linked: func() {},
-		Applied: func(routing.ServiceName) {}, Stays: func(Update) bool { return true },
-		Entries: func() coord.Revision { return coord.Revision(f.entries.Load()) }, Config: func() coord.Revision { return 0 },
-		Heard: f.hear, Doubted: func() { f.doubted.Store(true) },
+		Hello: hello, Table: f.table, TakeReport: f.meter.Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {},
+		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true },
+		EntriesRevision: func() coord.Revision { return coord.Revision(f.entries.Load()) }, ConfigRevision: func() coord.Revision { return 0 },
+		OnUpdate: f.hear, OnLeadershipUncertain: func() { f.doubted.Store(true) },
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestFollowersHearOwnersAndChanges(t *testing.T) {
+func TestFollowersReceiveOwnersAndChanges(t *testing.T) {
 	hub, reports, address := leading(t, 3)
 	hub.Publish("s", []owner.Owner{
 		{Keys: owner.Keys{From: 0, To: 99}, Worker: "w1", Address: "a1"},
@@ -131,66 +131,66 @@
 	eventually(t, "a moved key", f.owns(100, "w3"))
 	assert.Assert(t, f.owns(99, "w1")() && f.owns(101, "w2")())
 	assert.Equal(t, f.known.Load(), int64(7))
-	f.meter.Asked("s", 5)
-	f.meter.Asked("s", 5)
+	f.meter.CountRequest("s", 5)
+	f.meter.CountRequest("s", 5)
 	report := <-reports
 	assert.DeepEqual(t, report.Keys["s"], []int{5, 2})
 }
 
-func TestAProcessThatDoesNotLeadSaysSo(t *testing.T) {
+func TestNonLeaderReportsThatItDoesNotLead(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	answer, ok := Ask(t.Context(), address, 0)
+	answer, ok := QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, answer, Answer{Leading: true, Process: "process"})
+	assert.DeepEqual(t, answer, LeadershipStatus{Leading: true, Process: "process"})
 	hub.Close()
-	answer, ok = Ask(t.Context(), address, 0)
+	answer, ok = QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok && !answer.Leading)
 	f := follow(t, address)
 	assert.ErrorIs(t, <-f.ended, ErrNotLeading)
 }
 
 // A leader that is cut from the store kept its followers, and nobody else led.
-func TestALaterLeaderEndsAnEarlierOne(t *testing.T) {
+func TestLaterLeaderSupersedesEarlierOne(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	answer, ok := Ask(t.Context(), address, 3)
+	answer, ok := QueryLeadership(t.Context(), address, 3)
 	assert.Assert(t, ok && answer.Leading)
-	answer, ok = Ask(t.Context(), address, 4)
+	answer, ok = QueryLeadership(t.Context(), address, 4)
 	assert.Assert(t, ok && !answer.Leading)
 	<-hub.Superseded()
 	assert.Assert(t, !hub.Leading())
 }
 
-func TestFollowersHearThatTheirLeaderIsInDoubt(t *testing.T) {
+func TestFollowersAreNotifiedOfUncertainLeadership(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	f := follow(t, address)
-	hub.SetDoubtful(true)
+	hub.SetLeadershipUncertain(true)
 	eventually(t, "doubt", f.doubted.Load)
 }
 
 func change(id workers.ID, revision coord.Revision) WorkerChange {
-	return Changed(revision, workers.Worker{ID: id, State: workers.StateDraining})
+	return NewWorkerChange(revision, workers.Worker{ID: id, State: workers.StateDraining})
 }
 
 // One process reads the workers' entries and passes changes on, so that a change does
 // not cost a call of each of them.
-func TestFollowersHearOfChangedWorkers(t *testing.T) {
+func TestFollowersReceiveEntryChanges(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	hub.EntriesRead(nil, 10, time.Time{})
+	hub.SetEntries(nil, 10, time.Time{})
 	f := follow(t, address)
 	eventually(t, "that it has read nothing", func() bool { return f.gaps.Load() == 1 })
-	hub.EntriesChanged([]WorkerChange{change("b", 12), change("c", 13)}, 14)
+	hub.AddEntryChanges([]WorkerChange{change("b", 12), change("c", 13)}, 14)
 	eventually(t, "changes", func() bool { return f.entries.Load() == 14 })
 	assert.DeepEqual(t, f.heard(), []string{"b", "c"})
 	assert.Equal(t, f.gaps.Load(), int64(1))
-	hub.SetDeaf(true)
+	hub.SetStoreUnreachable(true)
 	eventually(t, "that the leader is deaf", f.deaf.Load)
 }
 
 func ready(id workers.ID, revision coord.Revision) WorkerChange {
-	return Changed(revision, workers.Worker{ID: id, State: workers.StateReady})
+	return NewWorkerChange(revision, workers.Worker{ID: id, State: workers.StateReady})
 }
 
-func TestManyChangesAreToldPacked(t *testing.T) {
+func TestManyEntryChangesAreSentPacked(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	f := follow(t, address)
 	var changes []WorkerChange
@@ -200,7 +200,7 @@
 		want = append(want, id)
 		changes = append(changes, ready(workers.ID(id), coord.Revision(1+index)))
 	}
-	hub.EntriesChanged(changes, 90)
+	hub.AddEntryChanges(changes, 90)
 	eventually(t, "changes", func() bool { return f.entries.Load() == 90 })
 	assert.DeepEqual(t, f.heard(), want)
 	assert.Equal(t, f.gaps.Load(), int64(0))
@@ -208,7 +208,7 @@
 
 // Workers that come are told of now and then, so that many of them cost few messages;
 // one that leaves is told of at once, with all before it.
-func TestNewcomersAreGathered(t *testing.T) {
+func TestNewWorkersAreBatched(t *testing.T) {
 	for name, c := range map[string]struct {
 		change WorkerChange
 		told   bool
@@ -219,7 +219,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			hub := NewHub("process", nil, func() Known { return Known{} })
+			hub := NewHub("process", nil, func() ReadState { return ReadState{} })
 			one := &link{}
 			hub.entries.add([]WorkerChange{ready("a", 1)}, 1, now)
 			assert.Assert(t, hub.entriesFor(one, now) != nil)
@@ -233,20 +233,20 @@
 	}
 }
 
-func TestTheConfigurationIsToldToThoseThatLackIt(t *testing.T) {
-	hub := NewHub("process", nil, func() Known { return Known{} })
+func TestConfigurationIsSentToLinksThatLackIt(t *testing.T) {
+	hub := NewHub("process", nil, func() ReadState { return ReadState{} })
 	items := []coord.Item{{Key: "op/config", Value: []byte(`{"version":"1"}`), Revision: 7}}
 	behind, ahead := &link{config: 3}, &link{config: 7}
 	assert.Assert(t, hub.configFor(behind, time.Now()) == nil, "none was read")
-	hub.ConfigRead(items, 7, time.Now())
+	hub.SetConfig(items, 7, time.Now())
 	told, err := hub.configFor(behind, time.Now()).Items()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, told, items)
 	assert.Assert(t, hub.configFor(behind, time.Now()) == nil, "it was told")
 	assert.Assert(t, hub.configFor(ahead, time.Now()) == nil)
-	hub.ConfigRead(nil, 5, time.Now())
+	hub.SetConfig(nil, 5, time.Now())
 	assert.Equal(t, hub.config.at, coord.Revision(7), "an older one changes nothing")
-	_, err = ConfigNews{Packed: []byte("no packed items")}.Items()
+	_, err = ConfigChanges{Packed: []byte("no packed items")}.Items()
 	assert.Assert(t, err != nil)
 }
 
@@ -290,12 +290,12 @@
 	}
 }
 
-func TestChangesKeepWorkersAsTheyAre(t *testing.T) {
+func TestWorkerChangeRoundTrip(t *testing.T) {
 	worker := workers.Worker{
 		ID: "w", Service: "s", Address: "a", Zone: "z", Slots: 3, State: workers.StateReady,
 		WarmAt: time.Now().Add(time.Hour),
 	}
-	again := Changed(7, worker).Worker()
+	again := NewWorkerChange(7, worker).Worker()
 	assert.Assert(t, again.WarmAt.Sub(worker.WarmAt).Abs() < time.Minute)
 	again.WarmAt = worker.WarmAt
 	assert.DeepEqual(t, again, worker)
--- a/internal/peerlink/peers.go
+++ b/internal/peerlink/peers.go
@@ -45,7 +45,7 @@
 }
 
 // Some returns up to a number of the addresses, drawn at random, without one of them.
-func (p *Peers) Some(most int, without string) []string {
+func (p *Peers) Sample(most int, without string) []string {
 	p.mu.Lock()
 	some := slices.DeleteFunc(slices.Clone(p.known), func(one string) bool { return one == without })
 	p.mu.Unlock()
@@ -57,7 +57,7 @@
 func (h *Hub) OnLinked(call func(addresses ...string)) { h.linked = call }
 
 // SetFollowed sets the address of the leader that this process follows; empty: none.
-func (h *Hub) SetFollowed(address string) {
+func (h *Hub) SetFollowedLeader(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.followed = address
--- a/internal/peerlink/peers_test.go
+++ b/internal/peerlink/peers_test.go
@@ -9,21 +9,21 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheNewestPeersAreKept(t *testing.T) {
+func TestPeersKeepNewestAddresses(t *testing.T) {
 	var peers Peers
 	for index := range mostPeers + 5 {
 		peers.Add(fmt.Sprint("p", index), "")
 	}
 	peers.Add("p5", "p20")
-	some := peers.Some(mostPeers+5, "p20")
+	some := peers.Sample(mostPeers+5, "p20")
 	assert.Equal(t, len(some), mostPeers-1)
 	assert.Assert(t, slices.Contains(some, "p5") && !slices.Contains(some, "p20") && !slices.Contains(some, "p4"))
-	assert.Equal(t, len(peers.Some(2, "")), 2)
-	assert.Equal(t, len(new(Peers).Some(2, "")), 0)
+	assert.Equal(t, len(peers.Sample(2, "")), 2)
+	assert.Equal(t, len(new(Peers).Sample(2, "")), 0)
 }
 
-func TestALinkIsToldOfOthersNowAndThen(t *testing.T) {
-	hub := NewHub("p", nil, func() Known { return Known{} })
+func TestPeerAddressesAreSentPeriodically(t *testing.T) {
+	hub := NewHub("p", nil, func() ReadState { return ReadState{} })
 	one := &link{hello: Hello{Address: "one"}}
 	hub.links[one] = struct{}{}
 	now := time.Now()
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -14,14 +14,14 @@
 	"github.com/shalefork/shalefork/internal/workerlimit"
 )
 
-// PermitAsk asks the leader whether a request may leave for a worker that names a limit.
-type PermitAsk struct {
+// PermitRequest asks the leader whether a request may leave for a worker that names a limit.
+type PermitRequest struct {
 	// Number names the question on its connection.
 	Number uint64 `json:"n"`
 	// Limit is what the process that asks knows of the worker's limit.
 	Limit workerlimit.Told `json:"l"`
 	// PatienceMillis is for how long the request may wait.
-	PatienceMillis int64 `json:"p,omitempty"`
+	MaxWaitMillis int64 `json:"p,omitempty"`
 }
 
 // Permit is the leader's answer.
@@ -31,7 +31,7 @@
 	Granted    bool  `json:"g,omitempty"`
 	WaitMillis int64 `json:"w,omitempty"`
 	// Ended is told if the worker names no limit any longer.
-	Ended *workerlimit.Told `json:"e,omitempty"`
+	LimitEnded *workerlimit.Told `json:"e,omitempty"`
 }
 
 // Wait is how long the request waits, or is kept from asking again.
@@ -39,13 +39,13 @@
 
 // OnPermit sets what answers other processes that ask for permits while this one leads; false: it
 // does not lead.
-func (h *Hub) OnPermit(call func(PermitAsk) (Permit, bool)) { h.permit = call }
+func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.permit = call }
 
 // servePermits answers one process until it is silent for long, or this one leads no longer.
 func (h *Hub) servePermits(conn net.Conn, reader *bufio.Reader) {
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(reportSilence))
-		var ask PermitAsk
+		var ask PermitRequest
 		if readLine(reader, &ask) != nil {
 			return
 		}
@@ -57,7 +57,7 @@
 }
 
 // Followed returns the address of the leader that this process follows; empty: none.
-func (h *Hub) Followed() string {
+func (h *Hub) FollowedLeader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.followed
@@ -66,9 +66,9 @@
 // ErrNoPermit: the leader did not answer in time.
 var ErrNoPermit = errs.New("no answer from the leader")
 
-// PermitLink asks the leader for permits, over one connection that is opened when the first is
+// PermitClient asks the leader for permits, over one connection that is opened when the first is
 // asked for. It is safe for concurrent use.
-type PermitLink struct {
+type PermitClient struct {
 	// Node and Zone are those of this process.
 	Node, Zone string
 
@@ -77,7 +77,7 @@
 }
 
 // Ask asks the leader at an address, until ctx ends.
-func (l *PermitLink) Ask(ctx context.Context, address string, ask PermitAsk) (Permit, error) {
+func (l *PermitClient) Request(ctx context.Context, address string, ask PermitRequest) (Permit, error) {
 	conn := l.connect(address)
 	asked := clock.Now()
 	permit, err := conn.ask(ctx, ask)
@@ -88,7 +88,7 @@
 }
 
 // connect returns the connection to an address, or begins to open one.
-func (l *PermitLink) connect(address string) *permitConn {
+func (l *PermitClient) connect(address string) *permitConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open != nil && l.open.address == address && !l.open.isClosed() {
@@ -98,7 +98,7 @@
 		l.open.close()
 	}
 	l.open = &permitConn{
-		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, Ask: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), waiting: map[uint64]chan Permit{},
+		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), waiting: map[uint64]chan Permit{},
 	}
 	go l.open.run()
 	return l.open
@@ -174,7 +174,7 @@
 }
 
 // ask sends a question and waits for its answer.
-func (c *permitConn) ask(ctx context.Context, ask PermitAsk) (Permit, error) {
+func (c *permitConn) ask(ctx context.Context, ask PermitRequest) (Permit, error) {
 	select {
 	case <-c.opened:
 	case <-c.closed:
@@ -201,7 +201,7 @@
 }
 
 // send writes a question whose answer goes to a channel.
-func (c *permitConn) send(ask PermitAsk, answer chan Permit) (uint64, error) {
+func (c *permitConn) send(ask PermitRequest, answer chan Permit) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next++
--- a/internal/peerlink/quota.go
+++ b/internal/peerlink/quota.go
@@ -48,7 +48,7 @@
 
 // TellQuota tells processes what they may have run. Those that no link leads to are left out:
 // the leader tells them again once they are heard.
-func (h *Hub) TellQuota(grants []quota.Grant) {
+func (h *Hub) SendQuota(grants []quota.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, grant := range grants {
--- a/internal/peerlink/relay.go
+++ b/internal/peerlink/relay.go
@@ -43,17 +43,17 @@
 }
 
 // head describes what a relay says in each message.
-func (u *upstream) head(update *Update, own Known, now time.Time) {
+func (u *upstream) head(update *Update, own ReadState, now time.Time) {
 	update.Relayed, update.Leaderless, update.Redirect = true, u.lost, u.leaveTo
 	update.Nodes, update.Hops = u.heard.Nodes, u.hops()
 	update.AgeMillis = max(0, now.Sub(u.fresh)).Milliseconds()
-	update.Known = Known{
-		Config: max(own.Config, u.heard.Known.Config), Workers: max(own.Workers, u.heard.Known.Workers),
+	update.ReadState = ReadState{
+		Config: max(own.Config, u.heard.ReadState.Config), Workers: max(own.Workers, u.heard.ReadState.Workers),
 		SettleMillis: own.SettleMillis,
-		Steady:       !u.lost && u.heard.Known.Steady,
+		Settled:      !u.lost && u.heard.ReadState.Settled,
 	}
-	if update.Known.Steady { // only the relay was cut off
-		update.Known.SettleMillis = 0
+	if update.ReadState.Settled { // only the relay was cut off
+		update.ReadState.SettleMillis = 0
 	}
 	update.Strongest = max(update.Strongest, u.heard.Strongest)
 }
@@ -62,11 +62,11 @@
 func (u *upstream) hops() int { return u.heard.Hops + 1 }
 
 // OnReported sets what is called with the reports of processes that follow this relay.
-func (h *Hub) OnReported(call func(Report)) { h.reported = call }
+func (h *Hub) OnFollowerReport(call func(Report)) { h.reported = call }
 
 // Relay takes what the leader says, or a relay of it: from now on other processes may follow this
 // one, unless as many pass the word on already as may.
-func (h *Hub) Relay(heard Update) {
+func (h *Hub) RelayUpdate(heard Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.leading {
@@ -76,8 +76,8 @@
 		h.upstream = &upstream{}
 	}
 	h.upstream.lost, h.upstream.leaveTo = heard.Leaderless, ""
-	h.upstream.heard = Update{Nodes: heard.Nodes, Known: heard.Known, Strongest: heard.Strongest, Hops: heard.Hops}
-	if !heard.Deaf {
+	h.upstream.heard = Update{Nodes: heard.Nodes, ReadState: heard.ReadState, Strongest: heard.Strongest, Hops: heard.Hops}
+	if !heard.StoreUnreachable {
 		h.upstream.refresh(clock.Now().Add(-heard.Age()))
 	}
 }
@@ -91,7 +91,7 @@
 
 // Refresh notes that this process has itself read from the key-value service all that was
 // there at a time.
-func (h *Hub) Refresh(at time.Time) {
+func (h *Hub) MarkStoreRead(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
@@ -116,7 +116,7 @@
 
 // LeaderLost says that a relay has lost its leader. Those that follow it stay for as long
 // as it reads the key-value service itself.
-func (h *Hub) LeaderLost() {
+func (h *Hub) MarkLeaderLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
@@ -134,7 +134,7 @@
 
 // LeaveTo sends all that follow this relay to another process, and takes no new ones until
 // it follows a leader again.
-func (h *Hub) LeaveTo(address string) {
+func (h *Hub) RedirectFollowers(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -16,7 +16,7 @@
 // relaying is a hub that passes on what a leader says, with its address.
 func relaying(t *testing.T) (*Hub, string) {
 	t.Helper()
-	hub := NewHub("relay", nil, func() Known { return Known{Config: 7} })
+	hub := NewHub("relay", nil, func() ReadState { return ReadState{Config: 7} })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -24,28 +24,28 @@
 	return hub, listener.Addr().String()
 }
 
-func TestARelayPassesOnWhatItsLeaderSays(t *testing.T) {
+func TestRelayForwardsLeaderUpdates(t *testing.T) {
 	hub, address := relaying(t)
 	reports := make(chan Report, 4)
-	hub.OnReported(func(report Report) { reports <- report })
+	hub.OnFollowerReport(func(report Report) { reports <- report })
 	early := follow(t, address)
 	assert.ErrorIs(t, <-early.ended, ErrNotLeading, "it has heard no leader yet")
-	hub.Relay(Update{Nodes: 50, Known: Known{Config: 9}})
+	hub.RelayUpdate(Update{Nodes: 50, ReadState: ReadState{Config: 9}})
 	hub.RelayOwners("s", run("a"), 3, 1)
 	f := follow(t, address)
 	eventually(t, "owners", f.owns(7, "a"))
 	assert.Equal(t, f.known.Load(), int64(9), "what the leader knows, not only the relay")
-	hub.EntriesChanged([]WorkerChange{change("b", 12)}, 14)
+	hub.AddEntryChanges([]WorkerChange{change("b", 12)}, 14)
 	eventually(t, "changed workers", func() bool { return f.entries.Load() == 14 })
-	f.meter.Asked("s", 5)
+	f.meter.CountRequest("s", 5)
 	report := <-reports
 	assert.DeepEqual(t, report.Keys["s"], []int{5, 1})
 	assert.Equal(t, hub.Followers(), 1)
 	hub.RelayOwners("s", run("b"), 4, 1)
 	eventually(t, "owners of the next leader", f.owns(7, "b"))
-	answer, ok := Ask(t.Context(), address, 0)
+	answer, ok := QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok && !answer.Leading, "a relay does not lead")
-	hub.LeaveTo("other:1")
+	hub.RedirectFollowers("other:1")
 	var redirect *RedirectError
 	assert.Assert(t, errors.As(<-f.ended, &redirect))
 	assert.Equal(t, redirect.Address, "other:1")
@@ -60,10 +60,10 @@
 	return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
 }
 
-func TestARelaysWordAges(t *testing.T) {
-	hub := NewHub("relay", nil, func() Known { return Known{} })
+func TestRelayedStateBecomesStale(t *testing.T) {
+	hub := NewHub("relay", nil, func() ReadState { return ReadState{} })
 	start := time.Now()
-	hub.Relay(Update{})
+	hub.RelayUpdate(Update{})
 	heard := func(after time.Duration) Update {
 		head, ok := hub.head(&link{}, start.Add(after))
 		assert.Assert(t, ok)
@@ -71,19 +71,19 @@
 	}
 	assert.Assert(t, !heard(time.Second).Stale())
 	assert.Assert(t, heard(2*time.Second).Stale())
-	hub.LeaderLost()
+	hub.MarkLeaderLost()
 	assert.Assert(t, heard(time.Second).Leaderless)
-	hub.Refresh(start.Add(5 * time.Second))
+	hub.MarkStoreRead(start.Add(5 * time.Second))
 	assert.Assert(t, !heard(6*time.Second).Stale(), "it has read the service itself")
 	assert.Assert(t, heard(7*time.Second).Stale())
-	hub.Refresh(start)
+	hub.MarkStoreRead(start)
 	assert.Assert(t, !heard(6*time.Second).Stale(), "an older answer changes nothing")
-	hub.Relay(Update{Deaf: true})
+	hub.RelayUpdate(Update{StoreUnreachable: true})
 	assert.Assert(t, heard(7*time.Second).Stale(), "a leader that reads nothing is no news")
 	assert.Assert(t, !heard(7*time.Second).Leaderless)
 }
 
-func TestWhoFollowsARelay(t *testing.T) {
+func TestRelayAssignment(t *testing.T) {
 	start := time.Unix(1000, 0)
 	late := start.Add(relaySettle)
 	strong := Hello{Process: "strong", Address: "strong:1", Zone: "z", Strength: 1}
@@ -111,7 +111,7 @@
 		"after enough processes lost it": {now: late, self: weak, doubts: relayDoubts, want: "d0:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hub := NewHub("leader", nil, func() Known { return Known{} })
+			hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
 			hub.DirectNodes = test.direct
 			hub.Open(1)
 			add := func(hello Hello) *link {
@@ -138,7 +138,7 @@
 }
 
 // A process that joins a zone with a relay costs the leader one line.
-func TestNewcomersAreSentToTheRelay(t *testing.T) {
+func TestNewProcessesAreRedirectedToTheRelay(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	hub.Publish("s", run("a"))
 	relay := &link{hello: Hello{Process: "relay", Address: "relay:1"}, since: time.Now()}
@@ -157,8 +157,8 @@
 }
 
 // A new leader hears from the first process that there are many.
-func TestTheFirstProcessTellsHowManyThereAre(t *testing.T) {
-	hub := NewHub("leader", nil, func() Known { return Known{} })
+func TestNewLeaderLearnsNodeCountFromFirstHello(t *testing.T) {
+	hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
 	now := time.Unix(1000, 0)
 	hub.expectNodes(295, now)
 	assert.Equal(t, hub.nodes(now.Add(time.Second)), 295)
--- a/internal/peerlink/steady_test.go
+++ b/internal/peerlink/settled_test.go
@@ -9,41 +9,41 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-func TestALeaderIsSteadyAfterAWhile(t *testing.T) {
+func TestLeaderIsSettledAfterSettleTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	long := now.Add(-workers.SettleTime)
 	for name, c := range map[string]struct {
 		hub    *Hub
-		own    Known
+		own    ReadState
 		steady bool
 	}{
 		"for long":                     {hub: &Hub{openedAt: long}, steady: true},
 		"just elected":                 {hub: &Hub{openedAt: now}},
 		"reads nothing":                {hub: &Hub{openedAt: long, deaf: true}},
 		"another may lead":             {hub: &Hub{openedAt: long, doubtful: true}},
-		"entries may have lapsed only": {hub: &Hub{openedAt: long}, own: Known{SettleMillis: 100}},
+		"entries may have lapsed only": {hub: &Hub{openedAt: long}, own: ReadState{SettleMillis: 100}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.hub.steady(c.own, now), c.steady) })
 	}
 }
 
 // A relay that was cut off alone passes the leader's word on, not its own.
-func TestARelayPassesOnThatItsLeaderIsSteady(t *testing.T) {
+func TestRelayForwardsLeaderSettledState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
 		upstream upstream
 		steady   bool
 		settle   int64
 	}{
-		"steady":                {upstream: upstream{heard: Update{Known: Known{Steady: true}}, fresh: now}, steady: true},
+		"steady":                {upstream: upstream{heard: Update{ReadState: ReadState{Settled: true}}, fresh: now}, steady: true},
 		"not steady":            {upstream: upstream{fresh: now}, settle: 900},
-		"the relay has lost it": {upstream: upstream{heard: Update{Known: Known{Steady: true}}, fresh: now, lost: true}, settle: 900},
+		"the relay has lost it": {upstream: upstream{heard: Update{ReadState: ReadState{Settled: true}}, fresh: now, lost: true}, settle: 900},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var update Update
-			c.upstream.head(&update, Known{SettleMillis: 900}, now)
-			assert.Equal(t, update.Known.Steady, c.steady)
-			assert.Equal(t, update.Known.SettleMillis, c.settle)
+			c.upstream.head(&update, ReadState{SettleMillis: 900}, now)
+			assert.Equal(t, update.ReadState.Settled, c.steady)
+			assert.Equal(t, update.ReadState.SettleMillis, c.settle)
 		})
 	}
 }
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -76,7 +76,7 @@
 	if left <= 0 {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, LeftMillis: left.Milliseconds()}
+	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: left.Milliseconds()}
 	if one.stamp == 0 {
 		return mandate // asks for a stamp; gives nothing
 	}
@@ -100,7 +100,7 @@
 	if leave == nil || leave.link != one || !now.Before(leave.until) {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, LeftMillis: leave.until.Sub(now).Milliseconds()}
+	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: leave.until.Sub(now).Milliseconds()}
 	if now.Sub(one.holdsAt) >= holdsPause {
 		mandate.Services = s.news(one, now)
 	}
@@ -113,7 +113,7 @@
 	for service, held := range s.holds {
 		if one.holds[service] != held.version {
 			one.holds[service], one.holdsAt = held.version, now
-			news = append(news, DescribeHolds(service, held.version, held.holds))
+			news = append(news, EncodeHolds(service, held.version, held.holds))
 		}
 	}
 	return news
@@ -169,7 +169,7 @@
 		return
 	}
 	leave.heardAt = clock.Now()
-	for service, version := range report.Heard {
+	for service, version := range report.HoldVersions {
 		leave.heard[service] = max(leave.heard[service], version)
 	}
 }
@@ -200,7 +200,7 @@
 
 // Appoint names the processes that are standbys from now on. Leaves that were given to
 // others run out.
-func (h *Hub) Appoint(processes []string) {
+func (h *Hub) AppointStandbys(processes []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.appointed = map[string]bool{}
@@ -211,7 +211,7 @@
 }
 
 // SetLimit sets when leaves end at the latest.
-func (h *Hub) SetLimit(limit time.Time) {
+func (h *Hub) SetMandateLimit(limit time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.limit = limit
@@ -238,7 +238,7 @@
 }
 
 // HasLeave reports whether a process may still renew, or have a renewal under way.
-func (h *Hub) HasLeave(process string, now time.Time) bool {
+func (h *Hub) HasMandate(process string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	leave := h.standbys.given[process]
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -15,14 +15,14 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-func TestStandbyHearsWhatIsHeldAndAnswersFor(t *testing.T) {
+func TestStandbyReceivesHoldsAndAcknowledgesThem(t *testing.T) {
 	hub, reports, address := leading(t, 3)
 	go func() {
 		for range reports { // nobody else takes them
 		}
 	}()
 	limit := time.Now().Add(time.Minute)
-	hub.SetLimit(limit)
+	hub.SetMandateLimit(limit)
 	holds := []owner.Hold{{Keys: owner.Keys{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
 	hub.PublishHolds("s", 5, holds)
 
@@ -32,11 +32,11 @@
 	defer stop()
 	follower := Follower{
 		Hello: Hello{Node: "n", Process: "p", Address: "b:1"}, Table: keytable.New(), Nodes: &atomic.Int32{},
-		Entries: func() coord.Revision { return 0 }, Config: func() coord.Revision { return 0 }, Linked: func() {}, Doubted: func() {},
-		Take: func() Report {
-			return Report{Stamp: 1, Heard: map[routing.ServiceName]uint64{"s": version.Load()}}
+		EntriesRevision: func() coord.Revision { return 0 }, ConfigRevision: func() coord.Revision { return 0 }, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
+		TakeReport: func() Report {
+			return Report{Stamp: 1, HoldVersions: map[routing.ServiceName]uint64{"s": version.Load()}}
 		},
-		Heard: func(update Update) {
+		OnUpdate: func(update Update) {
 			if update.Mandate == nil {
 				return
 			}
@@ -56,7 +56,7 @@
 		return poll.Success()
 	})
 	assert.Equal(t, len(hub.Mandates("s")), 0, "no leave before it is appointed")
-	hub.Appoint([]string{"p"})
+	hub.AppointStandbys([]string{"p"})
 	assert.DeepEqual(t, <-heard, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		given := hub.Mandates("s")
@@ -65,7 +65,7 @@
 		}
 		return poll.Continue("%+v", given)
 	})
-	assert.Assert(t, hub.HasLeave("p", time.Now()))
+	assert.Assert(t, hub.HasMandate("p", time.Now()))
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -80,7 +80,7 @@
 
 // All that is held is told now and then only: fences may change at each of the leader's
 // steps, and on the grown sites that cost 40 MB a day.
-func TestHoldsAreToldNowAndThen(t *testing.T) {
+func TestHoldUpdatesAreRateLimited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
@@ -92,7 +92,7 @@
 		s.holds["s"] = heldNow{version: uint64(step + 1)}
 		at := now.Add(time.Duration(step) * 50 * time.Millisecond)
 		mandate := s.mandate(one, at)
-		assert.Assert(t, mandate.LeftMillis > 0, "the leave goes on")
+		assert.Assert(t, mandate.RemainingMillis > 0, "the leave goes on")
 		told += len(mandate.Services)
 	}
 	assert.Equal(t, told, 3)
@@ -100,7 +100,7 @@
 
 // Found by the soak of real processes (seed 514): two standbys were replaced by stronger ones
 // while they had a leave of 9 s and stayed linked; they heard of no hold's end from then on.
-func TestAReplacedStandbyHearsWhatIsHeldWhileItMayRenew(t *testing.T) {
+func TestReplacedStandbyReceivesHoldsUntilItsMandateEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
@@ -113,13 +113,13 @@
 	s.holds["s"], s.limit = heldNow{version: 2}, now.Add(12*time.Second)
 	mandate := s.mandate(one, now.Add(2*time.Second))
 	assert.Equal(t, len(mandate.Services), 1)
-	assert.Equal(t, mandate.LeftMillis, int64(7000), "the leave gets no longer")
+	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the leave gets no longer")
 	assert.Assert(t, s.mandate(one, now.Add(9*time.Second)) == nil)
 }
 
 // A standby that starts again under its node name and address is another process: it has no leave,
 // and that of the process before is still waited for.
-func TestARouterThatStartsAgainIsAnotherStandby(t *testing.T) {
+func TestRestartedRouterIsADifferentStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
@@ -137,7 +137,7 @@
 
 // A worker that starts again at another address was named to followers by its first address for as
 // long as their links lasted.
-func TestAWorkerIsNamedAnewWhereItsAddressChanges(t *testing.T) {
+func TestChangedWorkerAddressIsSent(t *testing.T) {
 	hub, _, address := leading(t, 3)
 	at := func(address string) []owner.Owner {
 		return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestHoldsThatNameAnUnknownWorkerAreRefused(t *testing.T) {
+func TestHoldsOfUnknownWorkersAreRejected(t *testing.T) {
 	_, ok := ServiceHolds{Service: "s", Runs: pack([][4]int64{{0, 9, 1, 7}})}.Holds()
 	assert.Assert(t, !ok)
 }
--- a/internal/peerlink/subrelay_test.go
+++ b/internal/peerlink/subrelay_test.go
@@ -12,9 +12,9 @@
 
 // zoneRelay is a relay that follows a leader, with links to processes of its zone.
 func zoneRelay(direct, strong, weak int, now time.Time) (*Hub, []*link) {
-	hub := NewHub("relay", nil, func() Known { return Known{} })
+	hub := NewHub("relay", nil, func() ReadState { return ReadState{} })
 	hub.DirectNodes = direct
-	hub.Relay(Update{Leading: true, Nodes: 900})
+	hub.RelayUpdate(Update{Leading: true, Nodes: 900})
 	var links []*link
 	for index := range strong + weak {
 		hello := Hello{Process: fmt.Sprint("p", index), Address: fmt.Sprintf("10.0.0.%d:7600", index), Zone: "z", Strength: 0.2}
@@ -30,7 +30,7 @@
 }
 
 // What a relay sends must not grow with its zone: of 200 or 400 processes it speaks with some ten.
-func TestARelayOfManyHasRelaysOfItsOwn(t *testing.T) {
+func TestLargeRelayAppointsSubRelays(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for name, test := range map[string]struct {
 		strong, weak int
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestARelayOfARelay(t *testing.T) {
+func TestSubRelay(t *testing.T) {
 	start := time.Unix(1000, 0)
 	hub, links := zoneRelay(4, 8, 20, start)
 	late := start.Add(time.Second)
@@ -85,7 +85,7 @@
 	// It takes followers, and appoints none itself: its own word is passed on twice already.
 	sub, subLinks := zoneRelay(4, 8, 20, start)
 	sub.upstream = nil
-	sub.Relay(Update{Relayed: true, Hops: 1, AgeMillis: 400})
+	sub.RelayUpdate(Update{Relayed: true, Hops: 1, AgeMillis: 400})
 	assert.Assert(t, sub.takesFollowers())
 	assert.Equal(t, sub.subRelayFor(subLinks[0], late), "")
 	head, ok := sub.head(subLinks[0], time.Now())
@@ -93,21 +93,21 @@
 	assert.Equal(t, head.Hops, 2)
 	assert.Assert(t, head.Age() >= 400*time.Millisecond, "the age of both")
 
-	last := NewHub("last", nil, func() Known { return Known{} })
-	last.Relay(head)
+	last := NewHub("last", nil, func() ReadState { return ReadState{} })
+	last.RelayUpdate(head)
 	assert.Assert(t, !last.takesFollowers(), "so a circle of relays ends")
-	sub.Relay(Update{Relayed: true, Hops: 1, Leaderless: true})
+	sub.RelayUpdate(Update{Relayed: true, Hops: 1, Leaderless: true})
 	head, _ = sub.head(subLinks[0], time.Now())
 	assert.Assert(t, head.Leaderless, "the relay that it follows has lost its leader")
 }
 
 // Owners, workers and reports pass through both relays.
-func TestWhatIsToldPassesTwoRelays(t *testing.T) {
+func TestUpdatesAndReportsPassTwoRelays(t *testing.T) {
 	leader, reports, address := leading(t, 3)
 	leader.Publish("s", run("a"))
 	for range mostHops {
 		hub, own := relaying(t)
-		hub.OnReported(func(report Report) {
+		hub.OnFollowerReport(func(report Report) {
 			hub.mu.Lock()
 			defer hub.mu.Unlock()
 			reports <- report
@@ -115,7 +115,7 @@
 		f := follow(t, address)
 		eventually(t, "owners", f.owns(7, "a"))
 		owners, term, version := f.table.Owners("s")
-		hub.Relay(Update{Leading: true, Nodes: 50})
+		hub.RelayUpdate(Update{Leading: true, Nodes: 50})
 		hub.RelayOwners("s", owners, term, version)
 		address = own
 	}
@@ -124,7 +124,7 @@
 	_, term, version := f.table.Owners("s")
 	assert.Equal(t, term, owner.Term(3))
 	assert.Equal(t, version, uint64(1))
-	f.meter.Asked("s", 5)
+	f.meter.CountRequest("s", 5)
 	report := <-reports
 	assert.DeepEqual(t, report.Keys["s"], []int{5, 1})
 }
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -18,11 +18,11 @@
 
 // SuspectsNews returns what an Update tells of suspected and quarantined requests; false if it
 // tells nothing.
-func (u Update) SuspectsNews() (quarantine.Changes, bool, error) {
+func (u Update) DecodeSuspects() (quarantine.Changes, bool, error) {
 	var changes quarantine.Changes
 	switch {
-	case len(u.SuspectsChanged) > 0:
-		err := unpack(u.SuspectsChanged, &changes)
+	case len(u.SuspectChanges) > 0:
+		err := unpack(u.SuspectChanges, &changes)
 		return changes, err == nil, err
 	case len(u.Suspects) > 0:
 		changes.Whole = true
@@ -39,17 +39,17 @@
 		return
 	}
 	one.suspectsAt = now
-	if !one.hello.Changes {
+	if !one.hello.SuspectChanges {
 		changes, upTo := h.suspects.Since(now, 0, 0)
 		update.Suspects, one.suspects = pack(changes.Fresh), upTo
 		return
 	}
 	changes, upTo := h.suspects.Since(now, one.suspects, mostSuspects)
-	update.SuspectsChanged, one.suspects = pack(changes), upTo
+	update.SuspectChanges, one.suspects = pack(changes), upTo
 }
 
 // TellSuspects tells the links which requests are suspected or quarantined, as a leader knows.
-func (h *Hub) TellSuspects(records []quarantine.Record) {
+func (h *Hub) PublishSuspects(records []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspects.Set(records)
@@ -58,7 +58,7 @@
 
 // HearSuspects takes what a leader or a relay tells of them, lets the links hear it, and returns
 // all that were told.
-func (h *Hub) HearSuspects(changes quarantine.Changes) []quarantine.Record {
+func (h *Hub) ApplySuspects(changes quarantine.Changes) []quarantine.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspects.Apply(clock.Now(), changes)
--- a/internal/peerlink/suspects_test.go
+++ b/internal/peerlink/suspects_test.go
@@ -29,20 +29,20 @@
 
 // Many crashes within a second must not fill a link: told whole at each change, the list took
 // 0.3 MB a second on each link while 512 requests became suspects.
-func TestABurstOfCrashesIsToldWithinABound(t *testing.T) {
+func TestSuspectUpdatesStayWithinBandwidth(t *testing.T) {
 	// A link is to carry 20 KB a second of control at most.
 	const mostBytes = 20 << 10
 	for name, takes := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				hub := newAgeHub()
-				one := &link{hello: Hello{Changes: takes}}
+				one := &link{hello: Hello{SuspectChanges: takes}}
 				records := suspects(512)
-				hub.TellSuspects(nil)
+				hub.PublishSuspects(nil)
 				told(t, hub, one)
 				sent, second := 0, 0
 				for step := range 20 {
-					hub.TellSuspects(records[:min(len(records), 28*(step+1))])
+					hub.PublishSuspects(records[:min(len(records), 28*(step+1))])
 					second += told(t, hub, one)
 					time.Sleep(100 * time.Millisecond)
 					if step%10 == 9 {
@@ -67,7 +67,7 @@
 func told(t *testing.T, hub *Hub, one *link) int {
 	var update Update
 	hub.tellSuspects(one, &update, time.Now())
-	if len(update.Suspects)+len(update.SuspectsChanged) == 0 {
+	if len(update.Suspects)+len(update.SuspectChanges) == 0 {
 		return 0
 	}
 	line, err := json.Marshal(update)
@@ -76,14 +76,14 @@
 }
 
 // A relay passes on what it was told, and a process of the version before is told whole lists.
-func TestSuspectsPassThroughARelay(t *testing.T) {
+func TestSuspectsPassThroughRelay(t *testing.T) {
 	for name, takes := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				leader, relay, last := newAgeHub(), newAgeHub(), newAgeHub()
-				toRelay, toLast := &link{hello: Hello{Changes: true}}, &link{hello: Hello{Changes: takes}}
+				toRelay, toLast := &link{hello: Hello{SuspectChanges: true}}, &link{hello: Hello{SuspectChanges: takes}}
 				for count := range 3 {
-					leader.TellSuspects(suspects(3 - count))
+					leader.PublishSuspects(suspects(3 - count))
 					pass(t, leader, toRelay, relay)
 					assert.Equal(t, len(pass(t, relay, toLast, last)), 3-count)
 					time.Sleep(suspectsPause)
@@ -97,8 +97,8 @@
 func pass(t *testing.T, from *Hub, over *link, to *Hub) []quarantine.Record {
 	var update Update
 	from.tellSuspects(over, &update, time.Now())
-	changes, tells, err := update.SuspectsNews()
+	changes, tells, err := update.DecodeSuspects()
 	assert.NilError(t, err)
 	assert.Assert(t, tells)
-	return to.HearSuspects(changes)
+	return to.ApplySuspects(changes)
 }
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -41,9 +41,9 @@
 	update := Update{Term: h.term, Links: len(h.links), Strongest: h.strongest()}
 	switch {
 	case h.leading:
-		update.Leading, update.Known = true, h.known()
-		update.Known.Steady = h.steady(update.Known, now)
-		update.Nodes, update.Doubtful, update.Deaf = h.nodes(now), h.doubtful, h.deaf
+		update.Leading, update.ReadState = true, h.known()
+		update.ReadState.Settled = h.steady(update.ReadState, now)
+		update.Nodes, update.LeadershipUncertain, update.StoreUnreachable = h.nodes(now), h.doubtful, h.deaf
 		update.Redirect = h.relayFor(one, now)
 	case h.upstream != nil:
 		h.upstream.head(&update, h.known(), now)
@@ -58,6 +58,6 @@
 
 // steady reports whether this process, which leads, has reached the key-value service for
 // long enough to know which workers are gone. The caller holds mu.
-func (h *Hub) steady(own Known, now time.Time) bool {
+func (h *Hub) steady(own ReadState, now time.Time) bool {
 	return !h.deaf && !h.doubtful && own.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
 }
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -11,7 +11,7 @@
 
 // Entries passes changes of workers on: all between two revisions. Where From is To and
 // they are not whole, there are too many to pass on: they are to be read from the service.
-type Entries struct {
+type EntryChanges struct {
 	From coord.Revision `json:"f"`
 	To   coord.Revision `json:"t"`
 	// Whole says that the changes announce all workers that there are at To. If there are too
@@ -29,7 +29,7 @@
 }
 
 // All returns the changes, packed or not, as they are heard at a time.
-func (e Entries) All(now time.Time) ([]WorkerChange, error) {
+func (e EntryChanges) Decode(now time.Time) ([]WorkerChange, error) {
 	changes := e.Changes
 	if len(e.Packed) > 0 {
 		if err := unpack(e.Packed, &changes); err != nil {
@@ -38,7 +38,7 @@
 	}
 	for index := range changes {
 		age := e.PackedMillis + changes[index].AgeMillis
-		changes[index].Learned = now.Add(-time.Duration(max(0, age)) * time.Millisecond)
+		changes[index].LearnedAt = now.Add(-time.Duration(max(0, age)) * time.Millisecond)
 		changes[index].warmAt = now.Add(time.Duration(changes[index].WarmMillis-e.PackedMillis) * time.Millisecond)
 	}
 	return changes, nil
@@ -63,14 +63,14 @@
 	Born workers.Born `json:"b,omitempty"`
 	// Learned is since when the first process knows of the change, and AgeMillis for how long,
 	// as the message tells it.
-	Learned   time.Time `json:"-"`
+	LearnedAt time.Time `json:"-"`
 	AgeMillis int64     `json:"o,omitempty"`
 	// warmAt is when the worker stops being slow, by this process's clock.
 	warmAt time.Time
 }
 
 // Changed describes a worker as it is announced now.
-func Changed(revision coord.Revision, worker workers.Worker) WorkerChange {
+func NewWorkerChange(revision coord.Revision, worker workers.Worker) WorkerChange {
 	return WorkerChange{
 		Revision: revision, ID: worker.ID, Service: worker.Service, Address: worker.Address, Zone: worker.Zone,
 		Slots: worker.Slots, Draining: worker.State == workers.StateDraining,
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -45,7 +45,7 @@
 		c.proxy.Metrics.noticed(c.service.Name, noticeBackoff)
 		longer, begins := to.backOff(clock.Now(), got.Backoff.For)
 		if c.service.Keyed && longer > 0 {
-			c.proxy.Meter.BackedOff(to.id(), longer)
+			c.proxy.Meter.CountBackoff(to.id(), longer)
 		}
 		if begins {
 			c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -120,7 +120,7 @@
 			Str("id", c.message.ID).AnErr("error", got.Err).Msg("")
 	}
 	if c.service.Keyed && (got.Outcome == upstream.Answered || got.Outcome == upstream.Late) {
-		p.Meter.Served(worker.ID, got.Took)
+		p.Meter.CountResponse(worker.ID, got.Took)
 	}
 	if got.Outcome == upstream.Answered {
 		c.weigh(&worker, &got)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -36,7 +36,7 @@
 		return
 	}
 	c.key = key
-	c.proxy.Meter.Asked(c.service.Name, key)
+	c.proxy.Meter.CountRequest(c.service.Name, key)
 	for {
 		to := c.awaitOwner()
 		if to == nil {
--- a/internal/router/age_test.go
+++ b/internal/router/age_test.go
@@ -23,7 +23,7 @@
 	}{
 		"told by a neighbour": {learn: func(r *Router) {
 			late := drainsSince(1000)
-			r.heard(peerlink.Update{Entries: &peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
+			r.heard(peerlink.Update{Entries: &peerlink.EntryChanges{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
 		}, want: time.Second},
 		"by a watch without a failure": {learn: func(r *Router) {
 			r.storeReached(r.entries, time.Now())
--- a/internal/router/askaround.go
+++ b/internal/router/askaround.go
@@ -17,7 +17,7 @@
 func (r *Router) askAround(ctx context.Context, without string) (election.Leader, bool) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	asked := r.peers.Some(askedAround, r.settings.PeerListen)
+	asked := r.peers.Sample(askedAround, r.settings.PeerListen)
 	found := make(chan string, askedAround)
 	for _, address := range asked {
 		go func() { found <- r.askFor(bounded, address, without) }()
@@ -33,7 +33,7 @@
 // askFor returns the address of the leader if the process at an address is the one or follows it;
 // empty if not.
 func (r *Router) askFor(ctx context.Context, address, without string) string {
-	answer, ok := peerlink.Ask(ctx, address, 0)
+	answer, ok := peerlink.QueryLeadership(ctx, address, 0)
 	switch {
 	case !ok:
 		return ""
@@ -43,7 +43,7 @@
 		return ""
 	}
 	r.peers.Add(answer.Leader)
-	if leader, ok := peerlink.Ask(ctx, answer.Leader, 0); !ok || !leader.Leading {
+	if leader, ok := peerlink.QueryLeadership(ctx, answer.Leader, 0); !ok || !leader.Leading {
 		return ""
 	}
 	return answer.Leader
--- a/internal/router/askaround_test.go
+++ b/internal/router/askaround_test.go
@@ -16,7 +16,7 @@
 // servePeer serves a process that answers questions, and returns its address.
 func servePeer(t *testing.T) (*peerlink.Hub, string) {
 	t.Helper()
-	hub := peerlink.NewHub(t.Name(), nil, func() peerlink.Known { return peerlink.Known{} })
+	hub := peerlink.NewHub(t.Name(), nil, func() peerlink.ReadState { return peerlink.ReadState{} })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -28,9 +28,9 @@
 	leads, leader := servePeer(t)
 	leads.Open(3)
 	follows, follower := servePeer(t)
-	follows.SetFollowed(leader)
+	follows.SetFollowedLeader(leader)
 	stale, astray := servePeer(t)
-	stale.SetFollowed(follower) // it led once
+	stale.SetFollowedLeader(follower) // it led once
 	_, alone := servePeer(t)
 	for name, test := range map[string]struct {
 		known   []string
--- a/internal/router/belief_test.go
+++ b/internal/router/belief_test.go
@@ -84,7 +84,7 @@
 	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.born)}}})
 	assert.NilError(b.t, err)
 	worker := workers.Worker{ID: "a", Service: "s", State: state, Born: b.born}
-	b.changes = append(b.changes, peerlink.Changed(at, worker))
+	b.changes = append(b.changes, peerlink.NewWorkerChange(at, worker))
 }
 
 // remove takes the worker's entry away.
@@ -110,11 +110,11 @@
 	}
 	known := b.leader.known()
 	deaf := time.Since(clock.OfNanos(b.leader.entries.reached.Load())) > unreadAfter || time.Since(b.leaderReached) > deafAfter
-	known.Steady = !deaf && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
-	update := peerlink.Update{Leading: true, Deaf: deaf, Known: known}
+	known.Settled = !deaf && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
+	update := peerlink.Update{Leading: true, StoreUnreachable: deaf, ReadState: known}
 	from, to := b.one.entriesView.revision(), b.leader.entriesView.revision()
 	if from < to {
-		update.Entries = &peerlink.Entries{From: from, To: to}
+		update.Entries = &peerlink.EntryChanges{From: from, To: to}
 		for _, change := range b.changes {
 			if change.Revision > from && change.Revision <= to {
 				update.Entries.Changes = append(update.Entries.Changes, change)
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -90,7 +90,7 @@
 }
 
 // told takes what the leader has read; false if something is missing here.
-func (v *configView) told(news peerlink.ConfigNews) bool {
+func (v *configView) told(news peerlink.ConfigChanges) bool {
 	items, err := news.Items()
 	if err != nil {
 		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("told by the leader")
@@ -117,14 +117,14 @@
 		stand[key] = item
 	}
 	v.items = stand
-	v.apply(items, news.Revision, news.Since(clock.Now()))
+	v.apply(items, news.Revision, news.KnownSince(clock.Now()))
 	v.r.config.read(news.Revision)
 	return true
 }
 
 // configTold takes what the leader has read, and reads it from the service if that is
 // not enough.
-func (r *Router) configTold(news peerlink.ConfigNews) {
+func (r *Router) configTold(news peerlink.ConfigChanges) {
 	if !r.configView.told(news) {
 		r.config.again()
 	}
@@ -138,7 +138,7 @@
 	v.r.config.cover(v.at)
 	items := slices.Collect(maps.Values(v.items))
 	if len(items) > 0 {
-		v.r.hub.ConfigRead(items, v.at, since)
+		v.r.hub.SetConfig(items, v.at, since)
 	}
 	v.useConfig(fresh)
 	v.evacuate(items, since)
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -91,7 +91,7 @@
 		// items that the process has read, up to a revision.
 		items []coord.Item
 		at    coord.Revision
-		news  peerlink.ConfigNews
+		news  peerlink.ConfigChanges
 		taken bool
 		zones []string
 	}{
@@ -114,7 +114,7 @@
 		},
 		"can't be read": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7,
-			news: peerlink.ConfigNews{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
+			news: peerlink.ConfigChanges{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -72,10 +72,10 @@
 				time.Sleep(max(0, time.Until(at)))
 				for time.Since(at) < 2*drainTime {
 					remaining := max(0, settle-time.Since(at).Milliseconds())
-					update := peerlink.Update{Leading: true, Known: peerlink.Known{Workers: leaves, SettleMillis: remaining}}
+					update := peerlink.Update{Leading: true, ReadState: peerlink.ReadState{Workers: leaves, SettleMillis: remaining}}
 					if known := r.entriesView.revision(); known < leaves {
 						gone := []peerlink.WorkerChange{{Revision: leaves, ID: "left", Gone: true}}
-						update.Entries = &peerlink.Entries{From: known, To: leaves, Changes: gone}
+						update.Entries = &peerlink.EntryChanges{From: known, To: leaves, Changes: gone}
 					}
 					r.heard(update)
 					time.Sleep(100 * time.Millisecond)
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -256,7 +256,7 @@
 // one of what it follows.
 func (r *Router) storeReached(of *followed, at time.Time) {
 	of.reached.Store(clock.Nanos(at))
-	r.hub.Refresh(r.readUpTo())
+	r.hub.MarkStoreRead(r.readUpTo())
 }
 
 // readUpTo returns as of when this process has itself read all from the service.
@@ -293,20 +293,20 @@
 
 // heard takes what the leader says of changes.
 func (r *Router) heard(update peerlink.Update) {
-	r.told.heard(clock.Now(), update.Age(), !update.Deaf && !update.Stale())
+	r.told.heard(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())
 	if !update.Leaderless {
 		r.standby.Heard(update.Term, update.Mandate)
 	}
-	r.leaderDeaf.Store(update.Deaf)
+	r.leaderDeaf.Store(update.StoreUnreachable)
 	r.strongest.Store(math.Float64bits(update.Strongest))
 	now := clock.Now()
-	if settle := update.Known.SettleMillis; settle > 0 {
+	if settle := update.ReadState.SettleMillis; settle > 0 {
 		r.settleAsTold(now, time.Duration(settle)*time.Millisecond)
 	}
-	if update.Known.Steady && !update.Deaf && !update.Stale() {
+	if update.ReadState.Settled && !update.StoreUnreachable && !update.Stale() {
 		r.workers.EndSettling()
 	}
-	for _, news := range []*peerlink.Entries{update.Page, update.Entries} {
+	for _, news := range []*peerlink.EntryChanges{update.Page, update.Entries} {
 		if news != nil && !r.entriesView.relayed(*news) {
 			r.entries.again()
 		}
@@ -315,16 +315,16 @@
 		r.configTold(*update.Config)
 	}
 	if update.Leading || update.Relayed { // after what it tells: else followers would miss what they hear of
-		r.hub.Relay(update)
+		r.hub.RelayUpdate(update)
 	}
 	r.limits.told(update.Limits)
 	r.leaving.told(update.Leaving)
 	r.suspectsTold(update)
 	r.quotas.granted(update.Quota)
 	if r.entries.coveredUpTo() > 0 { // else the list is still to be told or read
-		r.entries.compare(now, update.Known.Workers)
+		r.entries.compare(now, update.ReadState.Workers)
 	}
-	r.config.catchUp(now, update.Known.Config)
+	r.config.catchUp(now, update.ReadState.Config)
 	r.noteConfigTold(now, update)
 	r.peers.Add(update.Peers...)
 }
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -56,14 +56,14 @@
 	defer stop()
 	f := &following{r: r, leader: leader, address: leader.Address, stop: stop}
 	err := f.run(bounded)
-	r.hub.SetFollowed("")
+	r.hub.SetFollowedLeader("")
 	r.told.end() // what was not told by now is read from the service
 	r.standby.Lost()
 	if ctx.Err() != nil {
-		r.hub.LeaveTo(leader.Address)
+		r.hub.RedirectFollowers(leader.Address)
 		return
 	}
-	r.hub.LeaderLost()
+	r.hub.MarkLeaderLost()
 	if f.linked {
 		r.log.Line(decision.KindLeaderLost).Str("leader", leader.Address).Int64("term", int64(leader.Term)).Err(err).Msg("")
 	} else {
@@ -92,7 +92,7 @@
 			if f.redirects > mostRedirects || redirect.Address == f.r.settings.PeerListen {
 				return err
 			}
-			f.r.hub.LeaveTo(redirect.Address)
+			f.r.hub.RedirectFollowers(redirect.Address)
 			f.leave(redirect.Address)
 		case f.viaRelay():
 			// What it told stands for as long as that of one that is silent.
@@ -120,9 +120,9 @@
 	hello := r.hello()
 	hello.Avoid, hello.Followers, hello.Nodes = f.avoid, r.hub.Followers(), int(r.nodes.Load())
 	follower := peerlink.Follower{
-		Hello: hello, Table: r.table, Take: r.report, Urgent: r.quotas.holder.Urgent(), TakeUrgent: r.quotas.report, Nodes: r.nodes,
-		Entries: r.entriesView.revision, List: r.entriesView.collectedUpTo, Config: r.config.coveredUpTo,
-		Heard: f.heard, Linked: f.told, Doubted: func() { f.doubt(ctx) }, Stays: f.stays, Applied: f.applied,
+		Hello: hello, Table: r.table, TakeReport: r.report, Urgent: r.quotas.holder.Urgent(), TakeUrgentReport: r.quotas.report, Nodes: r.nodes,
+		EntriesRevision: r.entriesView.revision, ListPosition: r.entriesView.collectedUpTo, ConfigRevision: r.config.coveredUpTo,
+		OnUpdate: f.heard, OnFirstUpdate: f.told, OnLeadershipUncertain: func() { f.doubt(ctx) }, KeepFollowing: f.stays, OnOwnersApplied: f.applied,
 	}
 	return follower.Follow(ctx, f.address)
 }
@@ -139,7 +139,7 @@
 // told notes that the process that is followed has told its owners.
 func (f *following) told() {
 	f.linked = true
-	f.r.hub.SetFollowed(f.leader.Address)
+	f.r.hub.SetFollowedLeader(f.leader.Address)
 	f.r.peers.Add(f.leader.Address, f.address)
 	f.r.quotas.holder.Linked()
 	f.r.limits.member.Linked()
--- a/internal/router/lag_test.go
+++ b/internal/router/lag_test.go
@@ -44,17 +44,17 @@
 // follow it would else read the service at once, each for itself.
 func TestWhatIsKnownIsToldWithWhatItIs(t *testing.T) {
 	r := newTestRouter(t)
-	r.heard(peerlink.Update{Leading: true, Known: peerlink.Known{Config: 3}})
+	r.heard(peerlink.Update{Leading: true, ReadState: peerlink.ReadState{Config: 3}})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	go r.hub.Serve(listener)
 	var known atomic.Int64
 	follower := peerlink.Follower{
-		Table: keytable.New(), Take: func() peerlink.Report { return peerlink.Report{} }, Nodes: &atomic.Int32{}, Linked: func() {},
-		Doubted: func() {}, Applied: func(routing.ServiceName) {}, Stays: func(peerlink.Update) bool { return true },
-		Entries: func() coord.Revision { return 0 }, Config: func() coord.Revision { return 0 },
-		Heard: func(update peerlink.Update) { known.Store(int64(update.Known.Config)) },
+		Table: keytable.New(), TakeReport: func() peerlink.Report { return peerlink.Report{} }, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {},
+		OnLeadershipUncertain: func() {}, OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(peerlink.Update) bool { return true },
+		EntriesRevision: func() coord.Revision { return 0 }, ConfigRevision: func() coord.Revision { return 0 },
+		OnUpdate: func(update peerlink.Update) { known.Store(int64(update.ReadState.Config)) },
 	}
 	go func() { _ = follower.Follow(t.Context(), listener.Addr().String()) }()
 	for known.Load() != 3 {
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -150,7 +150,7 @@
 func (r *Router) hasEnded(ctx context.Context, leader election.Leader) bool {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answer, ok := peerlink.Ask(bounded, leader.Address, 0)
+	answer, ok := peerlink.QueryLeadership(bounded, leader.Address, 0)
 	return ok && answer.Process != leader.Process
 }
 
@@ -177,7 +177,7 @@
 	go func() {
 		for answered := false; !answered && bounded.Err() == nil; {
 			clock.Sleep(bounded, lookPause)
-			_, answered = peerlink.Ask(bounded, leader.Address, 0)
+			_, answered = peerlink.QueryLeadership(bounded, leader.Address, 0)
 		}
 		changed <- struct{}{}
 	}()
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -171,7 +171,7 @@
 		}
 	}
 	if len(others) > 0 {
-		q.r.hub.TellQuota(others)
+		q.r.hub.SendQuota(others)
 	}
 }
 
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -35,7 +35,7 @@
 			continue // it has stopped, and leads now
 		}
 		asks.Go(func() {
-			answer, ok := peerlink.Ask(bounded, one.Address, term)
+			answer, ok := peerlink.QueryLeadership(bounded, one.Address, term)
 			if !ok || (answer.Leading && answer.Process == one.Process) {
 				unresolved <- one
 			}
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -12,7 +12,7 @@
 func (r *Router) hello() peerlink.Hello {
 	return peerlink.Hello{
 		Node: r.settings.Node, Strength: r.hub.Strength, Address: r.settings.PeerListen, Zone: r.settings.Zone, Process: r.process,
-		Changes: true,
+		SuspectChanges: true,
 	}
 }
 
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -14,7 +14,7 @@
 // noteConfigTold notes as of when a leader or relay that reaches the store has told the
 // configuration, if this process has all of it.
 func (r *Router) noteConfigTold(now time.Time, update peerlink.Update) {
-	if update.Deaf || update.Stale() || r.config.misses(update.Known.Config) {
+	if update.StoreUnreachable || update.Stale() || r.config.misses(update.ReadState.Config) {
 		return
 	}
 	r.configAsOf.Store(clock.Nanos(now.Add(-update.Age())))
--- a/internal/router/revocation_test.go
+++ b/internal/router/revocation_test.go
@@ -28,23 +28,23 @@
 		"the store, of workers only": {hear: func(r *Router) { r.storeReached(r.entries, time.Now()) }},
 		"a leader": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Known: peerlink.Known{Config: 10}})
+			r.heard(peerlink.Update{ReadState: peerlink.ReadState{Config: 10}})
 		}, left: within - revokeMargin},
 		"a relay that heard a second ago": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1000, Known: peerlink.Known{Config: 10}})
+			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1000, ReadState: peerlink.ReadState{Config: 10}})
 		}, left: within - revokeMargin - time.Second},
 		"a relay that heard long ago": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1900, Known: peerlink.Known{Config: 10}})
+			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1900, ReadState: peerlink.ReadState{Config: 10}})
 		}},
 		"a leader that does not reach the store": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Deaf: true, Known: peerlink.Known{Config: 10}})
+			r.heard(peerlink.Update{StoreUnreachable: true, ReadState: peerlink.ReadState{Config: 10}})
 		}},
 		"a leader that knows more than was told": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Known: peerlink.Known{Config: 11}})
+			r.heard(peerlink.Update{ReadState: peerlink.ReadState{Config: 11}})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -183,8 +183,8 @@
 	}
 	r.standby = standby.New(adapter.Orders, r.keeper.Times, log)
 	r.standby.Workers = r.workers
-	r.hub.OnAsked(r.standby.Stop)
-	r.hub.OnReported(r.meter.Add)
+	r.hub.OnLeaderQuery(r.standby.Stop)
+	r.hub.OnFollowerReport(r.meter.AddReport)
 	r.hub.OnLinked(r.peers.Add)
 	r.hub.OnEvidence(r.evidenceTaken)
 	r.quotas = newQuotas(r)
@@ -198,7 +198,7 @@
 	r.leaving = newLeavingWorkers(r)
 	r.proxy.Leaving, r.hub.Leaving = r.leaving.answered, r.leaving.member.Book()
 	r.hub.OnLeaving(r.leaving.heard)
-	r.proxy.KeysStay = func() bool { return r.leaderDeaf.Load() || r.hub.Deaf() }
+	r.proxy.KeysStay = func() bool { return r.leaderDeaf.Load() || r.hub.StoreUnreachable() }
 	r.keeper.Leaving = r.leaving.answered
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
@@ -257,8 +257,8 @@
 }
 
 // known returns what this process has read.
-func (r *Router) known() peerlink.Known {
-	return peerlink.Known{
+func (r *Router) known() peerlink.ReadState {
+	return peerlink.ReadState{
 		Config: r.config.known(), Workers: r.entries.known(), SettleMillis: r.workers.Settling().Milliseconds(),
 	}
 }
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -56,7 +56,7 @@
 		leader, relay, last := newTestRouter(t), newTestRouter(t), newTestRouter(t)
 		leader.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady), item("b", 9, workers.StateReady), item("c", 9, workers.StateReady)}, 10)
 		leaves := drains("b", 12)
-		leaves.Learned = time.Now()
+		leaves.LearnedAt = time.Now()
 		leader.entriesView.apply([]peerlink.WorkerChange{{ID: "c", Revision: 11, Gone: true}, leaves}, 12)
 		time.Sleep(500 * time.Millisecond)
 		for _, hop := range [][2]*Router{{leader, relay}, {relay, last}} {
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -127,7 +127,7 @@
 		return
 	}
 	k.begun, k.told = true, version
-	k.r.hub.TellSuspects(records)
+	k.r.hub.PublishSuspects(records)
 }
 
 // store writes the list if it has changed. A write without an answer is tried again at the next
@@ -214,14 +214,14 @@
 
 // suspectsTold takes what a leader knows, and lets a relay pass it on.
 func (r *Router) suspectsTold(update peerlink.Update) {
-	changes, tells, err := update.SuspectsNews()
+	changes, tells, err := update.DecodeSuspects()
 	if err != nil {
 		r.log.Line(decision.KindQuarantined).Err(err).Msg("what the leader tells can't be read")
 	}
 	if !tells {
 		return
 	}
-	r.tellQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.HearSuspects(changes)))
+	r.tellQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.ApplySuspects(changes)))
 	r.proxy.Starting.Store(false)
 }
 
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -25,7 +25,7 @@
 		err = v.hidesStart(id, item.Revision)
 	}
 	if err == nil {
-		return peerlink.Changed(item.Revision, worker)
+		return peerlink.NewWorkerChange(item.Revision, worker)
 	}
 	fault := &workers.EntryError{Reason: workers.ReasonUnreadable}
 	_ = errors.As(err, &fault)
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -51,13 +51,13 @@
 		},
 		"told all by a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
-			return v.relayed(peerlink.Entries{
+			return v.relayed(peerlink.EntryChanges{
 				To: 12, Whole: true, Changes: leader.read([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}}),
 			})
 		},
 		"told by a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
-			return v.relayed(peerlink.Entries{To: 12, Changes: leader.read([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}})})
+			return v.relayed(peerlink.EntryChanges{To: 12, Changes: leader.read([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}})})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,8 +118,8 @@
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, "ready 1")}, 10)
 	view.Changed([]coord.Event{{Item: item("a", 12, "ready 2")}}, 12)
-	late := peerlink.Changed(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, Born: 1})
-	assert.Assert(t, view.relayed(peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
+	late := peerlink.NewWorkerChange(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, Born: 1})
+	assert.Assert(t, view.relayed(peerlink.EntryChanges{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
 	view.Snapshot([]coord.Item{item("a", 11, "draining 1")}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.Born, workers.Born(2))
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -51,7 +51,7 @@
 	r      *Router
 	member *workerlimit.Member
 	book   workerlimit.Book
-	link   peerlink.PermitLink
+	link   peerlink.PermitClient
 	// tenure is that in which this process leads, or led last.
 	tenure atomic.Pointer[election.Tenure]
 	// silentUntil is until when no leader is asked, a number of clock.Nanos.
@@ -65,7 +65,7 @@
 	member := workerlimit.NewMember()
 	return &workerLimits{
 		r: r, member: member, book: member.Book(),
-		link: peerlink.PermitLink{Node: r.settings.Node, Zone: r.settings.Zone},
+		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
 			Help: "Requests for workers that name limits, by what the leader said: granted, refused or unanswered.",
@@ -147,8 +147,8 @@
 		outcome = permitGranted
 	}
 	l.permits.WithLabelValues(outcome).Inc()
-	if permit.Ended != nil {
-		l.told([]workerlimit.Told{*permit.Ended})
+	if permit.LimitEnded != nil {
+		l.told([]workerlimit.Told{*permit.LimitEnded})
 	}
 	return permit.Wait(), permit.Granted
 }
@@ -159,14 +159,14 @@
 	if permit, leading := l.issue(now, fact, patience); leading {
 		return permit, true
 	}
-	leader := l.r.hub.Followed()
+	leader := l.r.hub.FollowedLeader()
 	if leader == "" || clock.Nanos(now) < l.silentUntil.Load() {
 		return peerlink.Permit{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	permit, err := l.link.Ask(ctx, leader, peerlink.PermitAsk{
-		Limit: workerlimit.Tell(now, fact), PatienceMillis: patience.Milliseconds(),
+	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
+		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: patience.Milliseconds(),
 	})
 	if err != nil {
 		l.silentUntil.Store(clock.Nanos(clock.Now().Add(unansweredPause)))
@@ -175,9 +175,9 @@
 }
 
 // asked answers another process that asks for a permit.
-func (l *workerLimits) asked(ask peerlink.PermitAsk) (peerlink.Permit, bool) {
+func (l *workerLimits) asked(ask peerlink.PermitRequest) (peerlink.Permit, bool) {
 	now := refreshed()
-	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.PatienceMillis))*time.Millisecond)
+	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.MaxWaitMillis))*time.Millisecond)
 	permit.Number = ask.Number
 	return permit, leading
 }
@@ -195,7 +195,7 @@
 	message := peerlink.Permit{Granted: permit.Granted, WaitMillis: (permit.Wait + time.Millisecond - 1).Milliseconds()}
 	if permit.Ended != nil {
 		told := workerlimit.Tell(now, *permit.Ended)
-		message.Ended = &told
+		message.LimitEnded = &told
 	}
 	return message, leading
 }
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -46,7 +46,7 @@
 	list := make([]peerlink.WorkerChange, 0, len(items))
 	for _, item := range items {
 		change := v.readEntry(item)
-		change.Learned = v.r.workers.ListedSince(since)
+		change.LearnedAt = v.r.workers.ListedSince(since)
 		list = append(list, change)
 	}
 	v.replace(list, at, since)
@@ -69,11 +69,11 @@
 		worker := change.Worker()
 		v.zones.note(v.r.places, worker, v.r.log)
 		announced = append(announced, worker)
-		learned[change.ID] = change.Learned
+		learned[change.ID] = change.LearnedAt
 	}
 	v.replaceUnreadable(faulty)
 	vanished := v.r.workers.Replace(announced, learned, since)
-	v.r.hub.EntriesRead(list, at, since)
+	v.r.hub.SetEntries(list, at, since)
 	v.tellVanished(vanished, at)
 	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("list read")
 }
@@ -86,10 +86,10 @@
 }
 
 // relayed applies what the leader passes on; false if changes are missing.
-func (v *workersView) relayed(news peerlink.Entries) bool {
+func (v *workersView) relayed(news peerlink.EntryChanges) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	changes, err := news.All(clock.Now())
+	changes, err := news.Decode(clock.Now())
 	if news.Whole && err == nil {
 		return v.collect(news, changes)
 	}
@@ -102,7 +102,7 @@
 
 // collect takes a page of the list, or all of it, and replaces what was known once there are no
 // more; false if pages before it are missing. The caller holds mu.
-func (v *workersView) collect(news peerlink.Entries, changes []peerlink.WorkerChange) bool {
+func (v *workersView) collect(news peerlink.EntryChanges, changes []peerlink.WorkerChange) bool {
 	if news.After == "" {
 		v.collected = collected{}
 	}
@@ -145,7 +145,7 @@
 		if !event.Deleted {
 			change = v.readEntry(event.Item)
 		}
-		change.Learned = learned
+		change.LearnedAt = learned
 		changes = append(changes, change)
 	}
 	return changes
@@ -156,7 +156,7 @@
 	changes = slices.DeleteFunc(changes, func(one peerlink.WorkerChange) bool { return one.Revision <= v.at })
 	v.at = max(v.at, at)
 	v.r.entries.cover(at)
-	v.r.hub.EntriesChanged(changes, at)
+	v.r.hub.AddEntryChanges(changes, at)
 	last := map[workers.ID]peerlink.WorkerChange{}
 	for _, change := range changes {
 		v.r.entries.read(change.Revision)
@@ -169,7 +169,7 @@
 	var gone []workers.ID
 	learned := workers.Learned{}
 	for id, change := range last {
-		learned[id] = change.Learned
+		learned[id] = change.LearnedAt
 		v.noteUnreadable(change)
 		if change.Gone {
 			gone = append(gone, id)
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -48,20 +48,20 @@
 
 // drains is a change that the leader passes on.
 func drains(id workers.ID, revision coord.Revision) peerlink.WorkerChange {
-	return peerlink.Changed(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
+	return peerlink.NewWorkerChange(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
 }
 
 func TestChangesOfWorkersFromTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
-		news    peerlink.Entries
+		news    peerlink.EntryChanges
 		applied bool
 		drains  bool
 		at      coord.Revision
 	}{
-		"next":                {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 11)}}, applied: true, drains: true, at: 12},
-		"some known already":  {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drains("a", 9)}}, applied: true, at: 12},
-		"some missing before": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}, at: 10},
-		"too many to pass on": {news: peerlink.Entries{From: 12, To: 12}, at: 10},
+		"next":                {news: peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 11)}}, applied: true, drains: true, at: 12},
+		"some known already":  {news: peerlink.EntryChanges{From: 5, To: 12, Changes: []peerlink.WorkerChange{drains("a", 9)}}, applied: true, at: 12},
+		"some missing before": {news: peerlink.EntryChanges{From: 11, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}, at: 10},
+		"too many to pass on": {news: peerlink.EntryChanges{From: 12, To: 12}, at: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
@@ -81,7 +81,7 @@
 	r := newTestRouter(t)
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-	assert.Assert(t, view.relayed(peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}))
+	assert.Assert(t, view.relayed(peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}))
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining)
@@ -102,7 +102,7 @@
 	now := time.Unix(1000, 0)
 	r := newTestRouter(t)
 	r.config.cover(10)
-	r.heard(peerlink.Update{Known: peerlink.Known{Config: 10}})
+	r.heard(peerlink.Update{ReadState: peerlink.ReadState{Config: 10}})
 	assert.Assert(t, !asked(r.config), "it is known")
 	r.config.catchUp(now, 12)
 	assert.Assert(t, asked(r.config))
@@ -119,7 +119,7 @@
 	r := newTestRouter(t)
 	r.heard(peerlink.Update{})
 	assert.Assert(t, r.told.now())
-	r.heard(peerlink.Update{Deaf: true})
+	r.heard(peerlink.Update{StoreUnreachable: true})
 	assert.Assert(t, !r.told.now())
 }
 
@@ -132,11 +132,11 @@
 		update peerlink.Update
 		kept   bool
 	}{
-		"the leader was not":            {update: peerlink.Update{Known: peerlink.Known{Steady: true}}},
+		"the leader was not":            {update: peerlink.Update{ReadState: peerlink.ReadState{Settled: true}}},
 		"the leader may have been":      {update: peerlink.Update{}, kept: true},
-		"the leader was":                {update: peerlink.Update{Known: peerlink.Known{SettleMillis: settle}}, kept: true},
-		"the leader is now":             {update: peerlink.Update{Deaf: true, Known: peerlink.Known{Steady: true}}, kept: true},
-		"a relay has not heard of late": {update: peerlink.Update{AgeMillis: stale, Known: peerlink.Known{Steady: true}}, kept: true},
+		"the leader was":                {update: peerlink.Update{ReadState: peerlink.ReadState{SettleMillis: settle}}, kept: true},
+		"the leader is now":             {update: peerlink.Update{StoreUnreachable: true, ReadState: peerlink.ReadState{Settled: true}}, kept: true},
+		"a relay has not heard of late": {update: peerlink.Update{AgeMillis: stale, ReadState: peerlink.ReadState{Settled: true}}, kept: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -66,7 +66,7 @@
 	if mandate == nil || mandate.Stamp == 0 {
 		return
 	}
-	left := time.Duration(mandate.Stamp+mandate.LeftMillis) * time.Millisecond
+	left := time.Duration(mandate.Stamp+mandate.RemainingMillis) * time.Millisecond
 	until := s.began.Add(left)
 	for _, told := range mandate.Services {
 		holds, ok := told.Holds()
@@ -136,9 +136,9 @@
 		return
 	}
 	report.Stamp = max(1, clock.Since(s.began).Milliseconds())
-	report.Heard = map[routing.ServiceName]uint64{}
+	report.HoldVersions = map[routing.ServiceName]uint64{}
 	for name, service := range s.services {
-		report.Heard[name] = service.Version()
+		report.HoldVersions[name] = service.Version()
 	}
 }
 
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -34,8 +34,8 @@
 func leave(stamp, left time.Duration) *peerlink.Mandate {
 	holds := []owner.Hold{{Keys: owner.Keys{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
 	return &peerlink.Mandate{
-		Stamp: stamp.Milliseconds(), LeftMillis: left.Milliseconds(),
-		Services: []peerlink.ServiceHolds{peerlink.DescribeHolds("s", 5, holds)},
+		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
+		Services: []peerlink.ServiceHolds{peerlink.EncodeHolds("s", 5, holds)},
 	}
 }
 
@@ -89,6 +89,6 @@
 		s.Heard(3, leave(time.Second, time.Second))
 		s.Tell(&report)
 		assert.Equal(t, report.Stamp, int64(1000))
-		assert.Equal(t, report.Heard["s"], uint64(5))
+		assert.Equal(t, report.HoldVersions["s"], uint64(5))
 	})
 }
