--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -45,7 +45,7 @@
 		c.proxy.Metrics.noticed(c.service.Name, noticeBackoff)
 		extension, started := to.startBackoff(clock.Now(), result.Backoff.For)
 		if c.service.Keyed && extension > 0 {
-			c.proxy.Meter.BackedOff(to.id(), extension)
+			c.proxy.Meter.CountBackoff(to.id(), extension)
 		}
 		if started {
 			c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
