--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -100,8 +100,8 @@
 	{
 		name: "suspended-router-relies-on-what-it-was-told",
 		file: "internal/router/suspension.go",
-		old:  "	r.told.end()\n	r.entries.again()",
-		new:  "	_ = r.told",
-		pkg:  "./internal/router", test: "TestASuspendedRouterReadsAnewWhenItWakes",
+		old:  "	r.updates.invalidate()\n	r.entries.requestResync()",
+		new:  "	_ = r.updates",
+		pkg:  "./internal/router", test: "TestResumedRouterResyncs",
 	},
 }
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -7,7 +7,7 @@
 		file: "internal/workers/workers.go",
 		old:  "\t\tdelete(d.drainingSince, worker.ID)\n\t\td.before",
 		new:  "\t\td.before",
-		pkg:  "./internal/router", test: "TestNoOrderOfEventsMisleadsARouter",
+		pkg:  "./internal/router", test: "TestWorkerViewIsCorrectInAnyEventOrder",
 	},
 	{
 		name: "what-was-learned-of-a-worker-outlives-its-life",
@@ -35,7 +35,7 @@
 		file: "internal/workers/kept.go",
 		old:  "StateReady || d.unreadable[id] {",
 		new:  "StateReady {",
-		pkg:  "./internal/router", test: "TestAWorkerWhoseEntryIsOverwrittenIsNotUsed",
+		pkg:  "./internal/router", test: "TestWorkerWithOverwrittenEntryIsNotUsed",
 	},
 	{
 		name: "another-life-renewed-under-the-fence-of-before",
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -41,7 +41,7 @@
 	{
 		name: "leader-is-not-told-who-leaves",
 		file: "internal/router/report.go",
-		old:  "	report.Leaving = r.leaving.tell()\n",
+		old:  "	report.Leaving = r.leaving.report()\n",
 		new:  "",
 		pkg:  "./platform/session", test: "TestOthersKnowThatAWorkerOfAPoolLeaves",
 	},
--- a/internal/lab/mutate/mutations_quota.go
+++ b/internal/lab/mutate/mutations_quota.go
@@ -105,7 +105,7 @@
 		file: "internal/router/quotamarks.go",
 		old:  "		if len(wanted)+len(cooled) > 0 && q.storeMarks(ctx, tenure, &marks, wanted, cooled) {",
 		new:  "		if q.storeMarks(ctx, tenure, &marks, wanted, cooled); len(wanted) > 0 {",
-		pkg:  "./internal/router", test: "TestBusyTenantsAreMarkedBeforeMoreIsDealt",
+		pkg:  "./internal/router", test: "TestBusyTenantsAreMarkedBeforeMoreIsAllocated",
 	},
 	{
 		name: "mark-taken-off-while-more-is-booked",
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -47,7 +47,7 @@
 	{
 		name: "far-processes-campaign-as-early",
 		file: "internal/router/lead.go",
-		old:  "	return pause + r.farPause()",
+		old:  "	return pause + r.distanceDelay()",
 		new:  "	return pause",
 		pkg:  "./internal/router", test: "TestProcessesNearTheStoreCampaignFirst",
 	},
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -41,7 +41,7 @@
 
 // Snapshot implements coord.View.
 func (v *bundlesView) Snapshot(items []coord.Item, at coord.Revision) {
-	v.r.config.cover(at)
+	v.r.config.noteCovered(at)
 	for _, item := range items {
 		v.take(item)
 	}
@@ -59,7 +59,7 @@
 // take reads a team's record. A record that was removed changes nothing: keys that
 // are held stay where the last bundle placed them.
 func (v *bundlesView) take(item coord.Item) {
-	v.r.config.read(item.Revision)
+	v.r.config.noteRead(item.Revision)
 	if len(item.Value) == 0 {
 		return
 	}
--- a/internal/router/farlead_test.go
+++ b/internal/router/campaigndelay_test.go
@@ -18,21 +18,21 @@
 		calls     []time.Duration
 		least, to time.Duration
 	}{
-		"near":            {places, []time.Duration{40 * time.Millisecond, 6 * time.Millisecond, 500 * time.Millisecond}, 60 * time.Millisecond, 60*time.Millisecond + campaignSpread},
-		"far":             {places, []time.Duration{22 * time.Millisecond}, 220 * time.Millisecond, 220*time.Millisecond + campaignSpread},
-		"not measured":    {places, nil, 0, campaignSpread},
-		"a slow store":    {places, []time.Duration{3 * time.Second}, longestFarPause, longestFarPause + campaignSpread},
-		"one region only": {topology.Map{}, []time.Duration{22 * time.Millisecond}, 0, campaignSpread},
+		"near":            {places, []time.Duration{40 * time.Millisecond, 6 * time.Millisecond, 500 * time.Millisecond}, 60 * time.Millisecond, 60*time.Millisecond + campaignJitter},
+		"far":             {places, []time.Duration{22 * time.Millisecond}, 220 * time.Millisecond, 220*time.Millisecond + campaignJitter},
+		"not measured":    {places, nil, 0, campaignJitter},
+		"a slow store":    {places, []time.Duration{3 * time.Second}, maxDistanceDelay, maxDistanceDelay + campaignJitter},
+		"one region only": {topology.Map{}, []time.Duration{22 * time.Millisecond}, 0, campaignJitter},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
-			r.places = test.places
+			r.zoneMap = test.places
 			r.hub.Strength = 1
 			for _, took := range test.calls {
-				r.store.measure(took)
+				r.store.noteLatency(took)
 			}
 			for range 50 {
-				pause := r.campaignPause()
+				pause := r.campaignDelay()
 				assert.Assert(t, pause >= test.least && pause < test.to, "%s", pause)
 			}
 		})
--- a/internal/router/age_test.go
+++ b/internal/router/changetime_test.go
@@ -15,33 +15,33 @@
 
 // What is read or told late counts from the first process that knew, or from when all was known
 // here last, if nobody can tell.
-func TestLateNewsCountsFromWhenItMayHaveHappened(t *testing.T) {
+func TestDelayedChangeCountsFromEarliestPossibleTime(t *testing.T) {
 	drains := coord.Event{Item: item("a", 11, workers.StateDraining)}
 	for name, test := range map[string]struct {
 		learn func(r *Router)
 		want  time.Duration
 	}{
 		"told by a neighbour": {learn: func(r *Router) {
-			late := drainsSince(1000)
-			r.heard(peerlink.Update{Entries: &peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
+			late := delayedDraining(1000)
+			r.handleUpdate(peerlink.Update{Entries: &peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
 		}, want: time.Second},
 		"by a watch without a failure": {learn: func(r *Router) {
-			r.storeReached(r.entries, time.Now())
+			r.noteStoreSynced(r.entries, time.Now())
 			r.entriesView.Changed([]coord.Event{drains}, 11)
-		}, want: longGather},
+		}, want: followerBatchDelay},
 		"by the first watch after failures": {learn: func(r *Router) {
-			r.storeReached(r.entries, time.Now())
+			r.noteStoreSynced(r.entries, time.Now())
 			time.Sleep(2 * time.Second)
-			r.entries.failed.Store(clock.Nanos(clock.Now()))
+			r.entries.failedAt.Store(clock.Nanos(clock.Now()))
 			r.entriesView.Changed([]coord.Event{drains}, 11)
 		}, want: 2 * time.Second},
 		"by the first watch after the leader's silence": {learn: func(r *Router) {
-			r.heard(peerlink.Update{})
+			r.handleUpdate(peerlink.Update{})
 			time.Sleep(1200 * time.Millisecond)
 			r.entriesView.Changed([]coord.Event{drains}, 11)
 		}, want: 1200 * time.Millisecond},
 		"listed after failures": {learn: func(r *Router) {
-			r.storeReached(r.entries, time.Now())
+			r.noteStoreSynced(r.entries, time.Now())
 			time.Sleep(4 * time.Second)
 			r.entriesView.Snapshot([]coord.Item{drains.Item}, 11)
 		}, want: 4 * time.Second},
@@ -57,9 +57,9 @@
 	}
 }
 
-// drainsSince is a change that the first process has known for some milliseconds.
-func drainsSince(millis int64) peerlink.WorkerChange {
-	change := drains("a", 11)
+// delayedDraining is a change that the first process has known for some milliseconds.
+func delayedDraining(millis int64) peerlink.WorkerChange {
+	change := drainingChange("a", 11)
 	change.AgeMillis = millis
 	return change
 }
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -34,7 +34,7 @@
 		return // the leader has told more meanwhile
 	}
 	v.items = map[string]coord.Item{}
-	items = v.sealed(items)
+	items = v.hashAllKeys(items)
 	newest := coord.Revision(0)
 	for _, item := range items {
 		newest = max(newest, item.Revision)
@@ -42,7 +42,7 @@
 	}
 	// How long ago a zone was evacuated is not told by a list.
 	v.apply(items, at, time.Time{})
-	v.r.config.read(newest)
+	v.r.config.noteRead(newest)
 }
 
 // Changed implements coord.View.
@@ -58,39 +58,39 @@
 		case event.Deleted:
 			delete(v.items, event.Key)
 		default:
-			item := v.seal(event.Item)
+			item := v.hashKeys(event.Item)
 			v.items[event.Key] = item
 			fresh = append([]coord.Item{item}, fresh...) // the newest first
 		}
 	}
-	v.apply(fresh, at, v.r.learnedByWatch(v.r.config))
-	v.r.config.read(newest) // told to others after the change itself: they would read it at once
+	v.apply(fresh, at, v.r.earliestWatchChange(v.r.config))
+	v.r.config.noteRead(newest) // told to others after the change itself: they would read it at once
 }
 
 // sealed returns items without API keys.
-func (v *configView) sealed(items []coord.Item) []coord.Item {
+func (v *configView) hashAllKeys(items []coord.Item) []coord.Item {
 	list := make([]coord.Item, 0, len(items))
 	for _, item := range items {
-		list = append(list, v.seal(item))
+		list = append(list, v.hashKeys(item))
 	}
 	return list
 }
 
 // seal returns an item without API keys: they stand in no memory of this process and in no
 // message to another.
-func (v *configView) seal(item coord.Item) coord.Item {
-	if v.r.adapter.SealConfig == nil {
+func (v *configView) hashKeys(item coord.Item) coord.Item {
+	if v.r.adapter.HashAPIKeys == nil {
 		return item
 	}
-	sealed, err := v.r.adapter.SealConfig(item)
+	hashed, err := v.r.adapter.HashAPIKeys(item)
 	if err != nil {
 		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("the one before stays in force")
 	}
-	return sealed
+	return hashed
 }
 
 // told takes what the leader has read; false if something is missing here.
-func (v *configView) told(news peerlink.ConfigNews) bool {
+func (v *configView) applyRelayed(news peerlink.ConfigNews) bool {
 	items, err := news.Items()
 	if err != nil {
 		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("told by the leader")
@@ -101,32 +101,32 @@
 	if news.Revision <= v.at {
 		return true
 	}
-	stand := map[string]coord.Item{}
-	items = v.sealed(items)
+	current := map[string]coord.Item{}
+	items = v.hashAllKeys(items)
 	for _, item := range items {
-		stand[item.Key] = item
+		current[item.Key] = item
 	}
 	for _, key := range news.Keys {
-		if _, fresh := stand[key]; fresh {
+		if _, fresh := current[key]; fresh {
 			continue
 		}
 		item, known := v.items[key]
 		if !known {
 			return false
 		}
-		stand[key] = item
+		current[key] = item
 	}
-	v.items = stand
+	v.items = current
 	v.apply(items, news.Revision, news.Since(clock.Now()))
-	v.r.config.read(news.Revision)
+	v.r.config.noteRead(news.Revision)
 	return true
 }
 
 // configTold takes what the leader has read, and reads it from the service if that is
 // not enough.
-func (r *Router) configTold(news peerlink.ConfigNews) {
-	if !r.configView.told(news) {
-		r.config.again()
+func (r *Router) handleConfigChanges(news peerlink.ConfigNews) {
+	if !r.configView.applyRelayed(news) {
+		r.config.requestResync()
 	}
 }
 
@@ -135,7 +135,7 @@
 // zones that were not known to be evacuated. The caller holds mu.
 func (v *configView) apply(fresh []coord.Item, at coord.Revision, since time.Time) {
 	v.at = max(v.at, at)
-	v.r.config.cover(v.at)
+	v.r.config.noteCovered(v.at)
 	items := slices.Collect(maps.Values(v.items))
 	if len(items) > 0 {
 		v.r.hub.ConfigRead(items, v.at, since)
@@ -147,7 +147,7 @@
 
 // useConfig puts the configuration into force if it is newer.
 func (v *configView) useConfig(items []coord.Item) {
-	config, err := v.r.adapter.ReadConfig(items)
+	config, err := v.r.adapter.ParseConfig(items)
 	if err != nil {
 		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("the one before stays in force")
 		return
@@ -165,12 +165,12 @@
 
 // evacuate puts into force which zones are evacuated.
 func (v *configView) evacuate(items []coord.Item, since time.Time) {
-	if v.r.adapter.ReadEvacuation == nil {
+	if v.r.adapter.ParseEvacuationKey == nil {
 		return
 	}
 	zones := []string{}
 	for _, item := range items {
-		if zone, evacuates := v.r.adapter.ReadEvacuation(item.Key); evacuates {
+		if zone, evacuates := v.r.adapter.ParseEvacuationKey(item.Key); evacuates {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -16,7 +16,7 @@
 // revision.
 func newConfigRouter(t *testing.T) *Router {
 	r := newTestRouter(t)
-	r.adapter.ReadConfig = func(items []coord.Item) (*routing.Config, error) {
+	r.adapter.ParseConfig = func(items []coord.Item) (*routing.Config, error) {
 		for _, one := range items {
 			if one.Key == "op/config" {
 				return routing.Build(routing.Version(one.Revision), nil, nil, routing.Limits{})
@@ -24,7 +24,7 @@
 		}
 		return nil, nil
 	}
-	r.adapter.ReadEvacuation = func(key string) (string, bool) { return strings.CutPrefix(key, "op/evacuate/") }
+	r.adapter.ParseEvacuationKey = func(key string) (string, bool) { return strings.CutPrefix(key, "op/evacuate/") }
 	return r
 }
 
@@ -122,7 +122,7 @@
 			if c.at > 0 {
 				r.configView.Snapshot(c.items, c.at)
 			}
-			assert.Equal(t, r.configView.told(c.news), c.taken)
+			assert.Equal(t, r.configView.applyRelayed(c.news), c.taken)
 			assert.DeepEqual(t, r.workers.EvacuatedZones(), append([]string{}, c.zones...))
 		})
 	}
@@ -130,7 +130,7 @@
 
 // Whatever a router hears of a configuration, from the store or from another router, it keeps and
 // passes on without API keys.
-func TestAConfigurationIsPassedOnSealed(t *testing.T) {
+func TestConfigIsRelayedWithHashedKeys(t *testing.T) {
 	raw := coord.Item{Key: "op/config", Revision: 9, Value: []byte("a KEY in it")}
 	for name, hear := range map[string]func(v *configView){
 		"listed":  func(v *configView) { v.Snapshot([]coord.Item{raw}, 9) },
@@ -138,12 +138,12 @@
 		"told by a router that seals nothing": func(v *configView) {
 			leader := newConfigRouter(t)
 			leader.configView.Snapshot([]coord.Item{raw}, 9)
-			assert.Assert(t, v.told(leader.hub.ConfigSince(0)))
+			assert.Assert(t, v.applyRelayed(leader.hub.ConfigSince(0)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newConfigRouter(t)
-			r.adapter.SealConfig = func(item coord.Item) (coord.Item, error) {
+			r.adapter.HashAPIKeys = func(item coord.Item) (coord.Item, error) {
 				item.Value = []byte(strings.ReplaceAll(string(item.Value), "KEY", "digest"))
 				return item, nil
 			}
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -27,7 +27,7 @@
 // found theirs at 4.55 s; read a list without three workers at 13.36 s; and the requests of the
 // report ended 3.04 s after the cut had. The wait below reproduces it for the ends of a cut
 // that fall between two tries.
-func TestWhoWasCutOffSendsNothingToWorkersThatLeft(t *testing.T) {
+func TestReconnectedRouterDropsDepartedWorkers(t *testing.T) {
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,21 +36,21 @@
 				put(t, store, "w/stays", workers.StateReady)
 				elapse(5 * time.Second)
 				assert.Equal(t, usable(r), 2)
-				store.cut(true)
+				store.setCut(true)
 				remove(t, store, "w/left")
 				elapse(9*time.Second + phase)
 				assert.Equal(t, usable(r), 2, "nobody tells it of the worker")
-				store.cut(false)
-				elapse(contactTime)
+				store.setCut(false)
+				elapse(catchUpTime)
 				assert.Equal(t, usable(r), 1)
 			})
 		})
 	}
 }
 
-// contactTime is how long after the end of a cut a router must have caught up: the bound of
+// catchUpTime is how long after the end of a cut a router must have caught up: the bound of
 // the users' platform.
-const contactTime = 3 * time.Second
+const catchUpTime = 3 * time.Second
 
 // drainTime is how long workers that leave may get requests on the users' platform.
 const drainTime = 2 * time.Second
@@ -58,7 +58,7 @@
 // A leader that was cut off alone waits for lapsed entries, and said so to all. Routers that
 // had read of every change themselves meanwhile then kept a worker that left around that time
 // for 2.2 s after the leader was back.
-func TestWhoWasNotCutOffSendsNothingToWorkersThatLeft(t *testing.T) {
+func TestConnectedRouterDropsDepartedWorkers(t *testing.T) {
 	settle := workers.SettleTime.Milliseconds()
 	for left := -time.Second; left <= time.Second; left += 50 * time.Millisecond {
 		t.Run(left.String(), func(t *testing.T) {
@@ -77,7 +77,7 @@
 						gone := []peerlink.WorkerChange{{Revision: leaves, ID: "left", Gone: true}}
 						update.Entries = &peerlink.Entries{From: known, To: leaves, Changes: gone}
 					}
-					r.heard(update)
+					r.handleUpdate(update)
 					time.Sleep(100 * time.Millisecond)
 					if time.Since(leftAt) >= drainTime {
 						assert.Equal(t, usable(r), 0, "%v after it left", time.Since(leftAt))
@@ -89,17 +89,17 @@
 }
 
 // What is kept in a true outage: entries are back within 2 s of the service's return.
-func TestEntriesThatLapsedInAnOutageAreWaitedFor(t *testing.T) {
+func TestEntriesLapsedInOutageAreKept(t *testing.T) {
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, store := newCutOffRouter(t)
 				put(t, store, "w/lapses", workers.StateReady)
 				elapse(5 * time.Second)
-				store.cut(true)
+				store.setCut(true)
 				remove(t, store, "w/lapses")
 				elapse(6*time.Second + phase)
-				store.cut(false)
+				store.setCut(false)
 				for range 17 {
 					elapse(100 * time.Millisecond)
 					assert.Equal(t, usable(r), 1)
@@ -116,34 +116,34 @@
 // fails after the time that a connection may take; one that waits then is never answered.
 type cutStore struct {
 	*memory.Store
-	mu    sync.Mutex
-	isCut bool
+	mu   sync.Mutex
+	down bool
 	// breaks is closed when calls that wait are lost; nil while none waits.
-	breaks chan struct{}
+	lost chan struct{}
 }
 
 // broken returns what is closed when calls that wait are lost. The caller holds mu.
-func (s *cutStore) broken() chan struct{} {
-	if s.breaks == nil {
-		s.breaks = make(chan struct{})
+func (s *cutStore) lostCalls() chan struct{} {
+	if s.lost == nil {
+		s.lost = make(chan struct{})
 	}
-	return s.breaks
+	return s.lost
 }
 
 // connectTime is how long a router tries to connect to the service.
 const connectTime = 700 * time.Millisecond
 
-func (s *cutStore) cut(is bool) {
+func (s *cutStore) setCut(is bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isCut = is
+	s.down = is
 	s.SetDeaf(is) // watches that wait
 }
 
 // connect fails as a connection does that finds nobody.
 func (s *cutStore) connect(ctx context.Context) error {
 	s.mu.Lock()
-	isCut := s.isCut
+	isCut := s.down
 	s.mu.Unlock()
 	if !isCut {
 		return nil
@@ -169,7 +169,7 @@
 		return nil, 0, err
 	}
 	s.mu.Lock()
-	broken := s.broken()
+	broken := s.lostCalls()
 	s.mu.Unlock()
 	events, at, err := s.Store.Watch(ctx, prefix, after, wait)
 	select {
@@ -190,7 +190,7 @@
 	r.adapter.WorkersPrefix = "w/"
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	go r.follow(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
+	go r.followPrefix(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
 	return r, store
 }
 
@@ -221,7 +221,7 @@
 
 // A leader that has a list and finds its history forgotten reads the next one whole: what it knew
 // before was taken for what others tell, it stopped at the first page, and began again without end.
-func TestALongListIsReadWholeAgain(t *testing.T) {
+func TestPagedListIsReadCompletelyAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
 		store.PageItems = 2
@@ -232,11 +232,11 @@
 		elapse(5 * time.Second)
 		assert.Equal(t, usable(r), 5)
 		before := store.Calls["list"]
-		store.cut(true)
+		store.setCut(true)
 		put(t, store, "w/6", workers.StateReady)
 		elapse(time.Second)
 		store.Forget()
-		store.cut(false)
+		store.setCut(false)
 		elapse(4 * time.Second)
 		assert.Equal(t, usable(r), 6)
 		assert.Equal(t, store.Calls["list"]-before, 3, "pages")
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -14,17 +14,17 @@
 )
 
 // stale is an age at which a relay's word is not relied on.
-const stale = peerlink.SilenceLimit + 50*time.Millisecond
+const staleAge = peerlink.SilenceLimit + 50*time.Millisecond
 
-func TestAStaleRelayIsNotReliedOn(t *testing.T) {
+func TestStaleRelayIsNotTrusted(t *testing.T) {
 	r := newTestRouter(t)
-	r.heard(peerlink.Update{Relayed: true, AgeMillis: 900})
-	assert.Assert(t, r.told.now())
-	r.heard(peerlink.Update{Relayed: true, AgeMillis: stale.Milliseconds()})
-	assert.Assert(t, !r.told.now())
+	r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 900})
+	assert.Assert(t, r.updates.live())
+	r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: staleAge.Milliseconds()})
+	assert.Assert(t, !r.updates.live())
 }
 
-func TestARelayWithoutALeaderIsLeft(t *testing.T) {
+func TestLeaderlessRelayIsAbandoned(t *testing.T) {
 	for name, test := range map[string]struct {
 		update peerlink.Update
 		orphan time.Duration
@@ -37,33 +37,33 @@
 		"has a leader":                      {update: peerlink.Update{Relayed: true}, orphan: time.Hour, stays: true},
 		"lost it just now":                  {update: peerlink.Update{Leaderless: true}, stays: true},
 		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, orphan: 3 * time.Second, stays: true},
-		"for too long":                      {update: peerlink.Update{Leaderless: true}, orphan: orphanPatience},
-		"nobody reaches the service":        {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, orphan: time.Second, stays: true},
-		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, read: true, stays: true},
-		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, read: true, ahead: aheadPatience},
-		"neither reaches it any more":       {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, ahead: aheadPatience, stays: true},
+		"for too long":                      {update: peerlink.Update{Leaderless: true}, orphan: leaderlessTimeout},
+		"nobody reaches the service":        {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, orphan: time.Second, stays: true},
+		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, stays: true},
+		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, ahead: aheadTimeout},
+		"neither reaches it any more":       {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, ahead: aheadTimeout, stays: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
-			f := &following{r: r}
+			f := &followSession{r: r}
 			if test.orphan > 0 {
-				f.orphanSince = time.Now().Add(-test.orphan)
+				f.leaderlessSince = time.Now().Add(-test.orphan)
 			}
 			if test.ahead > 0 {
 				f.aheadSince = time.Now().Add(-test.ahead)
 			}
 			if test.read {
-				r.storeReached(r.entries, time.Now())
-				r.storeReached(r.config, time.Now())
+				r.noteStoreSynced(r.entries, time.Now())
+				r.noteStoreSynced(r.config, time.Now())
 			}
-			assert.Equal(t, f.stays(test.update), test.stays)
+			assert.Equal(t, f.keepsRelay(test.update), test.stays)
 		})
 	}
 }
 
 // Found on trouble-3 of malaika-charge-grown: a relay was sent to itself for ever, and
 // believed all the while that it was told of changes.
-func TestRedirectsEnd(t *testing.T) {
+func TestRedirectsAreBounded(t *testing.T) {
 	for name, own := range map[string]bool{"to itself": true, "in a circle": false} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,16 +86,16 @@
 			if own {
 				r.settings.PeerListen = address
 			}
-			f := &following{r: r, leader: election.Leader{Address: address}, address: address, stop: func() {}}
+			f := &followSession{r: r, leader: election.Leader{Address: address}, address: address, stop: func() {}}
 			assert.ErrorContains(t, f.run(t.Context()), "instead")
-			assert.Assert(t, asked.Load() <= mostRedirects+1, "%d", asked.Load())
+			assert.Assert(t, asked.Load() <= maxRedirects+1, "%d", asked.Load())
 		})
 	}
 }
 
 // While a relay was sent to itself for ever nothing ended its belief that it was told of
 // changes: the belief has to lapse by itself.
-func TestWhatIsToldLapses(t *testing.T) {
+func TestUpdateSourceExpires(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
 		heard  []time.Duration
@@ -110,14 +110,14 @@
 		"the link broke":      {heard: []time.Duration{0}, ended: true, at: time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var word told
+			var word updateSource
 			for _, after := range test.heard {
-				word.heard(start.Add(after), 0, true)
+				word.received(start.Add(after), 0, true)
 			}
 			if test.ended {
-				word.end()
+				word.invalidate()
 			}
-			assert.Equal(t, word.holds(start.Add(test.at)), test.stands)
+			assert.Equal(t, word.liveAt(start.Add(test.at)), test.stands)
 		})
 	}
 }
--- a/internal/router/lag_test.go
+++ b/internal/router/lag_test.go
@@ -16,7 +16,7 @@
 
 // While workers come without a pause, the leader always knows one more than has been told; each of
 // hundreds of processes read the service for that, again and again.
-func TestWhoIsToldWithoutAPauseDoesNotLag(t *testing.T) {
+func TestContinuousUpdatesAreNotLag(t *testing.T) {
 	for name, test := range map[string]struct {
 		// late is by how much what is told lags behind what the leader knows.
 		late  time.Duration
@@ -27,24 +27,24 @@
 		"nothing is told at all": {late: time.Hour, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFollowed()
+			f := newPrefixState()
 			start := time.Unix(1000, 0)
-			f.cover(1)
+			f.noteCovered(1)
 			const step = 50 * time.Millisecond
 			for at := time.Duration(0); at < 5*time.Second; at += step {
-				f.cover(coord.Revision(1 + (at-test.late)/step))
-				f.compare(start.Add(at), coord.Revision(1+at/step))
+				f.noteCovered(coord.Revision(1 + (at-test.late)/step))
+				f.resyncIfLagging(start.Add(at), coord.Revision(1+at/step))
 			}
-			assert.Equal(t, len(f.renew) > 0, test.reads)
+			assert.Equal(t, len(f.resync) > 0, test.reads)
 		})
 	}
 }
 
 // A process that passes on what the leader knows says so once it has what that is: those that
 // follow it would else read the service at once, each for itself.
-func TestWhatIsKnownIsToldWithWhatItIs(t *testing.T) {
+func TestRevisionIsAnnouncedWithItsChange(t *testing.T) {
 	r := newTestRouter(t)
-	r.heard(peerlink.Update{Leading: true, Known: peerlink.Known{Config: 3}})
+	r.handleUpdate(peerlink.Update{Leading: true, Known: peerlink.Known{Config: 3}})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -60,12 +60,12 @@
 	for known.Load() != 3 {
 		time.Sleep(time.Millisecond)
 	}
-	r.adapter.SealConfig = func(item coord.Item) (coord.Item, error) { // the change is taken in just now
+	r.adapter.HashAPIKeys = func(item coord.Item) (coord.Item, error) { // the change is taken in just now
 		time.Sleep(800 * time.Millisecond)
 		assert.Check(t, known.Load() == 3, "told %d", known.Load())
 		return item, nil
 	}
-	r.adapter.ReadConfig = func([]coord.Item) (*routing.Config, error) { return nil, nil }
+	r.adapter.ParseConfig = func([]coord.Item) (*routing.Config, error) { return nil, nil }
 	change := coord.Event{Item: coord.Item{Key: "op/config", Revision: 9}}
 	r.configView.Changed([]coord.Event{change}, 9)
 	for known.Load() != 9 {
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// leavingTick is the pause between looks for workers that are gone.
-	leavingTick = 10 * time.Second
-	// leavingMemory is for how long it stays known that a worker leaves whose entry is gone: the entry
+	// leavingCleanupInterval is the pause between looks for workers that are gone.
+	leavingCleanupInterval = 10 * time.Second
+	// leavingRetention is for how long it stays known that a worker leaves whose entry is gone: the entry
 	// may be back while the worker serves on.
-	leavingMemory = 2 * time.Minute
-	// mostLeavingTold is how many workers one report tells of.
-	mostLeavingTold = 64
+	leavingRetention = 2 * time.Minute
+	// maxLeavingPerReport is how many workers one report tells of.
+	maxLeavingPerReport = 64
 )
 
 // leavingWorkers are those that say in their answers that they leave. They count as draining here,
@@ -34,26 +34,26 @@
 
 // answered notes that a worker has said to this process, in answer to a request or an order, that it
 // leaves.
-func (l *leavingWorkers) answered(worker workers.Life) {
-	l.take(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenHere)
+func (l *leavingWorkers) noteLeaving(worker workers.Life) {
+	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenBySelf)
 }
 
 // heard takes what processes that follow this one have learned.
-func (l *leavingWorkers) heard(told []departure.Told) { l.takeAll(told, l.member.Learn) }
+func (l *leavingWorkers) handleReports(reports []departure.Told) { l.addAll(reports, l.member.Learn) }
 
 // told takes what the leader, or a relay, tells.
-func (l *leavingWorkers) told(told []departure.Told) { l.takeAll(told, l.member.Hear) }
+func (l *leavingWorkers) handleUpdate(reports []departure.Told) { l.addAll(reports, l.member.Hear) }
 
-func (l *leavingWorkers) takeAll(told []departure.Told, add func(departure.Fact) bool) {
+func (l *leavingWorkers) addAll(reports []departure.Told, record func(departure.Fact) bool) {
 	now := clock.Now()
-	for _, one := range told {
-		l.take(one.Fact(now), add, seenByOthers)
+	for _, one := range reports {
+		l.add(one.Fact(now), record, seenByPeer)
 	}
 }
 
 // take adds a fact, and lets the worker drain if that is news.
-func (l *leavingWorkers) take(fact departure.Fact, add func(departure.Fact) bool, seenBy string) {
-	if !add(fact) {
+func (l *leavingWorkers) add(fact departure.Fact, record func(departure.Fact) bool, seenBy string) {
+	if !record(fact) {
 		return
 	}
 	l.r.workers.Leaves(fact.Worker, fact.Since)
@@ -62,21 +62,21 @@
 }
 
 // tell returns what the leader is to know.
-func (l *leavingWorkers) tell() []departure.Told {
-	var told []departure.Told
+func (l *leavingWorkers) report() []departure.Told {
+	var reports []departure.Told
 	now := clock.Now()
-	for _, fact := range l.member.Tell(mostLeavingTold) {
-		told = append(told, departure.Tell(now, fact))
+	for _, fact := range l.member.Tell(maxLeavingPerReport) {
+		reports = append(reports, departure.Tell(now, fact))
 	}
-	return told
+	return reports
 }
 
 // run forgets workers that are gone, until ctx ends.
 func (l *leavingWorkers) run(ctx context.Context) {
-	for clock.Sleep(ctx, leavingTick) {
+	for clock.Sleep(ctx, leavingCleanupInterval) {
 		l.member.Book().Forget(func(fact departure.Fact) bool {
 			_, announced := l.r.workers.Get(fact.Worker.ID)
-			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingMemory
+			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingRetention
 		})
 	}
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -13,16 +13,16 @@
 )
 
 // registerGauges registers what this process believes.
-func (r *Router) registerGauges(registerer prometheus.Registerer) {
+func (r *Router) registerMetrics(registerer prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 	}
-	gauge("shalefork_router_ready", "1 while the process calls itself ready.", func() float64 { return number(r.ready()) })
-	gauge("shalefork_router_leading", "1 while the process leads.", func() float64 { return number(r.hub.Leading()) })
+	gauge("shalefork_router_ready", "1 while the process calls itself ready.", func() float64 { return gaugeValue(r.ready()) })
+	gauge("shalefork_router_leading", "1 while the process leads.", func() float64 { return gaugeValue(r.hub.Leading()) })
 	gauge("shalefork_router_routers", "Routers that the leader knows of.", func() float64 { return float64(r.nodes.Load()) })
 	gauge("shalefork_router_followers", "Routers that follow this one as their relay.", func() float64 { return float64(r.hub.Followers()) })
 	gauge("shalefork_router_told", "1 while a leader or a relay tells this process of changes, 0 while it reads them itself.",
-		func() float64 { return number(r.told.now()) })
+		func() float64 { return gaugeValue(r.updates.live()) })
 	gauge("shalefork_router_workers", "Workers that are announced.", func() float64 { return float64(r.workers.Count()) })
 	gauge("shalefork_router_kept_workers", "Workers that are kept although their entries went: these may have lapsed with the key-value service.",
 		func() float64 { return float64(r.workers.Kept()) })
@@ -68,8 +68,8 @@
 	}, func() float64 { return float64(r.log.Dropped()) }))
 }
 
-func number(yes bool) float64 {
-	if yes {
+func gaugeValue(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
@@ -81,18 +81,18 @@
 	calls   *prometheus.CounterVec
 	latency *prometheus.HistogramVec
 	// quickest is the time of the quickest call, in nanoseconds; zero: there was none.
-	quickest atomic.Int64
+	minLatency atomic.Int64
 }
 
 // distance returns the time of the quickest call so far, which is mostly that of the way to the
 // service and back; zero if there was none.
-func (s *meteredStore) distance() time.Duration { return time.Duration(s.quickest.Load()) }
+func (s *meteredStore) roundTrip() time.Duration { return time.Duration(s.minLatency.Load()) }
 
 // measure notes the time of a call.
-func (s *meteredStore) measure(took time.Duration) {
+func (s *meteredStore) noteLatency(took time.Duration) {
 	for {
-		quickest := s.quickest.Load()
-		if quickest > 0 && quickest <= int64(took) || s.quickest.CompareAndSwap(quickest, max(1, int64(took))) {
+		fastest := s.minLatency.Load()
+		if fastest > 0 && fastest <= int64(took) || s.minLatency.CompareAndSwap(fastest, max(1, int64(took))) {
 			return
 		}
 	}
@@ -115,8 +115,8 @@
 	return metered
 }
 
-// outcomeOf names what came of a call.
-func outcomeOf(err error) string {
+// outcomeLabel names what came of a call.
+func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -134,12 +134,12 @@
 	return "unanswered"
 }
 
-func (s *meteredStore) done(call string, began time.Time, err error) {
+func (s *meteredStore) record(call string, began time.Time, err error) {
 	took := clock.Since(began)
-	s.calls.WithLabelValues(call, outcomeOf(err)).Inc()
+	s.calls.WithLabelValues(call, outcomeLabel(err)).Inc()
 	s.latency.WithLabelValues(call).Observe(took.Seconds())
 	if err == nil {
-		s.measure(took)
+		s.noteLatency(took)
 	}
 }
 
@@ -147,7 +147,7 @@
 func (s *meteredStore) Get(ctx context.Context, key string) (coord.Item, bool, error) {
 	began := clock.Now()
 	item, found, err := s.Store.Get(ctx, key)
-	s.done("get", began, err)
+	s.record("get", began, err)
 	return item, found, err
 }
 
@@ -155,14 +155,14 @@
 func (s *meteredStore) ListPage(ctx context.Context, prefix, after string) (coord.Page, error) {
 	began := clock.Now()
 	page, err := s.Store.ListPage(ctx, prefix, after)
-	s.done("list", began, err)
+	s.record("list", began, err)
 	return page, err
 }
 
 // Watch implements coord.Store.
 func (s *meteredStore) Watch(ctx context.Context, prefix string, after coord.Revision, wait time.Duration) ([]coord.Event, coord.Revision, error) {
 	events, at, err := s.Store.Watch(ctx, prefix, after, wait)
-	s.calls.WithLabelValues("watch", outcomeOf(err)).Inc()
+	s.calls.WithLabelValues("watch", outcomeLabel(err)).Inc()
 	return events, at, err
 }
 
@@ -170,7 +170,7 @@
 func (s *meteredStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
 	began := clock.Now()
 	revision, err := s.Store.Commit(ctx, txn)
-	s.done("commit", began, err)
+	s.record("commit", began, err)
 	return revision, err
 }
 
@@ -178,7 +178,7 @@
 func (s *meteredStore) GrantLease(ctx context.Context, ttl time.Duration) (coord.LeaseID, time.Duration, error) {
 	began := clock.Now()
 	id, holds, err := s.Store.GrantLease(ctx, ttl)
-	s.done("lease", began, err)
+	s.record("lease", began, err)
 	return id, holds, err
 }
 
@@ -186,7 +186,7 @@
 func (s *meteredStore) KeepLease(ctx context.Context, lease coord.LeaseID) error {
 	began := clock.Now()
 	err := s.Store.KeepLease(ctx, lease)
-	s.done("keep", began, err)
+	s.record("keep", began, err)
 	return err
 }
 
@@ -194,6 +194,6 @@
 func (s *meteredStore) EndLease(ctx context.Context, lease coord.LeaseID) error {
 	began := clock.Now()
 	err := s.Store.EndLease(ctx, lease)
-	s.done("end", began, err)
+	s.record("end", began, err)
 	return err
 }
--- a/internal/router/askaround.go
+++ b/internal/router/peerdiscovery.go
@@ -8,19 +8,19 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// askedAround is how many processes are asked at once for a leader: of four that were drawn at
+// maxPeersAsked is how many processes are asked at once for a leader: of four that were drawn at
 // random, all are refused by the service too in one case of 81, where it refuses a third.
-const askedAround = 4
+const maxPeersAsked = 4
 
 // askAround asks other processes for the leader, since the service does not name it; false if none
 // of them knows one. without is an address that is known not to lead.
-func (r *Router) askAround(ctx context.Context, without string) (election.Leader, bool) {
+func (r *Router) askPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	asked := r.peers.Some(askedAround, r.settings.PeerListen)
-	found := make(chan string, askedAround)
+	asked := r.peers.Some(maxPeersAsked, r.settings.PeerListen)
+	found := make(chan string, maxPeersAsked)
 	for _, address := range asked {
-		go func() { found <- r.askFor(bounded, address, without) }()
+		go func() { found <- r.askPeerForLeader(bounded, address, excluded) }()
 	}
 	for range asked {
 		if leading := <-found; leading != "" {
@@ -32,14 +32,14 @@
 
 // askFor returns the address of the leader if the process at an address is the one or follows it;
 // empty if not.
-func (r *Router) askFor(ctx context.Context, address, without string) string {
+func (r *Router) askPeerForLeader(ctx context.Context, address, excluded string) string {
 	answer, ok := peerlink.Ask(ctx, address, 0)
 	switch {
 	case !ok:
 		return ""
-	case answer.Leading && address != without:
+	case answer.Leading && address != excluded:
 		return address
-	case answer.Leader == "" || answer.Leader == without || answer.Leader == r.settings.PeerListen:
+	case answer.Leader == "" || answer.Leader == excluded || answer.Leader == r.settings.PeerListen:
 		return ""
 	}
 	r.peers.Add(answer.Leader)
@@ -51,14 +51,14 @@
 
 // awaitOther waits until another process than a leader that was lost is said to lead. It asks only
 // while the service does not answer here: else that names the next one.
-func (r *Router) awaitOther(ctx context.Context, lost election.Leader) {
-	backoff := clock.Backoff{First: lookPause, Longest: longestLookPause}
+func (r *Router) awaitOtherLeader(ctx context.Context, lost election.Leader) {
+	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
 	for ctx.Err() == nil {
 		backoff.Sleep(ctx)
-		if !r.config.away(clock.Now()) {
+		if !r.config.storeUnreachable(clock.Now()) {
 			continue
 		}
-		if _, found := r.askAround(ctx, lost.Address); found {
+		if _, found := r.askPeersForLeader(ctx, lost.Address); found {
 			return
 		}
 	}
--- a/internal/router/askaround_test.go
+++ b/internal/router/peerdiscovery_test.go
@@ -24,7 +24,7 @@
 	return hub, listener.Addr().String()
 }
 
-func TestWhoLeadsIsAskedOfOthers(t *testing.T) {
+func TestLeaderIsFoundThroughPeers(t *testing.T) {
 	leads, leader := servePeer(t)
 	leads.Open(3)
 	follows, follower := servePeer(t)
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.peers.Add(test.known...)
-			found, ok := r.askAround(t.Context(), test.without)
+			found, ok := r.askPeersForLeader(t.Context(), test.without)
 			assert.Equal(t, ok, test.want != "")
 			assert.Equal(t, found.Address, test.want)
 		})
@@ -57,10 +57,10 @@
 	t.Run("awaited while the store does not answer", func(t *testing.T) {
 		r := newTestRouter(t)
 		r.peers.Add(follower)
-		r.config.failed.Store(clock.Nanos(clock.Now()))
+		r.config.failedAt.Store(clock.Nanos(clock.Now()))
 		bounded, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		r.awaitOther(bounded, election.Leader{Address: "127.0.0.1:1"})
+		r.awaitOtherLeader(bounded, election.Leader{Address: "127.0.0.1:1"})
 		assert.NilError(t, bounded.Err())
 	})
 }
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// quotaTick is the pause between looks of a leader at what time brings to quotas, and
-	// quotaPause the least between answers to routers, which are gathered.
-	quotaTick  = 100 * time.Millisecond
-	quotaPause = 20 * time.Millisecond
-	// mostRelayed is how many messages about quotas wait at a relay at most. Routers whose
+	// quotaTickInterval is the pause between looks of a leader at what time brings to quotas, and
+	// quotaBatchDelay the least between answers to routers, which are gathered.
+	quotaTickInterval = 100 * time.Millisecond
+	quotaBatchDelay   = 20 * time.Millisecond
+	// maxRelayed is how many messages about quotas wait at a relay at most. Routers whose
 	// message is dropped tell all anew.
-	mostRelayed = 4096
+	maxRelayed = 4096
 )
 
 // quotas keeps tenants within their limits: this router's units, and while it leads the books
 // of all. It implements proxy.Quota.
 type quotas struct {
-	r      *Router
-	holder *quota.Holder
-	node   string
-	life   int64
-	bound  quota.Bound
+	r           *Router
+	holder      *quota.Holder
+	node        string
+	incarnation int64
+	bound       quota.Bound
 	// wake gets a token when routers have told something.
 	wake chan struct{}
 
@@ -40,35 +40,35 @@
 	// relayed waits to be passed on to the leader.
 	relayed []quota.Told
 	// used is the configuration whose tenants were taken.
-	used *routing.Config
+	usedConfig *routing.Config
 }
 
 func newQuotas(r *Router) *quotas {
 	limits := r.settings.Quota
 	q := &quotas{
-		r: r, node: r.settings.Node, life: clock.Now().UnixMilli(), wake: make(chan struct{}, 1),
+		r: r, node: r.settings.Node, incarnation: clock.Now().UnixMilli(), wake: make(chan struct{}, 1),
 		bound: quota.Bound{Window: limits.Window.Std(), Overshoot: limits.Overshoot, Slack: limits.Slack},
 	}
-	q.holder = quota.NewHolder(clock.Now(), q.node, q.life, q.bound)
+	q.holder = quota.NewHolder(clock.Now(), q.node, q.incarnation, q.bound)
 	return q
 }
 
-// unitsWait is how long a request waits for units at most that other routers may have to spare:
+// unitTimeout is how long a request waits for units at most that other routers may have to spare:
 // the way to the leader and back through relays, twice where a unit is taken back from another.
 // With 120 ms, 0.9 % of the requests of a tenant that sends 22 a second were refused at 81
 // routers, with it 0.2 % (TestRefusedBelowTheLimit).
-const unitsWait = 250 * time.Millisecond
+const unitTimeout = 250 * time.Millisecond
 
 // refreshed is the time, also if the machine was suspended until now: a lease that has ended
 // meanwhile must not be used for the half second until that is noticed otherwise. It costs 1 µs.
-func refreshed() time.Time {
+func refreshedNow() time.Time {
 	clock.Refresh()
 	return clock.Now()
 }
 
 // Take implements proxy.Quota.
 func (q *quotas) Take(ctx context.Context, tenant *routing.Tenant) (time.Time, time.Duration) {
-	now := refreshed()
+	now := refreshedNow()
 	granted, wait := q.holder.Take(now, tenant)
 	if granted {
 		return now, 0
@@ -82,7 +82,7 @@
 
 // await waits for a unit.
 func (q *quotas) await(ctx context.Context, now time.Time, tenant *routing.Tenant) (time.Time, bool) {
-	timer := time.NewTimer(unitsWait)
+	timer := time.NewTimer(unitTimeout)
 	defer timer.Stop()
 	for {
 		raised := q.holder.Await(now, tenant)
@@ -96,7 +96,7 @@
 		case <-ctx.Done():
 			return now, false
 		}
-		now = refreshed()
+		now = refreshedNow()
 		if granted, _ := q.holder.Take(now, tenant); granted {
 			return now, true
 		}
@@ -105,7 +105,7 @@
 
 // Sent implements proxy.Quota.
 func (q *quotas) Sent(granted time.Time, tenant *routing.Tenant) time.Time {
-	now := refreshed()
+	now := refreshedNow()
 	q.holder.Sent(granted, now, tenant)
 	return now
 }
@@ -116,42 +116,42 @@
 }
 
 // tell returns what the leader is to know of this router, and of those that follow it.
-func (q *quotas) tell() []quota.Told {
+func (q *quotas) collectReports() []quota.Told {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	told := q.relayed
+	reports := q.relayed
 	q.relayed = nil
-	if own := q.own(); own != nil {
-		told = append(told, *own)
+	if own := q.ownReport(); own != nil {
+		reports = append(reports, *own)
 	}
-	return told
+	return reports
 }
 
 // own returns what this router tells. The caller holds mu.
-func (q *quotas) own() *quota.Told {
-	if config := q.r.proxy.Config(); config != nil && config != q.used {
-		q.used = config
+func (q *quotas) ownReport() *quota.Told {
+	if config := q.r.proxy.Config(); config != nil && config != q.usedConfig {
+		q.usedConfig = config
 		q.holder.Use(config.Tenants)
 	}
 	return q.holder.Tell(clock.Now())
 }
 
 // report is what is told between reports.
-func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.tell()} }
+func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.collectReports()} }
 
 // heard takes what linked routers tell: a leader books it, a relay passes it on.
-func (q *quotas) heard(told []quota.Told) {
+func (q *quotas) handleReports(reports []quota.Told) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.coordinator == nil {
-		if len(q.relayed)+len(told) <= mostRelayed {
-			q.relayed = append(q.relayed, told...)
+		if len(q.relayed)+len(reports) <= maxRelayed {
+			q.relayed = append(q.relayed, reports...)
 		}
 		q.holder.Hurry()
 		return
 	}
-	now := refreshed()
-	for _, one := range told {
+	now := refreshedNow()
+	for _, one := range reports {
 		q.coordinator.Hear(now, one)
 	}
 	select {
@@ -161,7 +161,7 @@
 }
 
 // granted takes what a leader says to this router, and passes on what is for others.
-func (q *quotas) granted(grants []quota.Grant) {
+func (q *quotas) handleGrants(grants []quota.Grant) {
 	var others []quota.Grant
 	for _, grant := range grants {
 		if grant.Node == q.node {
@@ -178,23 +178,23 @@
 // coordinate keeps the books while this process leads.
 func (q *quotas) coordinate(ctx context.Context, tenure *election.Tenure) {
 	term := tenure.Leader.Term
-	opened := refreshed()
-	coordinator := quota.NewCoordinator(opened, term, term == 1, q.bound)
+	startedAt := refreshedNow()
+	coordinator := quota.NewCoordinator(startedAt, term, term == 1, q.bound)
 	coordinator.AwaitMembers()
 	if config := q.r.proxy.Config(); config != nil {
-		coordinator.Use(opened, config.Tenants)
+		coordinator.Use(startedAt, config.Tenants)
 	}
-	q.lead(coordinator)
-	defer q.lead(nil)
+	q.setCoordinator(coordinator)
+	defer q.setCoordinator(nil)
 	go q.keepMarks(ctx, tenure, coordinator)
-	ticker := time.NewTicker(quotaTick)
+	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
 	for {
 		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.Tenants() > 0) {
 			grants, lowered := q.step(config, coordinator, tenure.Until())
-			q.granted(grants)
+			q.handleGrants(grants)
 			if lowered {
-				go q.bar(ctx, tenure)
+				go q.blockReserve(ctx, tenure)
 			}
 		}
 		select {
@@ -202,13 +202,13 @@
 			return
 		case <-ticker.C:
 		case <-q.wake:
-			clock.Sleep(ctx, quotaPause)
+			clock.Sleep(ctx, quotaBatchDelay)
 		}
 	}
 }
 
 // lead begins to keep the books, or ends it.
-func (q *quotas) lead(coordinator *quota.Coordinator) {
+func (q *quotas) setCoordinator(coordinator *quota.Coordinator) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.coordinator, q.relayed = coordinator, nil
@@ -219,9 +219,9 @@
 	nodes := q.r.hub.Nodes()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	now := refreshed()
+	now := refreshedNow()
 	lowered = coordinator.Use(now, config.Tenants)
-	if own := q.own(); own != nil {
+	if own := q.ownReport(); own != nil {
 		coordinator.Hear(now, *own)
 	}
 	grants = coordinator.Tick(now, now.Before(authority), nodes)
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -18,7 +18,7 @@
 
 // A leader keeps the books for itself and for those that tell it, by the way on which it heard
 // them; what a relay does not lead it passes on.
-func TestALeaderGrantsItsOwnRouter(t *testing.T) {
+func TestLeaderGrantsItsOwnRouter(t *testing.T) {
 	r := newTestRouter(t)
 	config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 10, Burst: 5}})
 	assert.NilError(t, err)
@@ -29,11 +29,11 @@
 	assert.Assert(t, refused.IsZero(), "no leader has given anything")
 	assert.Assert(t, wait > 0)
 	coordinator := quota.NewCoordinator(clock.Now(), 1, true, r.quotas.bound)
-	r.quotas.lead(coordinator)
+	r.quotas.setCoordinator(coordinator)
 	for range 3 { // it asks for all, hears all, and grants
 		grants, lowered := r.quotas.step(config, coordinator, clock.Now().Add(time.Minute))
 		assert.Assert(t, !lowered)
-		r.quotas.granted(grants)
+		r.quotas.handleGrants(grants)
 	}
 	granted, _ := r.quotas.Take(t.Context(), tenant)
 	assert.Assert(t, !granted.IsZero())
@@ -44,9 +44,9 @@
 	assert.Equal(t, r.quotas.holder.Usages(clock.Now())[0].Used, 0)
 }
 
-func TestARelayPassesQuotasOn(t *testing.T) {
+func TestRelayForwardsQuotaReports(t *testing.T) {
 	r := newTestRouter(t)
-	r.quotas.heard([]quota.Told{{Node: "other", Number: 7}})
+	r.quotas.handleReports([]quota.Told{{Node: "other", Number: 7}})
 	report := r.report()
 	assert.Equal(t, len(report.Quota), 1)
 	assert.Equal(t, report.Quota[0].Number, uint64(7))
@@ -54,14 +54,14 @@
 	assert.Equal(t, len(r.report().Quota), 0)
 }
 
-func TestMetricsNameABoundedNumberOfTenants(t *testing.T) {
-	usages := make([]quota.Usage, mostTenantSeries+20)
+func TestTenantMetricSeriesAreBounded(t *testing.T) {
+	usages := make([]quota.Usage, maxTenantSeries+20)
 	for index := range usages {
 		usages[index] = quota.Usage{Tenant: routing.TenantName(fmt.Sprint(index)), Refused: 1}
 	}
-	list := named(usages)
-	assert.Equal(t, len(list), mostTenantSeries+1)
-	assert.Equal(t, list[mostTenantSeries].Refused, uint64(20))
+	list := capSeries(usages)
+	assert.Equal(t, len(list), maxTenantSeries+1)
+	assert.Equal(t, list[maxTenantSeries].Refused, uint64(20))
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -82,7 +82,7 @@
 
 // A claim tells the next leader what the one before did not know to be held, for as long as it may
 // be; a lower limit bars the reserve.
-func TestClaimsOfTheReserveFollowOneAnother(t *testing.T) {
+func TestReserveClaimsBuildOnThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
 		r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
@@ -98,7 +98,7 @@
 			if !found {
 				return -1
 			}
-			return leftoverOf(item).Sum()
+			return unreportedOf(item).Sum()
 		}
 		claim := func() {
 			c := quota.NewCoordinator(clock.Now(), 2, false, r.quotas.bound)
@@ -113,7 +113,7 @@
 		assert.Equal(t, stands(), 1.0, "it stands for longer than what it guards")
 		time.Sleep(2 * reserveMargin)
 		assert.Equal(t, stands(), -1.0)
-		assert.Assert(t, r.quotas.barOnce(t.Context(), tenure))
+		assert.Assert(t, r.quotas.tryBlockReserve(t.Context(), tenure))
 		assert.Equal(t, stands(), 1.0)
 	})
 }
--- a/internal/router/quotamarks.go
+++ b/internal/router/quotamarks.go
@@ -16,12 +16,12 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// busyKey is where the tenants stand that are marked as busy.
-const busyKey = "quota-busy"
+// busyTenantsKey is where the tenants stand that are marked as busy.
+const busyTenantsKey = "quota-busy"
 
-// marksLook is the pause between looks for tenants that are to be marked: well within unitsWait, so
+// marksInterval is the pause between looks for tenants that are to be marked: well within unitTimeout, so
 // that a request that waits for a unit sees what the mark brings.
-const marksLook = 100 * time.Millisecond
+const marksInterval = 100 * time.Millisecond
 
 // busyMarks are the tenants that are marked as busy in the store: a leader deals all that is
 // allowed of them, so the next one can deal nothing before it knows what routers hold.
@@ -35,17 +35,17 @@
 // have dealt, and marks tenants that ask for more than is dealt of a calm one, until ctx ends. A
 // mark is stored before more is dealt, and taken off once no more is booked than of a calm one.
 func (q *quotas) keepMarks(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) {
-	marks, ok := q.loadMarks(ctx)
+	marks, ok := q.awaitMarks(ctx)
 	if !ok {
 		return
 	}
 	q.mark(coordinator, marks.Tenants)
-	members, ok := q.loadMembers(ctx, coordinator)
+	members, ok := q.awaitMembers(ctx, coordinator)
 	if !ok {
 		return
 	}
 	go q.claimReserve(ctx, tenure, coordinator)
-	for clock.Sleep(ctx, marksLook) {
+	for clock.Sleep(ctx, marksInterval) {
 		q.keepMembers(ctx, tenure, coordinator, &members)
 		q.mu.Lock()
 		wanted, cooled := coordinator.Wanted(), coordinator.Cooled()
@@ -72,23 +72,23 @@
 }
 
 // loadMarks reads the stored marks; false if ctx ended before.
-func (q *quotas) loadMarks(ctx context.Context) (busyMarks, bool) {
+func (q *quotas) awaitMarks(ctx context.Context) (busyMarks, bool) {
 	for ctx.Err() == nil {
-		if q.limits() {
+		if q.hasTenants() {
 			if marks, err := q.getMarks(ctx); err == nil {
 				return marks, true
 			}
 		}
-		clock.Sleep(ctx, reservePause)
+		clock.Sleep(ctx, reserveRetryPause)
 	}
 	return busyMarks{}, false
 }
 
 // getMarks reads them once. A list that can't be read marks all tenants.
 func (q *quotas) getMarks(ctx context.Context) (busyMarks, error) {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	item, found, err := q.r.adapter.Store.Get(bounded, KeyPrefix+busyKey)
+	item, found, err := q.r.adapter.Store.Get(bounded, KeyPrefix+busyTenantsKey)
 	if err != nil || !found {
 		return busyMarks{}, err
 	}
@@ -113,13 +113,13 @@
 	if err != nil {
 		panic(err) // plain data
 	}
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	fresh.revision, err = q.r.adapter.Store.Commit(bounded, coord.Txn{
 		Conditions: []coord.Condition{
-			{Key: q.r.election.LeaderKey(), Revision: tenure.Leader.Revision}, {Key: KeyPrefix + busyKey, Revision: marks.revision},
+			{Key: q.r.election.LeaderKey(), Revision: tenure.Leader.Revision}, {Key: KeyPrefix + busyTenantsKey, Revision: marks.revision},
 		},
-		Puts: []coord.Put{{Key: KeyPrefix + busyKey, Value: value}},
+		Puts: []coord.Put{{Key: KeyPrefix + busyTenantsKey, Value: value}},
 	})
 	if err == nil {
 		*marks = fresh
--- a/internal/router/quotamarks_test.go
+++ b/internal/router/quotamarks_test.go
@@ -18,7 +18,7 @@
 
 // A tenant that asks for nearly all that is dealt of a calm one gets all that it may have, once
 // that is stored; the next leader knows it from there.
-func TestBusyTenantsAreMarkedBeforeMoreIsDealt(t *testing.T) {
+func TestBusyTenantsAreMarkedBeforeMoreIsAllocated(t *testing.T) {
 	for name, test := range map[string]struct {
 		// deposed says that another leader was elected, and stored is what stands in the store.
 		deposed bool
@@ -42,7 +42,7 @@
 				config.Version = 1
 				assert.Assert(t, r.proxy.Use(config))
 				if test.stored != "" {
-					_, err = store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{{Key: KeyPrefix + busyKey, Value: []byte(test.stored)}}})
+					_, err = store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{{Key: KeyPrefix + busyTenantsKey, Value: []byte(test.stored)}}})
 					assert.NilError(t, err)
 				}
 				r.election = election.New(store, KeyPrefix, "a:1", "process", rand.Text)
@@ -58,7 +58,7 @@
 				go r.quotas.keepMarks(ctx, tenure, coordinator)
 				time.Sleep(50 * time.Millisecond)
 				wantAll(r, coordinator)
-				time.Sleep(3 * marksLook)
+				time.Sleep(3 * marksInterval)
 				r.quotas.mu.Lock()
 				assert.Equal(t, len(coordinator.Wanted()) == 0, !test.deposed)
 				r.quotas.mu.Unlock()
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -22,7 +22,7 @@
 
 // loadMembers tells a coordinator which routers leaders before may have given units; false if ctx
 // ended before.
-func (q *quotas) loadMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
+func (q *quotas) awaitMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
 	for ctx.Err() == nil {
 		item, found, err := q.getMembers(ctx)
 		if err == nil {
@@ -32,13 +32,13 @@
 			q.mu.Unlock()
 			return storedMembers{revision: item.Revision}, true
 		}
-		clock.Sleep(ctx, reservePause)
+		clock.Sleep(ctx, reserveRetryPause)
 	}
 	return storedMembers{}, false
 }
 
 func (q *quotas) getMembers(ctx context.Context) (coord.Item, bool, error) {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	return q.r.adapter.Store.Get(bounded, KeyPrefix+membersKey)
 }
@@ -70,7 +70,7 @@
 	if err != nil {
 		panic(err) // plain data
 	}
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	revision, err := q.r.adapter.Store.Commit(bounded, coord.Txn{
 		Conditions: []coord.Condition{
--- a/internal/router/quotametrics.go
+++ b/internal/router/quotametrics.go
@@ -8,9 +8,9 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// mostTenantSeries is for how many tenants, those with the highest limits, metrics tell each by
+// maxTenantSeries is for how many tenants, those with the highest limits, metrics tell each by
 // name: a router's metrics stay readable with thousands of tenants. The others are summed.
-const mostTenantSeries = 100
+const maxTenantSeries = 100
 
 // otherTenants is the name under which the others are summed. No tenant's name is empty.
 const otherTenants = ""
@@ -36,7 +36,7 @@
 
 // Collect implements prometheus.Collector.
 func (q *quotas) Collect(to chan<- prometheus.Metric) {
-	for _, one := range named(q.holder.Usages(clock.Now())) {
+	for _, one := range capSeries(q.holder.Usages(clock.Now())) {
 		gauge := func(desc *prometheus.Desc, value int) {
 			to <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), string(one.Tenant))
 		}
@@ -52,17 +52,17 @@
 }
 
 // named sums the tenants that get no series of their own.
-func named(usages []quota.Usage) []quota.Usage {
-	if len(usages) <= mostTenantSeries {
+func capSeries(usages []quota.Usage) []quota.Usage {
+	if len(usages) <= maxTenantSeries {
 		return usages
 	}
 	rest := quota.Usage{Tenant: routing.TenantName(otherTenants)}
-	for _, one := range usages[mostTenantSeries:] {
+	for _, one := range usages[maxTenantSeries:] {
 		rest.Limit += one.Limit
 		rest.Credit += one.Credit
 		rest.Used += one.Used
 		rest.Granted += one.Granted
 		rest.Refused += one.Refused
 	}
-	return append(usages[:mostTenantSeries:mostTenantSeries], rest)
+	return append(usages[:maxTenantSeries:maxTenantSeries], rest)
 }
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -16,18 +16,18 @@
 const reserveKey = "quota-reserve"
 
 const (
-	// reservePause is the pause between tries to claim the reserve.
-	reservePause = 250 * time.Millisecond
+	// reserveRetryPause is the pause between tries to claim the reserve.
+	reserveRetryPause = 250 * time.Millisecond
 	// reserveMargin is for how much longer than needed the claim stands.
 	reserveMargin = time.Second
 )
 
 const (
-	// refreshPause is the pause between looks whether less is left over than a claim tells, and
-	// refreshStep by which share less it must be for the claim to be written anew: routers that lost
+	// claimRefreshInterval is the pause between looks whether less is left over than a claim tells, and
+	// claimRefreshStep by which share less it must be for the claim to be written anew: routers that lost
 	// their leader tell what they hold within seconds, and the next leader gains by that.
-	refreshPause = time.Second
-	refreshStep  = 0.05
+	claimRefreshInterval = time.Second
+	claimRefreshStep     = 0.05
 )
 
 // claimReserve lets a new leader deal at once what leaders before can't have dealt: the reserve.
@@ -37,28 +37,28 @@
 	end := clock.Now().Add(q.bound.Unknown())
 	var written reservation
 	for ctx.Err() == nil && clock.Now().Before(end) {
-		pause := reservePause
+		pause := reserveRetryPause
 		switch {
 		case written.claimed:
-			pause = refreshPause
+			pause = claimRefreshInterval
 			q.refreshClaim(ctx, tenure, coordinator, &written, end)
-		case q.claims(coordinator):
+		case q.mayClaim(coordinator):
 			if written = q.claim(ctx, tenure, coordinator); written.claimed {
 				q.r.log.Line(decision.KindQuotaReserve).Int64("term", int64(tenure.Leader.Term)).
-					Float64("leftover", written.leftover.Sum()).Msg("")
+					Float64("leftover", written.unreported.Sum()).Msg("")
 			}
 		}
 		clock.Sleep(ctx, pause)
 	}
 }
 
-func (q *quotas) claims(coordinator *quota.Coordinator) bool {
+func (q *quotas) mayClaim(coordinator *quota.Coordinator) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return coordinator.Claims(clock.Now())
 }
 
-func (q *quotas) leftover(coordinator *quota.Coordinator, before quota.Leftovers) quota.Leftovers {
+func (q *quotas) unreportedShares(coordinator *quota.Coordinator, before quota.Leftovers) quota.Leftovers {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return coordinator.Leftover(before)
@@ -68,13 +68,13 @@
 type reservation struct {
 	claimed bool
 	// revision of the claim, before is what the one before told, and leftover what this one tells.
-	revision         coord.Revision
-	before, leftover quota.Leftovers
+	revision           coord.Revision
+	before, unreported quota.Leftovers
 }
 
 // claim writes a leader's claim after it has read that of the one before.
 func (q *quotas) claim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) reservation {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	item, stands, err := q.r.adapter.Store.Get(bounded, KeyPrefix+reserveKey)
 	if err != nil {
@@ -82,10 +82,10 @@
 	}
 	var one reservation
 	if stands {
-		one.before = leftoverOf(item)
+		one.before = unreportedOf(item)
 	}
-	one.leftover = q.leftover(coordinator, one.before)
-	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.leftover, q.bound.Unknown())
+	one.unreported = q.unreportedShares(coordinator, one.before)
+	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.unreported, q.bound.Unknown())
 	if one.claimed {
 		q.mu.Lock()
 		defer q.mu.Unlock()
@@ -96,19 +96,19 @@
 
 // refreshClaim writes a claim anew if less is left over by now, for as long as it is needed still.
 func (q *quotas) refreshClaim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, written *reservation, end time.Time) {
-	leftover := q.leftover(coordinator, written.before)
-	if leftover.Sum() > (1-refreshStep)*written.leftover.Sum() {
+	leftover := q.unreportedShares(coordinator, written.before)
+	if leftover.Sum() > (1-claimRefreshStep)*written.unreported.Sum() {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if revision, done := q.writeClaim(bounded, tenure, written.revision, leftover, clock.Until(end)); done {
-		written.revision, written.leftover = revision, leftover
+		written.revision, written.unreported = revision, leftover
 	}
 }
 
-// leftoverOf reads a claim: one that can't be read leaves all over.
-func leftoverOf(item coord.Item) quota.Leftovers {
+// unreportedOf reads a claim: one that can't be read leaves all over.
+func unreportedOf(item coord.Item) quota.Leftovers {
 	var left quota.Leftovers
 	if err := json.Unmarshal(item.Value, &left); err != nil || left.All < 0 || left.All > 1 {
 		return quota.Leftovers{All: 1}
@@ -117,21 +117,21 @@
 }
 
 // limits reports whether any tenant is known.
-func (q *quotas) limits() bool {
+func (q *quotas) hasTenants() bool {
 	config := q.r.proxy.Config()
 	return config != nil && len(config.Tenants) > 0
 }
 
 // bar keeps new leaders from dealing the reserve for a while, since less of a tenant's requests
 // is allowed from now on.
-func (q *quotas) bar(ctx context.Context, tenure *election.Tenure) {
-	for ctx.Err() == nil && !q.barOnce(ctx, tenure) {
-		clock.Sleep(ctx, reservePause)
+func (q *quotas) blockReserve(ctx context.Context, tenure *election.Tenure) {
+	for ctx.Err() == nil && !q.tryBlockReserve(ctx, tenure) {
+		clock.Sleep(ctx, reserveRetryPause)
 	}
 }
 
-func (q *quotas) barOnce(ctx context.Context, tenure *election.Tenure) bool {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+func (q *quotas) tryBlockReserve(ctx context.Context, tenure *election.Tenure) bool {
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	item, _, err := q.r.adapter.Store.Get(bounded, KeyPrefix+reserveKey)
 	if err != nil {
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -12,23 +12,23 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// reloadEvery is the pause between looks at the settings file, which may change
+// reloadInterval is the pause between looks at the settings file, which may change
 // without a signal.
-const reloadEvery = 3 * time.Second
+const reloadInterval = 3 * time.Second
 
 // FollowSettings reads the settings file again after each signal, and now and
 // then, until ctx ends. What can change without a restart takes effect; a file
 // that can't be used changes nothing.
 func (r *Router) FollowSettings(ctx context.Context, file string, read []byte, signals <-chan os.Signal) {
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			asked = true
+			signaled = true
 		case <-ticker.C:
 		}
 		data, err := os.ReadFile(file)
@@ -36,7 +36,7 @@
 			r.log.Line(decision.KindReload).Err(err).Msg("the settings before stay in force")
 			continue
 		}
-		if asked || !bytes.Equal(data, read) {
+		if signaled || !bytes.Equal(data, read) {
 			r.reload(file, data, !bytes.Equal(data, read))
 		}
 		read = data
@@ -51,17 +51,17 @@
 		return
 	}
 	if fresh.Store != r.settings.Store {
-		r.adapter.MoveStore(fresh.Store)
-		r.store.quickest.Store(0) // the other one may stand elsewhere
+		r.adapter.SetStoreAddress(fresh.Store)
+		r.store.minLatency.Store(0) // the other one may stand elsewhere
 	}
-	r.proxy.SetLimits(limits(fresh))
-	held := r.settings
-	held.Store, held.Retry = fresh.Store, fresh.Retry
-	restart := !reflect.DeepEqual(held, fresh)
+	r.proxy.SetLimits(retryLimits(fresh))
+	mutableOnly := r.settings
+	mutableOnly.Store, mutableOnly.Retry = fresh.Store, fresh.Retry
+	restart := !reflect.DeepEqual(mutableOnly, fresh)
 	r.settings.Store, r.settings.Retry = fresh.Store, fresh.Retry
 	r.log.Line(decision.KindReload).Bool("changed", changed).Bool("rest_needs_restart", restart).Msg("")
 }
 
-func limits(from settings.Router) proxy.BudgetLimits {
+func retryLimits(from settings.Router) proxy.BudgetLimits {
 	return proxy.BudgetLimits{Ratio: from.Retry.Ratio, Slack: from.Retry.Slack, Window: from.Retry.Window.Std()}
 }
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -14,34 +14,34 @@
 // holdsEnd returns when all that earlier leaders gave has surely ended: processes that
 // say they have stopped, or are of another life, renew nothing more but what is under
 // way. Those that do not answer are kept in mind.
-func (r *Router) holdsEnd(ctx context.Context, tenure *election.Tenure) time.Time {
+func (r *Router) holdsEndAt(ctx context.Context, tenure *election.Tenure) time.Time {
 	times := r.keeper.Times
-	r.keeper.Unresolved = r.askAll(ctx, tenure.Before, tenure.Leader.Term)
+	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.Before, tenure.Leader.Term)
 	if len(tenure.Before) > 0 && len(r.keeper.Unresolved) == 0 {
-		return clock.Now().Add(orderTime + times.HoldBound())
+		return clock.Now().Add(maxOrderDuration + times.HoldBound())
 	}
 	return clock.Now().Add(times.StaleRenewals + times.HoldBound())
 }
 
 // askAll asks all processes that may renew to stop, and returns those that may not have
 // done so.
-func (r *Router) askAll(ctx context.Context, list []election.Renewer, term owner.Term) []election.Renewer {
+func (r *Router) stopRenewers(ctx context.Context, list []election.Renewer, term owner.Term) []election.Renewer {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	unresolved := make(chan election.Renewer, len(list))
-	var asks sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, one := range list {
 		if one.Process == r.process {
 			continue // it has stopped, and leads now
 		}
-		asks.Go(func() {
+		requests.Go(func() {
 			answer, ok := peerlink.Ask(bounded, one.Address, term)
 			if !ok || (answer.Leading && answer.Process == one.Process) {
 				unresolved <- one
 			}
 		})
 	}
-	asks.Wait()
+	requests.Wait()
 	close(unresolved)
 	var left []election.Renewer
 	for one := range unresolved {
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -22,15 +22,15 @@
 	report.Followers = r.hub.Followers()
 	r.standby.Tell(&report)
 	report.Evidence = r.proxy.Suspects.Tell(clock.Now())
-	report.Quota = r.quotas.tell()
-	report.Limits = r.limits.tell()
-	report.Leaving = r.leaving.tell()
+	report.Quota = r.quotas.collectReports()
+	report.Limits = r.limits.report()
+	report.Leaving = r.leaving.report()
 	return report
 }
 
 // reportToSelf gives the leader what its own process sees.
 func (r *Router) reportToSelf(ctx context.Context) {
-	ticker := time.NewTicker(ownReportEvery)
+	ticker := time.NewTicker(selfReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -8,13 +8,13 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// revokeMargin is kept from the time within which callers whose key was taken away must be refused.
-const revokeMargin = settings.LeastRevokeWithin
+// revocationMargin is kept from the time within which callers whose key was taken away must be refused.
+const revocationMargin = settings.LeastRevokeWithin
 
 // noteConfigTold notes as of when a leader or relay that reaches the store has told the
 // configuration, if this process has all of it.
-func (r *Router) noteConfigTold(now time.Time, update peerlink.Update) {
-	if update.Deaf || update.Stale() || r.config.misses(update.Known.Config) {
+func (r *Router) noteConfigCurrent(now time.Time, update peerlink.Update) {
+	if update.Deaf || update.Stale() || r.config.isBehind(update.Known.Config) {
 		return
 	}
 	r.configAsOf.Store(clock.Nanos(now.Add(-update.Age())))
@@ -23,6 +23,6 @@
 // configOutdated reports whether keys may have been taken away for as long as the settings allow
 // without this process knowing it.
 func (r *Router) configOutdated() bool {
-	known := clock.OfNanos(max(r.config.reached.Load(), r.configAsOf.Load()))
-	return clock.Since(known) > r.settings.RevokeWithin.Std()-revokeMargin
+	known := clock.OfNanos(max(r.config.syncedAt.Load(), r.configAsOf.Load()))
+	return clock.Since(known) > r.settings.RevokeWithin.Std()-revocationMargin
 }
--- a/internal/router/revocation_test.go
+++ b/internal/router/revocation_test.go
@@ -15,36 +15,36 @@
 
 // Whether keys may be gone unheard counts from the last word that came from the store and was
 // taken whole, by whatever way.
-func TestAConfigurationIsOutdatedWithoutNews(t *testing.T) {
+func TestConfigIsOutdatedWithoutUpdates(t *testing.T) {
 	const within = 5 * time.Second
-	knows := func(r *Router) { r.config.cover(10) }
+	knows := func(r *Router) { r.config.noteCovered(10) }
 	for name, test := range map[string]struct {
 		hear func(r *Router)
 		// left is for how long the configuration is not outdated after that.
 		left time.Duration
 	}{
 		"nothing ever":               {hear: func(*Router) {}},
-		"the store":                  {hear: func(r *Router) { r.storeReached(r.config, time.Now()) }, left: within - revokeMargin},
-		"the store, of workers only": {hear: func(r *Router) { r.storeReached(r.entries, time.Now()) }},
+		"the store":                  {hear: func(r *Router) { r.noteStoreSynced(r.config, time.Now()) }, left: within - revocationMargin},
+		"the store, of workers only": {hear: func(r *Router) { r.noteStoreSynced(r.entries, time.Now()) }},
 		"a leader": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Known: peerlink.Known{Config: 10}})
-		}, left: within - revokeMargin},
+			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
+		}, left: within - revocationMargin},
 		"a relay that heard a second ago": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1000, Known: peerlink.Known{Config: 10}})
-		}, left: within - revokeMargin - time.Second},
+			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1000, Known: peerlink.Known{Config: 10}})
+		}, left: within - revocationMargin - time.Second},
 		"a relay that heard long ago": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Relayed: true, AgeMillis: 1900, Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1900, Known: peerlink.Known{Config: 10}})
 		}},
 		"a leader that does not reach the store": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Deaf: true, Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{Deaf: true, Known: peerlink.Known{Config: 10}})
 		}},
 		"a leader that knows more than was told": {hear: func(r *Router) {
 			knows(r)
-			r.heard(peerlink.Update{Known: peerlink.Known{Config: 11}})
+			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 11}})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -65,6 +65,6 @@
 	}
 }
 
-func TestALenientRouterAsksNobody(t *testing.T) {
+func TestLenientRouterHasNoOutdatedCheck(t *testing.T) {
 	assert.Assert(t, newTestRouter(t).proxy.Outdated == nil)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,8 +47,8 @@
 type Adapter struct {
 	Store coord.Store
 	// MoveStore sends the next calls to another address of the store.
-	MoveStore func(address string)
-	Orders    owner.Orders
+	SetStoreAddress func(address string)
+	Orders          owner.Orders
 	// Headers are the platform's names of headers.
 	Headers upstream.Headers
 	// ReadyPath is asked at the ready address.
@@ -57,16 +57,16 @@
 	ConfigPrefix string
 	// SealConfig puts digests in the place of the API keys in what operators write; an item in
 	// which it can't find them comes back empty, with the error. Nil: there are no keys.
-	SealConfig func(item coord.Item) (coord.Item, error)
+	HashAPIKeys func(item coord.Item) (coord.Item, error)
 	// ReadConfig finds the configuration among items; nil if it is not there.
-	ReadConfig func(items []coord.Item) (*routing.Config, error)
+	ParseConfig func(items []coord.Item) (*routing.Config, error)
 	// ReadEvacuation returns the zone whose workers are to get no work while a key stands
 	// under ConfigPrefix; false if the key is about something else. Nil: there are none.
-	ReadEvacuation func(key string) (zone string, evacuates bool)
+	ParseEvacuationKey func(key string) (zone string, evacuates bool)
 	// WorkersPrefix is where workers announce themselves.
 	WorkersPrefix string
 	// ReadWorker reads a worker's entry; its error is a *workers.EntryError.
-	ReadWorker func(item coord.Item) (workers.Worker, error)
+	ParseWorker func(item coord.Item) (workers.Worker, error)
 	// WorkerID returns the worker that an entry's key names.
 	WorkerID func(key string) workers.ID
 }
@@ -84,7 +84,7 @@
 	// store is the adapter's, with what was measured of it.
 	store *meteredStore
 	// places are the regions of the zones.
-	places  topology.Map
+	zoneMap topology.Map
 	log     *decision.Log
 	metrics Metrics
 	workers *workers.Directory
@@ -102,28 +102,28 @@
 	stopping atomic.Bool
 	// config and entries are what was read of the configuration and of the
 	// workers' entries.
-	config, entries *followed
+	config, entries *prefixState
 	entriesView     *workersView
 	configView      *configView
 	// unreadable counts the entries that name no worker.
 	unreadable unreadableMetric
 	// told says that a leader tells this process of changes, and unled is closed once this
 	// process, when it started, has found no leader that would.
-	told  told
-	unled *latch
+	updates  updateSource
+	noLeader *latch
 	// recordsRead says that the stored owners were looked for, since no leader told them.
-	recordsRead sync.Once
+	ownersLoaded sync.Once
 	// large says that the workers take several pages of a list, and sized is closed once that
 	// is known.
-	large atomic.Bool
-	sized *latch
+	largeList     atomic.Bool
+	listSizeKnown *latch
 	// peers are other processes, to be asked for the leader where the service does not name it.
 	peers peerlink.Peers
 	// configAsOf is as of when the configuration in force here was told to be the newest, a number
 	// of clock.Nanos.
 	configAsOf atomic.Int64
 	// leaderDeaf says that the leader, as told last, does not reach the key-value service.
-	leaderDeaf atomic.Bool
+	leaderStoreUnreachable atomic.Bool
 	// strongest holds the greatest strength of all machines, as bits of a float64.
 	strongest atomic.Uint64
 	quotas    *quotas
@@ -133,38 +133,38 @@
 	pipelined *pipeline.Splitter
 }
 
-// queuedReports is how many reports wait for the keeper.
-const queuedReports = 256
+// reportQueueSize is how many reports wait for the keeper.
+const reportQueueSize = 256
 
 // New returns a router that has opened nothing yet.
 func New(config settings.Router, adapter Adapter, log *decision.Log, metrics Metrics) *Router {
 	store := meterStore(adapter.Store, metrics)
 	adapter.Store = store
 	r := &Router{
-		store: store, settings: config, places: config.Places(), adapter: adapter, log: log, metrics: metrics,
-		workers: workers.NewDirectory(),
-		table:   keytable.New(),
-		meter:   peerlink.NewMeter(),
-		reports: make(chan peerlink.Report, queuedReports),
-		nodes:   &atomic.Int32{},
-		unled:   newLatch(),
-		sized:   newLatch(),
-		config:  newFollowed(),
-		entries: newFollowed(),
+		store: store, settings: config, zoneMap: config.Places(), adapter: adapter, log: log, metrics: metrics,
+		workers:       workers.NewDirectory(),
+		table:         keytable.New(),
+		meter:         peerlink.NewMeter(),
+		reports:       make(chan peerlink.Report, reportQueueSize),
+		nodes:         &atomic.Int32{},
+		noLeader:      newLatch(),
+		listSizeKnown: newLatch(),
+		config:        newPrefixState(),
+		entries:       newPrefixState(),
 	}
-	r.entriesView = &workersView{r: r, unreadable: map[workers.ID]unreadable{}}
+	r.entriesView = &workersView{r: r, unreadable: map[workers.ID]unreadableEntry{}}
 	r.unreadable = newUnreadableMetric(metrics)
-	r.workers.OnExpired(r.entriesView.expired)
+	r.workers.OnExpired(r.entriesView.logExpired)
 	r.configView = newConfigView(r)
-	r.proxy = proxy.New(config.Zone, r.workers, limits(config))
-	r.proxy.Locate(r.places)
-	r.proxy.Traffic = traffic.NewCounter(topology.Zone(config.Zone), r.places, metrics)
+	r.proxy = proxy.New(config.Zone, r.workers, retryLimits(config))
+	r.proxy.Locate(r.zoneMap)
+	r.proxy.Traffic = traffic.NewCounter(topology.Zone(config.Zone), r.zoneMap, metrics)
 	r.proxy.Headers, r.proxy.Table, r.proxy.Meter = adapter.Headers, r.table, r.meter
 	r.proxy.Drain, r.proxy.Evacuate = config.Drain.Std(), config.Evacuate.Std()
 	r.proxy.Log, r.proxy.Nodes, r.proxy.Metrics = log, r.nodes, proxy.NewMetrics(metrics)
 	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewTurns(config.Machine.LinkMbps)
 	r.proxy.Starting.Store(true)
-	r.configAsOf.Store(never)
+	r.configAsOf.Store(distantPast)
 	if config.Revocation == settings.RevocationStrict {
 		r.proxy.Outdated = r.configOutdated
 	}
@@ -178,37 +178,37 @@
 	r.keeper = &keeper.Keeper{
 		Store: adapter.Store, Prefix: KeyPrefix, Orders: adapter.Orders, Workers: r.workers,
 		Config: r.proxy.Config, Hub: r.hub, Table: r.table, Reports: r.reports, Log: log, Metrics: keeper.NewMetrics(metrics),
-		ReadUpTo: r.readUpTo,
-		Times:    owner.DefaultConfig(config.MaxHold.Std()), Nonce: rand.Text, Zone: config.Zone, Regions: r.places,
+		ReadUpTo: r.storeSyncedAt,
+		Times:    owner.DefaultConfig(config.MaxHold.Std()), Nonce: rand.Text, Zone: config.Zone, Regions: r.zoneMap,
 	}
 	r.standby = standby.New(adapter.Orders, r.keeper.Times, log)
 	r.standby.Workers = r.workers
 	r.hub.OnAsked(r.standby.Stop)
 	r.hub.OnReported(r.meter.Add)
 	r.hub.OnLinked(r.peers.Add)
-	r.hub.OnEvidence(r.evidenceTaken)
+	r.hub.OnEvidence(r.handleEvidence)
 	r.quotas = newQuotas(r)
 	r.proxy.Quota = r.quotas
-	r.hub.OnQuota(r.quotas.heard)
+	r.hub.OnQuota(r.quotas.handleReports)
 	r.limits = newWorkerLimits(r)
 	r.keeper.Limits = r.limits.book.Rate
 	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Book
-	r.hub.OnLimits(r.limits.heard)
-	r.hub.OnPermit(r.limits.asked)
+	r.hub.OnLimits(r.limits.handleReports)
+	r.hub.OnPermit(r.limits.handlePermitRequest)
 	r.leaving = newLeavingWorkers(r)
-	r.proxy.Leaving, r.hub.Leaving = r.leaving.answered, r.leaving.member.Book()
-	r.hub.OnLeaving(r.leaving.heard)
-	r.proxy.KeysStay = func() bool { return r.leaderDeaf.Load() || r.hub.Deaf() }
-	r.keeper.Leaving = r.leaving.answered
+	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
+	r.hub.OnLeaving(r.leaving.handleReports)
+	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.Deaf() }
+	r.keeper.Leaving = r.leaving.noteLeaving
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
-	r.registerGauges(metrics)
+	r.registerMetrics(metrics)
 	return r
 }
 
 // Run serves until ctx ends, then finishes what is under way.
 func (r *Router) Run(ctx context.Context) error {
-	listeners, err := r.open()
+	listeners, err := r.openListeners()
 	if err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 	leading, stopLeading := context.WithCancel(background)
 	led := make(chan struct{})
 	r.followOperators(background)
-	go r.readSuspects(background)
+	go r.loadSuspects(background)
 	go r.watchSuspension(background)
 	go r.proxy.Run(background)
 	go r.limits.run(background)
@@ -249,17 +249,17 @@
 // the settings name operators, else the platform's configuration and entries.
 func (r *Router) followOperators(ctx context.Context) {
 	if len(r.settings.Operators) > 0 {
-		go r.follow(ctx, registry.Prefix(KeyPrefix), newBundlesView(r), r.config)
+		go r.followPrefix(ctx, registry.Prefix(KeyPrefix), newBundlesView(r), r.config)
 		return
 	}
-	go r.follow(ctx, r.adapter.ConfigPrefix, r.configView, r.config)
-	go r.follow(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
+	go r.followPrefix(ctx, r.adapter.ConfigPrefix, r.configView, r.config)
+	go r.followPrefix(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
 }
 
 // known returns what this process has read.
 func (r *Router) known() peerlink.Known {
 	return peerlink.Known{
-		Config: r.config.known(), Workers: r.entries.known(), SettleMillis: r.workers.Settling().Milliseconds(),
+		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.Settling().Milliseconds(),
 	}
 }
 
@@ -276,7 +276,7 @@
 	}
 }
 
-func (r *Router) open() (listeners, error) {
+func (r *Router) openListeners() (listeners, error) {
 	var opened listeners
 	for _, one := range []struct {
 		into    *net.Listener
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -66,12 +66,12 @@
 	r.awaitPipelined(bounded)
 }
 
-// pipelinedLook is the pause between looks whether requests behind others are answered.
-const pipelinedLook = 5 * time.Millisecond
+// pipelinedPollInterval is the pause between looks whether requests behind others are answered.
+const pipelinedPollInterval = 5 * time.Millisecond
 
 // awaitPipelined waits until no request runs behind another, or ctx ends.
 func (r *Router) awaitPipelined(ctx context.Context) {
 	for r.pipelined.Behind() > 0 && ctx.Err() == nil {
-		clock.Sleep(ctx, pipelinedLook)
+		clock.Sleep(ctx, pipelinedPollInterval)
 	}
 }
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -15,25 +15,25 @@
 
 // A process that starts waits for a leader to tell it what there is, and no longer than is known
 // that none will.
-func TestWhoStartsWaitsToBeTold(t *testing.T) {
+func TestStartWaitsForLeaderUpdate(t *testing.T) {
 	for name, test := range map[string]struct {
 		first  bool
 		happen func(r *Router)
 		told   bool
 		after  time.Duration
 	}{
-		"told":                       {happen: func(r *Router) { r.entries.cover(7) }, told: true, after: 100 * time.Millisecond},
-		"no leader":                  {happen: func(r *Router) { r.unled.close() }, after: 100 * time.Millisecond},
-		"a leader that says nothing": {happen: func(*Router) {}, after: startPatience},
+		"told":                       {happen: func(r *Router) { r.entries.noteCovered(7) }, told: true, after: 100 * time.Millisecond},
+		"no leader":                  {happen: func(r *Router) { r.noLeader.close() }, after: 100 * time.Millisecond},
+		"a leader that says nothing": {happen: func(*Router) {}, after: startTimeout},
 		"a leader that tells others first": {happen: func(r *Router) {
-			r.told.heard(time.Now(), 0, true)
-			time.AfterFunc(time.Second, func() { r.told.heard(time.Now(), 0, true) })
-			time.AfterFunc(2*time.Second, func() { r.entries.cover(7) })
+			r.updates.received(time.Now(), 0, true)
+			time.AfterFunc(time.Second, func() { r.updates.received(time.Now(), 0, true) })
+			time.AfterFunc(2*time.Second, func() { r.entries.noteCovered(7) })
 		}, told: true, after: 2100 * time.Millisecond},
 		"a leader that is lost": {happen: func(r *Router) {
-			r.told.heard(time.Now(), 0, true)
-		}, after: 90*time.Millisecond + peerlink.SilenceLimit + startPatience},
-		"nothing, at the first start": {first: true, happen: func(*Router) {}, after: firstPatience},
+			r.updates.received(time.Now(), 0, true)
+		}, after: 90*time.Millisecond + peerlink.SilenceLimit + startTimeout},
+		"nothing, at the first start": {first: true, happen: func(*Router) {}, after: firstStartTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,9 +41,9 @@
 				r.settings.FirstStart = test.first
 				time.AfterFunc(95*time.Millisecond, func() { test.happen(r) })
 				began := time.Now()
-				told := r.awaitTold(t.Context(), func() bool { return r.entries.coveredUpTo() > 0 })
+				told := r.awaitUpdate(t.Context(), func() bool { return r.entries.coveredRevision() > 0 })
 				assert.Equal(t, told, test.told)
-				assert.Equal(t, time.Since(began).Round(toldLook), test.after)
+				assert.Equal(t, time.Since(began).Round(pollInterval), test.after)
 			})
 		})
 	}
@@ -51,18 +51,18 @@
 
 // What a leader tells a process that knows nothing replaces a list of the store's: also for
 // those that follow it, and with the time for which workers have been leaving.
-func TestAllWorkersAreToldToWhoKnowsNone(t *testing.T) {
+func TestWholeWorkerListIsRelayedToNewRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, relay, last := newTestRouter(t), newTestRouter(t), newTestRouter(t)
 		leader.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady), item("b", 9, workers.StateReady), item("c", 9, workers.StateReady)}, 10)
-		leaves := drains("b", 12)
+		leaves := drainingChange("b", 12)
 		leaves.Learned = time.Now()
 		leader.entriesView.apply([]peerlink.WorkerChange{{ID: "c", Revision: 11, Gone: true}, leaves}, 12)
 		time.Sleep(500 * time.Millisecond)
 		for _, hop := range [][2]*Router{{leader, relay}, {relay, last}} {
 			news := hop[0].hub.EntriesSince(0)
 			assert.Assert(t, news.Whole)
-			assert.Assert(t, hop[1].entriesView.relayed(*news))
+			assert.Assert(t, hop[1].entriesView.applyRelayed(*news))
 		}
 		assert.Equal(t, last.workers.Count(), 2)
 		assert.Equal(t, last.entriesView.revision(), coord.Revision(12))
@@ -75,24 +75,24 @@
 
 // Where there are many workers, one process reads the list: who leads at once, the others only if
 // nobody tells it.
-func TestOneOfManyReadsALongList(t *testing.T) {
+func TestLongListIsReadByOneProcess(t *testing.T) {
 	for name, test := range map[string]struct {
 		happen func(r *Router)
 		told   bool
 		after  time.Duration
 	}{
 		"it leads":         {happen: func(r *Router) { r.hub.Open(1) }, after: 100 * time.Millisecond},
-		"it is told":       {happen: func(r *Router) { r.entries.cover(7) }, told: true, after: 100 * time.Millisecond},
-		"nobody is heard":  {happen: func(*Router) {}, after: listPatience},
-		"the leader tells": {happen: func(r *Router) { r.told.heard(time.Now(), 0, true) }, after: 90*time.Millisecond + peerlink.SilenceLimit + listPatience},
+		"it is told":       {happen: func(r *Router) { r.entries.noteCovered(7) }, told: true, after: 100 * time.Millisecond},
+		"nobody is heard":  {happen: func(*Router) {}, after: listTimeout},
+		"the leader tells": {happen: func(r *Router) { r.updates.received(time.Now(), 0, true) }, after: 90*time.Millisecond + peerlink.SilenceLimit + listTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newTestRouter(t)
 				time.AfterFunc(95*time.Millisecond, func() { test.happen(r) })
 				began := time.Now()
-				assert.Equal(t, r.awaitList(t.Context(), r.entries, 7), test.told)
-				assert.Equal(t, time.Since(began).Round(toldLook), test.after)
+				assert.Equal(t, r.awaitRelayedList(t.Context(), r.entries, 7), test.told)
+				assert.Equal(t, time.Since(began).Round(pollInterval), test.after)
 			})
 		})
 	}
@@ -100,21 +100,21 @@
 
 // A process that has an older list than its leader keeps changes for is left to read it. It waited to
 // be told for as long as it heard that leader, and knew no worker that came or went from then on.
-func TestWhoIsLeftToReadAListDoesSo(t *testing.T) {
+func TestOutdatedListIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRouter(t)
-		r.entries.cover(67)
+		r.entries.noteCovered(67)
 		bounded, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		go func() {
 			for bounded.Err() == nil {
-				r.told.heard(time.Now(), 0, true)
+				r.updates.received(time.Now(), 0, true)
 				time.Sleep(300 * time.Millisecond)
 			}
 		}()
 		began := time.Now()
-		assert.Assert(t, !r.awaitList(bounded, r.entries, 70))
-		assert.Assert(t, time.Since(began) <= relistPatience+toldLook)
+		assert.Assert(t, !r.awaitRelayedList(bounded, r.entries, 70))
+		assert.Assert(t, time.Since(began) <= relistTimeout+pollInterval)
 		cancel()
 		time.Sleep(time.Second) // the leader falls silent
 	})
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -16,20 +16,20 @@
 
 // Times of keeping the list of suspected requests.
 const (
-	// suspectsTick is the pause between looks at what time brings.
-	suspectsTick = 500 * time.Millisecond
-	// suspectsPause is the least pause between writes: crashes come seconds apart, and one
+	// suspectsTickInterval is the pause between looks at what time brings.
+	suspectsTickInterval = 500 * time.Millisecond
+	// suspectsWritePause is the least pause between writes: crashes come seconds apart, and one
 	// brings reports from many routers within half a second.
-	suspectsPause = 200 * time.Millisecond
-	// operatorsLook is the pause between looks whether an operator has changed the stored list.
+	suspectsWritePause = 200 * time.Millisecond
+	// operatorPollInterval is the pause between looks whether an operator has changed the stored list.
 	// Each is a priced call.
-	operatorsLook = 10 * time.Second
+	operatorPollInterval = 10 * time.Second
 	// suspectsTimeout bounds one call: one that was lost unseen is tried again while a process
 	// that starts can still wait.
 	suspectsTimeout = 700 * time.Millisecond
-	// startsWithout is after how long a process that starts serves although it does not know
+	// suspectsStartTimeout is after how long a process that starts serves although it does not know
 	// the list: nobody answers it. The users' platform gives it 3 s to know.
-	startsWithout = 2 * time.Second
+	suspectsStartTimeout = 2 * time.Second
 )
 
 // suspectsKeeper keeps the stored list while its process leads: all evidence comes here, and
@@ -39,11 +39,11 @@
 	tenure *election.Tenure
 	// revision of the stored list, zero if there is none, and version of what was stored and
 	// told last.
-	revision     coord.Revision
-	stored, told uint64
+	revision                   coord.Revision
+	storedVersion, sentVersion uint64
 	// begun says that all processes were told once.
-	begun  bool
-	looked time.Time
+	announced bool
+	checkedAt time.Time
 }
 
 // keepSuspects keeps the list until ctx ends.
@@ -52,10 +52,10 @@
 	if !k.load(ctx) {
 		return
 	}
-	ticker := time.NewTicker(suspectsTick)
+	ticker := time.NewTicker(suspectsTickInterval)
 	defer ticker.Stop()
 	for {
-		k.tell()
+		k.broadcast()
 		k.store(ctx)
 		select {
 		case <-ctx.Done():
@@ -64,8 +64,8 @@
 			k.settle(clock.Now())
 		case <-r.proxy.Suspects.Changed():
 		}
-		if clock.Since(k.looked) >= operatorsLook {
-			k.look(ctx)
+		if clock.Since(k.checkedAt) >= operatorPollInterval {
+			k.reload(ctx)
 		}
 	}
 }
@@ -75,12 +75,12 @@
 	for ctx.Err() == nil {
 		item, found, err := k.r.getSuspects(ctx)
 		if err != nil {
-			clock.Sleep(ctx, lookPause)
+			clock.Sleep(ctx, retryPause)
 			continue
 		}
-		k.revision, k.looked = item.Revision, clock.Now()
+		k.revision, k.checkedAt = item.Revision, clock.Now()
 		if found {
-			k.take(item)
+			k.mergeItem(item)
 		}
 		return true
 	}
@@ -88,7 +88,7 @@
 }
 
 // take adds a stored list to what is known. What an operator has lifted is lifted here too.
-func (k *suspectsKeeper) take(item coord.Item) {
+func (k *suspectsKeeper) mergeItem(item coord.Item) {
 	for _, request := range k.r.mergeStored(item) {
 		k.r.log.Line(decision.KindQuarantined).Str("fingerprint", request.String()).Bool("lifted", true).
 			Int64("revision", int64(item.Revision)).Msg("by an operator")
@@ -103,7 +103,7 @@
 }
 
 // readSnapshot reads a stored list; false, with a log line, if it can't be read.
-func (r *Router) readSnapshot(item coord.Item) (quarantine.Snapshot, bool) {
+func (r *Router) decodeSuspects(item coord.Item) (quarantine.Snapshot, bool) {
 	snapshot, err := quarantine.DecodeSnapshot(item.Value)
 	if err != nil {
 		r.log.Line(decision.KindQuarantined).Int64("revision", int64(item.Revision)).Err(err).Msg("the stored list can't be read")
@@ -121,12 +121,12 @@
 // tell tells all processes what has changed. The first message, which may be of nothing, says
 // that this leader knows what is stored. Telling the same twice a second cost half as much
 // processor time again as all else on a quiet day: 6.3 s in place of 4.2 s of 11 routers.
-func (k *suspectsKeeper) tell() {
+func (k *suspectsKeeper) broadcast() {
 	records, version := k.r.proxy.Suspects.Records()
-	if k.begun && version == k.told {
+	if k.announced && version == k.sentVersion {
 		return
 	}
-	k.begun, k.told = true, version
+	k.announced, k.sentVersion = true, version
 	k.r.hub.TellSuspects(records)
 }
 
@@ -134,7 +134,7 @@
 // tick, and may then find its own one done.
 func (k *suspectsKeeper) store(ctx context.Context) {
 	snapshot, version := k.r.proxy.Suspects.Snapshot(clock.Now())
-	if version == k.stored || (k.revision == 0 && len(snapshot.Records) == 0) {
+	if version == k.storedVersion || (k.revision == 0 && len(snapshot.Records) == 0) {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, suspectsTimeout)
@@ -148,38 +148,38 @@
 	})
 	switch {
 	case err == nil:
-		k.revision, k.stored = revision, version
+		k.revision, k.storedVersion = revision, version
 	case errors.Is(err, coord.ErrConflict):
-		k.look(ctx)
+		k.reload(ctx)
 	}
-	clock.Sleep(ctx, suspectsPause)
+	clock.Sleep(ctx, suspectsWritePause)
 }
 
 // look takes what an operator has stored. The list that an earlier write of this process has
 // left, unseen, adds nothing.
-func (k *suspectsKeeper) look(ctx context.Context) {
-	k.looked = clock.Now()
+func (k *suspectsKeeper) reload(ctx context.Context) {
+	k.checkedAt = clock.Now()
 	item, found, err := k.r.getSuspects(ctx)
 	if err != nil || !found || item.Revision == k.revision {
 		return
 	}
 	k.revision = item.Revision
-	k.take(item)
+	k.mergeItem(item)
 }
 
 // readSuspects takes the list from where it is stored, for a process that has just started,
 // unless a leader tells it first. Until then requests are refused: one that crashes workers was
 // sent within 50 ms of a start, before the list was known.
-func (r *Router) readSuspects(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, startsWithout)
+func (r *Router) loadSuspects(ctx context.Context) {
+	bounded, cancel := context.WithTimeout(ctx, suspectsStartTimeout)
 	defer cancel()
-	if r.awaitTold(bounded, func() bool { return !r.proxy.Starting.Load() }) {
+	if r.awaitUpdate(bounded, func() bool { return !r.proxy.Starting.Load() }) {
 		return
 	}
 	for bounded.Err() == nil && r.proxy.Starting.Load() {
 		item, found, err := r.getSuspects(bounded)
 		if err != nil {
-			clock.Sleep(bounded, lookPause)
+			clock.Sleep(bounded, retryPause)
 			continue
 		}
 		if found {
@@ -194,38 +194,38 @@
 
 // mergeStored adds a stored list to what is known. It returns what an operator has lifted with that.
 func (r *Router) mergeStored(item coord.Item) []quarantine.Fingerprint {
-	snapshot, ok := r.readSnapshot(item)
+	snapshot, ok := r.decodeSuspects(item)
 	if !ok {
 		return nil
 	}
 	now := clock.Now()
 	records := snapshot.Stored(now)
 	lifted := r.proxy.Suspects.Lifted(records)
-	r.tellQuarantined(r.proxy.Suspects.Merge(now, records))
+	r.logQuarantined(r.proxy.Suspects.Merge(now, records))
 	return lifted
 }
 
 // tellQuarantined logs which requests are sent no longer.
-func (r *Router) tellQuarantined(held []quarantine.Attempt) {
-	for _, attempt := range held {
+func (r *Router) logQuarantined(attempts []quarantine.Attempt) {
+	for _, attempt := range attempts {
 		proxy.TellQuarantined(r.log, attempt)
 	}
 }
 
 // suspectsTold takes what a leader knows, and lets a relay pass it on.
-func (r *Router) suspectsTold(update peerlink.Update) {
-	changes, tells, err := update.SuspectsNews()
+func (r *Router) handleSuspects(update peerlink.Update) {
+	changes, present, err := update.SuspectsNews()
 	if err != nil {
 		r.log.Line(decision.KindQuarantined).Err(err).Msg("what the leader tells can't be read")
 	}
-	if !tells {
+	if !present {
 		return
 	}
-	r.tellQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.HearSuspects(changes)))
+	r.logQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.HearSuspects(changes)))
 	r.proxy.Starting.Store(false)
 }
 
 // evidenceTaken takes what another process has seen of crashes.
-func (r *Router) evidenceTaken(evidence quarantine.Evidence) {
-	r.tellQuarantined(r.proxy.Suspects.Take(clock.Now(), evidence))
+func (r *Router) handleEvidence(evidence quarantine.Evidence) {
+	r.logQuarantined(r.proxy.Suspects.Take(clock.Now(), evidence))
 }
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -16,7 +16,7 @@
 
 // A list that has not changed is told once and written never: it is told to all processes, and each
 // of them unpacks it.
-func TestSuspectsAreToldWhenTheyChange(t *testing.T) {
+func TestSuspectsAreBroadcastOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
 		r.election = election.New(store, KeyPrefix, "a:1", "process", rand.Text)
@@ -27,7 +27,7 @@
 		told := func() uint64 {
 			for range 10 {
 				k.settle(clock.Now())
-				k.tell()
+				k.broadcast()
 				k.store(t.Context())
 			}
 			return r.hub.SuspectsVersion()
--- a/internal/router/suspension.go
+++ b/internal/router/suspension.go
@@ -19,7 +19,7 @@
 	for clock.Sleep(ctx, clock.LookEvery) {
 		clock.Refresh()
 		if now := clock.Suspended(); now > known {
-			r.woke(now - known)
+			r.handleResume(now - known)
 			known = now
 		}
 	}
@@ -27,12 +27,12 @@
 
 // woke doubts what the process kept from before its machine was suspended: a leader's word, and
 // resting connections to workers, which may have been closed unseen.
-func (r *Router) woke(suspended time.Duration) {
+func (r *Router) handleResume(suspended time.Duration) {
 	r.log.Line(decision.KindSuspended).Float64("for", suspended.Seconds()).Bool("led", r.hub.Leading()).
 		Msg("the leader's word and resting connections are not relied on")
 	r.workers.Expire()
-	r.told.end()
-	r.entries.again()
-	r.config.again()
+	r.updates.invalidate()
+	r.entries.requestResync()
+	r.config.requestResync()
 	r.proxy.DropIdle()
 }
--- a/internal/router/zones.go
+++ b/internal/router/unknownzones.go
@@ -8,31 +8,31 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// strangeZones are the zones of workers whose region the settings do not tell, each of which
+// unknownZones are the zones of workers whose region the settings do not tell, each of which
 // is a region of its own. They are told once each. It is safe for concurrent use.
-type strangeZones struct {
-	mu   sync.Mutex
-	told map[topology.Zone]bool
+type unknownZones struct {
+	mu     sync.Mutex
+	logged map[topology.Zone]bool
 }
 
 // note tells a worker's zone if nothing is known of it.
-func (z *strangeZones) note(places topology.Map, worker workers.Worker, log *decision.Log) {
-	if z.strange(places, topology.Zone(worker.Zone)) {
+func (z *unknownZones) logIfUnknown(places topology.Map, worker workers.Worker, log *decision.Log) {
+	if z.firstSeenUnknown(places, topology.Zone(worker.Zone)) {
 		log.Line(decision.KindZoneUnknown).Str("zone", worker.Zone).Str("worker", string(worker.ID)).Msg("")
 	}
 }
 
 // strange reports whether nothing is known of a zone, which is seen for the first time.
-func (z *strangeZones) strange(places topology.Map, zone topology.Zone) bool {
+func (z *unknownZones) firstSeenUnknown(places topology.Map, zone topology.Zone) bool {
 	if places.Known(zone) {
 		return false
 	}
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if z.told == nil {
-		z.told = map[topology.Zone]bool{}
+	if z.logged == nil {
+		z.logged = map[topology.Zone]bool{}
 	}
-	before := z.told[zone]
-	z.told[zone] = true
+	before := z.logged[zone]
+	z.logged[zone] = true
 	return !before
 }
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -12,17 +12,17 @@
 )
 
 // unreadable is an entry that names no worker.
-type unreadable struct {
+type unreadableEntry struct {
 	revision coord.Revision
 	fault    workers.EntryError
 }
 
 // readEntry reads what an entry announces, or why it names no worker. The caller holds mu.
 func (v *workersView) readEntry(item coord.Item) peerlink.WorkerChange {
-	worker, err := v.r.adapter.ReadWorker(item)
+	worker, err := v.r.adapter.ParseWorker(item)
 	id := v.r.adapter.WorkerID(item.Key)
 	if err == nil && worker.Born == 0 {
-		err = v.hidesStart(id, item.Revision)
+		err = v.checkBornKept(id, item.Revision)
 	}
 	if err == nil {
 		return peerlink.Changed(item.Revision, worker)
@@ -34,7 +34,7 @@
 
 // hidesStart returns an error for an entry that does not tell when its worker began although that
 // one has: a worker does so in all of its entries, so somebody else has written it.
-func (v *workersView) hidesStart(id workers.ID, revision coord.Revision) error {
+func (v *workersView) checkBornKept(id workers.ID, revision coord.Revision) error {
 	known, announced := v.r.workers.Get(id)
 	before, refused := v.unreadable[id]
 	if (announced && known.Born != 0) || (refused && before.revision == revision) {
@@ -44,9 +44,9 @@
 }
 
 // replaceUnreadable sets all entries that name no worker. The caller holds mu.
-func (v *workersView) replaceUnreadable(faulty map[workers.ID]unreadable) {
+func (v *workersView) replaceUnreadable(faulty map[workers.ID]unreadableEntry) {
 	for id, entry := range faulty {
-		v.tellUnreadable(id, entry)
+		v.logUnreadable(id, entry)
 	}
 	v.unreadable = faulty
 	ids := make([]workers.ID, 0, len(faulty))
@@ -66,8 +66,8 @@
 	if change.Unreadable == nil {
 		delete(v.unreadable, change.ID)
 	} else {
-		entry := unreadable{revision: change.Revision, fault: *change.Unreadable}
-		v.tellUnreadable(change.ID, entry)
+		entry := unreadableEntry{revision: change.Revision, fault: *change.Unreadable}
+		v.logUnreadable(change.ID, entry)
 		v.unreadable[change.ID] = entry
 	}
 	v.r.workers.MarkUnreadable(change.ID, change.Unreadable != nil)
@@ -75,8 +75,8 @@
 }
 
 // tellUnreadable writes a line, once for an entry and revision.
-func (v *workersView) tellUnreadable(id workers.ID, entry unreadable) {
-	if known, told := v.unreadable[id]; told && known.revision == entry.revision {
+func (v *workersView) logUnreadable(id workers.ID, entry unreadableEntry) {
+	if known, logged := v.unreadable[id]; logged && known.revision == entry.revision {
 		return
 	}
 	v.r.log.Line(decision.KindEntryBad).Str("worker", string(id)).Str("reason", string(entry.fault.Reason)).
@@ -97,7 +97,7 @@
 }
 
 // count sets the numbers by reason.
-func (m unreadableMetric) count(entries map[workers.ID]unreadable) {
+func (m unreadableMetric) count(entries map[workers.ID]unreadableEntry) {
 	counts := map[workers.Reason]int{}
 	for _, one := range entries {
 		counts[one.fault.Reason]++
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -18,7 +18,7 @@
 )
 
 // spoiled is an entry that another writer has written.
-func spoiled(id string, revision coord.Revision) coord.Item {
+func overwrittenItem(id string, revision coord.Revision) coord.Item {
 	return coord.Item{Key: "w/" + id, Revision: revision}
 }
 
@@ -38,26 +38,26 @@
 }
 
 // One bad entry ends neither a list nor a watch nor what a leader passes on.
-func TestOneBadEntryIsPassedOver(t *testing.T) {
+func TestUnreadableEntryIsSkipped(t *testing.T) {
 	good := item("a", 11, "ready 5")
 	for name, learn := range map[string]func(v *workersView) bool{
 		"in a list": func(v *workersView) bool {
-			v.Snapshot([]coord.Item{spoiled("b", 10), good}, 12)
+			v.Snapshot([]coord.Item{overwrittenItem("b", 10), good}, 12)
 			return true
 		},
 		"in a watch": func(v *workersView) bool {
-			v.Changed([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}}, 12)
+			v.Changed([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}, 12)
 			return true
 		},
 		"told all by a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
-			return v.relayed(peerlink.Entries{
-				To: 12, Whole: true, Changes: leader.read([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}}),
+			return v.applyRelayed(peerlink.Entries{
+				To: 12, Whole: true, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}),
 			})
 		},
 		"told by a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
-			return v.relayed(peerlink.Entries{To: 12, Changes: leader.read([]coord.Event{{Item: spoiled("b", 10)}, {Item: good}})})
+			return v.applyRelayed(peerlink.Entries{To: 12, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}})})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 
 // A worker whose entry another writer has overwritten gets no new work, also while entries may
 // have lapsed: it may have said meanwhile that it leaves. Its own next entry brings it back.
-func TestAWorkerWhoseEntryIsOverwrittenIsNotUsed(t *testing.T) {
+func TestWorkerWithOverwrittenEntryIsNotUsed(t *testing.T) {
 	for name, state := range map[string]workers.State{"was ready": workers.StateReady, "was draining": workers.StateDraining} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -85,10 +85,10 @@
 				view := r.entriesView
 				view.Snapshot([]coord.Item{item("a", 8, state)}, 10)
 				r.workers.Settle(time.Now().Add(time.Minute))
-				view.Changed([]coord.Event{{Item: spoiled("a", 11)}}, 11)
+				view.Changed([]coord.Event{{Item: overwrittenItem("a", 11)}}, 11)
 				usable, _ := r.workers.Usable("s")
 				assert.Equal(t, len(usable), 0)
-				view.Snapshot([]coord.Item{spoiled("a", 11)}, 12)
+				view.Snapshot([]coord.Item{overwrittenItem("a", 11)}, 12)
 				usable, _ = r.workers.Usable("s")
 				assert.Equal(t, len(usable), 0)
 				view.Changed([]coord.Event{{Item: item("a", 13, workers.StateReady)}}, 13)
@@ -101,7 +101,7 @@
 }
 
 // A worker that has told when it began always does.
-func TestAnEntryWithoutTheStartThatWasToldIsAnothers(t *testing.T) {
+func TestEntryThatDropsItsStartTimeIsUnreadable(t *testing.T) {
 	r := newTestRouter(t)
 	r.entriesView.Changed([]coord.Event{{Item: item("a", 1, "ready 5")}, {Item: item("b", 2, "ready")}}, 2)
 	r.entriesView.Changed([]coord.Event{{Item: item("a", 3, "ready")}, {Item: item("b", 4, "ready")}}, 4)
@@ -113,13 +113,13 @@
 }
 
 // A relay's older news of the first life does not replace the second.
-func TestOlderNewsOfTheLifeBeforeChangesNothing(t *testing.T) {
+func TestStaleUpdateOfPreviousIncarnationIsIgnored(t *testing.T) {
 	r := newTestRouter(t)
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, "ready 1")}, 10)
 	view.Changed([]coord.Event{{Item: item("a", 12, "ready 2")}}, 12)
 	late := peerlink.Changed(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, Born: 1})
-	assert.Assert(t, view.relayed(peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
+	assert.Assert(t, view.applyRelayed(peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
 	view.Snapshot([]coord.Item{item("a", 11, "draining 1")}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.Born, workers.Born(2))
@@ -128,31 +128,31 @@
 }
 
 // shared is a writer that several goroutines may use.
-type shared struct {
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (s *shared) Write(line []byte) (int, error) {
+func (s *lockedBuffer) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(line)
 }
 
-func (s *shared) count(kind decision.Kind) int {
+func (s *lockedBuffer) count(kind decision.Kind) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Count(s.text.String(), `"kind":"`+string(kind)+`"`)
 }
 
-func TestABadEntryIsLoggedOnceForARevision(t *testing.T) {
-	logged := &shared{}
+func TestUnreadableEntryIsLoggedOncePerRevision(t *testing.T) {
+	logged := &lockedBuffer{}
 	r := newTestRouter(t)
 	r.log = decision.NewTo(logged, "n")
-	r.entriesView.Snapshot([]coord.Item{spoiled("a", 1)}, 1)
-	r.entriesView.Snapshot([]coord.Item{spoiled("a", 1)}, 2)
-	r.entriesView.Changed([]coord.Event{{Item: spoiled("a", 3)}}, 3)
-	r.entriesView.Snapshot([]coord.Item{spoiled("a", 3)}, 4)
+	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 1)}, 1)
+	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 1)}, 2)
+	r.entriesView.Changed([]coord.Event{{Item: overwrittenItem("a", 3)}}, 3)
+	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 3)}, 4)
 	r.log.Line(decision.KindStop).Msg("")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if logged.count(decision.KindStop) == 0 {
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// limitsTick is the pause between looks for workers that are gone.
-	limitsTick = time.Second
-	// limitMemory is for how long the limit of a worker stays known whose entry is gone: it may
+	// limitsCleanupInterval is the pause between looks for workers that are gone.
+	limitsCleanupInterval = time.Second
+	// limitRetention is for how long the limit of a worker stays known whose entry is gone: it may
 	// serve on, and its entry may be back.
-	limitMemory = 30 * time.Second
+	limitRetention = 30 * time.Second
 	// permitTimeout bounds the wait for the leader's answer: the way there and back between
 	// regions, and a leader that is busy.
 	permitTimeout = 250 * time.Millisecond
-	// unansweredPause is the pause until a leader is asked again that did not answer, for whatever
+	// permitRetryDelay is the pause until a leader is asked again that did not answer, for whatever
 	// worker: else each request would wait for it.
-	unansweredPause = 100 * time.Millisecond
-	// mostLimitsTold is how many limits one report tells.
-	mostLimitsTold = 64
+	permitRetryDelay = 100 * time.Millisecond
+	// maxLimitsPerReport is how many limits one report tells.
+	maxLimitsPerReport = 64
 )
 
 // Outcomes of asking for permits, as metrics name them.
@@ -41,8 +41,8 @@
 
 // Who has seen what a worker says of itself, as log lines name it.
 const (
-	seenHere     = "self"
-	seenByOthers = "told"
+	seenBySelf = "self"
+	seenByPeer = "told"
 )
 
 // workerLimits keeps workers within the limits that they name: it asks the leader before a request
@@ -55,7 +55,7 @@
 	// tenure is that in which this process leads, or led last.
 	tenure atomic.Pointer[election.Tenure]
 	// silentUntil is until when no leader is asked, a number of clock.Nanos.
-	silentUntil atomic.Int64
+	noAskUntil atomic.Int64
 	// unreadable counts the answers that named a limit which can't be read.
 	unreadable atomic.Int64
 	permits    *prometheus.CounterVec
@@ -86,13 +86,13 @@
 func (l *workerLimits) Answered(worker workers.Life, answer *upstream.Result) {
 	switch {
 	case answer.Limit.Naming == upstream.Limited:
-		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenHere)
+		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
 	case answer.Limit.Naming == upstream.UnreadableLimit:
 		l.unreadable.Add(1)
 		l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(worker.ID)).
 			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("what was known of its limit stands")
 	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.Limited(worker):
-		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.Sent}, seenHere)
+		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.Sent}, seenBySelf)
 	}
 }
 
@@ -104,31 +104,31 @@
 }
 
 // heard takes what processes that follow this one have learned.
-func (l *workerLimits) heard(told []workerlimit.Told) {
+func (l *workerLimits) handleReports(reports []workerlimit.Told) {
 	now := clock.Now()
-	for _, one := range told {
-		l.learn(one.Fact(now), seenByOthers)
+	for _, one := range reports {
+		l.learn(one.Fact(now), seenByPeer)
 	}
 }
 
 // told takes what the leader, or a relay, tells.
-func (l *workerLimits) told(told []workerlimit.Told) {
+func (l *workerLimits) handleUpdate(reports []workerlimit.Told) {
 	now := clock.Now()
-	for _, one := range told {
+	for _, one := range reports {
 		if fact := one.Fact(now); l.member.Hear(fact) {
-			l.log(fact, seenByOthers)
+			l.log(fact, seenByPeer)
 		}
 	}
 }
 
 // tell returns what the leader is to know.
-func (l *workerLimits) tell() []workerlimit.Told {
-	var told []workerlimit.Told
+func (l *workerLimits) report() []workerlimit.Told {
+	var reports []workerlimit.Told
 	now := clock.Now()
-	for _, fact := range l.member.Tell(mostLimitsTold) {
-		told = append(told, workerlimit.Tell(now, fact))
+	for _, fact := range l.member.Tell(maxLimitsPerReport) {
+		reports = append(reports, workerlimit.Tell(now, fact))
 	}
-	return told
+	return reports
 }
 
 // Take implements proxy.Limits.
@@ -142,13 +142,13 @@
 	switch {
 	case !answered:
 		outcome = permitUnanswered
-		permit.WaitMillis = unansweredPause.Milliseconds()
+		permit.WaitMillis = permitRetryDelay.Milliseconds()
 	case permit.Granted:
 		outcome = permitGranted
 	}
 	l.permits.WithLabelValues(outcome).Inc()
 	if permit.Ended != nil {
-		l.told([]workerlimit.Told{*permit.Ended})
+		l.handleUpdate([]workerlimit.Told{*permit.Ended})
 	}
 	return permit.Wait(), permit.Granted
 }
@@ -160,7 +160,7 @@
 		return permit, true
 	}
 	leader := l.r.hub.Followed()
-	if leader == "" || clock.Nanos(now) < l.silentUntil.Load() {
+	if leader == "" || clock.Nanos(now) < l.noAskUntil.Load() {
 		return peerlink.Permit{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -169,14 +169,14 @@
 		Limit: workerlimit.Tell(now, fact), PatienceMillis: patience.Milliseconds(),
 	})
 	if err != nil {
-		l.silentUntil.Store(clock.Nanos(clock.Now().Add(unansweredPause)))
+		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
 	}
 	return permit, err == nil
 }
 
 // asked answers another process that asks for a permit.
-func (l *workerLimits) asked(ask peerlink.PermitAsk) (peerlink.Permit, bool) {
-	now := refreshed()
+func (l *workerLimits) handlePermitRequest(ask peerlink.PermitAsk) (peerlink.Permit, bool) {
+	now := refreshedNow()
 	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.PatienceMillis))*time.Millisecond)
 	permit.Number = ask.Number
 	return permit, leading
@@ -190,12 +190,12 @@
 	}
 	permit, leading := l.member.Issue(now, fact, patience, !now.Before(tenure.Until()))
 	if permit.News {
-		l.log(fact, seenByOthers)
+		l.log(fact, seenByPeer)
 	}
 	message := peerlink.Permit{Granted: permit.Granted, WaitMillis: (permit.Wait + time.Millisecond - 1).Milliseconds()}
 	if permit.Ended != nil {
-		told := workerlimit.Tell(now, *permit.Ended)
-		message.Ended = &told
+		report := workerlimit.Tell(now, *permit.Ended)
+		message.Ended = &report
 	}
 	return message, leading
 }
@@ -211,7 +211,7 @@
 
 // run keeps the book tidy until ctx ends.
 func (l *workerLimits) run(ctx context.Context) {
-	for clock.Sleep(ctx, limitsTick) {
+	for clock.Sleep(ctx, limitsCleanupInterval) {
 		l.forget()
 	}
 }
@@ -220,7 +220,7 @@
 func (l *workerLimits) forget() {
 	l.member.Forget(clock.Now(), func(id workers.ID) bool {
 		_, announced := l.r.workers.Get(id)
-		return !announced && l.r.workers.GoneFor(id) > limitMemory
+		return !announced && l.r.workers.GoneFor(id) > limitRetention
 	})
 }
 
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -21,15 +21,15 @@
 	// lostAt is when the service was lost last.
 	lostAt time.Time
 	// unreadable are the entries that name no worker, as of their last changes.
-	unreadable map[workers.ID]unreadable
-	zones      strangeZones
+	unreadable map[workers.ID]unreadableEntry
+	zones      unknownZones
 	// collected are the pages of a list that is being told.
-	collected collected
+	partial partialList
 }
 
 // collected are the pages of a list that were told so far: all workers up to one, as of a
 // revision.
-type collected struct {
+type partialList struct {
 	after   workers.ID
 	at      coord.Revision
 	changes []peerlink.WorkerChange
@@ -42,7 +42,7 @@
 	if at < v.at {
 		return // the leader has told more meanwhile
 	}
-	since := v.r.knewAll(v.r.entries)
+	since := v.r.completeAsOf(v.r.entries)
 	list := make([]peerlink.WorkerChange, 0, len(items))
 	for _, item := range items {
 		change := v.readEntry(item)
@@ -55,26 +55,26 @@
 // replace sets the whole list. since is as of when all was known before. The caller holds mu.
 func (v *workersView) replace(list []peerlink.WorkerChange, at coord.Revision, since time.Time) {
 	v.at = at
-	v.r.entries.cover(at)
-	v.r.sized.close()
+	v.r.entries.noteCovered(at)
+	v.r.listSizeKnown.close()
 	announced := make([]workers.Worker, 0, len(list))
-	faulty := map[workers.ID]unreadable{}
+	faulty := map[workers.ID]unreadableEntry{}
 	learned := workers.Learned{}
 	for _, change := range list {
-		v.r.entries.read(change.Revision)
+		v.r.entries.noteRead(change.Revision)
 		if change.Unreadable != nil {
-			faulty[change.ID] = unreadable{revision: change.Revision, fault: *change.Unreadable}
+			faulty[change.ID] = unreadableEntry{revision: change.Revision, fault: *change.Unreadable}
 			continue
 		}
 		worker := change.Worker()
-		v.zones.note(v.r.places, worker, v.r.log)
+		v.zones.logIfUnknown(v.r.zoneMap, worker, v.r.log)
 		announced = append(announced, worker)
 		learned[change.ID] = change.Learned
 	}
 	v.replaceUnreadable(faulty)
 	vanished := v.r.workers.Replace(announced, learned, since)
 	v.r.hub.EntriesRead(list, at, since)
-	v.tellVanished(vanished, at)
+	v.logVanished(vanished, at)
 	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("list read")
 }
 
@@ -82,16 +82,16 @@
 func (v *workersView) Changed(events []coord.Event, at coord.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.apply(v.read(events), at)
+	v.apply(v.changesOf(events), at)
 }
 
 // relayed applies what the leader passes on; false if changes are missing.
-func (v *workersView) relayed(news peerlink.Entries) bool {
+func (v *workersView) applyRelayed(news peerlink.Entries) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	changes, err := news.All(clock.Now())
 	if news.Whole && err == nil {
-		return v.collect(news, changes)
+		return v.collectPage(news, changes)
 	}
 	if v.at < news.From || err != nil {
 		return false
@@ -102,31 +102,31 @@
 
 // collect takes a page of the list, or all of it, and replaces what was known once there are no
 // more; false if pages before it are missing. The caller holds mu.
-func (v *workersView) collect(news peerlink.Entries, changes []peerlink.WorkerChange) bool {
+func (v *workersView) collectPage(news peerlink.Entries, changes []peerlink.WorkerChange) bool {
 	if news.After == "" {
-		v.collected = collected{}
+		v.partial = partialList{}
 	}
-	if news.After != v.collected.after {
+	if news.After != v.partial.after {
 		return false
 	}
-	v.collected.changes = append(v.collected.changes, changes...)
-	v.collected.after, v.collected.at = news.Last, news.To
+	v.partial.changes = append(v.partial.changes, changes...)
+	v.partial.after, v.partial.at = news.Last, news.To
 	if news.More {
 		return true
 	}
-	list := v.collected
-	v.collected = collected{}
+	list := v.partial
+	v.partial = partialList{}
 	if v.at < list.at {
-		v.replace(list.changes, list.at, v.r.knewAll(v.r.entries))
+		v.replace(list.changes, list.at, v.r.completeAsOf(v.r.entries))
 	}
 	return true
 }
 
 // collectedUpTo returns up to which worker a list was told in part, and as of which revision.
-func (v *workersView) collectedUpTo() (workers.ID, coord.Revision) {
+func (v *workersView) partialListUpTo() (workers.ID, coord.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.collected.after, v.collected.at
+	return v.partial.after, v.partial.at
 }
 
 // revision returns up to which revision all entries were read.
@@ -137,8 +137,8 @@
 }
 
 // read turns events into changes of workers.
-func (v *workersView) read(events []coord.Event) []peerlink.WorkerChange {
-	learned := v.r.learnedByWatch(v.r.entries)
+func (v *workersView) changesOf(events []coord.Event) []peerlink.WorkerChange {
+	learned := v.r.earliestWatchChange(v.r.entries)
 	changes := make([]peerlink.WorkerChange, 0, len(events))
 	for _, event := range events {
 		change := peerlink.WorkerChange{Revision: event.Revision, ID: v.r.adapter.WorkerID(event.Key), Gone: true}
@@ -155,11 +155,11 @@
 func (v *workersView) apply(changes []peerlink.WorkerChange, at coord.Revision) {
 	changes = slices.DeleteFunc(changes, func(one peerlink.WorkerChange) bool { return one.Revision <= v.at })
 	v.at = max(v.at, at)
-	v.r.entries.cover(at)
+	v.r.entries.noteCovered(at)
 	v.r.hub.EntriesChanged(changes, at)
 	last := map[workers.ID]peerlink.WorkerChange{}
 	for _, change := range changes {
-		v.r.entries.read(change.Revision)
+		v.r.entries.noteRead(change.Revision)
 		last[change.ID] = change
 	}
 	if len(last) == 0 {
@@ -180,14 +180,14 @@
 			v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", string(worker.State)).
 				Str("service", string(worker.Service)).Int64("revision", int64(change.Revision)).Msg("")
 		}
-		v.zones.note(v.r.places, worker, v.r.log)
+		v.zones.logIfUnknown(v.r.zoneMap, worker, v.r.log)
 		changed = append(changed, worker)
 	}
-	v.tellVanished(v.r.workers.Update(changed, gone, learned), at)
+	v.logVanished(v.r.workers.Update(changed, gone, learned), at)
 }
 
 // tellVanished logs what became of workers whose entries went.
-func (v *workersView) tellVanished(vanished workers.Vanished, at coord.Revision) {
+func (v *workersView) logVanished(vanished workers.Vanished, at coord.Revision) {
 	for _, id := range vanished.Gone {
 		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "gone").
 			Int64("revision", int64(at)).Msg("")
@@ -199,7 +199,7 @@
 }
 
 // expired logs which entries did not come back.
-func (v *workersView) expired(ids []workers.ID) {
+func (v *workersView) logExpired(ids []workers.ID) {
 	for _, id := range ids {
 		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "gone").Msg("its entry did not come back")
 	}
@@ -211,9 +211,9 @@
 	v.r.log.Line(decision.KindStoreLost).Str("for", "workers").Err(err).Msg("")
 }
 
-// lapseMargin is kept from the time in which a router must have caught up: requests that
+// catchUpMargin is kept from the time in which a router must have caught up: requests that
 // were sent before take a moment to reach their worker.
-const lapseMargin = 200 * time.Millisecond
+const catchUpMargin = 200 * time.Millisecond
 
 // Regained implements coord.View. Entries that lapsed while the service was away are waited
 // for; a worker that left must get nothing once the router has to have caught up. That time
@@ -224,7 +224,7 @@
 func (v *workersView) Regained(since time.Time) {
 	now := clock.Now()
 	until := now.Add(workers.SettleTime)
-	if caughtUp := since.Add(v.r.settings.CatchUp.Std() - lapseMargin); caughtUp.Before(until) {
+	if caughtUp := since.Add(v.r.settings.CatchUp.Std() - catchUpMargin); caughtUp.Before(until) {
 		until = caughtUp
 	}
 	v.r.workers.Settle(until)
@@ -238,10 +238,10 @@
 // Waiting as long as the leader, it sent requests to workers for 2.2 s after they had left, where
 // 2 s are allowed; without the margin, up to the very end of the 2 s (in 16 of 60 runs of 41 times
 // of leaving, in virtual time).
-func (r *Router) settleAsTold(now time.Time, settle time.Duration) {
+func (r *Router) settleWithLeader(now time.Time, settle time.Duration) {
 	each := workers.SettleTime
-	if !r.entries.away(now) {
-		each = r.settings.Drain.Std()/2 - lapseMargin
+	if !r.entries.storeUnreachable(now) {
+		each = r.settings.Drain.Std()/2 - catchUpMargin
 	}
 	r.workers.SettleTold(now.Add(settle), each)
 }
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -28,7 +28,7 @@
 	adapter := Adapter{
 		Store:    memory.New(),
 		WorkerID: func(key string) workers.ID { return workers.ID(strings.TrimPrefix(key, "w/")) },
-		ReadWorker: func(item coord.Item) (workers.Worker, error) {
+		ParseWorker: func(item coord.Item) (workers.Worker, error) {
 			id := workers.ID(strings.TrimPrefix(item.Key, "w/"))
 			if len(item.Value) == 0 {
 				return workers.Worker{}, &workers.EntryError{Reason: workers.ReasonUnreadable}
@@ -38,7 +38,7 @@
 			return workers.Worker{ID: id, Service: "s", State: workers.State(state), Born: workers.Born(at)}, nil
 		},
 	}
-	times := settings.Router{Drain: bundle.Duration(drainTime), CatchUp: bundle.Duration(contactTime)}
+	times := settings.Router{Drain: bundle.Duration(drainTime), CatchUp: bundle.Duration(catchUpTime)}
 	return New(times, adapter, log, prometheus.NewRegistry())
 }
 
@@ -47,27 +47,27 @@
 }
 
 // drains is a change that the leader passes on.
-func drains(id workers.ID, revision coord.Revision) peerlink.WorkerChange {
+func drainingChange(id workers.ID, revision coord.Revision) peerlink.WorkerChange {
 	return peerlink.Changed(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
 }
 
-func TestChangesOfWorkersFromTheLeader(t *testing.T) {
+func TestWorkerChangesFromTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
 		news    peerlink.Entries
 		applied bool
 		drains  bool
 		at      coord.Revision
 	}{
-		"next":                {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 11)}}, applied: true, drains: true, at: 12},
-		"some known already":  {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drains("a", 9)}}, applied: true, at: 12},
-		"some missing before": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}, at: 10},
+		"next":                {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
+		"some known already":  {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
+		"some missing before": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
 		"too many to pass on": {news: peerlink.Entries{From: 12, To: 12}, at: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			view := r.entriesView
 			view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-			assert.Equal(t, view.relayed(test.news), test.applied)
+			assert.Equal(t, view.applyRelayed(test.news), test.applied)
 			worker, known := r.workers.Get("a")
 			assert.Assert(t, known)
 			assert.Equal(t, worker.State == workers.StateDraining, test.drains)
@@ -77,11 +77,11 @@
 }
 
 // A list that was under way while the leader told of more must not undo that.
-func TestAnOlderListChangesNothing(t *testing.T) {
+func TestOlderListIsIgnored(t *testing.T) {
 	r := newTestRouter(t)
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-	assert.Assert(t, view.relayed(peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drains("a", 12)}}))
+	assert.Assert(t, view.applyRelayed(peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}))
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining)
@@ -90,10 +90,10 @@
 	assert.Equal(t, worker.State, workers.StateDraining, "nor do events that are known already")
 }
 
-func TestWhatTheLeaderKnowsIsReadOnce(t *testing.T) {
-	asked := func(of *followed) bool {
+func TestLeaderRevisionIsReadOnce(t *testing.T) {
+	asked := func(of *prefixState) bool {
 		select {
-		case <-of.renew:
+		case <-of.resync:
 			return true
 		default:
 			return false
@@ -101,31 +101,31 @@
 	}
 	now := time.Unix(1000, 0)
 	r := newTestRouter(t)
-	r.config.cover(10)
-	r.heard(peerlink.Update{Known: peerlink.Known{Config: 10}})
+	r.config.noteCovered(10)
+	r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
 	assert.Assert(t, !asked(r.config), "it is known")
-	r.config.catchUp(now, 12)
+	r.config.resyncIfBehind(now, 12)
 	assert.Assert(t, asked(r.config))
-	r.config.catchUp(now, 12)
+	r.config.resyncIfBehind(now, 12)
 	assert.Assert(t, !asked(r.config), "it was asked for")
-	r.config.catchUp(now.Add(2*lagAllowed), 12)
+	r.config.resyncIfBehind(now.Add(2*maxLag), 12)
 	assert.Assert(t, asked(r.config), "and did not come")
-	r.config.read(12)
-	r.config.catchUp(now.Add(4*lagAllowed), 12)
+	r.config.noteRead(12)
+	r.config.resyncIfBehind(now.Add(4*maxLag), 12)
 	assert.Assert(t, !asked(r.config))
 }
 
-func TestADeafLeaderIsNotReliedOn(t *testing.T) {
+func TestLeaderWithoutStoreIsNotTrusted(t *testing.T) {
 	r := newTestRouter(t)
-	r.heard(peerlink.Update{})
-	assert.Assert(t, r.told.now())
-	r.heard(peerlink.Update{Deaf: true})
-	assert.Assert(t, !r.told.now())
+	r.handleUpdate(peerlink.Update{})
+	assert.Assert(t, r.updates.live())
+	r.handleUpdate(peerlink.Update{Deaf: true})
+	assert.Assert(t, !r.updates.live())
 }
 
 // Found on a day on which machines were cut off for 12 s (DRAIN): they took entries that
 // had gone meanwhile for lapsed, and sent requests to workers that had left.
-func TestWhoWasCutOffAloneTakesVanishedWorkersToBeGone(t *testing.T) {
+func TestVanishedWorkersAreGoneIfTheLeaderStayedConnected(t *testing.T) {
 	settle := workers.SettleTime.Milliseconds()
 	stale := (2 * peerlink.SilenceLimit).Milliseconds()
 	for name, c := range map[string]struct {
@@ -143,7 +143,7 @@
 			r.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
 			r.entriesView.Regained(time.Now())
 			r.entriesView.Snapshot(nil, 12)
-			r.heard(c.update)
+			r.handleUpdate(c.update)
 			_, known := r.workers.Get("a")
 			assert.Equal(t, known, c.kept)
 		})
@@ -157,17 +157,17 @@
 		least          time.Duration
 	}{
 		"strong, knows nobody":  {own: 1},
-		"weak, knows nobody":    {own: 0.2, least: weakPause / 2},
+		"weak, knows nobody":    {own: 0.2, least: weakMachineDelay / 2},
 		"weak, as all are":      {own: 0.2, strongest: 0.2},
-		"weaker than another":   {own: 0.2, strongest: 0.5, least: weakPause},
+		"weaker than another":   {own: 0.2, strongest: 0.5, least: weakMachineDelay},
 		"the strongest of them": {own: 0.5, strongest: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r.hub.Strength = test.own
-			r.heard(peerlink.Update{Strongest: test.strongest})
+			r.handleUpdate(peerlink.Update{Strongest: test.strongest})
 			for range 50 {
-				pause := r.campaignPause()
-				assert.Assert(t, pause >= test.least && pause < test.least+campaignSpread+weakPause/2, "%v", pause)
+				pause := r.campaignDelay()
+				assert.Assert(t, pause >= test.least && pause < test.least+campaignJitter+weakMachineDelay/2, "%v", pause)
 			}
 		})
 	}
