--- a/internal/fair/ledger.go
+++ b/internal/fair/ledger.go
@@ -28,9 +28,9 @@
 	// what all get: whoever is served a quarter as often as all counts as starved, and shares
 	// are estimates.
 	leastServed = 0.4
-	// MostLanes is how many tenants and priorities are told apart, of one service; the others
+	// MaxCallers is how many tenants and priorities are told apart, of one service; the others
 	// are refused as all are on average. A lane takes about 100 bytes.
-	MostLanes = 256
+	MaxCallers = 256
 	// refreshEvery is the longest age of shares: callers do not change their ways sooner.
 	refreshEvery = 50 * time.Millisecond
 	// levelSteps halve the error of a level each.
@@ -84,7 +84,7 @@
 
 // Wanted counts a request of a caller of some weight, above zero. It returns true if the caller
 // was refused for its share before, and has not been for a while.
-func (l *Ledger) Wanted(now time.Time, caller Caller, weight float64) (ended bool) {
+func (l *Ledger) RecordRequest(now time.Time, caller Caller, weight float64) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	scale := l.scale(now)
@@ -108,14 +108,14 @@
 }
 
 // Lost counts a request, counted as wanted before, that there was no room for.
-func (l *Ledger) Lost(now time.Time) {
+func (l *Ledger) RecordUnserved(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost += l.scale(now)
 }
 
 // Refused notes that a caller is refused for its share. It returns true if it begins to be so.
-func (l *Ledger) Refused(now time.Time, caller Caller) (began bool) {
+func (l *Ledger) RecordShareRefusal(now time.Time, caller Caller) (began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.lanes[caller]
@@ -128,27 +128,27 @@
 }
 
 // Shares of requests, from 0 to 1.
-type Shares struct {
+type RefusalShares struct {
 	// Own is that of a caller's requests that there is no room for, and All that of
 	// everybody's.
 	Own, All float64
 }
 
 // Refuse returns which share of a caller's requests to refuse now.
-func (l *Ledger) Refuse(now time.Time, caller Caller) Shares {
+func (l *Ledger) RefusalShares(now time.Time, caller Caller) RefusalShares {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now, l.scale(now))
 	if known := l.lanes[caller]; known != nil {
-		return Shares{Own: known.refused, All: l.average}
+		return RefusalShares{Own: known.refused, All: l.average}
 	}
-	return Shares{Own: l.average, All: l.average}
+	return RefusalShares{Own: l.average, All: l.average}
 }
 
 // Chosen returns which share of a caller's requests to refuse where a share of all has to be
 // refused: those who are beyond their share bear it as far as the ledger knows of it, and
 // everybody alike what goes beyond.
-func (s Shares) Chosen(all float64) float64 {
+func (s RefusalShares) Scaled(all float64) float64 {
 	if s.All >= all {
 		return s.Own * all / max(s.All, forgotten)
 	}
@@ -158,7 +158,7 @@
 // Yield returns the share of a caller's requests that takes free workers only: what goes clearly
 // beyond its part by weight, and what is refused where there is no room. It is zero for one that
 // is alone and has room.
-func (l *Ledger) Yield(now time.Time, caller Caller) float64 {
+func (l *Ledger) YieldShare(now time.Time, caller Caller) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	scale := l.scale(now)
@@ -185,7 +185,7 @@
 }
 
 // Counted returns how many requests are remembered.
-func (l *Ledger) Counted(now time.Time) float64 {
+func (l *Ledger) RecentRequests(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.wanted / l.scale(now)
@@ -237,7 +237,7 @@
 // lane returns a caller's lane; nil if there are too many. The caller holds mu.
 func (l *Ledger) lane(caller Caller) *lane {
 	known := l.lanes[caller]
-	if known == nil && len(l.lanes) < MostLanes {
+	if known == nil && len(l.lanes) < MaxCallers {
 		known = &lane{}
 		l.lanes[caller] = known
 	}
--- a/internal/fair/policies_test.go
+++ b/internal/fair/policies_test.go
@@ -59,11 +59,11 @@
 }
 
 func (b *byLedger) arrived(now time.Time, tenant int) bool {
-	b.ledger.Wanted(now, b.caller(tenant), playTenants[tenant])
-	return b.random.Float64() < b.ledger.Yield(now, b.caller(tenant))
+	b.ledger.RecordRequest(now, b.caller(tenant), playTenants[tenant])
+	return b.random.Float64() < b.ledger.YieldShare(now, b.caller(tenant))
 }
 
-func (b *byLedger) lost(now time.Time, _ int) { b.ledger.Lost(now) }
+func (b *byLedger) lost(now time.Time, _ int) { b.ledger.RecordUnserved(now) }
 
 // newByLedger draws its chances apart from the play's, so that callers come as under other ways.
 func newByLedger(*rand.Rand) *byLedger {
--- a/internal/lab/mutate/mutations_fair.go
+++ b/internal/lab/mutate/mutations_fair.go
@@ -40,7 +40,7 @@
 	{
 		name: "tenants-without-bound",
 		file: "internal/fair/ledger.go",
-		old:  "known == nil && len(l.lanes) < MostLanes",
+		old:  "known == nil && len(l.lanes) < MaxCallers",
 		new:  "known == nil",
 		pkg:  "./internal/fair", test: "TestTenantsAreBounded",
 	},
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -272,7 +272,7 @@
 	// Evidence is of requests that were under way at workers that crashed.
 	Evidence *quarantine.Evidence `json:"q,omitempty"`
 	// Quota is how much of tenants' limits is in use, at this process and at its followers.
-	Quota []quota.Told `json:"u,omitempty"`
+	Quota []quota.Report `json:"u,omitempty"`
 	// Limits are what this process, or one that follows it, has learned of workers' limits.
 	Limits []workerlimit.Told `json:"l,omitempty"`
 	// Leaving are workers that say in their answers that they leave.
--- a/internal/peerlink/quota.go
+++ b/internal/peerlink/quota.go
@@ -11,15 +11,15 @@
 type quotaLinks struct {
 	via map[string]*link
 	// told is called with what linked processes tell.
-	told func([]quota.Told)
+	told func([]quota.Report)
 }
 
 // OnQuota sets what is called with what linked processes tell of tenants' use, by a leader and
 // by a relay.
-func (h *Hub) OnQuota(call func([]quota.Told)) { h.quotas.told = call }
+func (h *Hub) OnQuota(call func([]quota.Report)) { h.quotas.told = call }
 
 // takeQuota takes what came by a link.
-func (h *Hub) takeQuota(one *link, told []quota.Told) {
+func (h *Hub) takeQuota(one *link, told []quota.Report) {
 	if len(told) == 0 || h.quotas.told == nil {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // heard notes by which link processes are reached.
-func (q *quotaLinks) heard(one *link, told []quota.Told) {
+func (q *quotaLinks) heard(one *link, told []quota.Report) {
 	if q.via == nil {
 		q.via = map[string]*link{}
 	}
--- a/internal/proxy/fairness.go
+++ b/internal/proxy/fairness.go
@@ -55,11 +55,11 @@
 		}
 	}
 	shares := &c.state.shares
-	if shares.Wanted(c.began, c.claim.caller, c.claim.weight) {
-		c.tellShare(false, shares.Refuse(c.began, c.claim.caller))
+	if shares.RecordRequest(c.began, c.claim.caller, c.claim.weight) {
+		c.tellShare(false, shares.RefusalShares(c.began, c.claim.caller))
 	}
 	if !c.service.Keyed {
-		c.claim.yields = rand.Float64() < shares.Yield(c.began, c.claim.caller)
+		c.claim.yields = rand.Float64() < shares.YieldShare(c.began, c.claim.caller)
 	}
 }
 
@@ -78,15 +78,15 @@
 	}
 	if c.claim.owner != to {
 		c.claim.owner = to
-		to.shares.Wanted(now, c.claim.caller, c.claim.weight)
+		to.shares.RecordRequest(now, c.claim.caller, c.claim.weight)
 	}
-	judged := to.shares.Refuse(now, c.claim.caller)
-	if judged.All > 0 && to.shares.Counted(now) >= judgedBy {
+	judged := to.shares.RefusalShares(now, c.claim.caller)
+	if judged.All > 0 && to.shares.RecentRequests(now) >= judgedBy {
 		share = max(share, judged.All)
 	} else {
-		judged = c.state.shares.Refuse(now, c.claim.caller)
+		judged = c.state.shares.RefusalShares(now, c.claim.caller)
 	}
-	if rand.Float64() >= judged.Chosen(share) {
+	if rand.Float64() >= judged.Scaled(share) {
 		return ""
 	}
 	to.refuseUnasked(now)
@@ -109,9 +109,9 @@
 		return
 	}
 	now := clock.Now()
-	c.state.shares.Lost(now)
+	c.state.shares.RecordUnserved(now)
 	if c.claim.owner != nil {
-		c.claim.owner.shares.Lost(now)
+		c.claim.owner.shares.RecordUnserved(now)
 	}
 }
 
@@ -122,13 +122,13 @@
 		counters.overShare.WithLabelValues(counters.label(c.tenant.Name)).Inc()
 	}
 	now, shares := clock.Now(), &c.state.shares
-	if shares.Refused(now, c.claim.caller) {
-		c.tellShare(true, shares.Refuse(now, c.claim.caller))
+	if shares.RecordShareRefusal(now, c.claim.caller) {
+		c.tellShare(true, shares.RefusalShares(now, c.claim.caller))
 	}
 }
 
 // tellShare writes a line where a tenant begins or ends to be refused for its share.
-func (c *call) tellShare(over bool, shares fair.Shares) {
+func (c *call) tellShare(over bool, shares fair.RefusalShares) {
 	c.proxy.Log.Line(decision.KindShare).Str("tenant", c.claim.caller.Name).Str("service", string(c.service.Name)).
 		Int("priority", c.claim.caller.Priority).Bool("over", over).
 		Float64("refused", shares.Own).Float64("all", shares.All).Msg("")
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -49,7 +49,7 @@
 	}
 	for range 50 {
 		callOf(f, service, "a")
-		callOf(f, service, "a").state.shares.Lost(now)
+		callOf(f, service, "a").state.shares.RecordUnserved(now)
 	}
 	return f
 }
@@ -83,8 +83,8 @@
 	to := newBackend(workers.Worker{ID: "w"}, &toldMeans{})
 	c := callOf(f, "keyed", "a")
 	for range 2 * judgedBy {
-		to.shares.Wanted(now, c.claim.caller, 1)
-		to.shares.Lost(now)
+		to.shares.RecordRequest(now, c.claim.caller, 1)
+		to.shares.RecordUnserved(now)
 	}
 	for range fairTries {
 		c.claim.owner = nil
@@ -170,7 +170,7 @@
 	c := callOf(f, "pool", "")
 	c.countLost(reasonBusy)
 	assert.Equal(t, c.claim, claim{})
-	assert.Equal(t, c.state.shares.Counted(clock.Now()), 0.0)
+	assert.Equal(t, c.state.shares.RecentRequests(clock.Now()), 0.0)
 }
 
 func TestALimitIsTheTenantsWeight(t *testing.T) {
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -56,12 +56,12 @@
 				}
 			case "limit":
 				w.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-				if w.leader().coordinator.Use(w.now, tenants(w.tenant)) {
-					w.leftover, w.reserved = Leftovers{All: 1}, w.now.Add(w.bound.Unknown())
+				if w.leader().coordinator.SetTenants(w.now, tenants(w.tenant)) {
+					w.leftover, w.reserved = UnreportedShares{All: 1}, w.now.Add(w.bound.TakeoverDelay())
 				}
 				for _, one := range w.routers {
 					one.tenant = w.tenant
-					one.holder.Use(tenants(w.tenant))
+					one.holder.SetTenants(tenants(w.tenant))
 				}
 				if units := w.bound.Allowed(w.tenant); units >= limit {
 					limit = units
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -12,7 +12,7 @@
 	Over   bool
 	// Limit is in units, of which Dealt are given to routers at most; Used of them are in use as routers told last, Booked may be in use
 	// at most. Withheld are those that a new leader must not give yet.
-	Limit, Dealt, Used, Booked, Withheld int
+	Limit, Allocatable, Used, Outstanding, Withheld int
 	// Missing is how many units routers asked for and did not get.
 	Missing int
 	// Age is that of the oldest message that Used counts.
@@ -40,7 +40,7 @@
 	}
 	p.over = over
 	change := Change{
-		Tenant: name, Over: over, Limit: p.limit, Dealt: p.dealt, Booked: p.booked, Withheld: p.dealt - c.most(now, p), Missing: missing,
+		Tenant: name, Over: over, Limit: p.limit, Allocatable: p.dealt, Outstanding: p.booked, Withheld: p.dealt - c.most(now, p), Missing: missing,
 	}
 	for _, m := range c.members {
 		if h := m.holds[name]; h != nil {
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -134,8 +134,8 @@
 
 // Use takes the tenants of the configuration in force. It reports whether less is allowed of any:
 // routers may hold more of it now than is dealt, so no new leader may rely on that for
-// Bound.Unknown.
-func (c *Coordinator) Use(now time.Time, tenants map[routing.TenantName]*routing.Tenant) (lowered bool) {
+// Bound.TakeoverDelay.
+func (c *Coordinator) SetTenants(now time.Time, tenants map[routing.TenantName]*routing.Tenant) (lowered bool) {
 	for name, tenant := range tenants {
 		allowed := c.bound.Allowed(tenant)
 		if allowed == 0 {
@@ -146,11 +146,11 @@
 			was = before.limit
 		}
 		lowered = lowered || allowed < was
-		c.setDealt(now, name, c.bound.Dealt(tenant, c.busy[name] && !c.cools(name)))
+		c.setDealt(now, name, c.bound.Allocatable(tenant, c.busy[name] && !c.cools(name)))
 		p := c.pools[name]
 		p.limit = allowed
 		// What leaders before have dealt grows with the limit: routers scale it.
-		p.unknown = max(p.unknown, c.bound.Dealt(tenant, !p.calm), p.unknown*allowed/was)
+		p.unknown = max(p.unknown, c.bound.Allocatable(tenant, !p.calm), p.unknown*allowed/was)
 	}
 	for name := range c.pools {
 		if tenant := tenants[name]; tenant == nil || !tenant.Limited() {
@@ -166,7 +166,7 @@
 }
 
 // Tenants is how many tenants have a limit.
-func (c *Coordinator) Tenants() int { return len(c.pools) }
+func (c *Coordinator) TenantCount() int { return len(c.pools) }
 
 // setDealt sets how many units of a tenant are dealt. Routers lower their credits alike when they learn of a
 // lower one, so the credits are lowered here at once, and booked until they say so.
@@ -175,7 +175,7 @@
 	if p == nil {
 		p = &pool{dealt: units, dirty: true, brought: map[string]bool{}}
 		if at, back := c.removed[name]; back {
-			p.frozen = at.Add(c.bound.Unknown())
+			p.frozen = at.Add(c.bound.TakeoverDelay())
 		}
 		c.pools[name] = p
 		for _, m := range c.members { // they may have credits that another leader gave, or this one
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -19,7 +19,7 @@
 		}
 		if a.due {
 			a.due, a.at = false, now
-			grants = append(grants, Grant{Node: node, Life: a.life, Term: c.term, All: true})
+			grants = append(grants, Grant{Node: node, Incarnation: a.life, Term: c.term, FullReport: true})
 		}
 	}
 	return grants
@@ -45,7 +45,7 @@
 
 // withheldUntil is until when units are withheld that leaders before may have given.
 func (c *Coordinator) withheldUntil() time.Time {
-	until := c.opened.Add(c.bound.Unknown())
+	until := c.opened.Add(c.bound.TakeoverDelay())
 	if known, is := c.allKnown(); is && known.Before(until) {
 		return known
 	}
@@ -58,7 +58,7 @@
 		m.echoed = m.stamp
 		m.until, m.floorUntil = m.stampAt.Add(Lease), m.stampAt.Add(FloorLease)
 	}
-	grant := Grant{Node: m.node, Life: m.life, Term: c.term, Stamp: m.stamp}
+	grant := Grant{Node: m.node, Incarnation: m.life, Term: c.term, Stamp: m.stamp}
 	if left := c.withheldUntil().Sub(now); left > 0 && !c.first {
 		grant.WithheldMillis = left.Milliseconds()
 	}
@@ -75,6 +75,6 @@
 		m.granted++
 		m.grantedAt, m.changed = now, false
 	}
-	grant.Number = m.granted
+	grant.Sequence = m.granted
 	return grant
 }
--- a/internal/quota/hear.go
+++ b/internal/quota/hear.go
@@ -7,36 +7,36 @@
 )
 
 // Hear takes what a router tells.
-func (c *Coordinator) Hear(now time.Time, told Told) {
+func (c *Coordinator) HandleReport(now time.Time, told Report) {
 	if told.Term > c.term {
 		return
 	}
 	m := c.members[told.Node]
-	if m != nil && m.life != told.Life {
-		if told.Life < m.life {
+	if m != nil && m.life != told.Incarnation {
+		if told.Incarnation < m.life {
 			return
 		}
 		c.ended(told.begun(now), m)
 		m = nil
 	}
-	starts := told.Term == 0 && told.All // it has been given nothing in its life
+	starts := told.Term == 0 && told.Full // it has been given nothing in its life
 	switch {
-	case told.Term < c.term && !starts, m == nil && !told.All:
-		c.ask(told.Node, told.Life)
+	case told.Term < c.term && !starts, m == nil && !told.Full:
+		c.ask(told.Node, told.Incarnation)
 		return
 	case m == nil:
 		m = c.join(now, told)
-	case told.Number <= m.told:
+	case told.Sequence <= m.told:
 		return
-	case told.Number != m.told+1 && !told.All:
-		c.ask(told.Node, told.Life)
+	case told.Sequence != m.told+1 && !told.Full:
+		c.ask(told.Node, told.Incarnation)
 		return
 	}
-	if told.All {
+	if told.Full {
 		delete(c.asked, told.Node)
 		c.bring(now, m, told)
 	}
-	m.told, m.stamp, m.stampAt = told.Number, told.Stamp, now
+	m.told, m.stamp, m.stampAt = told.Sequence, told.Stamp, now
 	c.hear(now, m, told)
 }
 
@@ -49,9 +49,9 @@
 }
 
 // join takes a router into the books. What it holds was given by an earlier leader.
-func (c *Coordinator) join(now time.Time, told Told) *member {
+func (c *Coordinator) join(now time.Time, told Report) *member {
 	m := &member{
-		node: told.Node, life: told.Life, until: now.Add(Lease), floorUntil: now.Add(FloorLease),
+		node: told.Node, life: told.Incarnation, until: now.Add(Lease), floorUntil: now.Add(FloorLease),
 		holds: map[routing.TenantName]*hold{},
 	}
 	c.members[m.node] = m
@@ -63,7 +63,7 @@
 }
 
 // bring books what a router tells that this leader has not given it.
-func (c *Coordinator) bring(now time.Time, m *member, told Told) {
+func (c *Coordinator) bring(now time.Time, m *member, told Report) {
 	for name, use := range told.Tenants {
 		p := c.pools[name]
 		if p == nil || m.holds[name] != nil {
@@ -97,17 +97,17 @@
 }
 
 // hear takes the uses that a member tells, and what it has acknowledged.
-func (c *Coordinator) hear(now time.Time, m *member, told Told) {
+func (c *Coordinator) hear(now time.Time, m *member, told Report) {
 	for name, h := range m.holds {
 		use, isTold := told.Tenants[name]
-		if !isTold && !told.All {
+		if !isTold && !told.Full {
 			continue
 		}
 		h.used, h.short = use.used(), use.short()
 		if h.number > told.Ack {
 			continue
 		}
-		if told.All && told.Ack == m.granted { // it has dropped some, and no grant is on its way that brings them back
+		if told.Full && told.Ack == m.granted { // it has dropped some, and no grant is on its way that brings them back
 			h.floor = min(h.floor, use.floor())
 			h.units = min(h.units, use.credit())
 			c.set(m, h, min(h.units, use.under(c.pools[name].limit)))
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -70,14 +70,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.toldAt = -renewEvery
-	h.Hurry()
+	h.TriggerReport()
 }
 
 // Urgent gets a token when something is to be told before the next report is due.
-func (h *Holder) Urgent() <-chan struct{} { return h.urgent }
+func (h *Holder) ReportTriggered() <-chan struct{} { return h.urgent }
 
 // Hurry asks for the next report soon.
-func (h *Holder) Hurry() {
+func (h *Holder) TriggerReport() {
 	select {
 	case h.urgent <- struct{}{}:
 	default:
@@ -95,14 +95,14 @@
 	credit := h.credit(a, at)
 	if a.spent.used >= credit {
 		if a.short++; !a.knownShort {
-			h.Hurry()
+			h.TriggerReport()
 		}
 		return false, h.wait(a, at, credit)
 	}
 	a.spent.add()
 	a.granted++
 	if a.spent.used == credit && a.told != credit && !a.knownShort {
-		h.Hurry()
+		h.TriggerReport()
 	}
 	return true, 0
 }
@@ -211,7 +211,7 @@
 }
 
 // Use takes the tenants of the configuration that is in force here.
-func (h *Holder) Use(tenants map[routing.TenantName]*routing.Tenant) {
+func (h *Holder) SetTenants(tenants map[routing.TenantName]*routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, tenant := range tenants {
@@ -228,21 +228,21 @@
 }
 
 // Granted takes a message of the leader's.
-func (h *Holder) Granted(now time.Time, grant Grant) {
+func (h *Holder) ApplyGrant(now time.Time, grant Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if grant.Term < h.term || grant.Node != h.node || grant.Life != h.life {
+	if grant.Term < h.term || grant.Node != h.node || grant.Incarnation != h.life {
 		return
 	}
 	if grant.Term > h.term {
 		h.term, h.applied, h.acked = grant.Term, 0, 0
-		if !grant.All { // that leader was told that nothing is held here
+		if !grant.FullReport { // that leader was told that nothing is held here
 			h.drop()
 		}
 	}
-	if grant.All {
+	if grant.FullReport {
 		h.tellAll = true
-		h.Hurry()
+		h.TriggerReport()
 	}
 	if grant.Stamp > 0 {
 		stamp := time.Duration(grant.Stamp) * time.Millisecond
@@ -250,10 +250,10 @@
 		h.floorLease = max(h.floorLease, stamp+FloorLease-leaseGuard)
 	}
 	h.withheld = now.Sub(h.epoch) + time.Duration(grant.WithheldMillis)*time.Millisecond
-	if grant.Number <= h.applied {
+	if grant.Sequence <= h.applied {
 		return
 	}
-	h.applied = grant.Number
+	h.applied = grant.Sequence
 	for name, credit := range grant.Credits {
 		h.give(name, credit)
 	}
@@ -275,7 +275,7 @@
 	}
 	a.mustTell = true
 	if credit.units() < a.given.units() {
-		h.Hurry()
+		h.TriggerReport()
 	}
 	if credit.units() > a.given.units() && a.raised != nil {
 		close(a.raised)
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -13,8 +13,8 @@
 func newHeld(tenant *routing.Tenant) (*Holder, time.Time) {
 	began := time.Unix(1000, 0)
 	h := NewHolder(began, "n", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
-	h.Use(tenants(tenant))
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 1, Number: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
+	h.SetTenants(tenants(tenant))
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
 		tenant.Name: {50, h.bound.Allowed(tenant), 5},
 	}})
 	return h, began
@@ -50,12 +50,12 @@
 func TestARenewedLeaseBringsNothingBack(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newHeld(tenant)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, All: true})
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, FullReport: true})
 	at := began.Add(2 * Lease)
-	told := h.Tell(at)
-	assert.Assert(t, told.All)
+	told := h.Report(at)
+	assert.Assert(t, told.Full)
 	assert.Equal(t, told.Tenants["t"].credit(), 5)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, Stamp: told.Stamp})
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: told.Stamp})
 	assert.Equal(t, takes(h, at, tenant), 5)
 }
 
@@ -67,7 +67,7 @@
 	h.Sent(began, began.Add(3*time.Second), tenant)
 	h.Return(began, tenant)
 	assert.Equal(t, takes(h, began.Add(3*time.Second), tenant), 1)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 1, Stamp: 5000})
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Stamp: 5000})
 	assert.Equal(t, takes(h, began.Add(h.bound.rest()), tenant), 48)
 }
 
@@ -77,13 +77,13 @@
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 7, true, bound)
-	c.Use(now, tenants(tenant))
+	c.SetTenants(now, tenants(tenant))
 	h := NewHolder(now, "n", 1, bound)
-	h.Use(tenants(tenant))
-	<-h.Urgent()
-	c.Hear(now, *h.Tell(now))
+	h.SetTenants(tenants(tenant))
+	<-h.ReportTriggered()
+	c.HandleReport(now, *h.Report(now))
 	for _, grant := range c.Tick(now, true, 1) {
-		h.Granted(now, grant)
+		h.ApplyGrant(now, grant)
 	}
 	granted, _ := h.Take(now, tenant)
 	assert.Assert(t, granted)
@@ -93,7 +93,7 @@
 func TestALaterLeaderBooksAllThatIsHeld(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newHeld(tenant)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, Number: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
 	assert.Equal(t, takes(h, began, tenant), 0)
 }
 
@@ -103,16 +103,16 @@
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 7, false, bound)
-	c.Use(now, tenants(tenant))
+	c.SetTenants(now, tenants(tenant))
 	h := NewHolder(now, "n", 1, bound)
-	h.Use(tenants(tenant))
-	c.Hear(now, *h.Tell(now))
+	h.SetTenants(tenants(tenant))
+	c.HandleReport(now, *h.Report(now))
 	for _, grant := range c.Tick(now, true, 1) {
-		h.Granted(now, grant)
+		h.ApplyGrant(now, grant)
 	}
 	granted, wait := h.Take(now, tenant)
 	assert.Assert(t, !granted)
-	assert.Assert(t, wait > bound.Unknown() && wait < bound.Unknown()+bound.Window, wait)
+	assert.Assert(t, wait > bound.TakeoverDelay() && wait < bound.TakeoverDelay()+bound.Window, wait)
 	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "it is told once")
 }
 
@@ -123,8 +123,8 @@
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 1, true, bound)
-	c.Use(now, tenants(tenant))
-	c.Hear(now, Told{Node: "n", Life: 1, Number: 1, Stamp: 1, All: true})
+	c.SetTenants(now, tenants(tenant))
+	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Stamp: 1, Full: true})
 	first := c.Tick(now, true, 1)
 	assert.Equal(t, len(first), 1)
 	now = now.Add(resendAfter)
@@ -132,6 +132,6 @@
 	assert.Equal(t, len(again), 1)
 	given := again[0].Credits["t"].units()
 	assert.Assert(t, given > 0)
-	c.Hear(now, Told{Node: "n", Life: 1, Term: 1, Number: 2, Ack: first[0].Number, Stamp: 2, All: true, Tenants: map[routing.TenantName]Use{"t": {0, 0, 1, 1}}})
+	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
 	assert.Assert(t, c.pools["t"].booked >= given)
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -62,7 +62,7 @@
 const busyShare = 0.9
 
 // Dealt is how many units of a tenant are dealt out.
-func (b Bound) Dealt(tenant *routing.Tenant, busy bool) int {
+func (b Bound) Allocatable(tenant *routing.Tenant, busy bool) int {
 	allowed := b.Allowed(tenant)
 	if busy {
 		return allowed
@@ -75,7 +75,7 @@
 
 // Unknown is for how long after the end of a leader routers that no other knows of may use
 // what it gave them, and what they have spent rests.
-func (b Bound) Unknown() time.Duration { return Lease + b.rest() }
+func (b Bound) TakeoverDelay() time.Duration { return Lease + b.rest() }
 
 // Allowed is how many requests of a tenant may arrive at workers within a window; zero if the
 // tenant has no limit.
--- a/internal/quota/marks.go
+++ b/internal/quota/marks.go
@@ -16,7 +16,7 @@
 )
 
 // Mark notes that tenants are marked as busy in the store: all that is allowed of them is dealt.
-func (c *Coordinator) Mark(names ...routing.TenantName) {
+func (c *Coordinator) MarkBusy(names ...routing.TenantName) {
 	for _, name := range names {
 		c.busy[name] = true
 		if p := c.pools[name]; p != nil {
@@ -26,13 +26,13 @@
 }
 
 // Wanted returns the tenants that are to be marked as busy.
-func (c *Coordinator) Wanted() []routing.TenantName {
+func (c *Coordinator) TenantsToMark() []routing.TenantName {
 	return c.named(func(p *pool) bool { return p.wanted })
 }
 
 // Cooled returns the busy tenants whose marks are to be taken off the store: of no more is booked
 // than is dealt of a calm tenant. They get no more until Unmark tells that it is done.
-func (c *Coordinator) Cooled() []routing.TenantName {
+func (c *Coordinator) TenantsToUnmark() []routing.TenantName {
 	names := c.named(func(p *pool) bool { return p.cooling && p.booked <= p.dealt })
 	for _, name := range names {
 		c.pools[name].unmarking = true
@@ -41,7 +41,7 @@
 }
 
 // Unmark notes that the marks of tenants were taken off the store.
-func (c *Coordinator) Unmark(names ...routing.TenantName) {
+func (c *Coordinator) UnmarkBusy(names ...routing.TenantName) {
 	for _, name := range names {
 		delete(c.busy, name)
 		if p := c.pools[name]; p != nil {
--- a/internal/quota/members.go
+++ b/internal/quota/members.go
@@ -49,7 +49,7 @@
 
 // TakeMembers takes the members that leaders before have stored; nil if none did. The first leader
 // of all begins to store them; after one that did not, nothing is known of whom it gave to.
-func (c *Coordinator) TakeMembers(before Members) {
+func (c *Coordinator) MembersLoaded(before Members) {
 	c.known.state = recorded
 	switch {
 	case before != nil:
@@ -72,7 +72,7 @@
 
 // Unstored returns the members as they are to be stored, since some of them are not; nil if all
 // are.
-func (c *Coordinator) Unstored(now time.Time) Members {
+func (c *Coordinator) MembersToStore(now time.Time) Members {
 	if c.known.state != recorded {
 		return nil
 	}
@@ -101,7 +101,7 @@
 }
 
 // Stored notes that members are stored.
-func (c *Coordinator) Stored(fresh Members) {
+func (c *Coordinator) MembersStored(fresh Members) {
 	c.known.stored = fresh
 	c.redeal()
 }
@@ -112,17 +112,17 @@
 }
 
 // noteJoined notes that a router has told what it holds. Its stamp is the time since its life began.
-func (c *Coordinator) noteJoined(now time.Time, told Told) {
+func (c *Coordinator) noteJoined(now time.Time, told Report) {
 	k := &c.known
-	if told.Life >= k.joined[told.Node] {
-		k.joined[told.Node], k.began[told.Node] = told.Life, told.begun(now)
+	if told.Incarnation >= k.joined[told.Node] {
+		k.joined[told.Node], k.began[told.Node] = told.Incarnation, told.begun(now)
 	}
 	delete(k.heldUntil, told.Node)
 	c.noteHeard()
 }
 
 // begun is when the router's life had begun that has told this by a time.
-func (t Told) begun(now time.Time) time.Time {
+func (t Report) begun(now time.Time) time.Time {
 	return now.Add(-time.Duration(t.Stamp) * time.Millisecond)
 }
 
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,45 +6,45 @@
 )
 
 // Told is what a router tells the leader.
-type Told struct {
+type Report struct {
 	// Node names the router and Life when its process began, in milliseconds: a later life
 	// is proof that the earlier one has ended.
-	Node string `json:"n"`
-	Life int64  `json:"l"`
+	Node        string `json:"n"`
+	Incarnation int64  `json:"l"`
 	// Term is that of the leader which the router takes credits from.
 	Term owner.Term `json:"t,omitempty"`
 	// Number counts what the router has told, so that the leader sees what was lost.
-	Number uint64 `json:"i"`
+	Sequence uint64 `json:"i"`
 	// Ack is the number of the newest grant that the router has taken.
 	Ack uint64 `json:"q,omitempty"`
 	// Stamp is the router's time, in milliseconds since its epoch, and above zero.
 	Stamp int64 `json:"s"`
 	// All says that Tenants are all of which the router holds anything.
-	All bool `json:"a,omitempty"`
+	Full bool `json:"a,omitempty"`
 	// Tenants whose use has changed.
-	Tenants map[routing.TenantName]Use `json:"u,omitempty"`
+	Tenants map[routing.TenantName]TenantReport `json:"u,omitempty"`
 }
 
 // Use is what a router tells of a tenant: units in use, how many requests found none since it
 // told last, and, where all is told, the credit and the floor that it holds and the limit that it
 // knows, in units.
-type Use []int
+type TenantReport []int
 
-func (u Use) at(index int) int {
+func (u TenantReport) at(index int) int {
 	if index < len(u) {
 		return max(0, u[index])
 	}
 	return 0
 }
 
-func (u Use) used() int   { return u.at(0) }
-func (u Use) short() int  { return u.at(1) }
-func (u Use) credit() int { return u.at(2) }
-func (u Use) floor() int  { return u.at(3) }
+func (u TenantReport) used() int   { return u.at(0) }
+func (u TenantReport) short() int  { return u.at(1) }
+func (u TenantReport) credit() int { return u.at(2) }
+func (u TenantReport) floor() int  { return u.at(3) }
 
 // under returns the credit as it is under a limit: a router that knows a higher one lowers it
 // alike once it learns of this one.
-func (u Use) under(limit int) int {
+func (u TenantReport) under(limit int) int {
 	if told := u.at(4); told > limit {
 		return u.credit() * limit / told
 	}
@@ -53,16 +53,16 @@
 
 // Grant is what the leader tells one router.
 type Grant struct {
-	Node string     `json:"n"`
-	Life int64      `json:"l"`
-	Term owner.Term `json:"t"`
+	Node        string     `json:"n"`
+	Incarnation int64      `json:"l"`
+	Term        owner.Term `json:"t"`
 	// Number counts the grants to this router. Each holds all that the router has not
 	// acknowledged.
-	Number uint64 `json:"q,omitempty"`
+	Sequence uint64 `json:"q,omitempty"`
 	// Stamp is the newest one heard of the router, from which its lease counts.
 	Stamp int64 `json:"s,omitempty"`
 	// All asks the router to tell all that it holds.
-	All bool `json:"a,omitempty"`
+	FullReport bool `json:"a,omitempty"`
 	// WithheldMillis is for how much longer the leader withholds what others may hold, since it
 	// began lately.
 	WithheldMillis int64                         `json:"w,omitempty"`
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -13,23 +13,23 @@
 
 // Claims reports whether it is time to claim the reserve: what routers hold that have not told
 // it by now may be held by nobody.
-func (c *Coordinator) Claims(now time.Time) bool {
+func (c *Coordinator) ReserveClaimDue(now time.Time) bool {
 	return !c.first && !c.reserved && now.Sub(c.opened) >= reportsIn
 }
 
 // Leftovers are shares of tenants' limits, from 0 to 1, that routers may hold which have told
 // nothing. A tenant that is not named has none.
-type Leftovers struct {
+type UnreportedShares struct {
 	// All is the least share of all tenants.
 	All     float64                        `json:"all,omitempty"`
 	Tenants map[routing.TenantName]float64 `json:"tenants,omitempty"`
 }
 
 // of returns a tenant's share.
-func (l Leftovers) of(name routing.TenantName) float64 { return max(l.All, l.Tenants[name]) }
+func (l UnreportedShares) of(name routing.TenantName) float64 { return max(l.All, l.Tenants[name]) }
 
 // Sum adds up the shares of the tenants that are named.
-func (l Leftovers) Sum() float64 {
+func (l UnreportedShares) Sum() float64 {
 	sum := l.All
 	for _, share := range l.Tenants {
 		sum += share
@@ -39,8 +39,8 @@
 
 // Leftover returns what routers may hold that have told nothing, if leaders before have dealt
 // some shares beyond what is dealt of calm tenants.
-func (c *Coordinator) Leftover(dealt Leftovers) Leftovers {
-	left := Leftovers{Tenants: map[routing.TenantName]float64{}}
+func (c *Coordinator) Unreported(dealt UnreportedShares) UnreportedShares {
+	left := UnreportedShares{Tenants: map[routing.TenantName]float64{}}
 	for name, p := range c.pools {
 		share := float64(p.dealtBefore(dealt.of(name))-p.reported) / float64(max(1, p.limit))
 		if !c.busy[name] && share > 0 {
@@ -58,8 +58,8 @@
 
 // Reserved lets this leader deal at once what leaders before can't have dealt, of tenants that
 // were not marked as busy. Whoever calls it has told which are, and has stored the Leftover of
-// the same share for leaders that come within Bound.Unknown.
-func (c *Coordinator) Reserved(dealt Leftovers) {
+// the same share for leaders that come within Bound.TakeoverDelay.
+func (c *Coordinator) ReserveClaimed(dealt UnreportedShares) {
 	c.reserved = true
 	for name, p := range c.pools {
 		p.dirty = true
@@ -81,7 +81,7 @@
 		return p.dealt
 	case c.first, since > FloorLease+c.bound.rest():
 		return p.dealt
-	case since > c.bound.Unknown():
+	case since > c.bound.TakeoverDelay():
 		return min(p.dealt, p.limit-max(0, int(math.Ceil(floorShare*float64(p.unknown)))-p.floorsReported))
 	case c.reserved:
 		return min(p.dealt, max(p.reported, p.limit-max(0, p.unknown-p.reported)))
--- a/internal/quota/reserve_test.go
+++ b/internal/quota/reserve_test.go
@@ -21,23 +21,23 @@
 		after                 time.Duration
 		most                  int
 	}{
-		"calm":                       {reserved: true, most: allowed - bound.Dealt(tenant, false)},
+		"calm":                       {reserved: true, most: allowed - bound.Allocatable(tenant, false)},
 		"busy":                       {reserved: true, busy: true, most: 0},
 		"another has claimed it":     {most: 0},
-		"the first leader of all":    {first: true, most: bound.Dealt(tenant, false)},
+		"the first leader of all":    {first: true, most: bound.Allocatable(tenant, false)},
 		"the first, a busy tenant":   {first: true, busy: true, most: allowed},
-		"calm, once others' end":     {reserved: true, after: bound.Unknown() + time.Second, most: bound.Dealt(tenant, false)},
-		"busy, but for their floors": {reserved: true, busy: true, after: bound.Unknown() + time.Second, most: allowed - int(math.Ceil(floorShare*float64(allowed)))},
+		"calm, once others' end":     {reserved: true, after: bound.TakeoverDelay() + time.Second, most: bound.Allocatable(tenant, false)},
+		"busy, but for their floors": {reserved: true, busy: true, after: bound.TakeoverDelay() + time.Second, most: allowed - int(math.Ceil(floorShare*float64(allowed)))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			c := NewCoordinator(now, 2, test.first, bound)
-			c.Use(now, tenants(tenant))
+			c.SetTenants(now, tenants(tenant))
 			if test.busy {
-				c.Mark(tenant.Name)
+				c.MarkBusy(tenant.Name)
 			}
 			if test.reserved {
-				c.Reserved(Leftovers{})
+				c.ReserveClaimed(UnreportedShares{})
 			}
 			assert.Equal(t, c.most(now.Add(test.after), c.pools[tenant.Name]), test.most)
 		})
@@ -65,15 +65,15 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			c := NewCoordinator(now, 2, false, bound)
-			c.Use(now, tenants(tenant))
+			c.SetTenants(now, tenants(tenant))
 			if test.busy {
-				c.Mark(tenant.Name)
+				c.MarkBusy(tenant.Name)
 			}
-			credit := int(test.told * float64(bound.Dealt(tenant, false)))
-			c.Hear(now, Told{Node: "n", Life: 1, Number: 1, All: true, Tenants: map[routing.TenantName]Use{tenant.Name: {0, 0, credit}}})
-			assert.Assert(t, !c.Claims(now))
-			assert.Assert(t, c.Claims(now.Add(reportsIn)))
-			got := c.Leftover(Leftovers{Tenants: map[routing.TenantName]float64{tenant.Name: test.before}}).of(tenant.Name)
+			credit := int(test.told * float64(bound.Allocatable(tenant, false)))
+			c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 0, credit}}})
+			assert.Assert(t, !c.ReserveClaimDue(now))
+			assert.Assert(t, c.ReserveClaimDue(now.Add(reportsIn)))
+			got := c.Unreported(UnreportedShares{Tenants: map[routing.TenantName]float64{tenant.Name: test.before}}).of(tenant.Name)
 			assert.Assert(t, got >= test.leftover-0.01 && got <= test.leftover+0.01, "%v", got)
 		})
 	}
@@ -86,10 +86,10 @@
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	now := time.Unix(1000, 0)
 	c := NewCoordinator(now, 2, false, bound)
-	c.Use(now, tenants(tenant))
-	c.Mark(tenant.Name)
-	c.Hear(now, Told{Node: "n", Life: 1, Number: 1, All: true, Tenants: map[routing.TenantName]Use{tenant.Name: {0, 9, 0}}})
-	later := now.Add(bound.Unknown() + time.Second)
+	c.SetTenants(now, tenants(tenant))
+	c.MarkBusy(tenant.Name)
+	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
+	later := now.Add(bound.TakeoverDelay() + time.Second)
 	p := c.pools[tenant.Name]
 	p.floors = 100
 	assert.Equal(t, c.most(later, p), p.limit-int(math.Ceil(floorShare*float64(p.limit))))
@@ -102,9 +102,9 @@
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	now := time.Unix(1000, 0)
 	c := NewCoordinator(now, 1, true, bound)
-	c.Use(now, tenants(tenant))
-	c.Mark(tenant.Name)
-	p, calm := c.pools[tenant.Name], bound.Dealt(tenant, false)
+	c.SetTenants(now, tenants(tenant))
+	c.MarkBusy(tenant.Name)
+	p, calm := c.pools[tenant.Name], bound.Allocatable(tenant, false)
 	asks := func(after time.Duration, units int) {
 		now = now.Add(after)
 		c.judgeMark(now, tenant.Name, p, units, p.dealt)
@@ -117,17 +117,17 @@
 	asks(1, 10)
 	assert.Equal(t, p.dealt, calm)
 	p.booked = calm + 1
-	assert.Equal(t, len(c.Cooled()), 0, "routers may hold what they had")
+	assert.Equal(t, len(c.TenantsToUnmark()), 0, "routers may hold what they had")
 	asks(time.Second, p.limit)
 	assert.Equal(t, p.dealt, p.limit, "it asks for much again")
 	asks(time.Second, 10)
 	asks(coolFor, 10)
 	p.booked = calm
-	assert.DeepEqual(t, c.Cooled(), []routing.TenantName{"t"})
+	assert.DeepEqual(t, c.TenantsToUnmark(), []routing.TenantName{"t"})
 	asks(time.Second, p.limit)
 	assert.Equal(t, p.dealt, calm, "it gets no more until the mark is off")
-	assert.DeepEqual(t, c.Cooled(), []routing.TenantName{"t"}) // the store has not answered
-	c.Unmark("t")
+	assert.DeepEqual(t, c.TenantsToUnmark(), []routing.TenantName{"t"}) // the store has not answered
+	c.UnmarkBusy("t")
 	asks(time.Second, p.limit)
-	assert.DeepEqual(t, c.Wanted(), []routing.TenantName{"t"})
+	assert.DeepEqual(t, c.TenantsToMark(), []routing.TenantName{"t"})
 }
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -91,10 +91,10 @@
 	bound := Bound{Window: 5 * time.Second}
 	now := time.Unix(1000, 0)
 	c := NewCoordinator(now, 1, true, bound)
-	c.Use(now, tenants(tenant))
+	c.SetTenants(now, tenants(tenant))
 	c.AwaitMembers()
 	starts := func(node string, life int64) {
-		c.Hear(now, Told{Node: node, Life: life, Number: 1, Stamp: 1, All: true, Tenants: map[routing.TenantName]Use{tenant.Name: {0, 9, 0}}})
+		c.HandleReport(now, Report{Node: node, Incarnation: life, Sequence: 1, Stamp: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
 	}
 	given := func() int {
 		c.Tick(now, true, 2)
@@ -102,24 +102,24 @@
 	}
 	starts("a", 1)
 	assert.Equal(t, given(), 0, "it is not known yet whom to store")
-	c.TakeMembers(nil)
+	c.MembersLoaded(nil)
 	assert.Equal(t, given(), 0)
-	c.Stored(c.Unstored(now))
+	c.MembersStored(c.MembersToStore(now))
 	before := given()
 	assert.Assert(t, before > 0)
 	starts("b", 1)
 	given()
 	assert.Assert(t, c.members["b"].holds[tenant.Name] == nil || c.members["b"].holds[tenant.Name].booked == 0)
-	stored := c.Unstored(now)
+	stored := c.MembersToStore(now)
 	assert.DeepEqual(t, stored, Members{"a": 1, "b": 1})
 	starts("a", 2) // and is not stored in this life
 
 	next := NewCoordinator(now, 2, false, bound)
-	next.Use(now, tenants(tenant))
+	next.SetTenants(now, tenants(tenant))
 	next.AwaitMembers()
-	next.TakeMembers(Members{"a": 2, "b": 1})
+	next.MembersLoaded(Members{"a": 2, "b": 1})
 	hear := func(node string, life int64) {
-		next.Hear(now, Told{Node: node, Life: life, Number: 1, Stamp: 9000, All: true})
+		next.HandleReport(now, Report{Node: node, Incarnation: life, Sequence: 1, Stamp: 9000, Full: true})
 	}
 	hear("a", 1)
 	hear("b", 7)
@@ -132,9 +132,9 @@
 
 	old := NewCoordinator(now, 3, false, bound)
 	old.AwaitMembers()
-	old.TakeMembers(nil)
+	old.MembersLoaded(nil)
 	assert.Equal(t, old.known.state, notRecorded)
-	assert.Assert(t, old.Unstored(now) == nil)
+	assert.Assert(t, old.MembersToStore(now) == nil)
 }
 
 // What was spent in a life that has just ended may still be in a window, also where another leader
@@ -149,12 +149,12 @@
 			bound := Bound{Window: 5 * time.Second}
 			now := time.Unix(1000, 0)
 			c := NewCoordinator(now, 2, false, bound)
-			c.Use(now, tenants(tenant))
-			c.Mark(tenant.Name)
+			c.SetTenants(now, tenants(tenant))
+			c.MarkBusy(tenant.Name)
 			c.AwaitMembers()
-			c.TakeMembers(stored)
+			c.MembersLoaded(stored)
 			for node, stamp := range map[string]int64{"a": 4000, "b": 1000} { // b has begun a second ago
-				c.Hear(now, Told{Node: node, Life: 2, Number: 1, Stamp: stamp, All: true})
+				c.HandleReport(now, Report{Node: node, Incarnation: 2, Sequence: 1, Stamp: stamp, Full: true})
 			}
 			p, begun := c.pools[tenant.Name], now.Add(-time.Second)
 			assert.Equal(t, c.most(begun.Add(bound.rest()-time.Millisecond), p), 0)
--- a/internal/quota/tell.go
+++ b/internal/quota/tell.go
@@ -20,38 +20,38 @@
 }
 
 // Tell returns what the leader is to know; nil if that is nothing.
-func (h *Holder) Tell(now time.Time) *Told {
+func (h *Holder) Report(now time.Time) *Report {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	told := Told{Node: h.node, Life: h.life, Term: h.term, Ack: h.applied, Stamp: max(1, at.Milliseconds()), All: h.tellAll}
+	told := Report{Node: h.node, Incarnation: h.life, Term: h.term, Ack: h.applied, Stamp: max(1, at.Milliseconds()), Full: h.tellAll}
 	for name, a := range h.accounts {
 		a.spent.advance(at)
 		if use := h.useOf(a, at); use != nil {
 			if told.Tenants == nil {
-				told.Tenants = map[routing.TenantName]Use{}
+				told.Tenants = map[routing.TenantName]TenantReport{}
 			}
 			told.Tenants[name] = use
 		}
 	}
 	due := len(h.accounts) > 0 && at-h.toldAt >= renewEvery
-	all := told.All && (h.term > 0 || len(h.accounts) > 0)
+	all := told.Full && (h.term > 0 || len(h.accounts) > 0)
 	if !due && !all && len(told.Tenants) == 0 && h.applied == h.acked {
 		return nil
 	}
 	h.number++
-	told.Number = h.number
+	told.Sequence = h.number
 	h.toldAt, h.acked, h.tellAll = at, h.applied, false
 	return &told
 }
 
 // useOf returns what is to be told of an account; nil if that is nothing. The caller holds mu.
-func (h *Holder) useOf(a *account, at time.Duration) Use {
+func (h *Holder) useOf(a *account, at time.Duration) TenantReport {
 	used, credit := a.spent.used, h.credit(a, at)
 	if !h.tellAll && !a.mustTell && a.short == 0 && !a.tells(at, credit) {
 		return nil
 	}
-	use := Use{used}
+	use := TenantReport{used}
 	if a.short > 0 || h.tellAll {
 		use = append(use, a.short)
 	}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -27,7 +27,7 @@
 	queue []envelope
 	// leftover is the share that the last claim tells, which lapses at reserved, and busy are the
 	// tenants that are marked; all lie in the store.
-	leftover Leftovers
+	leftover UnreportedShares
 	reserved time.Time
 	busy     map[routing.TenantName]bool
 	// members are the stored ones; nil where none are, as they are not while unrecorded.
@@ -73,7 +73,7 @@
 type envelope struct {
 	at     time.Time
 	leader int
-	told   *Told
+	told   *Report
 	grant  Grant
 }
 
@@ -111,7 +111,7 @@
 	r.holder = NewHolder(w.now, r.node, r.lives, w.bound)
 	r.tenant, r.leader = w.tenant, len(w.leaders)-1
 	r.frozen = time.Time{}
-	r.holder.Use(tenants(r.tenant))
+	r.holder.SetTenants(tenants(r.tenant))
 }
 
 func tenants(tenant *routing.Tenant) map[routing.TenantName]*routing.Tenant {
@@ -131,12 +131,12 @@
 	}
 	term := owner.Term(len(w.leaders) + 1)
 	l := &testLeader{coordinator: NewCoordinator(w.now, term, term == 1, w.bound), authority: w.now.Add(authority)}
-	l.coordinator.Use(w.now, tenants(w.tenant))
+	l.coordinator.SetTenants(w.now, tenants(w.tenant))
 	if !w.unrecorded {
 		l.coordinator.AwaitMembers()
-		l.coordinator.TakeMembers(maps.Clone(w.members))
+		l.coordinator.MembersLoaded(maps.Clone(w.members))
 	}
-	l.coordinator.Mark(slices.Sorted(maps.Keys(w.busy))...)
+	l.coordinator.MarkBusy(slices.Sorted(maps.Keys(w.busy))...)
 	w.leaders = append(w.leaders, l)
 }
 
@@ -186,7 +186,7 @@
 			continue
 		}
 		r.reported = w.now
-		if told := r.holder.Tell(w.now); told != nil && !r.cut {
+		if told := r.holder.Report(w.now); told != nil && !r.cut {
 			w.send(envelope{leader: r.leader, told: told}, delay())
 		}
 	}
@@ -197,7 +197,7 @@
 		for _, grant := range l.coordinator.Tick(w.now, w.now.Before(l.authority), len(w.routers)) {
 			w.send(envelope{leader: index, grant: grant}, delay())
 		}
-		if wanted := l.coordinator.Wanted(); index == len(w.leaders)-1 && !l.lost && !w.away {
+		if wanted := l.coordinator.TenantsToMark(); index == len(w.leaders)-1 && !l.lost && !w.away {
 			w.mark(l, wanted)
 			w.unmark(l)
 			w.claim(l)
@@ -208,32 +208,32 @@
 
 // storeMembers stores the routers that a leader is about to give units.
 func (w *world) storeMembers(l *testLeader) {
-	if fresh := l.coordinator.Unstored(w.now); fresh != nil {
+	if fresh := l.coordinator.MembersToStore(w.now); fresh != nil {
 		w.members = maps.Clone(fresh)
-		l.coordinator.Stored(fresh)
+		l.coordinator.MembersStored(fresh)
 	}
 }
 
 // unmark takes off the marks of tenants that have cooled down.
 func (w *world) unmark(l *testLeader) {
-	cooled := l.coordinator.Cooled()
+	cooled := l.coordinator.TenantsToUnmark()
 	for _, name := range cooled {
 		delete(w.busy, name)
 	}
-	l.coordinator.Unmark(cooled...)
+	l.coordinator.UnmarkBusy(cooled...)
 }
 
 // claim lets a leader deal the reserve, once it has heard the routers.
 func (w *world) claim(l *testLeader) {
-	if !l.coordinator.Claims(w.now) {
+	if !l.coordinator.ReserveClaimDue(w.now) {
 		return
 	}
-	var before Leftovers
+	var before UnreportedShares
 	if w.now.Before(w.reserved) {
 		before = w.leftover
 	}
-	w.leftover, w.reserved = l.coordinator.Leftover(before), w.now.Add(w.bound.Unknown())
-	l.coordinator.Reserved(before)
+	w.leftover, w.reserved = l.coordinator.Unreported(before), w.now.Add(w.bound.TakeoverDelay())
+	l.coordinator.ReserveClaimed(before)
 }
 
 // mark stores which tenants are busy before the leader deals more of them.
@@ -241,7 +241,7 @@
 	for _, name := range names {
 		w.busy[name] = true
 	}
-	l.coordinator.Mark(names...)
+	l.coordinator.MarkBusy(names...)
 }
 
 // due reports whether a router reports now: regularly, or since something is urgent.
@@ -250,7 +250,7 @@
 		return true
 	}
 	select {
-	case <-r.holder.Urgent():
+	case <-r.holder.ReportTriggered():
 		return true
 	default:
 		return false
@@ -268,7 +268,7 @@
 			if l := w.leaders[e.leader]; w.now.Before(l.frozen) {
 				rest = append(rest, e)
 			} else if !l.killed {
-				l.coordinator.Hear(w.now, *e.told)
+				l.coordinator.HandleReport(w.now, *e.told)
 			}
 		default:
 			rest = append(rest, w.bring(e)...)
@@ -285,7 +285,7 @@
 		case w.now.Before(r.frozen):
 			return []envelope{e}
 		default:
-			r.holder.Granted(w.now, e.grant)
+			r.holder.ApplyGrant(w.now, e.grant)
 		}
 	}
 	return nil
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -120,7 +120,7 @@
 	hello := r.hello()
 	hello.Avoid, hello.Followers, hello.Nodes = f.avoid, r.hub.Followers(), int(r.nodes.Load())
 	follower := peerlink.Follower{
-		Hello: hello, Table: r.table, Take: r.report, Urgent: r.quotas.holder.Urgent(), TakeUrgent: r.quotas.report, Nodes: r.nodes,
+		Hello: hello, Table: r.table, Take: r.report, Urgent: r.quotas.holder.ReportTriggered(), TakeUrgent: r.quotas.report, Nodes: r.nodes,
 		Entries: r.entriesView.revision, List: r.entriesView.collectedUpTo, Config: r.config.coveredUpTo,
 		Heard: f.heard, Linked: f.told, Doubted: func() { f.doubt(ctx) }, Stays: f.stays, Applied: f.applied,
 	}
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -38,7 +38,7 @@
 	// coordinator is nil while this process does not lead.
 	coordinator *quota.Coordinator
 	// relayed waits to be passed on to the leader.
-	relayed []quota.Told
+	relayed []quota.Report
 	// used is the configuration whose tenants were taken.
 	used *routing.Config
 }
@@ -116,7 +116,7 @@
 }
 
 // tell returns what the leader is to know of this router, and of those that follow it.
-func (q *quotas) tell() []quota.Told {
+func (q *quotas) tell() []quota.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	told := q.relayed
@@ -128,31 +128,31 @@
 }
 
 // own returns what this router tells. The caller holds mu.
-func (q *quotas) own() *quota.Told {
+func (q *quotas) own() *quota.Report {
 	if config := q.r.proxy.Config(); config != nil && config != q.used {
 		q.used = config
-		q.holder.Use(config.Tenants)
+		q.holder.SetTenants(config.Tenants)
 	}
-	return q.holder.Tell(clock.Now())
+	return q.holder.Report(clock.Now())
 }
 
 // report is what is told between reports.
 func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.tell()} }
 
 // heard takes what linked routers tell: a leader books it, a relay passes it on.
-func (q *quotas) heard(told []quota.Told) {
+func (q *quotas) heard(told []quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.coordinator == nil {
 		if len(q.relayed)+len(told) <= mostRelayed {
 			q.relayed = append(q.relayed, told...)
 		}
-		q.holder.Hurry()
+		q.holder.TriggerReport()
 		return
 	}
 	now := refreshed()
 	for _, one := range told {
-		q.coordinator.Hear(now, one)
+		q.coordinator.HandleReport(now, one)
 	}
 	select {
 	case q.wake <- struct{}{}:
@@ -165,7 +165,7 @@
 	var others []quota.Grant
 	for _, grant := range grants {
 		if grant.Node == q.node {
-			q.holder.Granted(clock.Now(), grant)
+			q.holder.ApplyGrant(clock.Now(), grant)
 		} else {
 			others = append(others, grant)
 		}
@@ -182,7 +182,7 @@
 	coordinator := quota.NewCoordinator(opened, term, term == 1, q.bound)
 	coordinator.AwaitMembers()
 	if config := q.r.proxy.Config(); config != nil {
-		coordinator.Use(opened, config.Tenants)
+		coordinator.SetTenants(opened, config.Tenants)
 	}
 	q.lead(coordinator)
 	defer q.lead(nil)
@@ -190,7 +190,7 @@
 	ticker := time.NewTicker(quotaTick)
 	defer ticker.Stop()
 	for {
-		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.Tenants() > 0) {
+		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.TenantCount() > 0) {
 			grants, lowered := q.step(config, coordinator, tenure.Until())
 			q.granted(grants)
 			if lowered {
@@ -220,14 +220,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := refreshed()
-	lowered = coordinator.Use(now, config.Tenants)
+	lowered = coordinator.SetTenants(now, config.Tenants)
 	if own := q.own(); own != nil {
-		coordinator.Hear(now, *own)
+		coordinator.HandleReport(now, *own)
 	}
 	grants = coordinator.Tick(now, now.Before(authority), nodes)
 	for _, change := range coordinator.Changes() {
-		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Dealt).
-			Int("used", change.Used).Int("booked", change.Booked).Int("withheld", change.Withheld).Int("missing", change.Missing).
+		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Allocatable).
+			Int("used", change.Used).Int("booked", change.Outstanding).Int("withheld", change.Withheld).Int("missing", change.Missing).
 			Float64("age", change.Age.Seconds()).Msg("")
 	}
 	return grants, lowered
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -46,10 +46,10 @@
 
 func TestARelayPassesQuotasOn(t *testing.T) {
 	r := newTestRouter(t)
-	r.quotas.heard([]quota.Told{{Node: "other", Number: 7}})
+	r.quotas.heard([]quota.Report{{Node: "other", Sequence: 7}})
 	report := r.report()
 	assert.Equal(t, len(report.Quota), 1)
-	assert.Equal(t, report.Quota[0].Number, uint64(7))
+	assert.Equal(t, report.Quota[0].Sequence, uint64(7))
 	assert.Assert(t, !report.Empty())
 	assert.Equal(t, len(r.report().Quota), 0)
 }
@@ -69,9 +69,9 @@
 	now := clock.Now()
 	tenant := &routing.Tenant{Name: "a", Rate: 1e9, Burst: 1}
 	q := &quotas{holder: quota.NewHolder(now, "n", 1, quota.Bound{Window: 5 * time.Second})}
-	q.holder.Use(map[routing.TenantName]*routing.Tenant{"a": tenant})
-	q.holder.Granted(now, quota.Grant{
-		Node: "n", Life: 1, Term: 1, Number: 1, Stamp: int64(time.Hour / time.Millisecond),
+	q.holder.SetTenants(map[routing.TenantName]*routing.Tenant{"a": tenant})
+	q.holder.ApplyGrant(now, quota.Grant{
+		Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: int64(time.Hour / time.Millisecond),
 		Credits: map[routing.TenantName]quota.Credit{"a": {5_000_000_001, 5_000_000_001, 0}},
 	})
 	b.ReportAllocs()
@@ -102,14 +102,14 @@
 		}
 		claim := func() {
 			c := quota.NewCoordinator(clock.Now(), 2, false, r.quotas.bound)
-			c.Use(clock.Now(), map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 100}})
+			c.SetTenants(clock.Now(), map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 100}})
 			assert.Assert(t, r.quotas.claim(t.Context(), tenure, c).claimed)
 		}
 		claim()
 		assert.Assert(t, stands() > 0.5 && stands() < 0.7, "nobody has told anything: %v", stands())
 		claim()
 		assert.Equal(t, stands(), 1.0, "nor since")
-		time.Sleep(r.quotas.bound.Unknown())
+		time.Sleep(r.quotas.bound.TakeoverDelay())
 		assert.Equal(t, stands(), 1.0, "it stands for longer than what it guards")
 		time.Sleep(2 * reserveMargin)
 		assert.Equal(t, stands(), -1.0)
--- a/internal/router/quotamarks.go
+++ b/internal/router/quotamarks.go
@@ -48,7 +48,7 @@
 	for clock.Sleep(ctx, marksLook) {
 		q.keepMembers(ctx, tenure, coordinator, &members)
 		q.mu.Lock()
-		wanted, cooled := coordinator.Wanted(), coordinator.Cooled()
+		wanted, cooled := coordinator.TenantsToMark(), coordinator.TenantsToUnmark()
 		q.mu.Unlock()
 		if len(wanted)+len(cooled) > 0 && q.storeMarks(ctx, tenure, &marks, wanted, cooled) {
 			q.mark(coordinator, wanted)
@@ -62,13 +62,13 @@
 func (q *quotas) unmark(coordinator *quota.Coordinator, names []routing.TenantName) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	coordinator.Unmark(names...)
+	coordinator.UnmarkBusy(names...)
 }
 
 func (q *quotas) mark(coordinator *quota.Coordinator, names []routing.TenantName) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	coordinator.Mark(names...)
+	coordinator.MarkBusy(names...)
 }
 
 // loadMarks reads the stored marks; false if ctx ended before.
--- a/internal/router/quotamarks_test.go
+++ b/internal/router/quotamarks_test.go
@@ -51,7 +51,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				coordinator := quota.NewCoordinator(clock.Now(), 2, false, r.quotas.bound)
-				coordinator.Use(clock.Now(), config.Tenants)
+				coordinator.SetTenants(clock.Now(), config.Tenants)
 				if test.deposed {
 					tenure.Leader.Revision++
 				}
@@ -60,7 +60,7 @@
 				wantAll(r, coordinator)
 				time.Sleep(3 * marksLook)
 				r.quotas.mu.Lock()
-				assert.Equal(t, len(coordinator.Wanted()) == 0, !test.deposed)
+				assert.Equal(t, len(coordinator.TenantsToMark()) == 0, !test.deposed)
 				r.quotas.mu.Unlock()
 				if test.deposed {
 					return
@@ -78,6 +78,6 @@
 	r.quotas.mu.Lock()
 	defer r.quotas.mu.Unlock()
 	now := clock.Now()
-	coordinator.Hear(now, quota.Told{Node: "n", Life: 1, Number: 1, All: true, Stamp: 1, Tenants: map[routing.TenantName]quota.Use{"a": {44, 0, 45}}})
+	coordinator.HandleReport(now, quota.Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Stamp: 1, Tenants: map[routing.TenantName]quota.TenantReport{"a": {44, 0, 45}}})
 	coordinator.Tick(now, true, 1)
 }
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -28,7 +28,7 @@
 		if err == nil {
 			before := q.membersOf(item, found)
 			q.mu.Lock()
-			coordinator.TakeMembers(before)
+			coordinator.MembersLoaded(before)
 			q.mu.Unlock()
 			return storedMembers{revision: item.Revision}, true
 		}
@@ -61,7 +61,7 @@
 // is not known to be done is tried again.
 func (q *quotas) keepMembers(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, stored *storedMembers) {
 	q.mu.Lock()
-	fresh := coordinator.Unstored(clock.Now())
+	fresh := coordinator.MembersToStore(clock.Now())
 	q.mu.Unlock()
 	if fresh == nil {
 		return
@@ -88,5 +88,5 @@
 	stored.revision = revision
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	coordinator.Stored(fresh)
+	coordinator.MembersStored(fresh)
 }
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -34,7 +34,7 @@
 // The claim is a key in the store that lapses by itself once what it tells of has. It is written
 // anew as more routers tell what they hold.
 func (q *quotas) claimReserve(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) {
-	end := clock.Now().Add(q.bound.Unknown())
+	end := clock.Now().Add(q.bound.TakeoverDelay())
 	var written reservation
 	for ctx.Err() == nil && clock.Now().Before(end) {
 		pause := reservePause
@@ -55,13 +55,13 @@
 func (q *quotas) claims(coordinator *quota.Coordinator) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return coordinator.Claims(clock.Now())
+	return coordinator.ReserveClaimDue(clock.Now())
 }
 
-func (q *quotas) leftover(coordinator *quota.Coordinator, before quota.Leftovers) quota.Leftovers {
+func (q *quotas) leftover(coordinator *quota.Coordinator, before quota.UnreportedShares) quota.UnreportedShares {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return coordinator.Leftover(before)
+	return coordinator.Unreported(before)
 }
 
 // reservation is a claim that was written.
@@ -69,7 +69,7 @@
 	claimed bool
 	// revision of the claim, before is what the one before told, and leftover what this one tells.
 	revision         coord.Revision
-	before, leftover quota.Leftovers
+	before, leftover quota.UnreportedShares
 }
 
 // claim writes a leader's claim after it has read that of the one before.
@@ -85,11 +85,11 @@
 		one.before = leftoverOf(item)
 	}
 	one.leftover = q.leftover(coordinator, one.before)
-	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.leftover, q.bound.Unknown())
+	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.leftover, q.bound.TakeoverDelay())
 	if one.claimed {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		coordinator.Reserved(one.before)
+		coordinator.ReserveClaimed(one.before)
 	}
 	return one
 }
@@ -108,10 +108,10 @@
 }
 
 // leftoverOf reads a claim: one that can't be read leaves all over.
-func leftoverOf(item coord.Item) quota.Leftovers {
-	var left quota.Leftovers
+func leftoverOf(item coord.Item) quota.UnreportedShares {
+	var left quota.UnreportedShares
 	if err := json.Unmarshal(item.Value, &left); err != nil || left.All < 0 || left.All > 1 {
-		return quota.Leftovers{All: 1}
+		return quota.UnreportedShares{All: 1}
 	}
 	return left
 }
@@ -137,13 +137,13 @@
 	if err != nil {
 		return false
 	}
-	_, done := q.writeClaim(bounded, tenure, item.Revision, quota.Leftovers{All: 1}, q.bound.Unknown())
+	_, done := q.writeClaim(bounded, tenure, item.Revision, quota.UnreportedShares{All: 1}, q.bound.TakeoverDelay())
 	return done
 }
 
 // writeClaim replaces the claim of a revision, zero if there is none, by one that stands for as
 // long as needed; false if that is not known to be done.
-func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.Leftovers, needed time.Duration) (coord.Revision, bool) {
+func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.UnreportedShares, needed time.Duration) (coord.Revision, bool) {
 	value, err := json.Marshal(leftover)
 	if err != nil {
 		panic(err) // plain data
