--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -120,7 +120,7 @@
 	hello := r.hello()
 	hello.Avoid, hello.Followers, hello.Nodes = f.avoid, r.hub.Followers(), int(r.nodes.Load())
 	follower := peerlink.Follower{
-		Hello: hello, Table: r.table, TakeReport: r.report, Urgent: r.quotas.holder.Urgent(), TakeUrgentReport: r.quotas.report, Nodes: r.nodes,
+		Hello: hello, Table: r.table, TakeReport: r.report, Urgent: r.quotas.holder.ReportTriggered(), TakeUrgentReport: r.quotas.report, Nodes: r.nodes,
 		EntriesRevision: r.entriesView.revision, ListPosition: r.entriesView.partialListUpTo, ConfigRevision: r.config.coveredRevision,
 		OnUpdate: f.handleUpdate, OnFirstUpdate: f.onLinked, OnLeadershipUncertain: func() { f.awaitSuccessor(ctx) }, KeepFollowing: f.keepsRelay, OnOwnersApplied: f.relayOwners,
 	}
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -38,7 +38,7 @@
 	// coordinator is nil while this process does not lead.
 	coordinator *quota.Coordinator
 	// relayed waits to be passed on to the leader.
-	relayed []quota.Told
+	relayed []quota.Report
 	// used is the configuration whose tenants were taken.
 	usedConfig *routing.Config
 }
@@ -116,7 +116,7 @@
 }
 
 // tell returns what the leader is to know of this router, and of those that follow it.
-func (q *quotas) collectReports() []quota.Told {
+func (q *quotas) collectReports() []quota.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	reports := q.relayed
@@ -128,31 +128,31 @@
 }
 
 // own returns what this router tells. The caller holds mu.
-func (q *quotas) ownReport() *quota.Told {
+func (q *quotas) ownReport() *quota.Report {
 	if config := q.r.proxy.Config(); config != nil && config != q.usedConfig {
 		q.usedConfig = config
-		q.holder.Use(config.Tenants)
+		q.holder.SetTenants(config.Tenants)
 	}
-	return q.holder.Tell(clock.Now())
+	return q.holder.Report(clock.Now())
 }
 
 // report is what is told between reports.
 func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.collectReports()} }
 
 // heard takes what linked routers tell: a leader books it, a relay passes it on.
-func (q *quotas) handleReports(reports []quota.Told) {
+func (q *quotas) handleReports(reports []quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.coordinator == nil {
 		if len(q.relayed)+len(reports) <= maxRelayed {
 			q.relayed = append(q.relayed, reports...)
 		}
-		q.holder.Hurry()
+		q.holder.TriggerReport()
 		return
 	}
 	now := refreshedNow()
 	for _, one := range reports {
-		q.coordinator.Hear(now, one)
+		q.coordinator.HandleReport(now, one)
 	}
 	select {
 	case q.wake <- struct{}{}:
@@ -165,7 +165,7 @@
 	var others []quota.Grant
 	for _, grant := range grants {
 		if grant.Node == q.node {
-			q.holder.Granted(clock.Now(), grant)
+			q.holder.ApplyGrant(clock.Now(), grant)
 		} else {
 			others = append(others, grant)
 		}
@@ -182,7 +182,7 @@
 	coordinator := quota.NewCoordinator(startedAt, term, term == 1, q.bound)
 	coordinator.AwaitMembers()
 	if config := q.r.proxy.Config(); config != nil {
-		coordinator.Use(startedAt, config.Tenants)
+		coordinator.SetTenants(startedAt, config.Tenants)
 	}
 	q.setCoordinator(coordinator)
 	defer q.setCoordinator(nil)
@@ -190,7 +190,7 @@
 	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
 	for {
-		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.Tenants() > 0) {
+		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.TenantCount() > 0) {
 			grants, lowered := q.step(config, coordinator, tenure.Until())
 			q.handleGrants(grants)
 			if lowered {
@@ -220,14 +220,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := refreshedNow()
-	lowered = coordinator.Use(now, config.Tenants)
+	lowered = coordinator.SetTenants(now, config.Tenants)
 	if own := q.ownReport(); own != nil {
-		coordinator.Hear(now, *own)
+		coordinator.HandleReport(now, *own)
 	}
 	grants = coordinator.Tick(now, now.Before(authority), nodes)
 	for _, change := range coordinator.Changes() {
-		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Dealt).
-			Int("used", change.Used).Int("booked", change.Booked).Int("withheld", change.Withheld).Int("missing", change.Missing).
+		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Allocatable).
+			Int("used", change.Used).Int("booked", change.Outstanding).Int("withheld", change.Withheld).Int("missing", change.Missing).
 			Float64("age", change.Age.Seconds()).Msg("")
 	}
 	return grants, lowered
