--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -123,7 +123,7 @@
 			Str("id", c.message.ID).AnErr("error", result.Err).Msg("")
 	}
 	if c.service.Keyed && (result.Outcome == upstream.Answered || result.Outcome == upstream.Late) {
-		p.Meter.Served(worker.ID, result.Took)
+		p.Meter.CountResponse(worker.ID, result.Took)
 	}
 	if result.Outcome == upstream.Answered {
 		c.weigh(&worker, &result)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -288,7 +288,7 @@
 				return false
 			})
 			f := newTestProxy(t, w.entry("pool"))
-			moving := owner.Owner{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "k", Moving: true}
+			moving := owner.Owner{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: "k", Moving: true}
 			f.proxy.Table.Replace(1, "keyed", []owner.Owner{moving})
 			go func() {
 				if c.path != "/keyed-once/" {
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -18,7 +18,7 @@
 
 // A leader keeps the books for itself and for those that tell it, by the way on which it heard
 // them; what a relay does not lead it passes on.
-func TestALeaderGrantsItsOwnRouter(t *testing.T) {
+func TestLeaderGrantsItsOwnRouter(t *testing.T) {
 	r := newTestRouter(t)
 	config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 10, Burst: 5}})
 	assert.NilError(t, err)
@@ -29,11 +29,11 @@
 	assert.Assert(t, refused.IsZero(), "no leader has given anything")
 	assert.Assert(t, wait > 0)
 	coordinator := quota.NewCoordinator(clock.Now(), 1, true, r.quotas.bound)
-	r.quotas.lead(coordinator)
+	r.quotas.setCoordinator(coordinator)
 	for range 3 { // it asks for all, hears all, and grants
 		grants, lowered := r.quotas.step(config, coordinator, clock.Now().Add(time.Minute))
 		assert.Assert(t, !lowered)
-		r.quotas.granted(grants)
+		r.quotas.handleGrants(grants)
 	}
 	granted, _ := r.quotas.Take(t.Context(), tenant)
 	assert.Assert(t, !granted.IsZero())
@@ -44,24 +44,24 @@
 	assert.Equal(t, r.quotas.holder.Usages(clock.Now())[0].Used, 0)
 }
 
-func TestARelayPassesQuotasOn(t *testing.T) {
+func TestRelayForwardsQuotaReports(t *testing.T) {
 	r := newTestRouter(t)
-	r.quotas.heard([]quota.Told{{Node: "other", Number: 7}})
+	r.quotas.handleReports([]quota.Report{{Node: "other", Sequence: 7}})
 	report := r.report()
 	assert.Equal(t, len(report.Quota), 1)
-	assert.Equal(t, report.Quota[0].Number, uint64(7))
+	assert.Equal(t, report.Quota[0].Sequence, uint64(7))
 	assert.Assert(t, !report.Empty())
 	assert.Equal(t, len(r.report().Quota), 0)
 }
 
-func TestMetricsNameABoundedNumberOfTenants(t *testing.T) {
-	usages := make([]quota.Usage, mostTenantSeries+20)
+func TestTenantMetricSeriesAreBounded(t *testing.T) {
+	usages := make([]quota.Usage, maxTenantSeries+20)
 	for index := range usages {
 		usages[index] = quota.Usage{Tenant: routing.TenantName(fmt.Sprint(index)), Refused: 1}
 	}
-	list := named(usages)
-	assert.Equal(t, len(list), mostTenantSeries+1)
-	assert.Equal(t, list[mostTenantSeries].Refused, uint64(20))
+	list := capSeries(usages)
+	assert.Equal(t, len(list), maxTenantSeries+1)
+	assert.Equal(t, list[maxTenantSeries].Refused, uint64(20))
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -69,9 +69,9 @@
 	now := clock.Now()
 	tenant := &routing.Tenant{Name: "a", Rate: 1e9, Burst: 1}
 	q := &quotas{holder: quota.NewHolder(now, "n", 1, quota.Bound{Window: 5 * time.Second})}
-	q.holder.Use(map[routing.TenantName]*routing.Tenant{"a": tenant})
-	q.holder.Granted(now, quota.Grant{
-		Node: "n", Life: 1, Term: 1, Number: 1, Stamp: int64(time.Hour / time.Millisecond),
+	q.holder.SetTenants(map[routing.TenantName]*routing.Tenant{"a": tenant})
+	q.holder.ApplyGrant(now, quota.Grant{
+		Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: int64(time.Hour / time.Millisecond),
 		Credits: map[routing.TenantName]quota.Credit{"a": {5_000_000_001, 5_000_000_001, 0}},
 	})
 	b.ReportAllocs()
@@ -82,7 +82,7 @@
 
 // A claim tells the next leader what the one before did not know to be held, for as long as it may
 // be; a lower limit bars the reserve.
-func TestClaimsOfTheReserveFollowOneAnother(t *testing.T) {
+func TestReserveClaimsBuildOnThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
 		r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
@@ -98,22 +98,22 @@
 			if !found {
 				return -1
 			}
-			return leftoverOf(item).Sum()
+			return unreportedOf(item).Sum()
 		}
 		claim := func() {
 			c := quota.NewCoordinator(clock.Now(), 2, false, r.quotas.bound)
-			c.Use(clock.Now(), map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 100}})
+			c.SetTenants(clock.Now(), map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 100}})
 			assert.Assert(t, r.quotas.claim(t.Context(), tenure, c).claimed)
 		}
 		claim()
 		assert.Assert(t, stands() > 0.5 && stands() < 0.7, "nobody has told anything: %v", stands())
 		claim()
 		assert.Equal(t, stands(), 1.0, "nor since")
-		time.Sleep(r.quotas.bound.Unknown())
+		time.Sleep(r.quotas.bound.TakeoverDelay())
 		assert.Equal(t, stands(), 1.0, "it stands for longer than what it guards")
 		time.Sleep(2 * reserveMargin)
 		assert.Equal(t, stands(), -1.0)
-		assert.Assert(t, r.quotas.barOnce(t.Context(), tenure))
+		assert.Assert(t, r.quotas.tryBlockReserve(t.Context(), tenure))
 		assert.Equal(t, stands(), 1.0)
 	})
 }
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -22,23 +22,23 @@
 
 // loadMembers tells a coordinator which routers leaders before may have given units; false if ctx
 // ended before.
-func (q *quotas) loadMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
+func (q *quotas) awaitMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
 	for ctx.Err() == nil {
 		item, found, err := q.getMembers(ctx)
 		if err == nil {
 			before := q.membersOf(item, found)
 			q.mu.Lock()
-			coordinator.TakeMembers(before)
+			coordinator.MembersLoaded(before)
 			q.mu.Unlock()
 			return storedMembers{revision: item.Revision}, true
 		}
-		clock.Sleep(ctx, reservePause)
+		clock.Sleep(ctx, reserveRetryPause)
 	}
 	return storedMembers{}, false
 }
 
 func (q *quotas) getMembers(ctx context.Context) (coord.Item, bool, error) {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	return q.r.adapter.Store.Get(bounded, KeyPrefix+membersKey)
 }
@@ -61,7 +61,7 @@
 // is not known to be done is tried again.
 func (q *quotas) keepMembers(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, stored *storedMembers) {
 	q.mu.Lock()
-	fresh := coordinator.Unstored(clock.Now())
+	fresh := coordinator.MembersToStore(clock.Now())
 	q.mu.Unlock()
 	if fresh == nil {
 		return
@@ -70,7 +70,7 @@
 	if err != nil {
 		panic(err) // plain data
 	}
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	revision, err := q.r.adapter.Store.Commit(bounded, coord.Txn{
 		Conditions: []coord.Condition{
@@ -88,5 +88,5 @@
 	stored.revision = revision
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	coordinator.Stored(fresh)
+	coordinator.MembersStored(fresh)
 }
