--- a/internal/fair/ledger_test.go
+++ b/internal/fair/ledger_test.go
@@ -13,7 +13,7 @@
 var began = time.Unix(1000, 0)
 
 // asked is a ledger of which callers have asked so often, and for which there was no room so often.
-func asked(lost int, counts map[Caller]int) *Ledger {
+func newLedger(lost int, counts map[Caller]int) *Ledger {
 	l := &Ledger{}
 	for caller, count := range counts {
 		for range count {
@@ -26,23 +26,23 @@
 	return l
 }
 
-func TestOnlyWhoIsBeyondItsShareIsRefused(t *testing.T) {
+func TestOnlyCallersBeyondTheirShareAreRefused(t *testing.T) {
 	a, b, c := Caller{Name: "a"}, Caller{Name: "b"}, Caller{Name: "c"}
-	l := asked(50, map[Caller]int{a: 100, b: 10, c: 5})
+	l := newLedger(50, map[Caller]int{a: 100, b: 10, c: 5})
 	assert.Equal(t, l.RefusalShares(began, b).Own, 0.0)
 	assert.Equal(t, l.RefusalShares(began, c).Own, 0.0)
 	shares := l.RefusalShares(began, a)
 	assert.Assert(t, shares.Own > shares.All && shares.All > 0, "%+v", shares)
 }
 
-func TestNobodyIsRefusedWhereThereIsRoom(t *testing.T) {
+func TestNoRefusalsWithoutShortage(t *testing.T) {
 	a, b := Caller{Name: "a"}, Caller{Name: "b"}
-	l := asked(5, map[Caller]int{a: 100, b: 10})
+	l := newLedger(5, map[Caller]int{a: 100, b: 10})
 	assert.Equal(t, l.RefusalShares(began, a), RefusalShares{})
 }
 
 // A limit is a weight: who may ask for more has more.
-func TestShareGoesByWeight(t *testing.T) {
+func TestSharesFollowWeights(t *testing.T) {
 	l, large, small := &Ledger{}, Caller{Name: "large"}, Caller{Name: "small"}
 	for range 100 {
 		l.RecordRequest(began, large, 5)
@@ -58,24 +58,24 @@
 }
 
 // Urgent requests that take all the room leave some to the others.
-func TestTheLessUrgentAreNotStarved(t *testing.T) {
+func TestLowPriorityIsNotStarved(t *testing.T) {
 	urgent, other := Caller{Name: "a"}, Caller{Name: "b", Priority: 1}
-	l := asked(100, map[Caller]int{urgent: 100, other: 100})
+	l := newLedger(100, map[Caller]int{urgent: 100, other: 100})
 	shares := l.RefusalShares(began, other)
-	assert.Assert(t, 1-shares.Own > starved*(1-shares.All), "%+v", shares)
+	assert.Assert(t, 1-shares.Own > starvedRatio*(1-shares.All), "%+v", shares)
 	assert.Assert(t, l.RefusalShares(began, urgent).Own < shares.Own)
 }
 
 // A worker may be short of more, or of less, than the ledger knows of: as many are refused as
 // must be, and no caller is starved.
-func TestAsManyAreRefusedAsMustBe(t *testing.T) {
+func TestScaledRefusalsMatchOverallShare(t *testing.T) {
 	counts := map[Caller]int{{Name: "a"}: 100, {Name: "b"}: 10, {Name: "c"}: 40, {Name: "d", Priority: 1}: 20}
-	l := asked(60, counts)
+	l := newLedger(60, counts)
 	for _, all := range []float64{0, 0.1, 0.3, 0.6, 0.9, 1} {
 		refused, total := 0.0, 0.0
 		for caller, count := range counts {
 			chosen := l.RefusalShares(began, caller).Scaled(all)
-			assert.Assert(t, 1-chosen >= leastServed*(1-all)-1e-6, "%v is starved: %f of %f", caller, chosen, all)
+			assert.Assert(t, 1-chosen >= minServedRatio*(1-all)-1e-6, "%v is starved: %f of %f", caller, chosen, all)
 			refused += chosen * float64(count)
 			total += float64(count)
 		}
@@ -84,9 +84,9 @@
 	assert.Equal(t, RefusalShares{}.Scaled(0.4), 0.4, "where nothing is known, chance decides")
 }
 
-func TestAFloodIsForgotten(t *testing.T) {
+func TestPastFloodIsForgotten(t *testing.T) {
 	a, b := Caller{Name: "a"}, Caller{Name: "b"}
-	l := asked(50, map[Caller]int{a: 100, b: 10})
+	l := newLedger(50, map[Caller]int{a: 100, b: 10})
 	later := began.Add(6 * window)
 	for range 10 {
 		l.RecordRequest(later, a, 1)
@@ -96,23 +96,23 @@
 	assert.Equal(t, max(0, l.YieldShare(later, a)), 0.0)
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestShareRefusalChangesAreReportedOnce(t *testing.T) {
 	a := Caller{Name: "a"}
-	l := asked(5, map[Caller]int{a: 10})
+	l := newLedger(5, map[Caller]int{a: 10})
 	var told []int
-	for index := range 3 * telling {
+	for index := range 3 * refusalThreshold {
 		if l.RecordShareRefusal(began, a) {
 			told = append(told, index+1)
 		}
 	}
-	assert.DeepEqual(t, told, []int{telling})
-	assert.Assert(t, !l.RecordRequest(began.Add(endedAfter/2), a, 1))
-	assert.Assert(t, l.RecordRequest(began.Add(endedAfter), a, 1))
-	assert.Assert(t, !l.RecordRequest(began.Add(endedAfter), a, 1))
+	assert.DeepEqual(t, told, []int{refusalThreshold})
+	assert.Assert(t, !l.RecordRequest(began.Add(refusalsEndAfter/2), a, 1))
+	assert.Assert(t, l.RecordRequest(began.Add(refusalsEndAfter), a, 1))
+	assert.Assert(t, !l.RecordRequest(began.Add(refusalsEndAfter), a, 1))
 }
 
 // Callers beyond the bound are refused as all are, and those that are gone make room for others.
-func TestTenantsAreBounded(t *testing.T) {
+func TestCallerCountIsBounded(t *testing.T) {
 	l := &Ledger{}
 	for index := range 3 * MaxCallers {
 		l.RecordRequest(began, Caller{Name: fmt.Sprint(index)}, 1)
@@ -120,13 +120,13 @@
 	for range MaxCallers {
 		l.RecordUnserved(began)
 	}
-	assert.Equal(t, len(l.lanes), MaxCallers)
+	assert.Equal(t, len(l.callers), MaxCallers)
 	shares := l.RefusalShares(began, Caller{Name: "beyond the bound"})
 	assert.Assert(t, shares.All > 0)
 	assert.Equal(t, shares.Own, shares.All)
 	l.RecordRequest(began.Add(rebaseAfter*window), Caller{Name: "new"}, 1)
 	l.RecordRequest(began.Add(rebaseAfter*window), Caller{Name: "new"}, 1)
-	assert.Assert(t, len(l.lanes) <= 1, "%d", len(l.lanes))
+	assert.Assert(t, len(l.callers) <= 1, "%d", len(l.callers))
 }
 
 // Whatever callers ask for: all that there is room for is given, a caller that asks for less by
@@ -151,7 +151,7 @@
 		for caller, count := range counts {
 			shares := l.RefusalShares(began, caller)
 			given += (1 - shares.Own) * float64(count)
-			assert.Assert(t, 1-shares.Own >= leastServed*(1-shares.All)-1e-6, "%v is starved: %+v", caller, shares)
+			assert.Assert(t, 1-shares.Own >= minServedRatio*(1-shares.All)-1e-6, "%v is starved: %+v", caller, shares)
 			for other, asks := range counts {
 				rank, otherRank := float64(count)/weights[caller], float64(asks)/weights[other]
 				own := l.RefusalShares(began, other).Own
@@ -159,14 +159,14 @@
 				if caller.Priority == other.Priority && rank <= otherRank && !protected {
 					assert.Assert(t, shares.Own <= own+1e-6 || own < 1e-6 && shares.Own < 1e-6, "%v is refused before %v", caller, other)
 				}
-				floor := 1 - leastServed*(1-shares.All)
+				floor := 1 - minServedRatio*(1-shares.All)
 				if caller.Priority < other.Priority && shares.Own > 1e-6 {
 					assert.Assert(t, own >= floor-1e-6 || protected, "urgent %v is refused before %v", caller, other)
 				}
 			}
 		}
 		room := float64(total)
-		if served := max(0, l.wanted-l.lost); room > shortFactor*served+1 {
+		if served := max(0, l.requests-l.unserved); room > shortageFactor*served+1 {
 			room = served + 1
 		}
 		assert.Assert(t, given >= room-1e-3 && given <= room+float64(len(counts))+1e-3, "given %f of %f", given, room)
--- a/internal/fair/shares.go
+++ b/internal/fair/shares.go
@@ -9,82 +9,82 @@
 // refresh works out anew which share of each caller's requests is refused, unless that was done
 // just now. The caller holds mu.
 func (l *Ledger) refresh(now time.Time, scale float64) {
-	if now.Sub(l.refreshed) < refreshEvery {
+	if now.Sub(l.refreshedAt) < refreshInterval {
 		return
 	}
-	l.refreshed = now
-	wanted := l.wanted / scale
-	served := max(0, l.wanted-l.lost) / scale
-	l.average = 0
-	if wanted > shortFactor*served+1 {
-		l.average = 1 - (served+1)/wanted
+	l.refreshedAt = now
+	requests := l.requests / scale
+	served := max(0, l.requests-l.unserved) / scale
+	l.overallRefused = 0
+	if requests > shortageFactor*served+1 {
+		l.overallRefused = 1 - (served+1)/requests
 	}
-	classes := map[int][]*lane{}
-	for caller, known := range l.lanes {
-		known.refused = 0
-		classes[caller.Priority] = append(classes[caller.Priority], known)
+	classes := map[int][]*callerStats{}
+	for caller, stats := range l.callers {
+		stats.refusedShare = 0
+		classes[caller.Priority] = append(classes[caller.Priority], stats)
 	}
-	if l.average > 0 {
-		l.share(classes, scale)
+	if l.overallRefused > 0 {
+		l.distribute(classes, scale)
 	}
 }
 
 // share gives what there is room for to the classes in order of their priority, after each lane
 // has got the least that it must get. The caller holds mu.
-func (l *Ledger) share(classes map[int][]*lane, scale float64) {
-	served := 1 - l.average
-	least := leastServed * served
-	named := 0.0
+func (l *Ledger) distribute(classes map[int][]*callerStats, scale float64) {
+	served := 1 - l.overallRefused
+	minServed := minServedRatio * served
+	requested := 0.0
 	for _, class := range classes {
-		named += total(class)
+		requested += totalRequests(class)
 	}
-	left := served * named
+	remaining := served * requested
 	for _, class := range classes {
-		left -= least * total(class)
+		remaining -= minServed * totalRequests(class)
 	}
 	for _, priority := range slices.Sorted(maps.Keys(classes)) {
 		class := classes[priority]
-		room := left + least*total(class)
-		left = max(0, room-total(class))
-		fill(class, room, least, scale)
+		room := remaining + minServed*totalRequests(class)
+		remaining = max(0, room-totalRequests(class))
+		waterFill(class, room, minServed, scale)
 	}
 }
 
 // fill shares room among lanes: each gets what it asks for, or as much as its weight times the
 // level that all of them have in common, and never less than a share of what it asks for. One
 // request is no flood: a lane that has asked for no more is served.
-func fill(class []*lane, room, least, scale float64) {
-	if total(class) <= room {
+func waterFill(class []*callerStats, capacity, minServed, scale float64) {
+	if totalRequests(class) <= capacity {
 		return
 	}
-	grant := func(one *lane, level float64) float64 {
-		return min(one.wanted, max(one.weight*level, least*one.wanted, min(scale, one.wanted)))
+	grant := func(stats *callerStats, level float64) float64 {
+		return min(stats.requests, max(stats.weight*level, minServed*stats.requests, min(scale, stats.requests)))
 	}
 	low, high := 0.0, 0.0
-	for _, one := range class {
-		high = max(high, one.wanted/one.weight)
+	for _, stats := range class {
+		high = max(high, stats.requests/stats.weight)
 	}
 	for range levelSteps {
 		level, sum := (low+high)/2, 0.0
-		for _, one := range class {
-			sum += grant(one, level)
+		for _, stats := range class {
+			sum += grant(stats, level)
 		}
-		if sum > room {
+		if sum > capacity {
 			high = level
 		} else {
 			low = level
 		}
 	}
-	for _, one := range class {
-		one.refused = 1 - grant(one, low)/one.wanted
+	for _, stats := range class {
+		stats.refusedShare = 1 - grant(stats, low)/stats.requests
 	}
 }
 
 // total is what lanes ask for together.
-func total(class []*lane) float64 {
+func totalRequests(class []*callerStats) float64 {
 	sum := 0.0
-	for _, one := range class {
-		sum += one.wanted
+	for _, stats := range class {
+		sum += stats.requests
 	}
 	return sum
 }
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -12,10 +12,10 @@
 
 // In no window do more requests run than the limit allows, whatever becomes of routers, leaders
 // and messages: at each request the window that ends there is counted.
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenant := &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-		w := newWorldOf(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
+		w := newSimulationWith(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
 		limit := w.bound.Allowed(tenant)
 		// lowered is when all routers knew of the last lower limit.
 		var lowered time.Time
@@ -24,19 +24,19 @@
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			r := rapid.SampledFrom(w.routers).Draw(t, "router")
-			switch rapid.SampledFrom(worldEvents).Draw(t, "event") {
+			switch rapid.SampledFrom(simulationEvents).Draw(t, "event") {
 			case "cut":
-				r.cut = !r.cut
+				r.partitioned = !r.partitioned
 			case "restart":
-				w.start(r)
+				w.startRouter(r)
 			case "freeze":
-				r.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
+				r.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
 			case "kill leader":
 				w.leader().killed = true
 			case "partition leader":
-				w.leader().lost = true
+				w.leader().authorityLost = true
 			case "freeze leader":
-				w.leader().frozen = w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
+				w.leader().frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
 			case "elect":
 				w.elect()
 			case "follow":
@@ -45,19 +45,19 @@
 				r.leader = rapid.IntRange(0, len(w.leaders)-1).Draw(t, "leader")
 			case "add":
 				if len(w.routers) < 9 {
-					w.add()
+					w.addRouter()
 				}
 			case "store":
-				w.away = !w.away
+				w.storeDown = !w.storeDown
 			case "restart all":
 				w.leader().killed = true
 				for _, one := range w.routers {
-					w.start(one)
+					w.startRouter(one)
 				}
 			case "limit":
 				w.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
 				if w.leader().coordinator.SetTenants(w.now, tenants(w.tenant)) {
-					w.leftover, w.reserved = UnreportedShares{All: 1}, w.now.Add(w.bound.TakeoverDelay())
+					w.unreported, w.claimExpiry = UnreportedShares{All: 1}, w.now.Add(w.bound.TakeoverDelay())
 				}
 				for _, one := range w.routers {
 					one.tenant = w.tenant
@@ -69,24 +69,24 @@
 					lowered = w.now
 				}
 			case "return":
-				w.giveBack(t)
+				w.returnOne(t)
 			case "flood":
 				for range 2 * limit {
-					w.ask(r)
+					w.request(r)
 				}
 			case "flood all":
 				for _, one := range w.routers {
 					for range limit {
-						w.ask(one)
+						w.request(one)
 					}
 				}
 			default:
-				w.ask(r)
+				w.request(r)
 			}
-			if !lowered.IsZero() && w.now.Sub(lowered) >= worldWindow {
+			if !lowered.IsZero() && w.now.Sub(lowered) >= testWindow {
 				limit, lowered = w.bound.Allowed(w.tenant), time.Time{}
 			}
-			if found := w.inWindow(); found > limit {
+			if found := w.grantedInWindow(); found > limit {
 				t.Fatalf("%d requests within a window, %d are allowed", found, limit)
 			}
 			w.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
@@ -94,8 +94,8 @@
 	})
 }
 
-// worldEvents name what may happen, the frequent ones several times.
-var worldEvents = []string{
+// simulationEvents name what may happen, the frequent ones several times.
+var simulationEvents = []string{
 	"ask", "flood", "flood", "flood all", "flood all", "flood all", "cut", "restart", "freeze", "freeze", "kill leader",
 	"partition leader", "freeze leader", "elect", "elect", "elect", "follow", "follow", "follow any", "restart all", "return", "limit", "calm", "calm", "store", "add",
 }
@@ -105,7 +105,7 @@
 	asked := false
 	flag.Visit(func(f *flag.Flag) { asked = asked || f.Name == "rapid.checks" })
 	if !asked {
-		_ = flag.Set("rapid.checks", leastWorlds)
+		_ = flag.Set("rapid.checks", defaultChecks)
 	}
 	m.Run()
 }
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -19,8 +19,8 @@
 	Age time.Duration
 }
 
-// calmFor is for how long no unit must be missing until a tenant is within its limit again.
-const calmFor = 5 * time.Second
+// withinLimitAfter is for how long no unit must be missing until a tenant is within its limit again.
+const withinLimitAfter = 5 * time.Second
 
 // Changes returns what has changed since it was called last.
 func (c *Coordinator) Changes() []Change {
@@ -30,22 +30,22 @@
 }
 
 // judge notes whether a tenant asks for more than there is.
-func (c *Coordinator) judge(now time.Time, name routing.TenantName, p *pool, missing int) {
+func (c *Coordinator) updateOverLimit(now time.Time, name routing.TenantName, p *pool, missing int) {
 	if missing > 0 {
-		p.missed = now
+		p.missingAt = now
 	}
-	over := missing > 0 || p.over && now.Sub(p.missed) < calmFor
-	if over == p.over {
+	over := missing > 0 || p.overLimit && now.Sub(p.missingAt) < withinLimitAfter
+	if over == p.overLimit {
 		return
 	}
-	p.over = over
+	p.overLimit = over
 	change := Change{
-		Tenant: name, Over: over, Limit: p.limit, Allocatable: p.dealt, Outstanding: p.booked, Withheld: p.dealt - c.most(now, p), Missing: missing,
+		Tenant: name, Over: over, Limit: p.limit, Allocatable: p.allocatable, Outstanding: p.outstanding, Withheld: p.allocatable - c.maxOutstanding(now, p), Missing: missing,
 	}
 	for _, m := range c.members {
-		if h := m.holds[name]; h != nil {
+		if h := m.holdings[name]; h != nil {
 			change.Used += h.used
-			change.Age = max(change.Age, now.Sub(m.stampAt))
+			change.Age = max(change.Age, now.Sub(m.stampReceivedAt))
 		}
 	}
 	c.changes = append(c.changes, change)
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -9,17 +9,17 @@
 )
 
 // asks returns the messages to routers that must tell all.
-func (c *Coordinator) asks(now time.Time) []Grant {
+func (c *Coordinator) fullReportGrants(now time.Time) []Grant {
 	var grants []Grant
-	for _, node := range slices.Sorted(maps.Keys(c.asked)) {
-		a := c.asked[node]
-		if !a.due && now.Sub(a.at) >= askEvery {
-			delete(c.asked, node) // asked again if it tells anything
+	for _, node := range slices.Sorted(maps.Keys(c.fullReportRequests)) {
+		a := c.fullReportRequests[node]
+		if !a.due && now.Sub(a.sentAt) >= fullReportInterval {
+			delete(c.fullReportRequests, node) // asked again if it tells anything
 			continue
 		}
 		if a.due {
-			a.due, a.at = false, now
-			grants = append(grants, Grant{Node: node, Incarnation: a.life, Term: c.term, FullReport: true})
+			a.due, a.sentAt = false, now
+			grants = append(grants, Grant{Node: node, Incarnation: a.incarnation, Term: c.term, FullReport: true})
 		}
 	}
 	return grants
@@ -38,15 +38,15 @@
 
 // due reports whether a member is to be sent a grant.
 func (m *member) due(now time.Time) bool {
-	unheard := m.granted > m.acked && now.Sub(m.grantedAt) >= resendAfter
-	renewed := m.stamp > m.echoed && m.until.Sub(now) < Lease-renewEvery/2
-	return m.changed || unheard || renewed || !m.greeted
+	unacknowledged := m.lastGrant > m.ackedGrant && now.Sub(m.grantedAt) >= resendAfter
+	renewalDue := m.stamp > m.echoedStamp && m.leaseEnd.Sub(now) < Lease-renewInterval/2
+	return m.changed || unacknowledged || renewalDue || !m.firstGrantSent
 }
 
 // withheldUntil is until when units are withheld that leaders before may have given.
 func (c *Coordinator) withheldUntil() time.Time {
-	until := c.opened.Add(c.bound.TakeoverDelay())
-	if known, is := c.allKnown(); is && known.Before(until) {
+	until := c.startedAt.Add(c.bound.TakeoverDelay())
+	if known, ok := c.priorGrantsKnown(); ok && known.Before(until) {
 		return known
 	}
 	return until
@@ -54,17 +54,17 @@
 
 // grant makes the next message to a member, and extends its lease by the newest stamp.
 func (c *Coordinator) grant(now time.Time, m *member) Grant {
-	if m.stamp > m.echoed {
-		m.echoed = m.stamp
-		m.until, m.floorUntil = m.stampAt.Add(Lease), m.stampAt.Add(FloorLease)
+	if m.stamp > m.echoedStamp {
+		m.echoedStamp = m.stamp
+		m.leaseEnd, m.floorLeaseEnd = m.stampReceivedAt.Add(Lease), m.stampReceivedAt.Add(FloorLease)
 	}
-	grant := Grant{Node: m.node, Incarnation: m.life, Term: c.term, Stamp: m.stamp}
-	if left := c.withheldUntil().Sub(now); left > 0 && !c.first {
+	grant := Grant{Node: m.node, Incarnation: m.incarnation, Term: c.term, Stamp: m.stamp}
+	if left := c.withheldUntil().Sub(now); left > 0 && !c.firstLeader {
 		grant.WithheldMillis = left.Milliseconds()
 	}
-	m.greeted = true
-	for name, h := range m.holds {
-		if h.number > m.acked {
+	m.firstGrantSent = true
+	for name, h := range m.holdings {
+		if h.grantSequence > m.ackedGrant {
 			if grant.Credits == nil {
 				grant.Credits = map[routing.TenantName]Credit{}
 			}
@@ -72,9 +72,9 @@
 		}
 	}
 	if len(grant.Credits) > 0 {
-		m.granted++
+		m.lastGrant++
 		m.grantedAt, m.changed = now, false
 	}
-	grant.Sequence = m.granted
+	grant.Sequence = m.lastGrant
 	return grant
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -10,45 +10,45 @@
 
 // Holder is the router's side. It is safe for concurrent use.
 type Holder struct {
-	node  string
-	life  int64
-	bound Bound
+	node        string
+	incarnation int64
+	bound       Bound
 	// epoch is the zero of all times here.
 	epoch time.Time
 	// urgent gets a token when something is to be told soon.
-	urgent chan struct{}
+	reportTrigger chan struct{}
 
 	mu       sync.Mutex
 	accounts map[routing.TenantName]*account
 	term     owner.Term
 	// applied is the newest grant that was taken, and acked the newest that was told of.
 	applied, acked uint64
-	number         uint64
-	tellAll        bool
+	sequence       uint64
+	fullReportDue  bool
 	// lease and floorLease are when they end, and toldAt is when a stamp was sent last.
-	lease, floorLease, toldAt time.Duration
+	leaseEnd, floorLeaseEnd, reportedAt time.Duration
 	// withheld is until when a leader that began lately withholds units.
-	withheld time.Duration
+	withheldUntil time.Duration
 }
 
 // account is what a router holds of one tenant.
 type account struct {
 	tenant *routing.Tenant
 	// limit is how many units are allowed by the configuration in force here.
-	limit int
-	given Credit
-	spent spent
+	limit         int
+	grantedCredit Credit
+	window        windowCounter
 	// told is the use that was told last. mustTell says that the use must be told with the
 	// next message, since the credit was changed and the leader frees what it need not book.
-	told     int
-	toldAt   time.Duration
-	mustTell bool
+	reportedUse int
+	reportedAt  time.Duration
+	mustReport  bool
 	// refused counts requests beyond the credit, and short those since the last message.
 	refused, granted uint64
-	short            int
+	shortfall        int
 	// knownShort says that the last message told of refused requests: the next report is soon
 	// enough then.
-	knownShort bool
+	shortfallReported bool
 	// raised is closed once there is more credit; nil if nobody waits for it. Until overUntil
 	// nobody is to.
 	raised    chan struct{}
@@ -56,10 +56,10 @@
 }
 
 // NewHolder returns the side of a router that holds nothing yet.
-func NewHolder(now time.Time, node string, life int64, bound Bound) *Holder {
+func NewHolder(now time.Time, node string, incarnation int64, bound Bound) *Holder {
 	h := &Holder{
-		node: node, life: life, bound: bound, epoch: now, urgent: make(chan struct{}, 1),
-		accounts: map[routing.TenantName]*account{}, tellAll: true,
+		node: node, incarnation: incarnation, bound: bound, epoch: now, reportTrigger: make(chan struct{}, 1),
+		accounts: map[routing.TenantName]*account{}, fullReportDue: true,
 	}
 	h.Linked()
 	return h
@@ -69,17 +69,17 @@
 func (h *Holder) Linked() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.toldAt = -renewEvery
+	h.reportedAt = -renewInterval
 	h.TriggerReport()
 }
 
 // Urgent gets a token when something is to be told before the next report is due.
-func (h *Holder) ReportTriggered() <-chan struct{} { return h.urgent }
+func (h *Holder) ReportTriggered() <-chan struct{} { return h.reportTrigger }
 
 // Hurry asks for the next report soon.
 func (h *Holder) TriggerReport() {
 	select {
-	case h.urgent <- struct{}{}:
+	case h.reportTrigger <- struct{}{}:
 	default:
 	}
 }
@@ -91,25 +91,25 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(tenant)
-	a.spent.advance(at)
+	a.window.advance(at)
 	credit := h.credit(a, at)
-	if a.spent.used >= credit {
-		if a.short++; !a.knownShort {
+	if a.window.used >= credit {
+		if a.shortfall++; !a.shortfallReported {
 			h.TriggerReport()
 		}
 		return false, h.wait(a, at, credit)
 	}
-	a.spent.add()
+	a.window.add()
 	a.granted++
-	if a.spent.used == credit && a.told != credit && !a.knownShort {
+	if a.window.used == credit && a.reportedUse != credit && !a.shortfallReported {
 		h.TriggerReport()
 	}
 	return true, 0
 }
 
-// firstCredit is what a caller waits for where the router holds no credit: the way to the
+// firstCreditWait is what a caller waits for where the router holds no credit: the way to the
 // leader and back.
-const firstCredit = 500 * time.Millisecond
+const firstCreditWait = 500 * time.Millisecond
 
 // wait is until a unit of a tenant is likely to be free. Where there is none since a leader began
 // lately, callers come back once it gives what it withholds, and not to be refused once more: all
@@ -118,12 +118,12 @@
 func (h *Holder) wait(a *account, at time.Duration, credit int) time.Duration {
 	switch {
 	case credit > 0:
-		return a.spent.free(at)
-	case at < h.withheld:
+		return a.window.untilFree(at)
+	case at < h.withheldUntil:
 		spread := time.Duration(a.refused%spreadSteps) * h.bound.Window / spreadSteps / 4
-		return h.withheld - at + firstCredit + spread
+		return h.withheldUntil - at + firstCreditWait + spread
 	}
-	return firstCredit
+	return firstCreditWait
 }
 
 // spreadSteps is among how many moments callers are spread.
@@ -151,18 +151,18 @@
 	defer h.mu.Unlock()
 	a := h.account(tenant)
 	a.refused++
-	a.overUntil = max(a.overUntil, now.Sub(h.epoch)+overFor)
+	a.overUntil = max(a.overUntil, now.Sub(h.epoch)+overLimitFor)
 }
 
-// overFor is how long a tenant counts as over its limit at a router after a refusal. Callers
+// overLimitFor is how long a tenant counts as over its limit at a router after a refusal. Callers
 // wait for units in vain once in that time at most.
-const overFor = time.Second
+const overLimitFor = time.Second
 
 // Return gives back what was taken at a time for a request that no worker has run or will run.
 func (h *Holder) Return(taken time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a := h.accounts[tenant.Name]; a != nil && a.spent.giveBack(taken.Sub(h.epoch)) {
+	if a := h.accounts[tenant.Name]; a != nil && a.window.remove(taken.Sub(h.epoch)) {
 		a.granted--
 	}
 }
@@ -176,16 +176,16 @@
 	if a == nil {
 		return
 	}
-	a.spent.giveBack(taken.Sub(h.epoch))
-	a.spent.advance(now.Sub(h.epoch))
-	a.spent.add()
+	a.window.remove(taken.Sub(h.epoch))
+	a.window.advance(now.Sub(h.epoch))
+	a.window.add()
 }
 
 // account returns a tenant's account. The caller holds mu.
 func (h *Holder) account(tenant *routing.Tenant) *account {
 	a := h.accounts[tenant.Name]
 	if a == nil {
-		a = &account{spent: newSpent(h.bound.slots())}
+		a = &account{window: newWindowCounter(h.bound.slots())}
 		h.accounts[tenant.Name] = a
 	}
 	if a.tenant != tenant {
@@ -197,14 +197,14 @@
 // credit is how many units of a tenant may be in use here. Where the limit was lowered since
 // the credit was given, it is lowered alike. The caller holds mu.
 func (h *Holder) credit(a *account, at time.Duration) int {
-	units := a.given.units()
+	units := a.grantedCredit.units()
 	switch {
-	case at >= h.floorLease:
+	case at >= h.floorLeaseEnd:
 		return 0
-	case at >= h.lease:
-		units = min(units, a.given.floor())
+	case at >= h.leaseEnd:
+		units = min(units, a.grantedCredit.floor())
 	}
-	if limit := a.given.limit(); a.limit < limit {
+	if limit := a.grantedCredit.limit(); a.limit < limit {
 		units = units * a.limit / limit
 	}
 	return units
@@ -222,7 +222,7 @@
 	for name := range h.accounts {
 		if tenant := tenants[name]; tenant == nil || !tenant.Limited() {
 			delete(h.accounts, name)
-			h.tellAll = true // the leader books units that are gone
+			h.fullReportDue = true // the leader books units that are gone
 		}
 	}
 }
@@ -231,55 +231,55 @@
 func (h *Holder) ApplyGrant(now time.Time, grant Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if grant.Term < h.term || grant.Node != h.node || grant.Incarnation != h.life {
+	if grant.Term < h.term || grant.Node != h.node || grant.Incarnation != h.incarnation {
 		return
 	}
 	if grant.Term > h.term {
 		h.term, h.applied, h.acked = grant.Term, 0, 0
 		if !grant.FullReport { // that leader was told that nothing is held here
-			h.drop()
+			h.dropCredits()
 		}
 	}
 	if grant.FullReport {
-		h.tellAll = true
+		h.fullReportDue = true
 		h.TriggerReport()
 	}
 	if grant.Stamp > 0 {
 		stamp := time.Duration(grant.Stamp) * time.Millisecond
-		h.lease = max(h.lease, stamp+Lease-leaseGuard)
-		h.floorLease = max(h.floorLease, stamp+FloorLease-leaseGuard)
+		h.leaseEnd = max(h.leaseEnd, stamp+Lease-leaseMargin)
+		h.floorLeaseEnd = max(h.floorLeaseEnd, stamp+FloorLease-leaseMargin)
 	}
-	h.withheld = now.Sub(h.epoch) + time.Duration(grant.WithheldMillis)*time.Millisecond
+	h.withheldUntil = now.Sub(h.epoch) + time.Duration(grant.WithheldMillis)*time.Millisecond
 	if grant.Sequence <= h.applied {
 		return
 	}
 	h.applied = grant.Sequence
 	for name, credit := range grant.Credits {
-		h.give(name, credit)
+		h.setCredit(name, credit)
 	}
 }
 
 // drop gives all credits up. The caller holds mu.
-func (h *Holder) drop() {
+func (h *Holder) dropCredits() {
 	for _, a := range h.accounts {
-		a.given = Credit{}
+		a.grantedCredit = Credit{}
 	}
 }
 
 // give sets the credit of a tenant. The caller holds mu.
-func (h *Holder) give(name routing.TenantName, credit Credit) {
+func (h *Holder) setCredit(name routing.TenantName, credit Credit) {
 	a := h.accounts[name]
 	if a == nil {
-		a = &account{tenant: nil, limit: credit.limit(), spent: newSpent(h.bound.slots())}
+		a = &account{tenant: nil, limit: credit.limit(), window: newWindowCounter(h.bound.slots())}
 		h.accounts[name] = a
 	}
-	a.mustTell = true
-	if credit.units() < a.given.units() {
+	a.mustReport = true
+	if credit.units() < a.grantedCredit.units() {
 		h.TriggerReport()
 	}
-	if credit.units() > a.given.units() && a.raised != nil {
+	if credit.units() > a.grantedCredit.units() && a.raised != nil {
 		close(a.raised)
 		a.raised = nil
 	}
-	a.given = credit
+	a.grantedCredit = credit
 }
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -9,8 +9,8 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// newHeld is a holder of 50 units, 5 of them its floor, whose lease counts from its epoch.
-func newHeld(tenant *routing.Tenant) (*Holder, time.Time) {
+// newTestHolder is a holder of 50 units, 5 of them its floor, whose lease counts from its epoch.
+func newTestHolder(tenant *routing.Tenant) (*Holder, time.Time) {
 	began := time.Unix(1000, 0)
 	h := NewHolder(began, "n", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
 	h.SetTenants(tenants(tenant))
@@ -21,7 +21,7 @@
 }
 
 // taken counts how many requests a holder grants at one moment.
-func takes(h *Holder, at time.Time, tenant *routing.Tenant) int {
+func takeAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
 	count := 0
 	for granted, _ := h.Take(at, tenant); granted; granted, _ = h.Take(at, tenant) {
 		count++
@@ -29,7 +29,7 @@
 	return count
 }
 
-func TestACreditEndsWithItsLease(t *testing.T) {
+func TestCreditEndsWithLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   time.Duration
 		granted int
@@ -40,39 +40,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-			h, began := newHeld(tenant)
-			assert.Equal(t, takes(h, began.Add(test.after), tenant), test.granted)
+			h, began := newTestHolder(tenant)
+			assert.Equal(t, takeAll(h, began.Add(test.after), tenant), test.granted)
 		})
 	}
 }
 
 // What a router told after its lease had ended is all that the leader books.
-func TestARenewedLeaseBringsNothingBack(t *testing.T) {
+func TestRenewedLeaseRestoresNoExpiredCredit(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
+	h, began := newTestHolder(tenant)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, FullReport: true})
 	at := began.Add(2 * Lease)
 	told := h.Report(at)
 	assert.Assert(t, told.Full)
 	assert.Equal(t, told.Tenants["t"].credit(), 5)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: told.Stamp})
-	assert.Equal(t, takes(h, at, tenant), 5)
+	assert.Equal(t, takeAll(h, at, tenant), 5)
 }
 
 // A request that reaches its worker late counts from then, and one that did not run is not counted.
-func TestAUnitRestsFromWhenItsRequestWasSent(t *testing.T) {
+func TestUnitIsInUseFromSendTime(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
-	assert.Equal(t, takes(h, began, tenant), 50)
+	h, began := newTestHolder(tenant)
+	assert.Equal(t, takeAll(h, began, tenant), 50)
 	h.Sent(began, began.Add(3*time.Second), tenant)
 	h.Return(began, tenant)
-	assert.Equal(t, takes(h, began.Add(3*time.Second), tenant), 1)
+	assert.Equal(t, takeAll(h, began.Add(3*time.Second), tenant), 1)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Stamp: 5000})
-	assert.Equal(t, takes(h, began.Add(h.bound.rest()), tenant), 48)
+	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
 }
 
 // A router that starts needs one message each way: requests come to it at once.
-func TestARouterThatStartsGetsUnitsAtOnce(t *testing.T) {
+func TestNewRouterGetsUnitsAtOnce(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
@@ -90,15 +90,15 @@
 }
 
 // Nothing is left of an earlier leader's credits where a later one was told that there are none.
-func TestALaterLeaderBooksAllThatIsHeld(t *testing.T) {
+func TestLaterLeaderReplacesEarlierCredits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
+	h, began := newTestHolder(tenant)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
-	assert.Equal(t, takes(h, began, tenant), 0)
+	assert.Equal(t, takeAll(h, began, tenant), 0)
 }
 
 // Where a new leader withholds units, callers are told to come back after that, not to be refused again.
-func TestCallersComeBackOnceUnitsAreGiven(t *testing.T) {
+func TestRetryWaitCoversWithheldUnits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
@@ -118,7 +118,7 @@
 
 // A router tells less than it was given, since its lease had ended, while the same grant is on its way
 // to it once more: what that brings back stays booked.
-func TestWhatAResentGrantBringsBackIsBooked(t *testing.T) {
+func TestResentGrantStaysOutstanding(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
@@ -133,5 +133,5 @@
 	given := again[0].Credits["t"].units()
 	assert.Assert(t, given > 0)
 	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
-	assert.Assert(t, c.pools["t"].booked >= given)
+	assert.Assert(t, c.pools["t"].outstanding >= given)
 }
--- a/internal/quota/members.go
+++ b/internal/quota/members.go
@@ -12,59 +12,59 @@
 type Members map[string]int64
 
 // recording is how far a leader is with the stored members.
-type recording int
+type membershipState int
 
 const (
-	// notRecorded: nobody stores members. What leaders before gave ends with its leases.
-	notRecorded recording = iota
+	// membersUnrecorded: nobody stores members. What leaders before gave ends with its leases.
+	membersUnrecorded membershipState = iota
 	// awaited: they are still to be read, and nothing is given.
-	awaited
+	membersAwaited
 	// recorded: they were read, and are stored before a router is given anything.
-	recorded
+	membersRecorded
 )
 
 // members is what a leader knows of stored members.
-type members struct {
-	state recording
+type membership struct {
+	state membershipState
 	// before are those that leaders before have stored, and stored are those that are now.
-	before, stored Members
+	previous, stored Members
 	// joined are the routers that have told this leader what they hold, in their newest lives,
 	// and heldUntil is until when those that are lost may hold anything.
 	joined    Members
 	heldUntil map[string]time.Time
 	// began is when the lives of those began that have joined, at the latest.
-	began map[string]time.Time
+	startedBy map[string]time.Time
 	// all says that all of those before have been heard, and ended is when the last of their lives
 	// had ended that they have not told of.
-	all   bool
-	ended time.Time
+	allReported bool
+	lastEnded   time.Time
 }
 
-func newMembers() members {
-	return members{stored: Members{}, joined: Members{}, heldUntil: map[string]time.Time{}, began: map[string]time.Time{}}
+func newMembership() membership {
+	return membership{stored: Members{}, joined: Members{}, heldUntil: map[string]time.Time{}, startedBy: map[string]time.Time{}}
 }
 
 // AwaitMembers lets a leader give nothing until it is told which members are stored.
-func (c *Coordinator) AwaitMembers() { c.known.state = awaited }
+func (c *Coordinator) AwaitMembers() { c.membership.state = membersAwaited }
 
 // TakeMembers takes the members that leaders before have stored; nil if none did. The first leader
 // of all begins to store them; after one that did not, nothing is known of whom it gave to.
-func (c *Coordinator) MembersLoaded(before Members) {
-	c.known.state = recorded
+func (c *Coordinator) MembersLoaded(previous Members) {
+	c.membership.state = membersRecorded
 	switch {
-	case before != nil:
-		c.known.before, c.known.stored = before, maps.Clone(before)
-	case c.first:
-		c.known.before = Members{}
+	case previous != nil:
+		c.membership.previous, c.membership.stored = previous, maps.Clone(previous)
+	case c.firstLeader:
+		c.membership.previous = Members{}
 	default:
-		c.known.state = notRecorded
+		c.membership.state = membersUnrecorded
 	}
-	c.noteHeard()
-	c.redeal()
+	c.updateAllReported()
+	c.markAllDirty()
 }
 
 // redeal lets all tenants be dealt anew.
-func (c *Coordinator) redeal() {
+func (c *Coordinator) markAllDirty() {
 	for _, p := range c.pools {
 		p.dirty = true
 	}
@@ -73,18 +73,18 @@
 // Unstored returns the members as they are to be stored, since some of them are not; nil if all
 // are.
 func (c *Coordinator) MembersToStore(now time.Time) Members {
-	if c.known.state != recorded {
+	if c.membership.state != membersRecorded {
 		return nil
 	}
 	missing := false
-	for node, life := range c.known.joined {
-		missing = missing || c.known.stored[node] != life
+	for node, incarnation := range c.membership.joined {
+		missing = missing || c.membership.stored[node] != incarnation
 	}
 	if !missing {
 		return nil
 	}
-	fresh := maps.Clone(c.known.stored)
-	maps.Copy(fresh, c.known.joined)
+	fresh := maps.Clone(c.membership.stored)
+	maps.Copy(fresh, c.membership.joined)
 	maps.DeleteFunc(fresh, func(node string, _ int64) bool { return c.holdsNothing(now, node) })
 	return fresh
 }
@@ -94,59 +94,59 @@
 	if c.members[node] != nil {
 		return false
 	}
-	if until, was := c.known.heldUntil[node]; was {
+	if until, known := c.membership.heldUntil[node]; known {
 		return now.After(until)
 	}
-	return c.known.joined[node] == 0 && now.Sub(c.opened) > FloorLease+c.bound.rest()
+	return c.membership.joined[node] == 0 && now.Sub(c.startedAt) > FloorLease+c.bound.reuseDelay()
 }
 
 // Stored notes that members are stored.
 func (c *Coordinator) MembersStored(fresh Members) {
-	c.known.stored = fresh
-	c.redeal()
+	c.membership.stored = fresh
+	c.markAllDirty()
 }
 
 // mayGive reports whether a router may be given units.
-func (c *Coordinator) mayGive(m *member) bool {
-	return c.known.state == notRecorded || c.known.state == recorded && c.known.stored[m.node] == m.life
+func (c *Coordinator) mayGrant(m *member) bool {
+	return c.membership.state == membersUnrecorded || c.membership.state == membersRecorded && c.membership.stored[m.node] == m.incarnation
 }
 
 // noteJoined notes that a router has told what it holds. Its stamp is the time since its life began.
-func (c *Coordinator) noteJoined(now time.Time, told Report) {
-	k := &c.known
-	if told.Incarnation >= k.joined[told.Node] {
-		k.joined[told.Node], k.began[told.Node] = told.Incarnation, told.begun(now)
+func (c *Coordinator) recordJoined(now time.Time, report Report) {
+	k := &c.membership
+	if report.Incarnation >= k.joined[report.Node] {
+		k.joined[report.Node], k.startedBy[report.Node] = report.Incarnation, report.startedBy(now)
 	}
-	delete(k.heldUntil, told.Node)
-	c.noteHeard()
+	delete(k.heldUntil, report.Node)
+	c.updateAllReported()
 }
 
 // begun is when the router's life had begun that has told this by a time.
-func (t Report) begun(now time.Time) time.Time {
+func (t Report) startedBy(now time.Time) time.Time {
 	return now.Add(-time.Duration(t.Stamp) * time.Millisecond)
 }
 
 // noteHeard notes whether all members of leaders before have been heard.
-func (c *Coordinator) noteHeard() {
-	k := &c.known
-	if k.state != recorded || k.all {
+func (c *Coordinator) updateAllReported() {
+	k := &c.membership
+	if k.state != membersRecorded || k.allReported {
 		return
 	}
-	ended := time.Time{}
-	for node, life := range k.before {
-		if k.joined[node] < life {
+	lastEnded := time.Time{}
+	for node, incarnation := range k.previous {
+		if k.joined[node] < incarnation {
 			return
 		}
 		// An earlier life may have ended then: a leader in between stores the next one at once.
-		if k.began[node].After(ended) {
-			ended = k.began[node]
+		if k.startedBy[node].After(lastEnded) {
+			lastEnded = k.startedBy[node]
 		}
 	}
-	k.all, k.ended = true, ended
+	k.allReported, k.lastEnded = true, lastEnded
 }
 
 // allKnown is when nothing is unknown any more that leaders before have given: once all have been
 // heard, and what was spent in lives that have ended has rested. False: that is not known.
-func (c *Coordinator) allKnown() (time.Time, bool) {
-	return c.known.ended.Add(c.bound.rest()), c.known.all
+func (c *Coordinator) priorGrantsKnown() (time.Time, bool) {
+	return c.membership.lastEnded.Add(c.bound.reuseDelay()), c.membership.allReported
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -37,16 +37,16 @@
 	return 0
 }
 
-func (u TenantReport) used() int   { return u.at(0) }
-func (u TenantReport) short() int  { return u.at(1) }
-func (u TenantReport) credit() int { return u.at(2) }
-func (u TenantReport) floor() int  { return u.at(3) }
+func (u TenantReport) used() int      { return u.at(0) }
+func (u TenantReport) shortfall() int { return u.at(1) }
+func (u TenantReport) credit() int    { return u.at(2) }
+func (u TenantReport) floor() int     { return u.at(3) }
 
 // under returns the credit as it is under a limit: a router that knows a higher one lowers it
 // alike once it learns of this one.
-func (u TenantReport) under(limit int) int {
-	if told := u.at(4); told > limit {
-		return u.credit() * limit / told
+func (u TenantReport) creditUnder(limit int) int {
+	if reportedLimit := u.at(4); reportedLimit > limit {
+		return u.credit() * limit / reportedLimit
 	}
 	return u.credit()
 }
--- a/internal/quota/figures_test.go
+++ b/internal/quota/refusals_test.go
@@ -19,87 +19,87 @@
 }
 
 // figures are what came of a load.
-type figures struct {
-	asked, refused, staticRefused int
+type loadStats struct {
+	requests, refused, staticRefused int
 	// most and staticMost are the most requests within a window, in shares of the limit.
-	most, staticMost float64
+	peak, staticPeak float64
 	messages, bytes  float64
 }
 
 // waits is a request that waits for a unit.
-type waits struct {
+type waitingRequest struct {
 	router *testRouter
 	until  time.Time
 }
 
 // way is how long a message takes between a router and its leader, through a relay.
-const way = 25 * time.Millisecond
+const messageDelay = 25 * time.Millisecond
 
 // play lets a load run for a while after all routers have joined, beside static shares: the same
 // share of the limit for each router, with the rest by chance.
-func play(t testing.TB, l load, seconds int) figures {
-	chance := rand.New(rand.NewPCG(7, uint64(l.routers)))
+func simulateLoad(t testing.TB, l load, seconds int) loadStats {
+	random := rand.New(rand.NewPCG(7, uint64(l.routers)))
 	tenant := &routing.Tenant{Name: "tenant-17", Rate: l.rate, Burst: l.rate}
-	w := newWorld(t, l.routers, tenant)
-	w.paced = true
+	w := newSimulation(t, l.routers, tenant)
+	w.pacedReports = true
 	limit := w.bound.Allowed(tenant)
-	static := make([]spent, l.routers)
+	static := make([]windowCounter, l.routers)
 	for index := range static {
-		static[index] = newSpent(w.bound.slots())
+		static[index] = newWindowCounter(w.bound.slots())
 	}
-	var f figures
+	var f loadStats
 	var staticTaken []time.Duration
-	var waiting []waits
+	var waiting []waitingRequest
 	began := w.now
 	for w.now.Sub(began) < time.Duration(seconds)*time.Second {
-		w.step(slotTime/10, func() time.Duration { return way })
+		w.step(slotTime/10, func() time.Duration { return messageDelay })
 		if w.now.Sub(began) < 5*time.Second { // routers join
 			w.messages, w.bytes = 0, 0
 			continue
 		}
 		expected := l.rate * l.share * (slotTime / 10).Seconds()
-		for range poisson(chance, expected) {
-			at := chance.IntN(l.routers)
-			f.asked++
-			if !w.ask(w.routers[at]) {
-				waiting = append(waiting, waits{w.routers[at], w.now.Add(250 * time.Millisecond)})
+		for range poisson(random, expected) {
+			router := random.IntN(l.routers)
+			f.requests++
+			if !w.request(w.routers[router]) {
+				waiting = append(waiting, waitingRequest{w.routers[router], w.now.Add(250 * time.Millisecond)})
 			}
-			mine := limit / l.routers
-			if at < limit%l.routers {
-				mine++
+			staticShare := limit / l.routers
+			if router < limit%l.routers {
+				staticShare++
 			}
 			now := w.now.Sub(began)
-			static[at].advance(now)
-			if static[at].used >= mine {
+			static[router].advance(now)
+			if static[router].used >= staticShare {
 				f.staticRefused++
 				continue
 			}
-			static[at].add()
+			static[router].add()
 			staticTaken = append(staticTaken, now)
 		}
-		waiting = slices.DeleteFunc(waiting, func(one waits) bool {
+		waiting = slices.DeleteFunc(waiting, func(one waitingRequest) bool {
 			if one.router.holder.Await(w.now, tenant) == nil || !w.now.Before(one.until) {
 				one.router.holder.Refused(w.now, tenant)
 				f.refused++
 				return true
 			}
-			return w.ask(one.router)
+			return w.request(one.router)
 		})
-		f.most = max(f.most, float64(w.inWindow())/float64(limit))
+		f.peak = max(f.peak, float64(w.grantedInWindow())/float64(limit))
 		within := 0
-		for index := len(staticTaken) - 1; index >= 0 && w.now.Sub(began)-staticTaken[index] < worldWindow; index-- {
+		for index := len(staticTaken) - 1; index >= 0 && w.now.Sub(began)-staticTaken[index] < testWindow; index-- {
 			within++
 		}
-		f.staticMost = max(f.staticMost, float64(within)/float64(limit))
+		f.staticPeak = max(f.staticPeak, float64(within)/float64(limit))
 	}
 	f.messages, f.bytes = float64(w.messages)/float64(seconds-5), float64(w.bytes)/float64(seconds-5)
 	return f
 }
 
 // poisson draws how many events happen of which so many are expected.
-func poisson(chance *rand.Rand, expected float64) int {
+func poisson(random *rand.Rand, expected float64) int {
 	count := 0
-	for sum := chance.ExpFloat64(); sum < expected; sum += chance.ExpFloat64() {
+	for sum := random.ExpFloat64(); sum < expected; sum += random.ExpFloat64() {
 		count++
 	}
 	return count
@@ -122,11 +122,11 @@
 		"81 routers, seven times as much": {load{81, 176, 4.65}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := play(t, one.load, 45)
+			f := simulateLoad(t, one.load, 45)
 			t.Logf("refused %.2f %% of %d, static shares %.1f %%; within a window at most %.2f of the limit, static %.2f; %.0f messages and %.0f bytes a second",
-				100*float64(f.refused)/float64(f.asked), f.asked, 100*float64(f.staticRefused)/float64(f.asked), f.most, f.staticMost, f.messages, f.bytes)
-			assert.Assert(t, float64(f.refused) <= one.most*float64(f.asked), "%d of %d refused", f.refused, f.asked)
-			assert.Assert(t, f.most <= 1)
+				100*float64(f.refused)/float64(f.requests), f.requests, 100*float64(f.staticRefused)/float64(f.requests), f.peak, f.staticPeak, f.messages, f.bytes)
+			assert.Assert(t, float64(f.refused) <= one.most*float64(f.requests), "%d of %d refused", f.refused, f.requests)
+			assert.Assert(t, f.peak <= 1)
 		})
 	}
 }
--- /dev/null
+++ b/internal/quota/report.go
@@ -0,0 +1,65 @@
+package quota
+
+import (
+	"time"
+
+	"github.com/shalefork/shalefork/internal/routing"
+)
+
+// lazily is the pause between messages that a tenant uses less: nobody waits for them.
+const decreaseReportInterval = time.Second
+
+// tells reports whether the use of a tenant is worth a message: more than half of what was left
+// is used up, or less is used for a while.
+func (a *account) reportDue(at time.Duration, credit int) bool {
+	used := a.window.used
+	if used > a.reportedUse {
+		return 2*(credit-used) < credit-a.reportedUse
+	}
+	return used < a.reportedUse && at-a.reportedAt >= decreaseReportInterval
+}
+
+// Tell returns what the leader is to know; nil if that is nothing.
+func (h *Holder) Report(now time.Time) *Report {
+	at := now.Sub(h.epoch)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	report := Report{Node: h.node, Incarnation: h.incarnation, Term: h.term, Ack: h.applied, Stamp: max(1, at.Milliseconds()), Full: h.fullReportDue}
+	for name, a := range h.accounts {
+		a.window.advance(at)
+		if use := h.tenantReport(a, at); use != nil {
+			if report.Tenants == nil {
+				report.Tenants = map[routing.TenantName]TenantReport{}
+			}
+			report.Tenants[name] = use
+		}
+	}
+	due := len(h.accounts) > 0 && at-h.reportedAt >= renewInterval
+	all := report.Full && (h.term > 0 || len(h.accounts) > 0)
+	if !due && !all && len(report.Tenants) == 0 && h.applied == h.acked {
+		return nil
+	}
+	h.sequence++
+	report.Sequence = h.sequence
+	h.reportedAt, h.acked, h.fullReportDue = at, h.applied, false
+	return &report
+}
+
+// useOf returns what is to be told of an account; nil if that is nothing. The caller holds mu.
+func (h *Holder) tenantReport(a *account, at time.Duration) TenantReport {
+	used, credit := a.window.used, h.credit(a, at)
+	if !h.fullReportDue && !a.mustReport && a.shortfall == 0 && !a.reportDue(at, credit) {
+		return nil
+	}
+	use := TenantReport{used}
+	if a.shortfall > 0 || h.fullReportDue {
+		use = append(use, a.shortfall)
+	}
+	if h.fullReportDue {
+		// A lease that is renewed must not bring back what has ended and was not told.
+		a.grantedCredit = Credit{credit, min(a.grantedCredit.limit(), a.limit), min(credit, a.grantedCredit.floor())}
+		use = append(use, credit, a.grantedCredit.floor(), a.limit)
+	}
+	a.reportedUse, a.reportedAt, a.mustReport, a.shortfall, a.shortfallReported = used, at, false, 0, a.shortfall > 0
+	return use
+}
--- /dev/null
+++ b/internal/quota/reports.go
@@ -0,0 +1,150 @@
+package quota
+
+import (
+	"time"
+
+	"github.com/shalefork/shalefork/internal/routing"
+)
+
+// Hear takes what a router tells.
+func (c *Coordinator) HandleReport(now time.Time, report Report) {
+	if report.Term > c.term {
+		return
+	}
+	m := c.members[report.Node]
+	if m != nil && m.incarnation != report.Incarnation {
+		if report.Incarnation < m.incarnation {
+			return
+		}
+		c.memberRestarted(report.startedBy(now), m)
+		m = nil
+	}
+	neverGranted := report.Term == 0 && report.Full // it has been given nothing in its life
+	switch {
+	case report.Term < c.term && !neverGranted, m == nil && !report.Full:
+		c.requestFullReport(report.Node, report.Incarnation)
+		return
+	case m == nil:
+		m = c.join(now, report)
+	case report.Sequence <= m.lastReport:
+		return
+	case report.Sequence != m.lastReport+1 && !report.Full:
+		c.requestFullReport(report.Node, report.Incarnation)
+		return
+	}
+	if report.Full {
+		delete(c.fullReportRequests, report.Node)
+		c.addReported(now, m, report)
+	}
+	m.lastReport, m.stamp, m.stampReceivedAt = report.Sequence, report.Stamp, now
+	c.updateUse(now, m, report)
+}
+
+// ask lets a router tell all with the next grants.
+func (c *Coordinator) requestFullReport(node string, incarnation int64) {
+	if a := c.fullReportRequests[node]; a != nil && a.incarnation >= incarnation {
+		return
+	}
+	c.fullReportRequests[node] = &fullReportRequest{incarnation: incarnation, due: true}
+}
+
+// join takes a router into the books. What it holds was given by an earlier leader.
+func (c *Coordinator) join(now time.Time, report Report) *member {
+	m := &member{
+		node: report.Node, incarnation: report.Incarnation, leaseEnd: now.Add(Lease), floorLeaseEnd: now.Add(FloorLease),
+		holdings: map[routing.TenantName]*holding{},
+	}
+	c.members[m.node] = m
+	c.recordJoined(now, report)
+	for _, p := range c.pools {
+		p.dirty = true
+	}
+	return m
+}
+
+// bring books what a router tells that this leader has not given it.
+func (c *Coordinator) addReported(now time.Time, m *member, report Report) {
+	for name, use := range report.Tenants {
+		p := c.pools[name]
+		if p == nil || m.holdings[name] != nil {
+			continue
+		}
+		h := &holding{units: use.credit(), outstanding: use.credit(), floor: use.floor()}
+		m.holdings[name] = h
+		c.setUnits(m, h, use.creditUnder(p.limit))
+		p.addOutstanding(use.credit(), use.floor())
+		if !p.countedReporters[m.node] { // what it brings once more was counted then
+			p.countedReporters[m.node] = true
+			p.reportedUnits += max(use.credit(), use.used())
+			p.reportedFloorUnits += use.floor()
+		}
+		c.addExpiring(now.Add(c.bound.reuseDelay()), name, use.used()-use.credit(), 0)
+	}
+}
+
+// book adds to what is booked.
+func (p *pool) addOutstanding(units, floors int) {
+	p.outstanding += units
+	p.floorUnits += floors
+}
+
+// end books units that end by themselves.
+func (c *Coordinator) addExpiring(at time.Time, name routing.TenantName, units, floors int) {
+	if p := c.pools[name]; p != nil && units > 0 {
+		p.addOutstanding(units, floors)
+		c.expiring = append(c.expiring, expiringUnits{at: at, tenant: name, units: units, floorUnits: floors})
+	}
+}
+
+// hear takes the uses that a member tells, and what it has acknowledged.
+func (c *Coordinator) updateUse(now time.Time, m *member, report Report) {
+	for name, h := range m.holdings {
+		use, listed := report.Tenants[name]
+		if !listed && !report.Full {
+			continue
+		}
+		h.used, h.shortfall = use.used(), use.shortfall()
+		if h.grantSequence > report.Ack {
+			continue
+		}
+		if report.Full && report.Ack == m.lastGrant { // it has dropped some, and no grant is on its way that brings them back
+			h.floor = min(h.floor, use.floor())
+			h.units = min(h.units, use.credit())
+			c.setUnits(m, h, min(h.units, use.creditUnder(c.pools[name].limit)))
+		}
+		c.releaseExcess(now, name, h)
+	}
+	for name, use := range report.Tenants {
+		p := c.pools[name]
+		if p == nil {
+			continue
+		}
+		h := m.holding(name)
+		h.used, h.shortfall = use.used(), use.shortfall()
+		p.dirty = true
+	}
+	m.ackedGrant = max(m.ackedGrant, report.Ack)
+}
+
+// hold returns what a member may hold of a tenant.
+func (m *member) holding(name routing.TenantName) *holding {
+	h := m.holdings[name]
+	if h == nil {
+		h = &holding{}
+		m.holdings[name] = h
+	}
+	return h
+}
+
+// settle books no more than what a router holds that has told its use since it took the last
+// grant. Units in use beyond that end by themselves.
+func (c *Coordinator) releaseExcess(now time.Time, name routing.TenantName, h *holding) {
+	p := c.pools[name]
+	excess := h.outstanding - h.units
+	if excess <= 0 {
+		return
+	}
+	p.addOutstanding(-excess, 0)
+	h.outstanding = h.units
+	c.addExpiring(now.Add(c.bound.reuseDelay()), name, h.used-h.units, 0)
+}
--- a/internal/quota/reserve_test.go
+++ b/internal/quota/reserve_test.go
@@ -12,7 +12,7 @@
 
 // After a restart of all routers nobody knows what is in use. A new leader deals at once what none
 // before can have dealt: nothing of a tenant that was marked as busy, two fifths of any other.
-func TestWhatANewLeaderDealsAtOnce(t *testing.T) {
+func TestNewLeaderAllocatesReserve(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 100, Burst: 100}
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	allowed := bound.Allowed(tenant)
@@ -39,13 +39,13 @@
 			if test.reserved {
 				c.ReserveClaimed(UnreportedShares{})
 			}
-			assert.Equal(t, c.most(now.Add(test.after), c.pools[tenant.Name]), test.most)
+			assert.Equal(t, c.maxOutstanding(now.Add(test.after), c.pools[tenant.Name]), test.most)
 		})
 	}
 }
 
 // A claim tells the next leader what the one before did not know to be held.
-func TestClaimsTellWhatIsLeftOver(t *testing.T) {
+func TestClaimRecordsUnreportedShares(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 100, Burst: 100}
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	for name, test := range map[string]struct {
@@ -54,10 +54,10 @@
 		told, before, leftover float64
 		busy                   bool
 	}{
-		"all were restarted":           {leftover: calmShare},
-		"and once more before long":    {before: calmShare, leftover: 1},
+		"all were restarted":           {leftover: unmarkedShare},
+		"and once more before long":    {before: unmarkedShare, leftover: 1},
 		"only the leader was lost":     {told: 1, leftover: 0},
-		"half were restarted":          {told: 0.5, leftover: calmShare / 2},
+		"half were restarted":          {told: 0.5, leftover: unmarkedShare / 2},
 		"busy tenants don't count":     {busy: true, leftover: 0},
 		"a little was left over":       {told: 1, before: 0.1, leftover: 0.1},
 		"more was told than was dealt": {told: 1.2, leftover: 0},
@@ -72,8 +72,8 @@
 			credit := int(test.told * float64(bound.Allocatable(tenant, false)))
 			c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 0, credit}}})
 			assert.Assert(t, !c.ReserveClaimDue(now))
-			assert.Assert(t, c.ReserveClaimDue(now.Add(reportsIn)))
-			got := c.Unreported(UnreportedShares{Tenants: map[routing.TenantName]float64{tenant.Name: test.before}}).of(tenant.Name)
+			assert.Assert(t, c.ReserveClaimDue(now.Add(reportGracePeriod)))
+			got := c.Unreported(UnreportedShares{Tenants: map[routing.TenantName]float64{tenant.Name: test.before}}).share(tenant.Name)
 			assert.Assert(t, got >= test.leftover-0.01 && got <= test.leftover+0.01, "%v", got)
 		})
 	}
@@ -81,7 +81,7 @@
 
 // Floors that a router out of reach holds from a leader before are withheld, however many this one
 // has given itself: counted together, 32 of 31 requests ran within a window.
-func TestFloorsOfLeadersBeforeAreWithheld(t *testing.T) {
+func TestFloorsOfPreviousLeadersAreWithheld(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 1, Burst: 5}
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	now := time.Unix(1000, 0)
@@ -91,43 +91,43 @@
 	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
 	later := now.Add(bound.TakeoverDelay() + time.Second)
 	p := c.pools[tenant.Name]
-	p.floors = 100
-	assert.Equal(t, c.most(later, p), p.limit-int(math.Ceil(floorShare*float64(p.limit))))
+	p.floorUnits = 100
+	assert.Equal(t, c.maxOutstanding(later, p), p.limit-int(math.Ceil(floorShare*float64(p.limit))))
 }
 
 // A busy tenant that has cooled down is dealt no more than a calm one, and its mark comes off once
 // routers hold no more.
-func TestMarksComeOffOnceNoMoreIsBooked(t *testing.T) {
+func TestMarkIsRemovedOnceOutstandingUnitsFit(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 100, Burst: 100}
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	now := time.Unix(1000, 0)
 	c := NewCoordinator(now, 1, true, bound)
 	c.SetTenants(now, tenants(tenant))
 	c.MarkBusy(tenant.Name)
-	p, calm := c.pools[tenant.Name], bound.Allocatable(tenant, false)
-	asks := func(after time.Duration, units int) {
+	p, unmarked := c.pools[tenant.Name], bound.Allocatable(tenant, false)
+	demand := func(after time.Duration, units int) {
 		now = now.Add(after)
-		c.judgeMark(now, tenant.Name, p, units, p.dealt)
+		c.updateMark(now, tenant.Name, p, units, p.allocatable)
 	}
-	asks(0, 10)
-	asks(coolFor/2, p.limit)
-	asks(coolFor/2, 10)
-	asks(coolFor-1, 10)
-	assert.Equal(t, p.dealt, p.limit, "it has asked for much since")
-	asks(1, 10)
-	assert.Equal(t, p.dealt, calm)
-	p.booked = calm + 1
+	demand(0, 10)
+	demand(coolingDelay/2, p.limit)
+	demand(coolingDelay/2, 10)
+	demand(coolingDelay-1, 10)
+	assert.Equal(t, p.allocatable, p.limit, "it has asked for much since")
+	demand(1, 10)
+	assert.Equal(t, p.allocatable, unmarked)
+	p.outstanding = unmarked + 1
 	assert.Equal(t, len(c.TenantsToUnmark()), 0, "routers may hold what they had")
-	asks(time.Second, p.limit)
-	assert.Equal(t, p.dealt, p.limit, "it asks for much again")
-	asks(time.Second, 10)
-	asks(coolFor, 10)
-	p.booked = calm
+	demand(time.Second, p.limit)
+	assert.Equal(t, p.allocatable, p.limit, "it asks for much again")
+	demand(time.Second, 10)
+	demand(coolingDelay, 10)
+	p.outstanding = unmarked
 	assert.DeepEqual(t, c.TenantsToUnmark(), []routing.TenantName{"t"})
-	asks(time.Second, p.limit)
-	assert.Equal(t, p.dealt, calm, "it gets no more until the mark is off")
+	demand(time.Second, p.limit)
+	assert.Equal(t, p.allocatable, unmarked, "it gets no more until the mark is off")
 	assert.DeepEqual(t, c.TenantsToUnmark(), []routing.TenantName{"t"}) // the store has not answered
 	c.UnmarkBusy("t")
-	asks(time.Second, p.limit)
+	demand(time.Second, p.limit)
 	assert.DeepEqual(t, c.TenantsToMark(), []routing.TenantName{"t"})
 }
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -26,9 +26,9 @@
 	usages := make([]Usage, 0, len(h.accounts))
 	for _, name := range slices.Sorted(maps.Keys(h.accounts)) {
 		a := h.accounts[name]
-		a.spent.advance(at)
+		a.window.advance(at)
 		usages = append(usages, Usage{
-			Tenant: name, Limit: a.limit, Credit: h.credit(a, at), Used: a.spent.used, Granted: a.granted, Refused: a.refused,
+			Tenant: name, Limit: a.limit, Credit: h.credit(a, at), Used: a.window.used, Granted: a.granted, Refused: a.refused,
 		})
 	}
 	slices.SortStableFunc(usages, func(a, b Usage) int { return cmp.Compare(b.Limit, a.Limit) })
