--- a/internal/fair/doc.go
+++ b/internal/fair/doc.go
@@ -1,4 +1,5 @@
-// Package fair says which tenants yield, and whose requests are refused, where a service can't
-// serve all that is asked of it: max-min fair by weight within a priority, after what each has
-// asked for lately. It reads no clock (each event carries its time) and asks nobody: each router judges by what it sees itself.
+// Package fair decides which tenants yield and whose requests are refused when a service can't serve
+// its whole demand: max-min fair sharing by weight within a priority, based on each tenant's recent
+// demand. It reads no clock (each event carries its time) and communicates with no other process:
+// each router decides by its own observations.
 package fair
--- a/internal/fair/flood_test.go
+++ b/internal/fair/flood_test.go
@@ -10,20 +10,23 @@
 )
 
 const (
-	// maxSlowdown is how much slower than without the flood others' answers may be.
+	// maxSlowdown is the maximum ratio of the other tenants' mean latency during a flood to that
+	// without it.
 	maxSlowdown = 1.1
-	// maxInitialSlowdown is the same within five seconds of its beginning, when routers that
-	// see a sample of everything are not sure of it yet.
+	// maxInitialSlowdown is the same for the first five seconds of the flood, when routers that see
+	// only a sample of the requests have not detected it reliably yet.
 	maxInitialSlowdown = 1.7
-	// maxRefused is the share of others' requests that may be refused.
+	// maxRefused is the maximum share of the other tenants' requests that may be refused.
 	maxRefused = 0.005
-	// starved is what part of the share that all are served no tenant may fall below.
+	// starvedRatio is the ratio of a tenant's served share to the overall served share at or below
+	// which it counts as starved.
 	starvedRatio = 0.25
 )
 
 func calmRates(tenant int, _ time.Duration) float64 { return ratePerWeight * simWeights[tenant] }
 
-// floodRates returns rates at which a tenant begins to ask for seven times its usual.
+// floodRates returns arrival rates under which a tenant sends seven times its usual load from
+// simFloodStart on.
 func floodRates(flooder int) func(int, time.Duration) float64 {
 	return func(tenant int, now time.Duration) float64 {
 		if tenant == flooder && now >= simFloodStart {
@@ -33,7 +36,7 @@
 	}
 }
 
-// together is what tenants got together, all but one.
+// sumResults adds up the results of all tenants except one; -1 excludes none.
 func sumResults(list []tenantResult, but int) tenantResult {
 	var sum tenantResult
 	for tenant, one := range list {
@@ -47,7 +50,8 @@
 	return sum
 }
 
-// A flood of one large tenant, at few routers and at so many that each sees a sample of everything.
+// A flood of one large tenant must not slow down the others, neither at a few routers nor at so
+// many that each sees only a sample of the requests.
 func TestFloodDoesNotAffectOtherTenants(t *testing.T) {
 	for _, routers := range []int{1, 3, 11, 81} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -55,15 +59,15 @@
 				_, usual := runSimulation(7, routers, policy, calmRates)
 				early, list := runSimulation(7, routers, policy, floodRates(0))
 				calm, first, flooded, all := sumResults(usual, 0), sumResults(early, 0), sumResults(list, 0), sumResults(list, -1)
-				t.Logf("%s: calm %v; others at first %v; then %v; flooder %v", name, calm, first, flooded, list[0])
+				t.Logf("%s: without flood %v; others initially %v; later %v; flooding tenant %v", name, calm, first, flooded, list[0])
 				if name != "ledger" {
 					continue
 				}
-				noticed := float64(first.meanLatency()) / float64(calm.meanLatency())
-				assert.Assert(t, noticed <= maxInitialSlowdown, "others' answers take %.3f times as long at first", noticed)
-				slower := float64(flooded.meanLatency()) / float64(calm.meanLatency())
-				assert.Assert(t, slower <= maxSlowdown, "others' answers take %.3f times as long", slower)
-				assert.Assert(t, flooded.refusedShare() <= maxRefused, "others are refused: %.4f", flooded.refusedShare())
+				initially := float64(first.meanLatency()) / float64(calm.meanLatency())
+				assert.Assert(t, initially <= maxInitialSlowdown, "initially, the other tenants' latency is %.3f times the usual", initially)
+				slowdown := float64(flooded.meanLatency()) / float64(calm.meanLatency())
+				assert.Assert(t, slowdown <= maxSlowdown, "the other tenants' latency is %.3f times the usual", slowdown)
+				assert.Assert(t, flooded.refusedShare() <= maxRefused, "share of the other tenants' requests refused: %.4f", flooded.refusedShare())
 				served := (1 - list[0].refusedShare()) / (1 - all.refusedShare())
 				assert.Assert(t, served > starvedRatio, "the flooding tenant is starved: %.3f", served)
 			}
@@ -71,16 +75,16 @@
 	}
 }
 
-// Where there is room for all, nobody notices that shares are counted.
+// Without a shortage, results are the same as under the policy without a ledger.
 func TestLedgerHasNoEffectWithoutShortage(t *testing.T) {
 	for _, routers := range []int{1, 81} {
-		_, before := runSimulation(9, routers, simPolicies["first come"], calmRates)
+		_, without := runSimulation(9, routers, simPolicies["first come"], calmRates)
 		_, with := runSimulation(9, routers, simPolicies["ledger"], calmRates)
-		assert.DeepEqual(t, fmt.Sprint(with), fmt.Sprint(before))
+		assert.DeepEqual(t, fmt.Sprint(with), fmt.Sprint(without))
 	}
 }
 
-// Where all ask for twice what there is room for, nobody is starved, small or large.
+// Where all tenants send twice what can be served, no tenant is starved, small or large.
 func TestNoTenantStarvesUnderOverload(t *testing.T) {
 	double := func(tenant int, now time.Duration) float64 { return 3.2 * calmRates(tenant, now) }
 	_, list := runSimulation(5, 11, simPolicies["ledger"], double)
@@ -88,11 +92,11 @@
 	assert.Assert(t, all.refusedShare() > 0.3, "no shortage: %v", all)
 	for tenant, one := range list {
 		served := (1 - one.refusedShare()) / (1 - all.refusedShare())
-		assert.Assert(t, served > 2*starvedRatio, "tenant %d: served %.3f as often as all", tenant, served)
+		assert.Assert(t, served > 2*starvedRatio, "tenant %d: served at %.3f of the overall share", tenant, served)
 	}
 }
 
-// The less urgent tenants are refused, down to what they must be served.
+// In a shortage, requests of lower priority are refused first, down to their guaranteed minimum.
 func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	priorities := []int{1, 0, 0, 0, 0, 0, 1, 1, 1, 1}
 	urgent := func(random *rand.Rand) simPolicy {
@@ -113,7 +117,7 @@
 	}
 	all := sumResults(list, -1)
 	t.Logf("urgent %v; others %v; all %v", first, second, all)
-	assert.Assert(t, first.refusedShare() < second.refusedShare(), "the urgent are refused %.3f, the others %.3f", first.refusedShare(), second.refusedShare())
-	assert.Assert(t, first.refusedShare() < 0.05, "the urgent are refused %.3f", first.refusedShare())
-	assert.Assert(t, (1-second.refusedShare())/(1-all.refusedShare()) > starvedRatio, "the others are starved: %.3f", second.refusedShare())
+	assert.Assert(t, first.refusedShare() < second.refusedShare(), "refused: %.3f of the urgent requests, %.3f of the others", first.refusedShare(), second.refusedShare())
+	assert.Assert(t, first.refusedShare() < 0.05, "refused: %.3f of the urgent requests", first.refusedShare())
+	assert.Assert(t, (1-second.refusedShare())/(1-all.refusedShare()) > starvedRatio, "requests of lower priority are starved: %.3f refused", second.refusedShare())
 }
--- a/internal/fair/ledger.go
+++ b/internal/fair/ledger.go
@@ -7,83 +7,87 @@
 )
 
 const (
-	// window is the time constant with which requests are forgotten. One of a hundred routers
-	// sees a few requests a second, so a shorter one would judge tenants by chance; a longer
-	// one would hold a flood against a tenant's callers long after its end.
+	// window is the time constant of the exponential decay of request counts. One of a hundred
+	// routers sees a few requests a second, so counts over a shorter window would be dominated by
+	// chance; a longer one would penalize a tenant's callers long after the end of a flood.
 	window = 5 * time.Second
-	// recently is the time constant of what Yield also looks at: with the window alone a flood
-	// filled the workers' queues before it was noticed, and in its first five seconds others
-	// waited three times as long as in calm.
+	// recentWindow is the time constant of the short-term counts that YieldShare also uses. With
+	// window alone, a flood filled the workers' queues before it was detected, and in its first
+	// five seconds other tenants waited three times as long as under normal load.
 	recentWindow = time.Second
-	// shortageFactor times what is served is asked for where there is a shortage: one of a tenth or
-	// less is nobody's fault, and chance at one router.
+	// shortageFactor is the ratio of demand to served requests above which there is a shortage. At
+	// one router, an excess of a tenth or less is chance and is attributed to no caller.
 	shortageFactor = 1.1
-	// excessFactor times its part by weight is what a tenant may ask for before it yields:
-	// usual variation between tenants makes nobody wait.
+	// excessFactor times its fair part by weight is the demand above which a tenant yields, so that
+	// normal variation between tenants makes no request wait.
 	excessFactor = 1.25
-	// deviationFactor times the standard deviation of a number of requests is taken for chance: who is
-	// taken wrongly to ask for much only waits for a free worker, and finds one at once in calm.
+	// deviationFactor times the standard deviation of a number of requests counts as chance. A caller
+	// that is wrongly found to be beyond its part only waits for a free worker, and under normal
+	// load there is one at once.
 	deviationFactor = 1
-	// minServedRatio is the share of its requests that a tenant gets at least, as a multiple of
-	// what all get: whoever is served a quarter as often as all counts as starved, and shares
-	// are estimates.
+	// minServedRatio is the least share of a tenant's requests that is served, as a multiple of the
+	// share that is served overall. A tenant at a quarter of the overall share counts as starved;
+	// the ratio is higher since shares are estimates.
 	minServedRatio = 0.4
-	// MaxCallers is how many tenants and priorities are told apart, of one service; the others
-	// are refused as all are on average. A lane takes about 100 bytes.
+	// MaxCallers is the maximum number of callers (pairs of tenant and priority) tracked for one
+	// service. The others are refused at the overall rate. A caller takes about 100 bytes.
 	MaxCallers = 256
-	// refreshInterval is the longest age of shares: callers do not change their ways sooner.
+	// refreshInterval is the maximum age of computed shares: demand doesn't change faster.
 	refreshInterval = 50 * time.Millisecond
-	// levelSteps halve the error of a level each.
+	// levelSteps is the number of bisection steps for the water level in waterFill.
 	levelSteps = 30
-	// rebaseAfter is after how many windows counts are scaled down, long before they overflow.
+	// rebaseAfter is the number of time constants after which counts are scaled down, long before
+	// they overflow.
 	rebaseAfter = 20
-	// refusalsEndAfter is for how long a caller was not refused for its share until it counts as
-	// served again, so that a shortage makes two log lines and not one for each request.
+	// refusalsEndAfter is the time since a caller's last refusal for its share after which the
+	// caller counts as served again, so that a shortage logs two lines and not one per request.
 	refusalsEndAfter = 10 * time.Second
-	// telling is after how many refusals a caller counts as refused for its share: fewer at one
-	// router are chance.
+	// refusalThreshold is the number of refusals from which a caller counts as refused for its
+	// share: fewer at one router are chance.
 	refusalThreshold = 3
-	// forgotten is a number of requests that says nothing more.
+	// negligible is the decayed request count below which a caller is dropped. It is also the
+	// least divisor in RefusalShares.Scaled.
 	negligible = 0.01
 )
 
-// Caller is whom a request counts for.
+// Caller identifies the tenant and priority that a request is counted for.
 type Caller struct {
-	// Name of the tenant; empty: none.
+	// Name is the tenant's name; empty for requests without a tenant.
 	Name string
-	// Priority: 0 is the highest.
+	// Priority 0 is the highest.
 	Priority int
 }
 
-// lane is what is known of one caller. Counts are scaled by the ledger's scale.
+// callerStats are the counts of one caller, scaled by Ledger.scale and Ledger.recentScale.
 type callerStats struct {
 	weight, requests float64
-	// recent counts the same as wanted, of the last moments.
+	// recentRequests counts the same requests with the decay of recentWindow.
 	recentRequests float64
-	// refused is the share of requests to refuse, from 0 to 1.
+	// refusedShare is the share of the caller's requests to refuse, from 0 to 1.
 	refusedShare float64
-	// refusals counts those for the caller's share, the last of them at refusedAt; zero: none
-	// for a while.
+	// shareRefusals counts refusals for the caller's share, the last of them at refusedAt. The
+	// first request after refusalsEndAfter without a refusal resets it.
 	shareRefusals int
 	refusedAt     time.Time
 }
 
-// Ledger counts what callers ask of one service, or of one of its workers, and what it could not
-// serve. The zero value is ready. It is safe for concurrent use.
+// Ledger counts the requests of callers to one service, or to one of its workers, and those that
+// could not be served. The zero value is ready to use. It is safe for concurrent use.
 type Ledger struct {
 	mu      sync.Mutex
 	callers map[Caller]*callerStats
-	// wanted and lost count all requests; weight is that of all lanes.
+	// requests and unserved count those of all callers, recentRequests with the decay of
+	// recentWindow; totalWeight is the sum over callers.
 	requests, unserved, totalWeight, recentRequests float64
-	// base is when a request weighs one; later ones weigh more, which is as if those before
-	// were forgotten. recentBase is that of recent counts.
+	// base is the time at which a request counts as one. Later requests count more, which is
+	// equivalent to a decay of the earlier ones. recentBase is the same for recentRequests.
 	base, recentBase, refreshedAt time.Time
-	// average is the share of all requests to refuse.
+	// overallRefused is the share of all requests to refuse, from 0 to 1.
 	overallRefused float64
 }
 
-// Wanted counts a request of a caller of some weight, above zero. It returns true if the caller
-// was refused for its share before, and has not been for a while.
+// RecordRequest counts a request of a caller whose weight is above zero. ended reports that the
+// caller was being refused for its share and has not been for refusalsEndAfter.
 func (l *Ledger) RecordRequest(now time.Time, caller Caller, weight float64) (ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,14 +111,16 @@
 	return ended
 }
 
-// Lost counts a request, counted as wanted before, that there was no room for.
+// RecordUnserved counts a request for which there was no capacity. RecordRequest has counted it
+// before.
 func (l *Ledger) RecordUnserved(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unserved += l.scale(now)
 }
 
-// Refused notes that a caller is refused for its share. It returns true if it begins to be so.
+// RecordShareRefusal counts a refusal of a caller's request for its share. began reports that the
+// caller counts as refused for its share from this refusal on.
 func (l *Ledger) RecordShareRefusal(now time.Time, caller Caller) (began bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,14 +133,13 @@
 	return stats.shareRefusals == refusalThreshold
 }
 
-// Shares of requests, from 0 to 1.
+// RefusalShares are shares of requests to refuse, from 0 to 1.
 type RefusalShares struct {
-	// Own is that of a caller's requests that there is no room for, and All that of
-	// everybody's.
+	// Own is the share of the caller's requests, and All that of the requests of all callers.
 	Own, All float64
 }
 
-// Refuse returns which share of a caller's requests to refuse now.
+// RefusalShares returns the share of a caller's requests to refuse now, and that of all requests.
 func (l *Ledger) RefusalShares(now time.Time, caller Caller) RefusalShares {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,9 +150,9 @@
 	return RefusalShares{Own: l.overallRefused, All: l.overallRefused}
 }
 
-// Chosen returns which share of a caller's requests to refuse where a share of all has to be
-// refused: those who are beyond their share bear it as far as the ledger knows of it, and
-// everybody alike what goes beyond.
+// Scaled returns the share of a caller's requests to refuse where a given overall share has to be
+// refused. Up to All, refusals are distributed in proportion to Own; the rest is distributed evenly
+// over all callers.
 func (s RefusalShares) Scaled(overall float64) float64 {
 	if s.All >= overall {
 		return s.Own * overall / max(s.All, negligible)
@@ -155,9 +160,9 @@
 	return s.Own + (1-s.Own)*(overall-s.All)/(1-s.All)
 }
 
-// Yield returns the share of a caller's requests that takes free workers only: what goes clearly
-// beyond its part by weight, and what is refused where there is no room. It is zero for one that
-// is alone and has room.
+// YieldShare returns the share of a caller's requests that may only use free workers: the larger of
+// the share that clearly exceeds its fair part by weight and the share that is refused in a
+// shortage. It is zero for the only caller and for one that is not tracked.
 func (l *Ledger) YieldShare(now time.Time, caller Caller) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,8 +178,8 @@
 	return max(stats.refusedShare, min(overShare, 1-minServedRatio))
 }
 
-// excess is the share of a caller's requests that goes clearly beyond its part of all. weight is
-// that of the caller as a multiple of all others' together.
+// excess returns the share of a caller's requests that clearly exceeds its fair part of all
+// requests. weight is the caller's weight divided by the sum of all others'.
 func excess(requests, all, weight float64) float64 {
 	fairPart := (all - requests) * weight
 	allowed := excessFactor*fairPart + deviationFactor*math.Sqrt(max(0, fairPart)) + 1
@@ -184,14 +189,14 @@
 	return 1 - allowed/requests
 }
 
-// Counted returns how many requests are remembered.
+// RecentRequests returns the decayed count of the requests of all callers.
 func (l *Ledger) RecentRequests(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.requests / l.scale(now)
 }
 
-// scale is what a request weighs that comes now. The caller holds mu.
+// scale returns how much a request that arrives now counts. l.mu must be held.
 func (l *Ledger) scale(now time.Time) float64 {
 	if l.base.IsZero() {
 		l.base = now
@@ -206,7 +211,8 @@
 	return 1
 }
 
-// recentScale is what a request weighs among the recent ones that comes now. The caller holds mu.
+// recentScale returns how much a request that arrives now counts in recentRequests. l.mu must be
+// held.
 func (l *Ledger) recentScale(now time.Time) float64 {
 	passed := now.Sub(l.recentBase).Seconds() / recentWindow.Seconds()
 	if passed < rebaseAfter {
@@ -221,7 +227,8 @@
 	return 1
 }
 
-// rebase scales all counts, and drops lanes of which nothing is left. The caller holds mu.
+// rebase multiplies the counts by factor and drops callers whose count is negligible. l.mu must be
+// held.
 func (l *Ledger) rebase(factor float64) {
 	l.requests *= factor
 	l.unserved *= factor
@@ -234,7 +241,8 @@
 	}
 }
 
-// lane returns a caller's lane; nil if there are too many. The caller holds mu.
+// statsOf returns the stats of a caller, which it creates if needed; nil if there are MaxCallers
+// others. l.mu must be held.
 func (l *Ledger) statsOf(caller Caller) *callerStats {
 	stats := l.callers[caller]
 	if stats == nil && len(l.callers) < MaxCallers {
--- a/internal/fair/ledger_test.go
+++ b/internal/fair/ledger_test.go
@@ -12,15 +12,15 @@
 
 var began = time.Unix(1000, 0)
 
-// asked is a ledger of which callers have asked so often, and for which there was no room so often.
-func newLedger(lost int, counts map[Caller]int) *Ledger {
+// newLedger returns a ledger with the given number of requests per caller and of unserved requests.
+func newLedger(unserved int, counts map[Caller]int) *Ledger {
 	l := &Ledger{}
 	for caller, count := range counts {
 		for range count {
 			l.RecordRequest(began, caller, 1)
 		}
 	}
-	for range lost {
+	for range unserved {
 		l.RecordUnserved(began)
 	}
 	return l
@@ -41,7 +41,7 @@
 	assert.Equal(t, l.RefusalShares(began, a), RefusalShares{})
 }
 
-// A limit is a weight: who may ask for more has more.
+// A tenant's limit is its weight: the higher the limit, the larger its share.
 func TestSharesFollowWeights(t *testing.T) {
 	l, large, small := &Ledger{}, Caller{Name: "large"}, Caller{Name: "small"}
 	for range 100 {
@@ -57,7 +57,7 @@
 	assert.Assert(t, l.YieldShare(began, large) < 0.3)
 }
 
-// Urgent requests that take all the room leave some to the others.
+// High-priority requests that exceed the capacity leave a minimum to lower priorities.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	urgent, other := Caller{Name: "a"}, Caller{Name: "b", Priority: 1}
 	l := newLedger(100, map[Caller]int{urgent: 100, other: 100})
@@ -66,8 +66,8 @@
 	assert.Assert(t, l.RefusalShares(began, urgent).Own < shares.Own)
 }
 
-// A worker may be short of more, or of less, than the ledger knows of: as many are refused as
-// must be, and no caller is starved.
+// The shortage at a worker may be larger or smaller than the ledger's estimate: the refusals add up
+// to the required overall share, and no caller is starved.
 func TestScaledRefusalsMatchOverallShare(t *testing.T) {
 	counts := map[Caller]int{{Name: "a"}: 100, {Name: "b"}: 10, {Name: "c"}: 40, {Name: "d", Priority: 1}: 20}
 	l := newLedger(60, counts)
@@ -79,9 +79,9 @@
 			refused += chosen * float64(count)
 			total += float64(count)
 		}
-		assert.Assert(t, math.Abs(refused/total-all) < 0.01, "%f in place of %f", refused/total, all)
+		assert.Assert(t, math.Abs(refused/total-all) < 0.01, "refused %f, want %f", refused/total, all)
 	}
-	assert.Equal(t, RefusalShares{}.Scaled(0.4), 0.4, "where nothing is known, chance decides")
+	assert.Equal(t, RefusalShares{}.Scaled(0.4), 0.4, "without counts all callers are refused alike")
 }
 
 func TestPastFloodIsForgotten(t *testing.T) {
@@ -99,19 +99,20 @@
 func TestShareRefusalChangesAreReportedOnce(t *testing.T) {
 	a := Caller{Name: "a"}
 	l := newLedger(5, map[Caller]int{a: 10})
-	var told []int
+	var beganAt []int
 	for index := range 3 * refusalThreshold {
 		if l.RecordShareRefusal(began, a) {
-			told = append(told, index+1)
+			beganAt = append(beganAt, index+1)
 		}
 	}
-	assert.DeepEqual(t, told, []int{refusalThreshold})
+	assert.DeepEqual(t, beganAt, []int{refusalThreshold})
 	assert.Assert(t, !l.RecordRequest(began.Add(refusalsEndAfter/2), a, 1))
 	assert.Assert(t, l.RecordRequest(began.Add(refusalsEndAfter), a, 1))
 	assert.Assert(t, !l.RecordRequest(began.Add(refusalsEndAfter), a, 1))
 }
 
-// Callers beyond the bound are refused as all are, and those that are gone make room for others.
+// Callers beyond MaxCallers are refused at the overall rate, and callers without recent requests
+// are dropped.
 func TestCallerCountIsBounded(t *testing.T) {
 	l := &Ledger{}
 	for index := range 3 * MaxCallers {
@@ -129,8 +130,9 @@
 	assert.Assert(t, len(l.callers) <= 1, "%d", len(l.callers))
 }
 
-// Whatever callers ask for: all that there is room for is given, a caller that asks for less by
-// weight is refused no more, an urgent one no more than a less urgent one, and none is starved.
+// For any demand: the whole capacity is used, a caller with less demand by weight is not refused
+// more than one with more, a caller of higher priority is not refused more than one of lower
+// priority, and no caller is starved.
 func TestSharesAreMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, total := &Ledger{}, 0
@@ -147,15 +149,15 @@
 		for range rapid.IntRange(0, total).Draw(t, "lost") {
 			l.RecordUnserved(began)
 		}
-		given := 0.0
+		granted := 0.0
 		for caller, count := range counts {
 			shares := l.RefusalShares(began, caller)
-			given += (1 - shares.Own) * float64(count)
+			granted += (1 - shares.Own) * float64(count)
 			assert.Assert(t, 1-shares.Own >= minServedRatio*(1-shares.All)-1e-6, "%v is starved: %+v", caller, shares)
 			for other, asks := range counts {
 				rank, otherRank := float64(count)/weights[caller], float64(asks)/weights[other]
 				own := l.RefusalShares(began, other).Own
-				protected := float64(asks)*(1-own) <= 1+1e-6 // one request is no flood
+				protected := float64(asks)*(1-own) <= 1+1e-6 // a single request is no flood
 				if caller.Priority == other.Priority && rank <= otherRank && !protected {
 					assert.Assert(t, shares.Own <= own+1e-6 || own < 1e-6 && shares.Own < 1e-6, "%v is refused before %v", caller, other)
 				}
@@ -165,15 +167,15 @@
 				}
 			}
 		}
-		room := float64(total)
-		if served := max(0, l.requests-l.unserved); room > shortageFactor*served+1 {
-			room = served + 1
+		capacity := float64(total)
+		if served := max(0, l.requests-l.unserved); capacity > shortageFactor*served+1 {
+			capacity = served + 1
 		}
-		assert.Assert(t, given >= room-1e-3 && given <= room+float64(len(counts))+1e-3, "given %f of %f", given, room)
+		assert.Assert(t, granted >= capacity-1e-3 && granted <= capacity+float64(len(counts))+1e-3, "granted %f, capacity %f", granted, capacity)
 	})
 }
 
-// What a request pays where the configuration has tenants.
+// BenchmarkLedger measures the cost per request where the configuration has tenants.
 func BenchmarkLedger(b *testing.B) {
 	l := &Ledger{}
 	callers := make([]Caller, 1000)
--- a/internal/fair/policies_test.go
+++ b/internal/fair/policies_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// fifo knows no tenant.
+// fifo serves requests in order of arrival, whatever their tenant.
 type fifo struct{}
 
 func (fifo) arrived(time.Time, int) bool { return false }
 func (fifo) unserved(time.Time, int)     {}
 func (fifo) next([]*simRequest) int      { return 0 }
 
-// roundRobin lets waiting requests go in deficit round robin over tenants, by weight.
+// roundRobin serves waiting requests by deficit round robin over tenants, by weight.
 type roundRobin struct {
 	fifo
 	deficit []float64
@@ -41,12 +41,12 @@
 	}
 }
 
-// ledgerPolicy lets those beyond their share take free workers only.
+// ledgerPolicy lets requests beyond their tenant's share use free workers only.
 type ledgerPolicy struct {
 	fifo
 	ledger Ledger
 	random *rand.Rand
-	// priorities of the tenants; zero where there are none.
+	// priorities of the tenants; nil if all have priority 0.
 	priorities []int
 }
 
@@ -65,12 +65,13 @@
 
 func (b *ledgerPolicy) unserved(now time.Time, _ int) { b.ledger.RecordUnserved(now) }
 
-// newLedgerPolicy draws its chances apart from the play's, so that callers come as under other ways.
+// newLedgerPolicy uses a random source of its own, so that arrivals are the same as under other
+// policies.
 func newLedgerPolicy(*rand.Rand) *ledgerPolicy {
 	return &ledgerPolicy{random: rand.New(rand.NewPCG(11, 12))}
 }
 
-// simPolicies are the ways to share that were weighed.
+// simPolicies are the policies that are compared.
 var simPolicies = map[string]func(*rand.Rand) simPolicy{
 	"first come":  func(*rand.Rand) simPolicy { return fifo{} },
 	"round robin": func(*rand.Rand) simPolicy { return &roundRobin{deficit: make([]float64, len(simWeights))} },
--- a/internal/fair/shares.go
+++ b/internal/fair/shares.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// refresh works out anew which share of each caller's requests is refused, unless that was done
-// just now. The caller holds mu.
+// refresh recomputes the share of each caller's requests to refuse, at most once per
+// refreshInterval. l.mu must be held.
 func (l *Ledger) refresh(now time.Time, scale float64) {
 	if now.Sub(l.refreshedAt) < refreshInterval {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// share gives what there is room for to the classes in order of their priority, after each lane
-// has got the least that it must get. The caller holds mu.
+// distribute allocates the capacity to the priority classes, highest priority first, after each
+// caller's minimum is set aside. l.mu must be held.
 func (l *Ledger) distribute(classes map[int][]*callerStats, scale float64) {
 	served := 1 - l.overallRefused
 	minServed := minServedRatio * served
@@ -44,15 +44,15 @@
 	}
 	for _, priority := range slices.Sorted(maps.Keys(classes)) {
 		class := classes[priority]
-		room := remaining + minServed*totalRequests(class)
-		remaining = max(0, room-totalRequests(class))
-		waterFill(class, room, minServed, scale)
+		capacity := remaining + minServed*totalRequests(class)
+		remaining = max(0, capacity-totalRequests(class))
+		waterFill(class, capacity, minServed, scale)
 	}
 }
 
-// fill shares room among lanes: each gets what it asks for, or as much as its weight times the
-// level that all of them have in common, and never less than a share of what it asks for. One
-// request is no flood: a lane that has asked for no more is served.
+// waterFill distributes capacity among the callers of a class by weighted max-min fairness: each
+// gets its demand or its weight times a common level, whichever is less, but at least minServed of
+// its demand and at least one request, since a single request is no flood.
 func waterFill(class []*callerStats, capacity, minServed, scale float64) {
 	if totalRequests(class) <= capacity {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// total is what lanes ask for together.
+// totalRequests returns the sum of the request counts of a class.
 func totalRequests(class []*callerStats) float64 {
 	sum := 0.0
 	for _, stats := range class {
--- a/internal/fair/simulation_test.go
+++ b/internal/fair/simulation_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Load of the plays: tenants ask for a little over half of what the workers bear.
+// Load of the simulation: the tenants' demand is a little over half of the workers' capacity.
 const (
 	simWorkers       = 100
 	simServiceTime   = 100 * time.Millisecond
-	simQueueLength   = 250 // requests that wait at all workers together
+	simQueueLength   = 250 // requests queued at all workers together
 	simMaxWait       = 250 * time.Millisecond
 	simDuration      = 40 * time.Second
-	simFloodStart    = 20 * time.Second // from here on
-	simFloodDetected = 25 * time.Second // from here on routers know of the flood
+	simFloodStart    = 20 * time.Second // start of the flood
+	simFloodDetected = 25 * time.Second // by now routers have detected the flood
 	ratePerWeight    = 37.5             // requests a second
 )
 
-// simWeights are the tenants' weights; the first one floods.
+// simWeights are the tenants' weights. The first tenant is the one that floods.
 var simWeights = []float64{4, 4, 1, 1, 1, 1, 1, 1, 1, 1}
 
-// simPolicy is what a way to share does at one router.
+// simPolicy is a scheduling policy at one router.
 type simPolicy interface {
-	// arrived counts a request, and reports whether it takes a free worker only.
+	// arrived counts a request and reports whether it may only use a free worker.
 	arrived(now time.Time, tenant int) bool
 	unserved(now time.Time, tenant int)
-	// next is which of the waiting requests goes first.
+	// next returns the index of the waiting request to serve first.
 	next(waiting []*simRequest) int
 }
 
@@ -37,7 +37,7 @@
 	yields, done   bool
 }
 
-// simEvent happens at a time.
+// simEvent is a call of do at a time.
 type simEvent struct {
 	at time.Duration
 	do func()
@@ -55,7 +55,7 @@
 	return last
 }
 
-// tenantResult is what the callers of one tenant got during the flood.
+// tenantResult sums up the requests of one tenant that arrived during the flood.
 type tenantResult struct {
 	requests, refused int
 	totalLatency      time.Duration
@@ -68,10 +68,11 @@
 }
 
 func (r tenantResult) String() string {
-	return fmt.Sprintf("asked %d, refused %.3f, mean %v", r.requests, r.refusedShare(), r.meanLatency().Round(time.Millisecond/10))
+	return fmt.Sprintf("requests %d, refused %.3f, mean latency %v", r.requests, r.refusedShare(), r.meanLatency().Round(time.Millisecond/10))
 }
 
-// play is a service that many routers share, with callers that come at random.
+// simulation is a discrete-event simulation of a service that many routers share, with random
+// arrivals.
 type simulation struct {
 	random      *rand.Rand
 	events      simEvents
@@ -81,11 +82,11 @@
 	queue       []*simRequest
 	busyWorkers int
 	rates       func(tenant int, now time.Duration) float64
-	// early are the results of the flood's beginning, and later those from then on.
+	// early are the results until simFloodDetected, and later those from then on.
 	early, later []tenantResult
 }
 
-// runSimulation plays a load at many routers.
+// runSimulation simulates a load at a number of routers.
 func runSimulation(seed uint64, routers int, fresh func(*rand.Rand) simPolicy, rates func(int, time.Duration) float64) (early, later []tenantResult) {
 	p := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), rates: rates,
@@ -120,7 +121,7 @@
 	})
 }
 
-// result is where a request counts.
+// result returns the result that a request counts towards. Requests before the flood are discarded.
 func (p *simulation) result(r *simRequest) *tenantResult {
 	switch {
 	case r.arrivedAt < simFloodStart:
@@ -148,7 +149,7 @@
 	p.serveWaiting()
 }
 
-// start gives a request to a worker; false if none takes it.
+// tryStart assigns a request to a worker; false if no worker can take it.
 func (p *simulation) tryStart(r *simRequest) bool {
 	switch {
 	case p.busyWorkers < simWorkers:
@@ -177,7 +178,7 @@
 	})
 }
 
-// serveWaiting lets requests that wait at routers go on, as far as there is room.
+// serveWaiting starts requests that wait at routers while there is capacity.
 func (p *simulation) serveWaiting() {
 	for _, router := range p.random.Perm(len(p.routers)) {
 		for len(p.waiting[router]) > 0 {
@@ -191,7 +192,7 @@
 	}
 }
 
-// startAny starts a request behind one that waits for a free worker.
+// tryStartAny starts a request that waits behind one that may only use a free worker.
 func (p *simulation) tryStartAny(list []*simRequest) bool {
 	for _, one := range list {
 		if !one.yields && p.tryStart(one) {
