--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -6,13 +6,13 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// silentAfter is after how long a router gets nothing more that has said nothing: it is likely to be
-// gone. What it holds stays booked.
+// silentAfter is the time without a report after which a router is granted nothing more, since it
+// is likely to have ended. What it holds stays outstanding.
 const silentAfter = 2 * renewInterval
 
-// deal gives routers what they need of a tenant's units: what they use, and an equal share of
-// the rest, so that the next request finds a unit. Where too few are left it takes from those
-// that have more.
+// allocate grants routers the units of a tenant that they need: those in use, and an equal share of
+// the rest, so that the next request finds a unit. If too few are free it reclaims units from
+// routers that have more than that.
 func (c *Coordinator) allocate(now time.Time, name routing.TenantName, p *pool) {
 	if c.membership.state == membersAwaited {
 		return
@@ -30,7 +30,7 @@
 	}
 	sortByRemaining(reachable, name)
 	maxUnits := c.maxOutstanding(now, p)
-	unreachable := p.outstanding - held // by routers that are silent or gone
+	unreachable := p.outstanding - held // at routers that are silent or lost
 	spare := max(0, maxUnits-unreachable-used) / max(1, len(reachable), c.routerCount)
 	c.assignFloors(p, name, reachable)
 	missing := c.raiseCredits(p, name, reachable, maxUnits, spare)
@@ -43,7 +43,8 @@
 	p.dirty = missing > 0 || p.overLimit
 }
 
-// floors sets the floors of routers that have none yet, as far as the share kept for them goes.
+// assignFloors raises the floors of routers to an equal share of the units reserved for floors, as
+// far as these suffice.
 func (c *Coordinator) assignFloors(p *pool, name routing.TenantName, list []*member) {
 	reservedUnits := int(floorShare * float64(p.allocatable))
 	floor := reservedUnits / max(1, len(list), c.routerCount)
@@ -58,8 +59,8 @@
 	}
 }
 
-// wants is how many units a router needs where it may have spare ones beyond its use; zero as
-// long as it has enough left.
+// unitsNeeded returns how many units a router needs in order to have spare ones beyond its use;
+// zero while it has more than half of them left and no shortfall.
 func (h *holding) unitsNeeded(spare int) int {
 	left := h.units - h.used
 	if h.shortfall == 0 && left > spare/2 {
@@ -68,7 +69,7 @@
 	return max(0, h.shortfall-left, spare-left)
 }
 
-// raise gives units that are not booked, and returns how many were missing.
+// raiseCredits grants units that are not outstanding, and returns how many are missing.
 func (c *Coordinator) raiseCredits(p *pool, name routing.TenantName, list []*member, maxUnits, spare int) (missing int) {
 	needing := 0
 	for _, m := range list {
@@ -83,8 +84,9 @@
 		if needed == 0 {
 			continue
 		}
-		// What it was told to give up is booked still, and may be given again, unless the limit
-		// was lowered: more may be booked then than there is.
+		// Units that the router was asked to give up are still outstanding, and may be granted to
+		// it again, unless the limit was lowered: then more units may be outstanding than there
+		// are.
 		free := max(0, maxUnits-p.outstanding+h.outstanding-h.units)
 		granted := min(needed, free, fairShare)
 		missing += needed - granted
@@ -100,8 +102,9 @@
 	return missing
 }
 
-// lower takes units from routers that have more left than the spare ones, those with most first.
-// What they were asked for before is on its way. It returns how many units are still missing.
+// lowerCredits reclaims units from routers that have more than the spare ones left, those with most
+// first. Units that they were asked to give up before count as on their way. It returns how many
+// units are still missing.
 func (c *Coordinator) lowerCredits(name routing.TenantName, list []*member, spare, missing int) (stillMissing int) {
 	for index := len(list) - 1; index >= 0 && missing > 0; index-- {
 		m := list[index]
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -6,30 +6,33 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Change says that a tenant asks for more than there is, or does so no longer.
+// Change records that a tenant's demand began to exceed its limit, or no longer does.
 type Change struct {
 	Tenant routing.TenantName
 	Over   bool
-	// Limit is in units, of which Dealt are given to routers at most; Used of them are in use as routers told last, Booked may be in use
-	// at most. Withheld are those that a new leader must not give yet.
+	// Limit is in units. Allocatable is how many of them may be granted to routers, Used how many
+	// routers last reported as in use, and Outstanding how many may be in use. Withheld are those
+	// that a new leader must not grant yet.
 	Limit, Allocatable, Used, Outstanding, Withheld int
-	// Missing is how many units routers asked for and did not get.
+	// Missing is how many units routers needed and did not get.
 	Missing int
-	// Age is that of the oldest message that Used counts.
+	// Age is the time since the oldest report that Used includes was received.
 	Age time.Duration
 }
 
-// withinLimitAfter is for how long no unit must be missing until a tenant is within its limit again.
+// withinLimitAfter is how long no unit must have been missing before a tenant counts as within its
+// limit again.
 const withinLimitAfter = 5 * time.Second
 
-// Changes returns what has changed since it was called last.
+// Changes returns the changes since the last call.
 func (c *Coordinator) Changes() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// judge notes whether a tenant asks for more than there is.
+// updateOverLimit updates whether a tenant's demand exceeds its limit, given how many units are
+// missing, and records a change.
 func (c *Coordinator) updateOverLimit(now time.Time, name routing.TenantName, p *pool, missing int) {
 	if missing > 0 {
 		p.missingAt = now
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -11,109 +11,121 @@
 )
 
 const (
-	// fullReportInterval is the pause between requests to one router to tell all.
+	// fullReportInterval is the minimum interval between requests for a full report to one router.
 	fullReportInterval = 500 * time.Millisecond
-	// resendAfter is after how long a grant that was not acknowledged is sent again.
+	// resendAfter is the time after which a grant that was not acknowledged is sent again.
 	resendAfter = 1500 * time.Millisecond
 )
 
-// Coordinator is the leader's side: it books how many units each router may hold in use at
-// most, by the leader's knowledge. It is not safe for concurrent use.
+// Coordinator is the leader's side: it grants units to routers and tracks how many of them may be
+// in use. It is not safe for concurrent use.
 type Coordinator struct {
 	term  owner.Term
 	bound Bound
-	// opened is when it began to lead, and first says that nobody did before.
+	// startedAt is when this leader began to lead. firstLeader says that there was no leader in any
+	// earlier term.
 	startedAt   time.Time
 	firstLeader bool
-	// reserved says that this leader may deal what no leader before can have dealt.
+	// reserveClaimed says that this leader may grant units that no previous leader can have
+	// granted.
 	reserveClaimed bool
-	// busy are the tenants that are marked as such in the store.
+	// busy are the tenants that are marked as busy in the store.
 	busy map[routing.TenantName]bool
-	// nodes is how many routers there are, linked or not.
+	// routerCount is the number of routers, linked or not.
 	routerCount int
 	pools       map[routing.TenantName]*pool
 	members     map[string]*member
-	// asked are routers that must tell all first, by their node.
+	// fullReportRequests are the routers that must send a full report first, by node.
 	fullReportRequests map[string]*fullReportRequest
-	// ending are booked units that end by themselves, by time.
+	// expiring are outstanding units that are released at a fixed time.
 	expiring []expiringUnits
-	// changes are tenants that went over their limits, or came back, since they were told.
+	// changes are those that Changes has not returned yet.
 	changes []Change
-	// removed is when tenants' limits were removed.
+	// removedAt is when tenants' limits were removed.
 	removedAt map[routing.TenantName]time.Time
-	// known are the routers that may hold anything, as far as that is stored.
+	// membership tracks the stored list of routers that may hold units.
 	membership membership
 }
 
-// pool is what is known of one tenant.
+// pool is the state of one tenant.
 type pool struct {
-	// limit is how many units there are, and dealt how many of them routers are given at most.
+	// limit is the tenant's limit in units, and allocatable how many of them may be granted to
+	// routers.
 	limit, allocatable int
-	// unknown is how many of them leaders before may have dealt, and calm says that it was no
-	// more than is dealt of a tenant that is not marked as busy.
+	// priorUnits is the maximum number of units that previous leaders may have granted. wasUnmarked
+	// says that the tenant was not marked as busy when this leader claimed the reserve, which
+	// lowers that number.
 	priorUnits  int
 	wasUnmarked bool
-	// wanted says that the tenant asks for more than is dealt of a calm one; cooling that a busy one
-	// has not since coolSince, and is dealt no more; unmarking that its mark is being taken off.
+	// markWanted says that the demand is too high for a tenant that is not marked as busy. cooling
+	// says that the demand of a marked tenant has been low since lowDemandSince, so that it is
+	// allocated no more than an unmarked one; unmarking says that its mark is being removed from
+	// the store.
 	markWanted, cooling, unmarking bool
 	lowDemandSince                 time.Time
-	// booked is how many units may be in use, here or at routers that are lost.
+	// outstanding is how many units may be in use, at members or at routers that are lost.
 	outstanding int
-	// reported is how many of them routers have brought from an earlier leader, and floors are
-	// those that are kept for routers out of reach.
+	// reportedUnits is how many of them members reported to hold from previous leaders. floorUnits
+	// is the sum of the floors that routers may use while they are out of reach.
 	reportedUnits, floorUnits int
-	// floorsReported are the floors that routers have brought, among those of leaders before.
+	// reportedFloorUnits is the sum of the floors that members reported to hold from previous
+	// leaders.
 	reportedFloorUnits int
-	// brought are the routers of which that was counted, by their node.
+	// countedReporters are the nodes whose reports are counted in reportedUnits and
+	// reportedFloorUnits.
 	countedReporters map[string]bool
-	// frozen is until when nothing is given, since the tenant was removed and is back.
+	// frozenUntil is the time until which no units are granted, since the tenant's limit was
+	// removed and added again.
 	frozenUntil time.Time
-	// dirty says that a router wants more.
+	// dirty says that the allocation must be recomputed at the next tick.
 	dirty bool
-	// over says that the tenant asks for more than there is, missed at last.
+	// overLimit says that the demand exceeds the limit; missingAt is when units were last missing.
 	overLimit bool
 	missingAt time.Time
 }
 
-// member is a router that has told what it holds.
+// member is a router that has reported what it holds.
 type member struct {
 	node        string
 	incarnation int64
-	// until and floorUntil are when its leases end at the latest.
+	// leaseEnd and floorLeaseEnd are when the router's leases end at the latest.
 	leaseEnd, floorLeaseEnd time.Time
-	// stamp is the newest one that was heard, at stampAt; echoed is the last that was sent.
+	// stamp is the newest one received, at stampReceivedAt; echoedStamp is the newest one that was
+	// sent back in a grant.
 	stamp, echoedStamp int64
 	stampReceivedAt    time.Time
-	// told is the number of its last message, granted that of the last grant to it, acked the
-	// last that it has acknowledged.
+	// lastReport is the sequence number of the member's last report, lastGrant that of the last
+	// grant to it, and ackedGrant that of the last grant that it has acknowledged.
 	lastReport, lastGrant, ackedGrant uint64
 	grantedAt                         time.Time
-	// changed says that a hold has changed since the last grant.
+	// changed says that a holding has changed since the last grant.
 	changed bool
-	// greeted says that it was told for how long units are withheld.
+	// firstGrantSent says that a grant was sent, which includes for how long units are withheld.
 	firstGrantSent bool
 	holdings       map[routing.TenantName]*holding
 }
 
-// hold is what a router may hold of one tenant.
+// holding is what a router may hold of one tenant.
 type holding struct {
-	// units were granted last, by the grant with the number, and floor of them last longer.
+	// units is the credit as of the grant grantSequence. floor of them outlast the lease, until the
+	// floor lease ends.
 	units, floor  int
 	grantSequence uint64
-	// booked is how many the router may hold until it has acknowledged that grant.
+	// outstanding is how many units the router may hold until it has acknowledged that grant.
 	outstanding int
-	// used is what it told last, and short how many requests found no unit then.
+	// used is the use in the last report, and shortfall how many requests found no unit according
+	// to it.
 	used, shortfall int
 }
 
-// asked is a router that must tell all.
+// fullReportRequest is the state of a request for a full report. due says that it must be sent.
 type fullReportRequest struct {
 	incarnation int64
 	sentAt      time.Time
 	due         bool
 }
 
-// ending are units that are booked until a time.
+// expiringUnits are units that are outstanding until a time; floorUnits of them are floors.
 type expiringUnits struct {
 	at         time.Time
 	tenant     routing.TenantName
@@ -121,8 +133,8 @@
 	floorUnits int
 }
 
-// NewCoordinator returns the side of a leader that begins to lead. first says that there was
-// none before, in any term.
+// NewCoordinator returns the coordinator of a leader that begins to lead now. first says that there
+// was no leader in any earlier term.
 func NewCoordinator(now time.Time, term owner.Term, first bool, bound Bound) *Coordinator {
 	return &Coordinator{
 		term: term, bound: bound, startedAt: now, firstLeader: first,
@@ -132,9 +144,9 @@
 	}
 }
 
-// Use takes the tenants of the configuration in force. It reports whether less is allowed of any:
-// routers may hold more of it now than is dealt, so no new leader may rely on that for
-// Bound.TakeoverDelay.
+// SetTenants sets the tenants of the configuration in force. lowered reports that a tenant's limit
+// was lowered: routers may now hold more than is allocatable, so for Bound.TakeoverDelay no new
+// leader may rely on the allocatable units as an upper bound.
 func (c *Coordinator) SetTenants(now time.Time, tenants map[routing.TenantName]*routing.Tenant) (lowered bool) {
 	for name, tenant := range tenants {
 		allowed := c.bound.Allowed(tenant)
@@ -149,7 +161,8 @@
 		c.setAllocatable(now, name, c.bound.Allocatable(tenant, c.busy[name] && !c.isCooling(name)))
 		p := c.pools[name]
 		p.limit = allowed
-		// What leaders before have dealt grows with the limit: routers scale it.
+		// Units granted by previous leaders grow with the limit, since routers scale their credits
+		// by it.
 		p.priorUnits = max(p.priorUnits, c.bound.Allocatable(tenant, !p.wasUnmarked), p.priorUnits*allowed/previous)
 	}
 	for name := range c.pools {
@@ -160,16 +173,18 @@
 	return lowered
 }
 
-// cools reports whether a busy tenant is dealt no more than a calm one.
+// isCooling reports whether a tenant that is marked as busy is allocated no more than an unmarked
+// one.
 func (c *Coordinator) isCooling(name routing.TenantName) bool {
 	return c.pools[name] != nil && c.pools[name].cooling
 }
 
-// Tenants is how many tenants have a limit.
+// TenantCount returns the number of tenants with a limit.
 func (c *Coordinator) TenantCount() int { return len(c.pools) }
 
-// setDealt sets how many units of a tenant are dealt. Routers lower their credits alike when they learn of a
-// lower one, so the credits are lowered here at once, and booked until they say so.
+// setAllocatable sets how many units of a tenant may be granted. If they are fewer than before,
+// members' credits are lowered in proportion, as routers do themselves when they learn of a lower
+// limit; the units stay outstanding until the routers have acknowledged that.
 func (c *Coordinator) setAllocatable(now time.Time, name routing.TenantName, units int) {
 	p := c.pools[name]
 	if p == nil {
@@ -178,7 +193,7 @@
 			p.frozenUntil = at.Add(c.bound.TakeoverDelay())
 		}
 		c.pools[name] = p
-		for _, m := range c.members { // they may have credits that another leader gave, or this one
+		for _, m := range c.members { // they may hold credits of a previous leader, or of this one before the limit was removed
 			c.requestFullReport(m.node, m.incarnation)
 		}
 		return
@@ -198,7 +213,7 @@
 	}
 }
 
-// remove forgets a tenant that has no limit any longer.
+// remove forgets a tenant that no longer has a limit.
 func (c *Coordinator) remove(now time.Time, name routing.TenantName) {
 	c.removedAt[name] = now
 	delete(c.pools, name)
@@ -208,7 +223,8 @@
 	c.expiring = slices.DeleteFunc(c.expiring, func(e expiringUnits) bool { return e.tenant == name })
 }
 
-// set changes the units that a member is to be granted. Whoever raises them books them first.
+// setUnits changes the credit that a member is to be granted. The caller must add raised units to
+// the outstanding ones before the grant is sent.
 func (c *Coordinator) setUnits(m *member, h *holding, units int) {
 	if units == h.units {
 		return
@@ -217,8 +233,8 @@
 	m.changed = true
 }
 
-// ended takes a router out of the books whose process has ended by a time. What it has spent until
-// then rests.
+// memberRestarted removes a member whose process had ended by endedBy. Units that it spent until
+// then stay in use for the reuse delay.
 func (c *Coordinator) memberRestarted(endedBy time.Time, m *member) {
 	delete(c.members, m.node)
 	for name, h := range m.holdings {
@@ -228,7 +244,8 @@
 	}
 }
 
-// expired takes a router out of the books whose lease has ended. Its floor stays.
+// memberExpired removes a member whose lease has ended. Its floor stays outstanding until the floor
+// lease ends.
 func (c *Coordinator) memberExpired(m *member) {
 	delete(c.members, m.node)
 	c.membership.heldUntil[m.node] = m.floorLeaseEnd.Add(c.bound.reuseDelay())
@@ -240,9 +257,9 @@
 	}
 }
 
-// Tick does what time brings and returns the grants that are due. sure says that this leader's
-// authority holds: without it nothing is given and no lease is renewed. nodes is how many
-// routers there are.
+// Tick performs what is due by now and returns the grants to send. authorized says that this
+// leader's authority holds: without it no units are granted and no lease is renewed. routers is the
+// number of routers.
 func (c *Coordinator) Tick(now time.Time, authorized bool, routers int) []Grant {
 	c.routerCount = routers
 	c.releaseExpired(now)
@@ -262,7 +279,7 @@
 	return append(c.fullReportGrants(now), c.grants(now)...)
 }
 
-// release ends what was booked until now.
+// releaseExpired releases expiring units whose time has come.
 func (c *Coordinator) releaseExpired(now time.Time) {
 	c.expiring = slices.DeleteFunc(c.expiring, func(e expiringUnits) bool {
 		due := now.After(e.at)
@@ -274,7 +291,7 @@
 	})
 }
 
-// sortByRemaining sorts members by how many units they have left, the fewest first.
+// sortByRemaining sorts members by how many units they have left, fewest first.
 func sortByRemaining(list []*member, name routing.TenantName) {
 	slices.SortFunc(list, func(a, b *member) int {
 		x, y := a.holdings[name], b.holdings[name]
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -8,24 +8,24 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// asks returns the messages to routers that must tell all.
+// fullReportGrants returns the grants that ask routers for a full report.
 func (c *Coordinator) fullReportGrants(now time.Time) []Grant {
 	var grants []Grant
 	for _, node := range slices.Sorted(maps.Keys(c.fullReportRequests)) {
-		a := c.fullReportRequests[node]
-		if !a.due && now.Sub(a.sentAt) >= fullReportInterval {
-			delete(c.fullReportRequests, node) // asked again if it tells anything
+		request := c.fullReportRequests[node]
+		if !request.due && now.Sub(request.sentAt) >= fullReportInterval {
+			delete(c.fullReportRequests, node) // requested again if the router sends another report
 			continue
 		}
-		if a.due {
-			a.due, a.sentAt = false, now
-			grants = append(grants, Grant{Node: node, Incarnation: a.incarnation, Term: c.term, FullReport: true})
+		if request.due {
+			request.due, request.sentAt = false, now
+			grants = append(grants, Grant{Node: node, Incarnation: request.incarnation, Term: c.term, FullReport: true})
 		}
 	}
 	return grants
 }
 
-// grants returns the messages to members.
+// grants returns the grants to members that are due.
 func (c *Coordinator) grants(now time.Time) []Grant {
 	var grants []Grant
 	for _, node := range slices.Sorted(maps.Keys(c.members)) {
@@ -36,14 +36,15 @@
 	return grants
 }
 
-// due reports whether a member is to be sent a grant.
+// due reports whether a grant must be sent to a member.
 func (m *member) due(now time.Time) bool {
 	unacknowledged := m.lastGrant > m.ackedGrant && now.Sub(m.grantedAt) >= resendAfter
 	renewalDue := m.stamp > m.echoedStamp && m.leaseEnd.Sub(now) < Lease-renewInterval/2
 	return m.changed || unacknowledged || renewalDue || !m.firstGrantSent
 }
 
-// withheldUntil is until when units are withheld that leaders before may have given.
+// withheldUntil returns the time until which units are withheld that previous leaders may have
+// granted.
 func (c *Coordinator) withheldUntil() time.Time {
 	until := c.startedAt.Add(c.bound.TakeoverDelay())
 	if known, ok := c.priorGrantsKnown(); ok && known.Before(until) {
@@ -52,7 +53,7 @@
 	return until
 }
 
-// grant makes the next message to a member, and extends its lease by the newest stamp.
+// grant returns the next grant to a member, and extends its leases from the newest stamp.
 func (c *Coordinator) grant(now time.Time, m *member) Grant {
 	if m.stamp > m.echoedStamp {
 		m.echoedStamp = m.stamp
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -8,54 +8,59 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Holder is the router's side. It is safe for concurrent use.
+// Holder is the router's side: it holds credits and spends their units. It is safe for concurrent
+// use.
 type Holder struct {
 	node        string
 	incarnation int64
 	bound       Bound
-	// epoch is the zero of all times here.
+	// epoch is the origin of all durations that stand for times here.
 	epoch time.Time
-	// urgent gets a token when something is to be told soon.
+	// reportTrigger receives a value when a report should be sent soon.
 	reportTrigger chan struct{}
 
 	mu       sync.Mutex
 	accounts map[routing.TenantName]*account
 	term     owner.Term
-	// applied is the newest grant that was taken, and acked the newest that was told of.
+	// applied is the sequence number of the newest applied grant, and acked that of the newest one
+	// that was acknowledged.
 	applied, acked uint64
 	sequence       uint64
 	fullReportDue  bool
-	// lease and floorLease are when they end, and toldAt is when a stamp was sent last.
+	// leaseEnd and floorLeaseEnd are when the leases end, and reportedAt is when the last report
+	// was sent.
 	leaseEnd, floorLeaseEnd, reportedAt time.Duration
-	// withheld is until when a leader that began lately withholds units.
+	// withheldUntil is the time until which a leader that has taken over recently withholds units.
 	withheldUntil time.Duration
 }
 
 // account is what a router holds of one tenant.
 type account struct {
 	tenant *routing.Tenant
-	// limit is how many units are allowed by the configuration in force here.
+	// limit is the number of units that the configuration in force here allows.
 	limit         int
 	grantedCredit Credit
 	window        windowCounter
-	// told is the use that was told last. mustTell says that the use must be told with the
-	// next message, since the credit was changed and the leader frees what it need not book.
+	// reportedUse is the use in the last report. mustReport says that the use must be in the next
+	// report, since the credit was changed: the leader then releases units that need not stay
+	// outstanding.
 	reportedUse int
 	reportedAt  time.Duration
 	mustReport  bool
-	// refused counts requests beyond the credit, and short those since the last message.
+	// refused counts requests that were refused, granted those that were admitted, and shortfall
+	// the attempts that found no unit since the last report.
 	refused, granted uint64
 	shortfall        int
-	// knownShort says that the last message told of refused requests: the next report is soon
-	// enough then.
+	// shortfallReported says that the last report included a shortfall, so that the next one need
+	// not be triggered.
 	shortfallReported bool
-	// raised is closed once there is more credit; nil if nobody waits for it. Until overUntil
-	// nobody is to.
+	// raised is closed once the credit is raised; nil if no caller waits for that. Until overUntil
+	// no caller may wait.
 	raised    chan struct{}
 	overUntil time.Duration
 }
 
-// NewHolder returns the side of a router that holds nothing yet.
+// NewHolder returns the holder of a router that holds nothing yet.
 func NewHolder(now time.Time, node string, incarnation int64, bound Bound) *Holder {
 	h := &Holder{
 		node: node, incarnation: incarnation, bound: bound, epoch: now, reportTrigger: make(chan struct{}, 1),
@@ -65,7 +70,8 @@
 	return h
 }
 
-// Linked lets the next message go at once: whoever hears it may not know of this router.
+// Linked triggers a report at once after a new link is established: the process at its other end
+// may not know of this router.
 func (h *Holder) Linked() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,10 +79,11 @@
 	h.TriggerReport()
 }
 
-// Urgent gets a token when something is to be told before the next report is due.
+// ReportTriggered returns a channel that receives a value when a report should be sent before the
+// next regular one is due.
 func (h *Holder) ReportTriggered() <-chan struct{} { return h.reportTrigger }
 
-// Hurry asks for the next report soon.
+// TriggerReport requests an early report.
 func (h *Holder) TriggerReport() {
 	select {
 	case h.reportTrigger <- struct{}{}:
@@ -84,8 +91,8 @@
 	}
 }
 
-// Take spends a unit for a request of a tenant. If there is none, wait is until one is in use
-// again here.
+// Take spends a unit for a request of a tenant. If there is none, wait is the time until one is
+// likely to be free here.
 func (h *Holder) Take(now time.Time, tenant *routing.Tenant) (granted bool, wait time.Duration) {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
@@ -107,14 +114,15 @@
 	return true, 0
 }
 
-// firstCreditWait is what a caller waits for where the router holds no credit: the way to the
-// leader and back.
+// firstCreditWait is how long callers are asked to wait if the router holds no credit: the round
+// trip to the leader.
 const firstCreditWait = 500 * time.Millisecond
 
-// wait is until a unit of a tenant is likely to be free. Where there is none since a leader began
-// lately, callers come back once it gives what it withholds, and not to be refused once more: all
-// at once they would ask for more than a window has, so that they are spread over a quarter of one. The caller
-// holds mu.
+// wait returns the time until a unit of a tenant is likely to be free. If there is no credit
+// because a leader that has taken over recently withholds units, callers should retry once it
+// grants them, so that they are not refused a second time. If all of them retried at once they
+// would exceed what a window allows, so the retries are spread over a quarter of a window. h.mu
+// must be held.
 func (h *Holder) wait(a *account, at time.Duration, credit int) time.Duration {
 	switch {
 	case credit > 0:
@@ -126,11 +134,11 @@
 	return firstCreditWait
 }
 
-// spreadSteps is among how many moments callers are spread.
+// spreadSteps is the number of distinct retry times.
 const spreadSteps = 16
 
-// Await returns what is closed once a tenant gets more units here; nil while its callers are not
-// to wait for that, since units were missing lately.
+// Await returns a channel that is closed once a tenant's credit is raised here; nil while its
+// callers must not wait for that, since units were missing recently.
 func (h *Holder) Await(now time.Time, tenant *routing.Tenant) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,8 +152,8 @@
 	return a.raised
 }
 
-// Refused counts a request that was refused. Its tenant is taken to be over its limit for a
-// while, in which its callers wait for nothing.
+// Refused counts a refused request. Its tenant counts as over its limit for overLimitFor, during
+// which its callers don't wait for units.
 func (h *Holder) Refused(now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,10 +163,11 @@
 }
 
 // overLimitFor is how long a tenant counts as over its limit at a router after a refusal. Callers
-// wait for units in vain once in that time at most.
+// wait in vain for units at most once in that time.
 const overLimitFor = time.Second
 
-// Return gives back what was taken at a time for a request that no worker has run or will run.
+// Return gives back a unit that was taken at a time for a request that no worker has run or will
+// run.
 func (h *Holder) Return(taken time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,8 +176,8 @@
 	}
 }
 
-// Sent says that a request for which a unit was taken leaves for a worker only now: the unit
-// rests from now on.
+// Sent records that a request for which a unit was taken is sent to a worker only now: the unit
+// counts as spent now.
 func (h *Holder) Sent(taken, now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -181,7 +190,7 @@
 	a.window.add()
 }
 
-// account returns a tenant's account. The caller holds mu.
+// account returns a tenant's account, which it creates if needed. h.mu must be held.
 func (h *Holder) account(tenant *routing.Tenant) *account {
 	a := h.accounts[tenant.Name]
 	if a == nil {
@@ -194,8 +203,8 @@
 	return a
 }
 
-// credit is how many units of a tenant may be in use here. Where the limit was lowered since
-// the credit was given, it is lowered alike. The caller holds mu.
+// credit returns how many units of a tenant may be in use here. If the limit was lowered since the
+// credit was granted, the credit is lowered in proportion. h.mu must be held.
 func (h *Holder) credit(a *account, at time.Duration) int {
 	units := a.grantedCredit.units()
 	switch {
@@ -210,7 +219,7 @@
 	return units
 }
 
-// Use takes the tenants of the configuration that is in force here.
+// SetTenants sets the tenants of the configuration that is in force here.
 func (h *Holder) SetTenants(tenants map[routing.TenantName]*routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,12 +231,13 @@
 	for name := range h.accounts {
 		if tenant := tenants[name]; tenant == nil || !tenant.Limited() {
 			delete(h.accounts, name)
-			h.fullReportDue = true // the leader books units that are gone
+			h.fullReportDue = true // units of removed accounts are outstanding at the leader
 		}
 	}
 }
 
-// Granted takes a message of the leader's.
+// ApplyGrant applies a grant from the leader. Grants of earlier terms, and those to another node or
+// incarnation, are ignored.
 func (h *Holder) ApplyGrant(now time.Time, grant Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -236,7 +246,7 @@
 	}
 	if grant.Term > h.term {
 		h.term, h.applied, h.acked = grant.Term, 0, 0
-		if !grant.FullReport { // that leader was told that nothing is held here
+		if !grant.FullReport { // that leader has a report that nothing is held here
 			h.dropCredits()
 		}
 	}
@@ -259,14 +269,14 @@
 	}
 }
 
-// drop gives all credits up. The caller holds mu.
+// dropCredits sets all credits to zero. h.mu must be held.
 func (h *Holder) dropCredits() {
 	for _, a := range h.accounts {
 		a.grantedCredit = Credit{}
 	}
 }
 
-// give sets the credit of a tenant. The caller holds mu.
+// setCredit sets the credit of a tenant. h.mu must be held.
 func (h *Holder) setCredit(name routing.TenantName, credit Credit) {
 	a := h.accounts[name]
 	if a == nil {
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -1,12 +1,14 @@
-// Package quota keeps tenants within their limits over all routers together.
+// Package quota enforces tenants' limits over all routers together.
 //
-// A limit is a number of units. A unit lets one request run and is free again when a window
-// has passed since. Each router holds a credit of units for each tenant and spends them
-// without asking (Holder); the leader deals the units out and books who may hold how many
-// (Coordinator). What is booked never sums to more than the limit, so no window of any length
-// up to the limit's holds more requests, whoever is cut off, frozen or lost.
+// A limit is a number of units. A unit admits one request and can be spent again once a window has
+// passed. Each router holds a credit of units for each tenant, which it spends without asking the
+// leader (Holder); the leader grants the credits and tracks how many units may be in use at each
+// router (Coordinator). Such units are called outstanding. Unless the limit has just been lowered,
+// they never exceed it, so no window up to the limit's length contains more requests, whichever
+// routers or leaders are partitioned, suspended or lost.
 //
-// The package is pure: each event carries its time, messages are types.
+// The package does no I/O and reads no clock: each event carries its time, and messages are plain
+// types.
 package quota
 
 import (
@@ -16,52 +18,55 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Times of leases. A router counts them from when it sent the stamp that a grant echoes, the
-// leader from when it heard that stamp: the router's end comes first.
+// Durations of leases. A router counts them from when it sent the stamp that a grant echoes, the
+// leader from when it received that stamp, so a lease ends at the router first.
 const (
-	// Lease is for how long the leader books a credit after it heard the stamp; the router uses it
-	// leaseMargin less: longer than it takes to find another
-	// leader, so that the loss of one changes nothing.
+	// Lease is how long a credit stays outstanding at the leader after it received the stamp; the
+	// router uses the credit for leaseMargin less. It is longer than it takes to find another
+	// leader, so that the loss of a leader has no effect on credits.
 	Lease = 6 * time.Second
-	// FloorLease is for how long a router that is out of reach may use its floor. It bounds how
-	// long the units of a router that is gone lie idle.
+	// FloorLease is how long a router that is out of reach may use its floor. It bounds for how
+	// long the units of a lost router are unused.
 	FloorLease = 5 * time.Minute
-	// leaseMargin is kept from the ends of leases at the router: a process that wakes notices
-	// its machine's suspension half a second later, and clocks drift.
+	// leaseMargin is subtracted from leases at the router: a process notices the suspension of its
+	// machine half a second after it resumes, and clocks drift.
 	leaseMargin = time.Second
-	// renewInterval is the pause between renewals where nothing else is to be told.
+	// renewInterval is the interval between renewals if there is nothing else to report.
 	renewInterval = 1500 * time.Millisecond
 )
 
 const (
-	// slotTime is the grain in which a router remembers when units were spent.
+	// slotTime is the resolution at which a router records when units were spent.
 	slotTime = 100 * time.Millisecond
-	// lateness is how much later than it was granted a request may reach its worker: it may
-	// wait for one. Units rest that much longer.
+	// maxDispatchDelay is the maximum time from admission of a request to its arrival at a worker,
+	// since it may wait for one. Spent units stay in use that much longer.
 	maxDispatchDelay = 400 * time.Millisecond
-	// floorShare of a limit is kept for floors.
+	// floorShare is the share of the allocatable units that is reserved for floors.
 	floorShare = 0.2
 )
 
-// Bound says what is still within a limit.
+// Bound holds the parameters that turn a tenant's rate and burst into a number of requests per
+// window.
 type Bound struct {
 	Window time.Duration
-	// Overshoot is a share of what the limit allows within a window, and Slack a number of
-	// requests, both beyond it.
+	// Overshoot, a share of what rate and burst allow within a window, and Slack, a number of
+	// requests, are added to it.
 	Overshoot, Slack float64
 }
 
-// unmarkedShare of what is allowed is dealt of a tenant that is not marked as busy: users ask for a
-// third to half of what a window allows as a rule. The rest is what a new leader can deal at
-// once, also after a restart of all routers, which leaves nobody who knows what is in use. Dealt
-// wholly, all requests of such tenants were refused for 11.5 s after it.
+// unmarkedShare is the share of the limit that is allocatable for a tenant that is not marked as
+// busy: usual demand is a third to half of what a window allows. The rest is a reserve that a new
+// leader can allocate at once, also after a restart of all routers, when no process knows which
+// units are in use. When the whole limit was allocatable, all requests of such tenants were refused
+// for 11.5 s after a full restart.
 const unmarkedShare = 0.6
 
-// busyThreshold of what is dealt of a tenant must be asked for until it is marked as busy: what is
-// dealt moves between routers on demand, but only as long as some is left.
+// busyThreshold is the share of the allocatable units from which on demand marks a tenant as busy.
+// It is below one since units move between routers on demand only as long as some are left.
 const busyThreshold = 0.9
 
-// Dealt is how many units of a tenant are dealt out.
+// Allocatable returns how many units of a tenant may be granted to routers; all if it is marked as
+// busy.
 func (b Bound) Allocatable(tenant *routing.Tenant, busy bool) int {
 	allowed := b.Allowed(tenant)
 	if busy {
@@ -70,14 +75,15 @@
 	return unmarkedAllocatable(allowed)
 }
 
-// unmarkedAllocatable is how many units of a limit are dealt of a tenant that is not marked as busy.
+// unmarkedAllocatable returns how many units of a limit are allocatable for a tenant that is not
+// marked as busy.
 func unmarkedAllocatable(limit int) int { return int(math.Ceil(unmarkedShare * float64(limit))) }
 
-// Unknown is for how long after the end of a leader routers that no other knows of may use
-// what it gave them, and what they have spent rests.
+// TakeoverDelay returns how long after a leader's end credits that it granted may still be used by
+// routers that no other leader knows of, and the units that they spent stay in use.
 func (b Bound) TakeoverDelay() time.Duration { return Lease + b.reuseDelay() }
 
-// Allowed is how many requests of a tenant may arrive at workers within a window; zero if the
+// Allowed returns how many requests of a tenant may arrive at workers within a window; zero if the
 // tenant has no limit.
 func (b Bound) Allowed(tenant *routing.Tenant) int {
 	if !tenant.Limited() {
@@ -87,12 +93,12 @@
 	return int(allowed*(1+b.Overshoot) + b.Slack)
 }
 
-// rest is for how long a unit that was spent is not in use again, at most.
+// reuseDelay returns the maximum time after which a spent unit can be spent again.
 func (b Bound) reuseDelay() time.Duration {
 	return time.Duration(b.slots()) * slotTime
 }
 
-// slots is how many slots a router remembers.
+// slots returns how many slots of slotTime a router records.
 func (b Bound) slots() int {
 	return int((b.Window+maxDispatchDelay+slotTime-1)/slotTime) + 1
 }
--- a/internal/quota/marks.go
+++ b/internal/quota/marks.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// coolingThreshold of what is dealt of a calm tenant is the most that a busy one asks for while it
-	// cools down, and coolingDelay for how long: after it, and not after each lull, it counts as calm
-	// again, so that the next leader has a reserve of it.
+	// coolingThreshold is the maximum demand of a marked tenant that cools down, as a share of the
+	// allocatable units of an unmarked one. coolingDelay is how long the demand must stay below it:
+	// after that, and not after each lull, the tenant is allocated as an unmarked one again, so
+	// that the next leader has a reserve of its units.
 	coolingThreshold = 0.75
 	coolingDelay     = 5 * time.Second
 )
 
-// Mark notes that tenants are marked as busy in the store: all that is allowed of them is dealt.
+// MarkBusy records that tenants are marked as busy in the store: their whole limits are
+// allocatable.
 func (c *Coordinator) MarkBusy(names ...routing.TenantName) {
 	for _, name := range names {
 		c.busy[name] = true
@@ -25,13 +27,14 @@
 	}
 }
 
-// Wanted returns the tenants that are to be marked as busy.
+// TenantsToMark returns the tenants that must be marked as busy.
 func (c *Coordinator) TenantsToMark() []routing.TenantName {
 	return c.tenantsWhere(func(p *pool) bool { return p.markWanted })
 }
 
-// Cooled returns the busy tenants whose marks are to be taken off the store: of no more is booked
-// than is dealt of a calm tenant. They get no more until Unmark tells that it is done.
+// TenantsToUnmark returns the tenants that have cooled down and whose marks are to be removed from
+// the store, since no more of their units are outstanding than are allocatable for an unmarked
+// tenant. They get no more units until UnmarkBusy is called.
 func (c *Coordinator) TenantsToUnmark() []routing.TenantName {
 	names := c.tenantsWhere(func(p *pool) bool { return p.cooling && p.outstanding <= p.allocatable })
 	for _, name := range names {
@@ -40,7 +43,7 @@
 	return names
 }
 
-// Unmark notes that the marks of tenants were taken off the store.
+// UnmarkBusy records that the marks of tenants were removed from the store.
 func (c *Coordinator) UnmarkBusy(names ...routing.TenantName) {
 	for _, name := range names {
 		delete(c.busy, name)
@@ -50,11 +53,11 @@
 	}
 }
 
-// named returns the tenants of some pools, in order.
-func (c *Coordinator) tenantsWhere(is func(*pool) bool) []routing.TenantName {
+// tenantsWhere returns the tenants whose pools match, sorted.
+func (c *Coordinator) tenantsWhere(match func(*pool) bool) []routing.TenantName {
 	var names []routing.TenantName
 	for name, p := range c.pools {
-		if is(p) {
+		if match(p) {
 			names = append(names, name)
 		}
 	}
@@ -62,11 +65,12 @@
 	return names
 }
 
-// judgeMark notes whether a tenant is to be marked as busy, or cools down, by how many units it
-// asks for and how many may be booked now.
+// updateMark updates whether a tenant must be marked as busy, or cools down, by its demand in units
+// and how many may be outstanding now.
 func (c *Coordinator) updateMark(now time.Time, name routing.TenantName, p *pool, demand, maxUnits int) {
 	if !c.busy[name] {
-		// Where units are withheld a mark would bring none now, and cost the next leader its reserve.
+		// While units are withheld, a mark would add none now, and would cost the next leader its
+		// reserve.
 		p.markWanted = maxUnits == p.allocatable && float64(demand) >= busyThreshold*float64(p.allocatable)
 		return
 	}
--- a/internal/quota/members.go
+++ b/internal/quota/members.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// Members are the routers that leaders may have given units, with their lives. They are stored
-// before a router is given any, so that the next leader knows whom to hear: once each of them has
-// told what it holds, or begun another life, nobody else holds anything, and what was spent in
-// lives that have ended rests for a window only.
+// Members are the routers that leaders may have granted units, with their incarnations. A router is
+// stored before it is granted any units, so that the next leader knows which reports to expect:
+// once each member has reported what it holds, or has started a later incarnation, no other router
+// holds units, and only units that were spent in ended incarnations stay in use, for the reuse
+// delay.
 type Members map[string]int64
 
-// recording is how far a leader is with the stored members.
+// membershipState is the state of a leader's view of the stored members.
 type membershipState int
 
 const (
-	// membersUnrecorded: nobody stores members. What leaders before gave ends with its leases.
+	// membersUnrecorded: members are not stored. Grants of previous leaders end with their leases.
 	membersUnrecorded membershipState = iota
-	// awaited: they are still to be read, and nothing is given.
+	// membersAwaited: the stored members have not been read yet, and no units are granted.
 	membersAwaited
-	// recorded: they were read, and are stored before a router is given anything.
+	// membersRecorded: the stored members were read, and routers are stored before they are granted
+	// units.
 	membersRecorded
 )
 
-// members is what a leader knows of stored members.
+// membership is a leader's view of the stored members.
 type membership struct {
 	state membershipState
-	// before are those that leaders before have stored, and stored are those that are now.
+	// previous are the members that previous leaders stored, and stored the current ones.
 	previous, stored Members
-	// joined are the routers that have told this leader what they hold, in their newest lives,
-	// and heldUntil is until when those that are lost may hold anything.
+	// joined are the routers that have reported to this leader, with their newest incarnations, and
+	// heldUntil is when the units of those that are lost end at the latest.
 	joined    Members
 	heldUntil map[string]time.Time
-	// began is when the lives of those began that have joined, at the latest.
+	// startedBy is when the newest incarnations of joined routers had started at the latest.
 	startedBy map[string]time.Time
-	// all says that all of those before have been heard, and ended is when the last of their lives
-	// had ended that they have not told of.
+	// allReported says that all previous members have reported, in their stored incarnations or
+	// later ones. lastEnded is when the last of their earlier incarnations had ended at the latest.
 	allReported bool
 	lastEnded   time.Time
 }
@@ -44,11 +46,12 @@
 	return membership{stored: Members{}, joined: Members{}, heldUntil: map[string]time.Time{}, startedBy: map[string]time.Time{}}
 }
 
-// AwaitMembers lets a leader give nothing until it is told which members are stored.
+// AwaitMembers makes the leader grant nothing until MembersLoaded is called.
 func (c *Coordinator) AwaitMembers() { c.membership.state = membersAwaited }
 
-// TakeMembers takes the members that leaders before have stored; nil if none did. The first leader
-// of all begins to store them; after one that did not, nothing is known of whom it gave to.
+// MembersLoaded sets the members that previous leaders stored; nil if they stored none. The very
+// first leader starts to store them. After a leader that stored none, members are not stored, since
+// it is unknown which routers it granted units.
 func (c *Coordinator) MembersLoaded(previous Members) {
 	c.membership.state = membersRecorded
 	switch {
@@ -63,15 +66,15 @@
 	c.markAllDirty()
 }
 
-// redeal lets all tenants be dealt anew.
+// markAllDirty requests that the allocation of all tenants is recomputed.
 func (c *Coordinator) markAllDirty() {
 	for _, p := range c.pools {
 		p.dirty = true
 	}
 }
 
-// Unstored returns the members as they are to be stored, since some of them are not; nil if all
-// are.
+// MembersToStore returns the members to store, if a router that has joined is not stored yet;
+// otherwise nil.
 func (c *Coordinator) MembersToStore(now time.Time) Members {
 	if c.membership.state != membersRecorded {
 		return nil
@@ -89,7 +92,7 @@
 	return fresh
 }
 
-// holdsNothing reports whether a router is lost, and what it held has ended.
+// holdsNothing reports whether a router is lost and the units that it held have ended.
 func (c *Coordinator) holdsNothing(now time.Time, node string) bool {
 	if c.members[node] != nil {
 		return false
@@ -100,18 +103,18 @@
 	return c.membership.joined[node] == 0 && now.Sub(c.startedAt) > FloorLease+c.bound.reuseDelay()
 }
 
-// Stored notes that members are stored.
+// MembersStored records that members have been stored.
 func (c *Coordinator) MembersStored(fresh Members) {
 	c.membership.stored = fresh
 	c.markAllDirty()
 }
 
-// mayGive reports whether a router may be given units.
+// mayGrant reports whether a router may be granted units.
 func (c *Coordinator) mayGrant(m *member) bool {
 	return c.membership.state == membersUnrecorded || c.membership.state == membersRecorded && c.membership.stored[m.node] == m.incarnation
 }
 
-// noteJoined notes that a router has told what it holds. Its stamp is the time since its life began.
+// recordJoined records that a router has reported what it holds.
 func (c *Coordinator) recordJoined(now time.Time, report Report) {
 	k := &c.membership
 	if report.Incarnation >= k.joined[report.Node] {
@@ -121,12 +124,13 @@
 	c.updateAllReported()
 }
 
-// begun is when the router's life had begun that has told this by a time.
-func (t Report) startedBy(now time.Time) time.Time {
-	return now.Add(-time.Duration(t.Stamp) * time.Millisecond)
+// startedBy returns when the router's incarnation had started at the latest, for a report received
+// now: the stamp is the time since its start.
+func (r Report) startedBy(now time.Time) time.Time {
+	return now.Add(-time.Duration(r.Stamp) * time.Millisecond)
 }
 
-// noteHeard notes whether all members of leaders before have been heard.
+// updateAllReported updates whether all members of previous leaders have reported.
 func (c *Coordinator) updateAllReported() {
 	k := &c.membership
 	if k.state != membersRecorded || k.allReported {
@@ -137,7 +141,8 @@
 		if k.joined[node] < incarnation {
 			return
 		}
-		// An earlier life may have ended then: a leader in between stores the next one at once.
+		// An earlier incarnation may have ended when this one started, even if this one is the
+		// stored one: a leader in between stores the next incarnation at once.
 		if k.startedBy[node].After(lastEnded) {
 			lastEnded = k.startedBy[node]
 		}
@@ -145,8 +150,9 @@
 	k.allReported, k.lastEnded = true, lastEnded
 }
 
-// allKnown is when nothing is unknown any more that leaders before have given: once all have been
-// heard, and what was spent in lives that have ended has rested. False: that is not known.
+// priorGrantsKnown returns when all units granted by previous leaders are accounted for: once all
+// members have reported, and units spent in ended incarnations are no longer in use. False if that
+// time is not known yet.
 func (c *Coordinator) priorGrantsKnown() (time.Time, bool) {
 	return c.membership.lastEnded.Add(c.bound.reuseDelay()), c.membership.allReported
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -5,72 +5,72 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Told is what a router tells the leader.
+// Report is a router's report to the leader.
 type Report struct {
-	// Node names the router and Life when its process began, in milliseconds: a later life
-	// is proof that the earlier one has ended.
+	// Node names the router. Incarnation is when its process started, in milliseconds: a later
+	// incarnation proves that the earlier one has ended.
 	Node        string `json:"n"`
 	Incarnation int64  `json:"l"`
-	// Term is that of the leader which the router takes credits from.
+	// Term is that of the leader whose credits the router holds.
 	Term owner.Term `json:"t,omitempty"`
-	// Number counts what the router has told, so that the leader sees what was lost.
+	// Sequence numbers the router's reports, so that the leader detects lost ones.
 	Sequence uint64 `json:"i"`
-	// Ack is the number of the newest grant that the router has taken.
+	// Ack is the sequence number of the newest grant that the router has applied.
 	Ack uint64 `json:"q,omitempty"`
-	// Stamp is the router's time, in milliseconds since its epoch, and above zero.
+	// Stamp is the time at the router, in milliseconds since its epoch, and above zero.
 	Stamp int64 `json:"s"`
-	// All says that Tenants are all of which the router holds anything.
+	// Full says that Tenants lists every tenant of which the router holds anything.
 	Full bool `json:"a,omitempty"`
-	// Tenants whose use has changed.
+	// Tenants are those whose use has changed.
 	Tenants map[routing.TenantName]TenantReport `json:"u,omitempty"`
 }
 
-// Use is what a router tells of a tenant: units in use, how many requests found none since it
-// told last, and, where all is told, the credit and the floor that it holds and the limit that it
-// knows, in units.
+// TenantReport is a router's report on one tenant: units in use, the number of requests that found
+// none since the last report, and, in a full report, the credit and the floor that it holds and the
+// limit that it knows, all in units.
 type TenantReport []int
 
-func (u TenantReport) at(index int) int {
-	if index < len(u) {
-		return max(0, u[index])
+func (r TenantReport) at(index int) int {
+	if index < len(r) {
+		return max(0, r[index])
 	}
 	return 0
 }
 
-func (u TenantReport) used() int      { return u.at(0) }
-func (u TenantReport) shortfall() int { return u.at(1) }
-func (u TenantReport) credit() int    { return u.at(2) }
-func (u TenantReport) floor() int     { return u.at(3) }
+func (r TenantReport) used() int      { return r.at(0) }
+func (r TenantReport) shortfall() int { return r.at(1) }
+func (r TenantReport) credit() int    { return r.at(2) }
+func (r TenantReport) floor() int     { return r.at(3) }
 
-// under returns the credit as it is under a limit: a router that knows a higher one lowers it
-// alike once it learns of this one.
-func (u TenantReport) creditUnder(limit int) int {
-	if reportedLimit := u.at(4); reportedLimit > limit {
-		return u.credit() * limit / reportedLimit
+// creditUnder returns the credit under a limit: a router that knows a higher limit lowers its
+// credit in proportion once it learns of this one.
+func (r TenantReport) creditUnder(limit int) int {
+	if reportedLimit := r.at(4); reportedLimit > limit {
+		return r.credit() * limit / reportedLimit
 	}
-	return u.credit()
+	return r.credit()
 }
 
-// Grant is what the leader tells one router.
+// Grant is the leader's message to one router.
 type Grant struct {
 	Node        string     `json:"n"`
 	Incarnation int64      `json:"l"`
 	Term        owner.Term `json:"t"`
-	// Number counts the grants to this router. Each holds all that the router has not
+	// Sequence numbers the grants to this router. Each includes all credits that the router has not
 	// acknowledged.
 	Sequence uint64 `json:"q,omitempty"`
-	// Stamp is the newest one heard of the router, from which its lease counts.
+	// Stamp is the newest one received from the router; its lease counts from it.
 	Stamp int64 `json:"s,omitempty"`
-	// All asks the router to tell all that it holds.
+	// FullReport asks the router for a full report.
 	FullReport bool `json:"a,omitempty"`
-	// WithheldMillis is for how much longer the leader withholds what others may hold, since it
-	// began lately.
+	// WithheldMillis is for how much longer the leader, which has taken over recently, withholds
+	// units that other routers may hold.
 	WithheldMillis int64                         `json:"w,omitempty"`
 	Credits        map[routing.TenantName]Credit `json:"c,omitempty"`
 }
 
-// Credit is how many units a router may hold in use, of how many that the limit had when the
-// credit was given, and how many of them once its lease has ended.
+// Credit is the number of units that a router may have in use, the limit when the credit was
+// granted, and the floor: how many of the units it may use after its lease has ended.
 type Credit [3]int
 
 func (c Credit) units() int { return c[0] }
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -6,11 +6,13 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// lazily is the pause between messages that a tenant uses less: nobody waits for them.
+// decreaseReportInterval is the minimum interval between reports that a tenant uses less: no caller
+// waits for them.
 const decreaseReportInterval = time.Second
 
-// tells reports whether the use of a tenant is worth a message: more than half of what was left
-// is used up, or less is used for a while.
+// reportDue reports whether the change of a tenant's use warrants a report: more than half of the
+// units that were left at the last report have been spent, or the use is lower and
+// decreaseReportInterval has passed.
 func (a *account) reportDue(at time.Duration, credit int) bool {
 	used := a.window.used
 	if used > a.reportedUse {
@@ -19,7 +21,7 @@
 	return used < a.reportedUse && at-a.reportedAt >= decreaseReportInterval
 }
 
-// Tell returns what the leader is to know; nil if that is nothing.
+// Report returns the next report to the leader; nil if there is nothing to report.
 func (h *Holder) Report(now time.Time) *Report {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
@@ -35,8 +37,8 @@
 		}
 	}
 	due := len(h.accounts) > 0 && at-h.reportedAt >= renewInterval
-	all := report.Full && (h.term > 0 || len(h.accounts) > 0)
-	if !due && !all && len(report.Tenants) == 0 && h.applied == h.acked {
+	fullDue := report.Full && (h.term > 0 || len(h.accounts) > 0)
+	if !due && !fullDue && len(report.Tenants) == 0 && h.applied == h.acked {
 		return nil
 	}
 	h.sequence++
@@ -45,7 +47,7 @@
 	return &report
 }
 
-// useOf returns what is to be told of an account; nil if that is nothing. The caller holds mu.
+// tenantReport returns what to report of an account; nil if nothing. h.mu must be held.
 func (h *Holder) tenantReport(a *account, at time.Duration) TenantReport {
 	used, credit := a.window.used, h.credit(a, at)
 	if !h.fullReportDue && !a.mustReport && a.shortfall == 0 && !a.reportDue(at, credit) {
@@ -56,7 +58,7 @@
 		use = append(use, a.shortfall)
 	}
 	if h.fullReportDue {
-		// A lease that is renewed must not bring back what has ended and was not told.
+		// A renewed lease must not restore units that have expired and are not in this report.
 		a.grantedCredit = Credit{credit, min(a.grantedCredit.limit(), a.limit), min(credit, a.grantedCredit.floor())}
 		use = append(use, credit, a.grantedCredit.floor(), a.limit)
 	}
--- a/internal/quota/reports.go
+++ b/internal/quota/reports.go
@@ -6,7 +6,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Hear takes what a router tells.
+// HandleReport handles a router's report.
 func (c *Coordinator) HandleReport(now time.Time, report Report) {
 	if report.Term > c.term {
 		return
@@ -19,7 +19,7 @@
 		c.memberRestarted(report.startedBy(now), m)
 		m = nil
 	}
-	neverGranted := report.Term == 0 && report.Full // it has been given nothing in its life
+	neverGranted := report.Term == 0 && report.Full // no leader has granted it anything in this incarnation
 	switch {
 	case report.Term < c.term && !neverGranted, m == nil && !report.Full:
 		c.requestFullReport(report.Node, report.Incarnation)
@@ -40,15 +40,15 @@
 	c.updateUse(now, m, report)
 }
 
-// ask lets a router tell all with the next grants.
+// requestFullReport asks a router for a full report with the next grants.
 func (c *Coordinator) requestFullReport(node string, incarnation int64) {
-	if a := c.fullReportRequests[node]; a != nil && a.incarnation >= incarnation {
+	if request := c.fullReportRequests[node]; request != nil && request.incarnation >= incarnation {
 		return
 	}
 	c.fullReportRequests[node] = &fullReportRequest{incarnation: incarnation, due: true}
 }
 
-// join takes a router into the books. What it holds was given by an earlier leader.
+// join adds a router as a member. What it holds was granted by a previous leader.
 func (c *Coordinator) join(now time.Time, report Report) *member {
 	m := &member{
 		node: report.Node, incarnation: report.Incarnation, leaseEnd: now.Add(Lease), floorLeaseEnd: now.Add(FloorLease),
@@ -62,7 +62,8 @@
 	return m
 }
 
-// bring books what a router tells that this leader has not given it.
+// addReported adds units that a router reports, and that this leader has not granted, to the
+// outstanding ones.
 func (c *Coordinator) addReported(now time.Time, m *member, report Report) {
 	for name, use := range report.Tenants {
 		p := c.pools[name]
@@ -73,7 +74,7 @@
 		m.holdings[name] = h
 		c.setUnits(m, h, use.creditUnder(p.limit))
 		p.addOutstanding(use.credit(), use.floor())
-		if !p.countedReporters[m.node] { // what it brings once more was counted then
+		if !p.countedReporters[m.node] { // a repeated report was counted before
 			p.countedReporters[m.node] = true
 			p.reportedUnits += max(use.credit(), use.used())
 			p.reportedFloorUnits += use.floor()
@@ -82,13 +83,13 @@
 	}
 }
 
-// book adds to what is booked.
+// addOutstanding adds to the outstanding units and floors.
 func (p *pool) addOutstanding(units, floors int) {
 	p.outstanding += units
 	p.floorUnits += floors
 }
 
-// end books units that end by themselves.
+// addExpiring adds outstanding units that are released at a time.
 func (c *Coordinator) addExpiring(at time.Time, name routing.TenantName, units, floors int) {
 	if p := c.pools[name]; p != nil && units > 0 {
 		p.addOutstanding(units, floors)
@@ -96,7 +97,7 @@
 	}
 }
 
-// hear takes the uses that a member tells, and what it has acknowledged.
+// updateUse takes over the use that a member reports, and what it has acknowledged.
 func (c *Coordinator) updateUse(now time.Time, m *member, report Report) {
 	for name, h := range m.holdings {
 		use, listed := report.Tenants[name]
@@ -107,7 +108,7 @@
 		if h.grantSequence > report.Ack {
 			continue
 		}
-		if report.Full && report.Ack == m.lastGrant { // it has dropped some, and no grant is on its way that brings them back
+		if report.Full && report.Ack == m.lastGrant { // it has lost units, and no grant that restores them is on its way
 			h.floor = min(h.floor, use.floor())
 			h.units = min(h.units, use.credit())
 			c.setUnits(m, h, min(h.units, use.creditUnder(c.pools[name].limit)))
@@ -126,7 +127,7 @@
 	m.ackedGrant = max(m.ackedGrant, report.Ack)
 }
 
-// hold returns what a member may hold of a tenant.
+// holding returns a member's holding of a tenant, which it creates if needed.
 func (m *member) holding(name routing.TenantName) *holding {
 	h := m.holdings[name]
 	if h == nil {
@@ -136,8 +137,9 @@
 	return h
 }
 
-// settle books no more than what a router holds that has told its use since it took the last
-// grant. Units in use beyond that end by themselves.
+// releaseExcess lowers the outstanding units of a router that has reported its use since it applied
+// the last grant to what it holds. Units in use beyond that are released once the reuse delay has
+// passed.
 func (c *Coordinator) releaseExcess(now time.Time, name routing.TenantName, h *holding) {
 	p := c.pools[name]
 	excess := h.outstanding - h.units
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -7,38 +7,39 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// reportGracePeriod is how long after the beginning of a leader routers that live have told what they
-// hold.
+// reportGracePeriod is the time after the start of a leader within which running routers report
+// what they hold.
 const reportGracePeriod = 500 * time.Millisecond
 
-// Claims reports whether it is time to claim the reserve: what routers hold that have not told
-// it by now may be held by nobody.
+// ReserveClaimDue reports whether it is time to claim the reserve: running routers have reported by
+// now, so units that are not reported may not be held by any router.
 func (c *Coordinator) ReserveClaimDue(now time.Time) bool {
 	return !c.firstLeader && !c.reserveClaimed && now.Sub(c.startedAt) >= reportGracePeriod
 }
 
-// Leftovers are shares of tenants' limits, from 0 to 1, that routers may hold which have told
-// nothing. A tenant that is not named has none.
+// UnreportedShares are shares of tenants' limits, from 0 to 1, that may be held by routers that
+// have not reported. Only All applies to a tenant that is not listed.
 type UnreportedShares struct {
-	// All is the least share of all tenants.
+	// All is the minimum share of every tenant.
 	All     float64                        `json:"all,omitempty"`
 	Tenants map[routing.TenantName]float64 `json:"tenants,omitempty"`
 }
 
-// of returns a tenant's share.
-func (l UnreportedShares) share(name routing.TenantName) float64 { return max(l.All, l.Tenants[name]) }
+// share returns a tenant's share.
+func (u UnreportedShares) share(name routing.TenantName) float64 { return max(u.All, u.Tenants[name]) }
 
-// Sum adds up the shares of the tenants that are named.
-func (l UnreportedShares) Sum() float64 {
-	sum := l.All
-	for _, share := range l.Tenants {
+// Sum returns the sum of All and of the listed tenants' shares.
+func (u UnreportedShares) Sum() float64 {
+	sum := u.All
+	for _, share := range u.Tenants {
 		sum += share
 	}
 	return sum
 }
 
-// Leftover returns what routers may hold that have told nothing, if leaders before have dealt
-// some shares beyond what is dealt of calm tenants.
+// Unreported returns the shares that may be held by routers that have not reported, if previous
+// leaders may have granted prior beyond what is allocatable for tenants that are not marked as
+// busy.
 func (c *Coordinator) Unreported(prior UnreportedShares) UnreportedShares {
 	unreported := UnreportedShares{Tenants: map[routing.TenantName]float64{}}
 	for name, p := range c.pools {
@@ -50,15 +51,17 @@
 	return unreported
 }
 
-// dealtBefore is how many units leaders before may have dealt of a calm tenant: what is dealt of
-// such, and a share of what is allowed that an earlier one still did not know to be held.
+// maxPriorUnits returns how many units of a tenant that is not marked as busy previous leaders may
+// have granted: those that are allocatable, and the share of the limit that was still unreported at
+// a previous leader.
 func (p *pool) maxPriorUnits(share float64) int {
 	return min(p.limit, p.allocatable+int(math.Ceil(share*float64(p.limit))))
 }
 
-// Reserved lets this leader deal at once what leaders before can't have dealt, of tenants that
-// were not marked as busy. Whoever calls it has told which are, and has stored the Leftover of
-// the same share for leaders that come within Bound.TakeoverDelay.
+// ReserveClaimed lets this leader allocate at once the units of tenants not marked as busy that
+// previous leaders can't have granted. The caller must have called MarkBusy for the marked tenants,
+// and must have stored Unreported of the same prior shares for leaders that start within
+// Bound.TakeoverDelay.
 func (c *Coordinator) ReserveClaimed(prior UnreportedShares) {
 	c.reserveClaimed = true
 	for name, p := range c.pools {
@@ -69,8 +72,8 @@
 	}
 }
 
-// most is how many units of a tenant may be booked now. After a change of leaders nobody may
-// be given what a router may still hold that has not told it.
+// maxOutstanding returns how many units of a tenant may be outstanding now. After a change of
+// leaders, units must not be granted that a router which has not reported may still hold.
 func (c *Coordinator) maxOutstanding(now time.Time, p *pool) int {
 	since := now.Sub(c.startedAt)
 	knownAt, ok := c.priorGrantsKnown()
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -9,16 +9,17 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Usage is what one router knows of one tenant.
+// Usage is one router's view of one tenant.
 type Usage struct {
 	Tenant routing.TenantName
-	// Limit of all routers, Credit of this one, and what of it is Used, in units.
+	// Limit applies to all routers together, Credit is that of this router, and Used the part of it
+	// that is in use, all in units.
 	Limit, Credit, Used int
-	// Granted and Refused count requests since the process began.
+	// Granted and Refused count requests since the start of the process.
 	Granted, Refused uint64
 }
 
-// Usages returns what is known of the tenants with limits, those with the highest limits first.
+// Usages returns the usage of all tenants with limits, highest limits first.
 func (h *Holder) Usages(now time.Time) []Usage {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
