--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -10,14 +10,14 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// In no window do more requests run than the limit allows, whatever becomes of routers, leaders
-// and messages: at each request the window that ends there is counted.
+// No window may contain more requests than the limit allows, whatever happens to routers, leaders
+// and messages. After each step, the requests in the window that ends there are counted.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenant := &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
 		w := newSimulationWith(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
 		limit := w.bound.Allowed(tenant)
-		// lowered is when all routers knew of the last lower limit.
+		// lowered is when the limit was last lowered; all routers know of it at once.
 		var lowered time.Time
 		delay := func() time.Duration {
 			return time.Duration(rapid.IntRange(0, 800).Draw(t, "delay")) * time.Millisecond
@@ -25,29 +25,29 @@
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
 			r := rapid.SampledFrom(w.routers).Draw(t, "router")
 			switch rapid.SampledFrom(simulationEvents).Draw(t, "event") {
-			case "cut":
+			case "cut": // partition a router, or end its partition
 				r.partitioned = !r.partitioned
 			case "restart":
 				w.startRouter(r)
-			case "freeze":
+			case "freeze": // suspend a router
 				r.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
 			case "kill leader":
 				w.leader().killed = true
-			case "partition leader":
+			case "partition leader": // its authority is no longer renewed
 				w.leader().authorityLost = true
-			case "freeze leader":
+			case "freeze leader": // suspend the leader
 				w.leader().frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
 			case "elect":
 				w.elect()
-			case "follow":
+			case "follow": // a router follows the current leader
 				r.leader = len(w.leaders) - 1
-			case "follow any":
+			case "follow any": // a router follows the current leader or an earlier one
 				r.leader = rapid.IntRange(0, len(w.leaders)-1).Draw(t, "leader")
 			case "add":
 				if len(w.routers) < 9 {
 					w.addRouter()
 				}
-			case "store":
+			case "store": // the store fails, or recovers
 				w.storeDown = !w.storeDown
 			case "restart all":
 				w.leader().killed = true
@@ -80,21 +80,21 @@
 						w.request(one)
 					}
 				}
-			default:
+			default: // "ask" and "calm" send one request
 				w.request(r)
 			}
 			if !lowered.IsZero() && w.now.Sub(lowered) >= testWindow {
 				limit, lowered = w.bound.Allowed(w.tenant), time.Time{}
 			}
 			if found := w.grantedInWindow(); found > limit {
-				t.Fatalf("%d requests within a window, %d are allowed", found, limit)
+				t.Fatalf("%d requests within a window, limit %d", found, limit)
 			}
 			w.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
 		}
 	})
 }
 
-// simulationEvents name what may happen, the frequent ones several times.
+// simulationEvents are the events that may occur; frequent ones are listed several times.
 var simulationEvents = []string{
 	"ask", "flood", "flood", "flood all", "flood all", "flood all", "cut", "restart", "freeze", "freeze", "kill leader",
 	"partition leader", "freeze leader", "elect", "elect", "elect", "follow", "follow", "follow any", "restart all", "return", "limit", "calm", "calm", "store", "add",
@@ -102,9 +102,9 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	asked := false
-	flag.Visit(func(f *flag.Flag) { asked = asked || f.Name == "rapid.checks" })
-	if !asked {
+	checksSet := false
+	flag.Visit(func(f *flag.Flag) { checksSet = checksSet || f.Name == "rapid.checks" })
+	if !checksSet {
 		_ = flag.Set("rapid.checks", defaultChecks)
 	}
 	m.Run()
--- a/internal/quota/checks_race_test.go
+++ b/internal/quota/checks_race_test.go
@@ -2,5 +2,5 @@
 
 package quota
 
-// defaultChecks is fewer where the race detector makes each take eight times as long.
+// defaultChecks is lower under the race detector, which makes each case take eight times as long.
 const defaultChecks = "400"
--- a/internal/quota/checks_test.go
+++ b/internal/quota/checks_test.go
@@ -2,6 +2,6 @@
 
 package quota
 
-// defaultChecks is how many worlds the property test plays where nothing else is asked for: most
-// mutations of the bound show within a thousand.
+// defaultChecks is the number of cases of the property test unless the rapid.checks flag is set:
+// most mutations of the bound fail within a thousand.
 const defaultChecks = "3000"
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -9,7 +9,8 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// newTestHolder is a holder of 50 units, 5 of them its floor, whose lease counts from its epoch.
+// newTestHolder returns a holder with a credit of 50 units and a floor of 5, and the time from
+// which its lease counts.
 func newTestHolder(tenant *routing.Tenant) (*Holder, time.Time) {
 	began := time.Unix(1000, 0)
 	h := NewHolder(began, "n", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
@@ -20,7 +21,7 @@
 	return h, began
 }
 
-// taken counts how many requests a holder grants at one moment.
+// takeAll counts how many requests a holder grants at one moment.
 func takeAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
 	count := 0
 	for granted, _ := h.Take(at, tenant); granted; granted, _ = h.Take(at, tenant) {
@@ -36,7 +37,7 @@
 	}{
 		"held":              {0, 50},
 		"lease ended":       {Lease, 5},
-		"floor's has ended": {FloorLease, 0},
+		"floor lease ended": {FloorLease, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
@@ -46,20 +47,21 @@
 	}
 }
 
-// What a router told after its lease had ended is all that the leader books.
+// What a router reports after the end of its lease is all that stays outstanding at the leader.
 func TestRenewedLeaseRestoresNoExpiredCredit(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, FullReport: true})
 	at := began.Add(2 * Lease)
-	told := h.Report(at)
-	assert.Assert(t, told.Full)
-	assert.Equal(t, told.Tenants["t"].credit(), 5)
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: told.Stamp})
+	report := h.Report(at)
+	assert.Assert(t, report.Full)
+	assert.Equal(t, report.Tenants["t"].credit(), 5)
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: report.Stamp})
 	assert.Equal(t, takeAll(h, at, tenant), 5)
 }
 
-// A request that reaches its worker late counts from then, and one that did not run is not counted.
+// A request that is sent to its worker late counts from then on, and one that did not run is not
+// counted.
 func TestUnitIsInUseFromSendTime(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
@@ -71,7 +73,7 @@
 	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
 }
 
-// A router that starts needs one message each way: requests come to it at once.
+// A router that starts gets units with one message each way, since it receives requests at once.
 func TestNewRouterGetsUnitsAtOnce(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
@@ -89,7 +91,8 @@
 	assert.Assert(t, granted)
 }
 
-// Nothing is left of an earlier leader's credits where a later one was told that there are none.
+// Credits of an earlier leader are dropped when a later leader, which has a report that there are
+// none, sends a grant.
 func TestLaterLeaderReplacesEarlierCredits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
@@ -97,7 +100,8 @@
 	assert.Equal(t, takeAll(h, began, tenant), 0)
 }
 
-// Where a new leader withholds units, callers are told to come back after that, not to be refused again.
+// While a new leader withholds units, callers are asked to retry after that, so that they are not
+// refused again.
 func TestRetryWaitCoversWithheldUnits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
@@ -113,11 +117,11 @@
 	granted, wait := h.Take(now, tenant)
 	assert.Assert(t, !granted)
 	assert.Assert(t, wait > bound.TakeoverDelay() && wait < bound.TakeoverDelay()+bound.Window, wait)
-	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "it is told once")
+	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "the withheld time is sent once")
 }
 
-// A router tells less than it was given, since its lease had ended, while the same grant is on its way
-// to it once more: what that brings back stays booked.
+// A router whose lease has ended reports less than it was granted, while the same grant is on its
+// way to it a second time. What that grant restores must stay outstanding.
 func TestResentGrantStaysOutstanding(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
--- a/internal/quota/refusals_test.go
+++ b/internal/quota/refusals_test.go
@@ -11,32 +11,34 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// load is what a tenant's callers ask for, at routers picked by chance.
+// load is the demand of a tenant's callers, at routers picked at random.
 type load struct {
 	routers int
-	// rate is the tenant's limit a second, and share of it what its callers ask for.
+	// rate is the tenant's limit per second, and share the demand as a share of it.
 	rate, share float64
 }
 
-// figures are what came of a load.
+// loadStats are the results of a simulated load. Those named static are of static shares.
 type loadStats struct {
 	requests, refused, staticRefused int
-	// most and staticMost are the most requests within a window, in shares of the limit.
+	// peak and staticPeak are the highest numbers of requests within a window, as shares of the
+	// limit.
 	peak, staticPeak float64
 	messages, bytes  float64
 }
 
-// waits is a request that waits for a unit.
+// waitingRequest is a request that waits for a unit until a time.
 type waitingRequest struct {
 	router *testRouter
 	until  time.Time
 }
 
-// way is how long a message takes between a router and its leader, through a relay.
+// messageDelay is the transit time of a message between a router and its leader, through a relay.
 const messageDelay = 25 * time.Millisecond
 
-// play lets a load run for a while after all routers have joined, beside static shares: the same
-// share of the limit for each router, with the rest by chance.
+// simulateLoad simulates a load for some seconds, of which routers join in the first five. The same
+// requests are counted against static shares: an equal share of the limit for each router, with the
+// remainder given to the first ones.
 func simulateLoad(t testing.TB, l load, seconds int) loadStats {
 	random := rand.New(rand.NewPCG(7, uint64(l.routers)))
 	tenant := &routing.Tenant{Name: "tenant-17", Rate: l.rate, Burst: l.rate}
@@ -96,7 +98,7 @@
 	return f
 }
 
-// poisson draws how many events happen of which so many are expected.
+// poisson returns a random number of events whose expected number is given.
 func poisson(random *rand.Rand, expected float64) int {
 	count := 0
 	for sum := random.ExpFloat64(); sum < expected; sum += random.ExpFloat64() {
@@ -105,13 +107,13 @@
 	return count
 }
 
-// Requests below the limit are refused where a router has run out of units and others have not.
-// How many, beside static shares, and what it costs in messages.
+// Requests below the limit are refused when a router has run out of units while others have some
+// left. The test measures how many, compared with static shares, and the cost in messages.
 func TestRefusedBelowTheLimit(t *testing.T) {
 	for name, one := range map[string]struct {
 		load
-		// most is the share of requests that may be refused.
-		most float64
+		// maxRefused is the maximum share of requests that may be refused.
+		maxRefused float64
 	}{
 		"11 routers":                      {load{11, 22, 0.62}, 0.001},
 		"81 routers, middle tenant":       {load{81, 22, 0.62}, 0.03},
@@ -123,9 +125,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := simulateLoad(t, one.load, 45)
-			t.Logf("refused %.2f %% of %d, static shares %.1f %%; within a window at most %.2f of the limit, static %.2f; %.0f messages and %.0f bytes a second",
+			t.Logf("refused %.2f %% of %d, static shares %.1f %%; within a window at most %.2f of the limit, static %.2f; %.0f messages and %.0f bytes per second",
 				100*float64(f.refused)/float64(f.requests), f.requests, 100*float64(f.staticRefused)/float64(f.requests), f.peak, f.staticPeak, f.messages, f.bytes)
-			assert.Assert(t, float64(f.refused) <= one.most*float64(f.requests), "%d of %d refused", f.refused, f.requests)
+			assert.Assert(t, float64(f.refused) <= one.maxRefused*float64(f.requests), "%d of %d refused", f.refused, f.requests)
 			assert.Assert(t, f.peak <= 1)
 		})
 	}
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -10,8 +10,9 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// refusalsAfterRestart lets callers ask below a tenant's limit, restarts all routers with their leader, and
-// returns which share of the requests is refused in each second after another leader has begun.
+// refusalsAfterRestart sends requests below a tenant's limit, restarts all routers and their
+// leader, and returns the share of requests that is refused in each second from the next leader's
+// start on.
 func refusalsAfterRestart(t testing.TB, l load, seconds int, unrecorded bool) []float64 {
 	const warm, election = 20 * time.Second, 2 * time.Second
 	random := rand.New(rand.NewPCG(7, uint64(l.routers)))
@@ -46,7 +47,7 @@
 			}
 		}
 		if found, most := w.grantedInWindow(), w.bound.Allowed(tenant); found > most {
-			t.Fatalf("%d requests within a window, %d are allowed", found, most)
+			t.Fatalf("%d requests within a window, limit %d", found, most)
 		}
 	}
 	for second := range asked {
@@ -55,8 +56,9 @@
 	return refused
 }
 
-// After a restart of all routers nobody knows what was in use. Leases of routers that may live were
-// waited for, and their floors for five minutes more, though each had begun another life.
+// After a restart of all routers, no process knows which units were in use. Without stored members
+// a leader waits for the leases of routers that may still run, and for their floors for five
+// minutes more, even though each router has started a new incarnation.
 func TestLimitsRecoverOneWindowAfterFullRestart(t *testing.T) {
 	const seconds = 18
 	for name, l := range map[string]load{
@@ -71,7 +73,8 @@
 					continue
 				}
 				for second, share := range refused {
-					// What was spent before the restart, two seconds before another leader, rests.
+					// Units spent before the restart, two seconds before the next leader's start,
+					// stay in use.
 					if time.Duration(second+2)*time.Second >= testBound.reuseDelay()+time.Second {
 						assert.Assert(t, share <= 0.1, "second %d: %.2f", second, share)
 					}
@@ -81,11 +84,11 @@
 	}
 }
 
-// testBound is what bounds requests in all worlds, as far as time goes.
+// testBound has the window of all simulations.
 var testBound = Bound{Window: testWindow}
 
-// Members that are not stored get nothing, and what was given by a leader that stored none is
-// waited for as before.
+// Routers that are not stored as members get no units, and a leader waits for the leases of a
+// previous leader that stored no members.
 func TestUnstoredMembersGetNoUnits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 100, Burst: 100}
 	bound := Bound{Window: 5 * time.Second}
@@ -93,15 +96,15 @@
 	c := NewCoordinator(now, 1, true, bound)
 	c.SetTenants(now, tenants(tenant))
 	c.AwaitMembers()
-	reportFrom := func(node string, life int64) {
-		c.HandleReport(now, Report{Node: node, Incarnation: life, Sequence: 1, Stamp: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
+	reportFrom := func(node string, incarnation int64) {
+		c.HandleReport(now, Report{Node: node, Incarnation: incarnation, Sequence: 1, Stamp: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
 	}
 	outstanding := func() int {
 		c.Tick(now, true, 2)
 		return c.pools[tenant.Name].outstanding
 	}
 	reportFrom("a", 1)
-	assert.Equal(t, outstanding(), 0, "it is not known yet whom to store")
+	assert.Equal(t, outstanding(), 0, "the stored members are not loaded yet")
 	c.MembersLoaded(nil)
 	assert.Equal(t, outstanding(), 0)
 	c.MembersStored(c.MembersToStore(now))
@@ -112,23 +115,23 @@
 	assert.Assert(t, c.members["b"].holdings[tenant.Name] == nil || c.members["b"].holdings[tenant.Name].outstanding == 0)
 	stored := c.MembersToStore(now)
 	assert.DeepEqual(t, stored, Members{"a": 1, "b": 1})
-	reportFrom("a", 2) // and is not stored in this life
+	reportFrom("a", 2) // not stored in this incarnation
 
 	next := NewCoordinator(now, 2, false, bound)
 	next.SetTenants(now, tenants(tenant))
 	next.AwaitMembers()
 	next.MembersLoaded(Members{"a": 2, "b": 1})
-	reportToNext := func(node string, life int64) {
-		next.HandleReport(now, Report{Node: node, Incarnation: life, Sequence: 1, Stamp: 9000, Full: true})
+	reportToNext := func(node string, incarnation int64) {
+		next.HandleReport(now, Report{Node: node, Incarnation: incarnation, Sequence: 1, Stamp: 9000, Full: true})
 	}
 	reportToNext("a", 1)
 	reportToNext("b", 7)
 	_, known := next.priorGrantsKnown()
-	assert.Assert(t, !known, "an earlier life says nothing of the stored one")
+	assert.Assert(t, !known, "a report of an earlier incarnation does not account for the stored one")
 	reportToNext("a", 2)
 	at, known := next.priorGrantsKnown()
 	assert.Assert(t, known)
-	assert.Assert(t, at.Before(now), "all are heard in the lives that were stored, or b's later one, which has begun long ago")
+	assert.Assert(t, at.Before(now), "all have reported, in the stored incarnation or, as b, in a later one that started long ago")
 
 	old := NewCoordinator(now, 3, false, bound)
 	old.AwaitMembers()
@@ -137,12 +140,12 @@
 	assert.Assert(t, old.MembersToStore(now) == nil)
 }
 
-// What was spent in a life that has just ended may still be in a window, also where another leader
-// has stored the next life meanwhile.
+// Units spent in an incarnation that has just ended may still be in a window, even if another
+// leader has stored the next incarnation meanwhile.
 func TestUnitsSpentInEndedIncarnationsStayInUse(t *testing.T) {
 	for name, stored := range map[string]Members{
-		"ended since the members were stored":   {"a": 1, "b": 1},
-		"the next lives are stored by a leader": {"a": 2, "b": 2},
+		"ended since the members were stored": {"a": 1, "b": 1},
+		"the next incarnations are stored":    {"a": 2, "b": 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tenant := &routing.Tenant{Name: "t", Rate: 100, Burst: 100}
@@ -153,7 +156,7 @@
 			c.MarkBusy(tenant.Name)
 			c.AwaitMembers()
 			c.MembersLoaded(stored)
-			for node, stamp := range map[string]int64{"a": 4000, "b": 1000} { // b has begun a second ago
+			for node, stamp := range map[string]int64{"a": 4000, "b": 1000} { // b started a second ago
 				c.HandleReport(now, Report{Node: node, Incarnation: 2, Sequence: 1, Stamp: stamp, Full: true})
 			}
 			p, restarted := c.pools[tenant.Name], now.Add(-time.Second)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -13,8 +13,8 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// world plays routers and leaders in virtual time. Messages are lost, late and out of order;
-// what may run is recorded.
+// simulation runs routers and leaders in virtual time. Messages are lost, delayed and reordered;
+// granted requests are recorded.
 type simulation struct {
 	t       rapid.TB
 	now     time.Time
@@ -22,32 +22,33 @@
 	tenant  *routing.Tenant
 	routers []*testRouter
 	leaders []*testLeader
-	// taken are the requests that were granted.
+	// granted are the requests that were granted and not returned.
 	granted  []grantedRequest
 	inFlight []message
-	// leftover is the share that the last claim tells, which lapses at reserved, and busy are the
-	// tenants that are marked; all lie in the store.
+	// The store holds unreported, the shares of the last claim, which expires at claimExpiry, and
+	// busy, the tenants that are marked as busy.
 	unreported  UnreportedShares
 	claimExpiry time.Time
 	busy        map[routing.TenantName]bool
-	// members are the stored ones; nil where none are, as they are not while unrecorded.
+	// members are the stored members; nil if there are none, as is the case while unrecorded.
 	members    Members
 	unrecorded bool
-	// away says that the store does not answer.
+	// storeDown says that the store does not answer.
 	storeDown bool
-	// paced lets routers report as often as they do in earnest.
+	// pacedReports limits routers to their real report interval; otherwise they report in each
+	// step.
 	pacedReports bool
-	// messages counts what was sent, and bytes how much that was.
+	// messages and bytes count what was sent.
 	messages, bytes int
 }
 
-// taken is a request that was granted at a time.
+// grantedRequest is a request that was granted at a time.
 type grantedRequest struct {
 	holder *Holder
 	at     time.Time
 }
 
-// testRouter is one router; leader is the place of the one that it follows.
+// testRouter is a router; leader is the index of the leader that it follows.
 type testRouter struct {
 	node        string
 	holder      *Holder
@@ -55,21 +56,21 @@
 	incarnation int64
 	leader      int
 	partitioned bool
-	// frozen is until when nothing happens there, as if the machine were suspended.
+	// frozenUntil is the time until which the router does nothing, as if its machine were suspended.
 	frozenUntil time.Time
 	reportedAt  time.Time
 }
 
 type testLeader struct {
 	coordinator *Coordinator
-	// authority lasts until then; lost says that it is not renewed.
+	// authorityEnd is when the leader's authority ends; authorityLost says that it is not renewed.
 	authorityEnd  time.Time
 	frozenUntil   time.Time
 	authorityLost bool
 	killed        bool
 }
 
-// envelope is a message under way, to a leader or to a router.
+// message is a message in transit: a report to a leader, or a grant to a router.
 type message struct {
 	at     time.Time
 	leader int
@@ -80,7 +81,8 @@
 const (
 	testWindow        = 5 * time.Second
 	authorityDuration = 1500 * time.Millisecond
-	// reportInterval is the pause between reports of a router with 27 others at its relay.
+	// reportInterval is the interval between reports of a router that shares its relay with 27
+	// others.
 	reportInterval = 260 * time.Millisecond
 )
 
@@ -88,28 +90,28 @@
 	return newSimulationWith(t, routers, tenant, false)
 }
 
-// newSimulationWith returns a world in which members may not be stored.
+// newSimulationWith returns a simulation; unrecorded says that members are not stored.
 func newSimulationWith(t rapid.TB, routers int, tenant *routing.Tenant, unrecorded bool) *simulation {
-	w := &simulation{unrecorded: unrecorded, t: t, now: time.Unix(1000, 0), bound: Bound{Window: testWindow, Overshoot: 0.1, Slack: 20}, tenant: tenant, busy: map[routing.TenantName]bool{}}
-	w.elect()
+	s := &simulation{unrecorded: unrecorded, t: t, now: time.Unix(1000, 0), bound: Bound{Window: testWindow, Overshoot: 0.1, Slack: 20}, tenant: tenant, busy: map[routing.TenantName]bool{}}
+	s.elect()
 	for range routers {
-		w.addRouter()
+		s.addRouter()
 	}
-	return w
+	return s
 }
 
-// add lets a router join that never was there.
-func (w *simulation) addRouter() {
-	r := &testRouter{node: fmt.Sprintf("r%d", len(w.routers)), tenant: w.tenant}
-	w.routers = append(w.routers, r)
-	w.startRouter(r)
+// addRouter adds a router that did not exist before.
+func (s *simulation) addRouter() {
+	r := &testRouter{node: fmt.Sprintf("r%d", len(s.routers)), tenant: s.tenant}
+	s.routers = append(s.routers, r)
+	s.startRouter(r)
 }
 
-// start begins a life of a router.
-func (w *simulation) startRouter(r *testRouter) {
+// startRouter starts a new incarnation of a router.
+func (s *simulation) startRouter(r *testRouter) {
 	r.incarnation++
-	r.holder = NewHolder(w.now, r.node, r.incarnation, w.bound)
-	r.tenant, r.leader = w.tenant, len(w.leaders)-1
+	r.holder = NewHolder(s.now, r.node, r.incarnation, s.bound)
+	r.tenant, r.leader = s.tenant, len(s.leaders)-1
 	r.frozenUntil = time.Time{}
 	r.holder.SetTenants(tenants(r.tenant))
 }
@@ -118,133 +120,134 @@
 	return map[routing.TenantName]*routing.Tenant{tenant.Name: tenant}
 }
 
-// elect lets another leader begin, once the authority of the one before has ended.
-func (w *simulation) elect() {
-	if w.storeDown {
+// elect starts another leader if the authority of the previous one has ended or it was killed.
+func (s *simulation) elect() {
+	if s.storeDown {
 		return
 	}
-	if last := w.leader(); last != nil {
-		if !last.killed && w.now.Before(last.authorityEnd) {
+	if last := s.leader(); last != nil {
+		if !last.killed && s.now.Before(last.authorityEnd) {
 			return
 		}
 		last.authorityLost = true
 	}
-	term := owner.Term(len(w.leaders) + 1)
-	l := &testLeader{coordinator: NewCoordinator(w.now, term, term == 1, w.bound), authorityEnd: w.now.Add(authorityDuration)}
-	l.coordinator.SetTenants(w.now, tenants(w.tenant))
-	if !w.unrecorded {
+	term := owner.Term(len(s.leaders) + 1)
+	l := &testLeader{coordinator: NewCoordinator(s.now, term, term == 1, s.bound), authorityEnd: s.now.Add(authorityDuration)}
+	l.coordinator.SetTenants(s.now, tenants(s.tenant))
+	if !s.unrecorded {
 		l.coordinator.AwaitMembers()
-		l.coordinator.MembersLoaded(maps.Clone(w.members))
+		l.coordinator.MembersLoaded(maps.Clone(s.members))
 	}
-	l.coordinator.MarkBusy(slices.Sorted(maps.Keys(w.busy))...)
-	w.leaders = append(w.leaders, l)
+	l.coordinator.MarkBusy(slices.Sorted(maps.Keys(s.busy))...)
+	s.leaders = append(s.leaders, l)
 }
 
-func (w *simulation) leader() *testLeader {
-	if len(w.leaders) == 0 {
+func (s *simulation) leader() *testLeader {
+	if len(s.leaders) == 0 {
 		return nil
 	}
-	return w.leaders[len(w.leaders)-1]
+	return s.leaders[len(s.leaders)-1]
 }
 
-// send puts a message under way.
-func (w *simulation) send(e message, delay time.Duration) {
-	e.at = w.now.Add(delay)
-	if w.pacedReports {
-		w.count(e)
+// send puts a message in transit.
+func (s *simulation) send(e message, delay time.Duration) {
+	e.at = s.now.Add(delay)
+	if s.pacedReports {
+		s.count(e)
 	}
-	w.inFlight = append(w.inFlight, e)
+	s.inFlight = append(s.inFlight, e)
 }
 
-// count counts a message.
-func (w *simulation) count(e message) {
+// count adds a message to messages and bytes.
+func (s *simulation) count(e message) {
 	encoded, err := json.Marshal(e.grant)
 	if e.report != nil {
 		encoded, err = json.Marshal(e.report)
 	}
 	if err != nil {
-		w.t.Fatalf("%v", err)
+		s.t.Fatalf("%v", err)
 	}
-	w.messages++
-	w.bytes += len(encoded)
+	s.messages++
+	s.bytes += len(encoded)
 }
 
-// step lets time pass: what is due arrives, routers report and leaders act.
-func (w *simulation) step(d time.Duration, delay func() time.Duration) {
-	w.now = w.now.Add(d)
-	for index, l := range w.leaders {
-		if l.killed || w.now.Before(l.frozenUntil) {
+// step advances the time by d: messages that are due arrive, routers report, and leaders act.
+func (s *simulation) step(d time.Duration, delay func() time.Duration) {
+	s.now = s.now.Add(d)
+	for index, l := range s.leaders {
+		if l.killed || s.now.Before(l.frozenUntil) {
 			continue
 		}
-		if !l.authorityLost && !w.storeDown && index == len(w.leaders)-1 && w.now.Before(l.authorityEnd) {
-			l.authorityEnd = w.now.Add(authorityDuration)
+		if !l.authorityLost && !s.storeDown && index == len(s.leaders)-1 && s.now.Before(l.authorityEnd) {
+			l.authorityEnd = s.now.Add(authorityDuration)
 		}
 	}
-	w.deliver()
-	for _, r := range w.routers {
-		if w.now.Before(r.frozenUntil) || w.pacedReports && !r.due(w.now) {
+	s.deliver()
+	for _, r := range s.routers {
+		if s.now.Before(r.frozenUntil) || s.pacedReports && !r.due(s.now) {
 			continue
 		}
-		r.reportedAt = w.now
-		if told := r.holder.Report(w.now); told != nil && !r.partitioned {
-			w.send(message{leader: r.leader, report: told}, delay())
+		r.reportedAt = s.now
+		if told := r.holder.Report(s.now); told != nil && !r.partitioned {
+			s.send(message{leader: r.leader, report: told}, delay())
 		}
 	}
-	for index, l := range w.leaders {
-		if l.killed || w.now.Before(l.frozenUntil) {
+	for index, l := range s.leaders {
+		if l.killed || s.now.Before(l.frozenUntil) {
 			continue
 		}
-		for _, grant := range l.coordinator.Tick(w.now, w.now.Before(l.authorityEnd), len(w.routers)) {
-			w.send(message{leader: index, grant: grant}, delay())
+		for _, grant := range l.coordinator.Tick(s.now, s.now.Before(l.authorityEnd), len(s.routers)) {
+			s.send(message{leader: index, grant: grant}, delay())
 		}
-		if wanted := l.coordinator.TenantsToMark(); index == len(w.leaders)-1 && !l.authorityLost && !w.storeDown {
-			w.mark(l, wanted)
-			w.unmark(l)
-			w.claim(l)
-			w.storeMembers(l)
+		if wanted := l.coordinator.TenantsToMark(); index == len(s.leaders)-1 && !l.authorityLost && !s.storeDown {
+			s.mark(l, wanted)
+			s.unmark(l)
+			s.claim(l)
+			s.storeMembers(l)
 		}
 	}
 }
 
-// storeMembers stores the routers that a leader is about to give units.
-func (w *simulation) storeMembers(l *testLeader) {
-	if fresh := l.coordinator.MembersToStore(w.now); fresh != nil {
-		w.members = maps.Clone(fresh)
+// storeMembers stores the routers that a leader is about to grant units.
+func (s *simulation) storeMembers(l *testLeader) {
+	if fresh := l.coordinator.MembersToStore(s.now); fresh != nil {
+		s.members = maps.Clone(fresh)
 		l.coordinator.MembersStored(fresh)
 	}
 }
 
-// unmark takes off the marks of tenants that have cooled down.
-func (w *simulation) unmark(l *testLeader) {
+// unmark removes the marks of tenants that have cooled down.
+func (s *simulation) unmark(l *testLeader) {
 	cooled := l.coordinator.TenantsToUnmark()
 	for _, name := range cooled {
-		delete(w.busy, name)
+		delete(s.busy, name)
 	}
 	l.coordinator.UnmarkBusy(cooled...)
 }
 
-// claim lets a leader deal the reserve, once it has heard the routers.
-func (w *simulation) claim(l *testLeader) {
-	if !l.coordinator.ReserveClaimDue(w.now) {
+// claim claims the reserve for a leader once the routers have had time to report.
+func (s *simulation) claim(l *testLeader) {
+	if !l.coordinator.ReserveClaimDue(s.now) {
 		return
 	}
 	var before UnreportedShares
-	if w.now.Before(w.claimExpiry) {
-		before = w.unreported
+	if s.now.Before(s.claimExpiry) {
+		before = s.unreported
 	}
-	w.unreported, w.claimExpiry = l.coordinator.Unreported(before), w.now.Add(w.bound.TakeoverDelay())
+	s.unreported, s.claimExpiry = l.coordinator.Unreported(before), s.now.Add(s.bound.TakeoverDelay())
 	l.coordinator.ReserveClaimed(before)
 }
 
-// mark stores which tenants are busy before the leader deals more of them.
-func (w *simulation) mark(l *testLeader, names []routing.TenantName) {
+// mark stores which tenants are busy before the leader allocates more of their units.
+func (s *simulation) mark(l *testLeader, names []routing.TenantName) {
 	for _, name := range names {
-		w.busy[name] = true
+		s.busy[name] = true
 	}
 	l.coordinator.MarkBusy(names...)
 }
 
-// due reports whether a router reports now: regularly, or since something is urgent.
+// due reports whether a router sends a report now: the interval has passed or a report was
+// triggered.
 func (r *testRouter) due(now time.Time) bool {
 	if now.Sub(r.reportedAt) >= reportInterval {
 		return true
@@ -257,69 +260,71 @@
 	}
 }
 
-// deliver brings the messages that are due and whose receivers live and run.
-func (w *simulation) deliver() {
+// deliver delivers the messages that are due. Those to suspended receivers wait, and those to
+// killed leaders are dropped.
+func (s *simulation) deliver() {
 	var rest []message
-	for _, e := range w.inFlight {
+	for _, e := range s.inFlight {
 		switch {
-		case w.now.Before(e.at):
+		case s.now.Before(e.at):
 			rest = append(rest, e)
 		case e.report != nil:
-			if l := w.leaders[e.leader]; w.now.Before(l.frozenUntil) {
+			if l := s.leaders[e.leader]; s.now.Before(l.frozenUntil) {
 				rest = append(rest, e)
 			} else if !l.killed {
-				l.coordinator.HandleReport(w.now, *e.report)
+				l.coordinator.HandleReport(s.now, *e.report)
 			}
 		default:
-			rest = append(rest, w.deliverGrant(e)...)
+			rest = append(rest, s.deliverGrant(e)...)
 		}
 	}
-	w.inFlight = rest
+	s.inFlight = rest
 }
 
-// bring takes a grant to its router, if that can be reached.
-func (w *simulation) deliverGrant(e message) []message {
-	for _, r := range w.routers {
+// deliverGrant delivers a grant to its router; it returns the message if the router is suspended,
+// and drops it if it is partitioned.
+func (s *simulation) deliverGrant(e message) []message {
+	for _, r := range s.routers {
 		switch {
 		case r.node != e.grant.Node || r.partitioned:
-		case w.now.Before(r.frozenUntil):
+		case s.now.Before(r.frozenUntil):
 			return []message{e}
 		default:
-			r.holder.ApplyGrant(w.now, e.grant)
+			r.holder.ApplyGrant(s.now, e.grant)
 		}
 	}
 	return nil
 }
 
-// ask lets a caller ask a router; true if the request may run.
-func (w *simulation) request(r *testRouter) bool {
-	if w.now.Before(r.frozenUntil) {
-		return true // nobody answers
+// request sends a request to a router; true if it may run.
+func (s *simulation) request(r *testRouter) bool {
+	if s.now.Before(r.frozenUntil) {
+		return true // a suspended router does not answer
 	}
-	granted, _ := r.holder.Take(w.now, r.tenant)
+	granted, _ := r.holder.Take(s.now, r.tenant)
 	if granted {
-		w.granted = append(w.granted, grantedRequest{holder: r.holder, at: w.now})
+		s.granted = append(s.granted, grantedRequest{holder: r.holder, at: s.now})
 	}
 	return granted
 }
 
-// inWindow counts what was granted within a window that ends now.
-func (w *simulation) grantedInWindow() int {
+// grantedInWindow counts the requests that were granted within the window that ends now.
+func (s *simulation) grantedInWindow() int {
 	count := 0
-	for _, one := range w.granted {
-		if w.now.Sub(one.at) < testWindow {
+	for _, one := range s.granted {
+		if s.now.Sub(one.at) < testWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// giveBack lets one of the requests that were granted not have run.
-func (w *simulation) returnOne(t *rapid.T) {
-	if len(w.granted) == 0 {
+// returnOne returns the unit of one granted request, as if it had not run.
+func (s *simulation) returnOne(t *rapid.T) {
+	if len(s.granted) == 0 {
 		return
 	}
-	at := rapid.IntRange(0, len(w.granted)-1).Draw(t, "returned")
-	w.granted[at].holder.Return(w.granted[at].at, w.tenant)
-	w.granted = append(w.granted[:at], w.granted[at+1:]...)
+	at := rapid.IntRange(0, len(s.granted)-1).Draw(t, "returned")
+	s.granted[at].holder.Return(s.granted[at].at, s.tenant)
+	s.granted = append(s.granted[:at], s.granted[at+1:]...)
 }
