--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -15,81 +15,81 @@
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenant := &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-		w := newSimulationWith(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
-		limit := w.bound.Allowed(tenant)
+		s := newSimulationWith(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
+		limit := s.bound.Allowed(tenant)
 		// lowered is when the limit was last lowered; all routers know of it at once.
 		var lowered time.Time
 		delay := func() time.Duration {
 			return time.Duration(rapid.IntRange(0, 800).Draw(t, "delay")) * time.Millisecond
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
-			r := rapid.SampledFrom(w.routers).Draw(t, "router")
+			r := rapid.SampledFrom(s.routers).Draw(t, "router")
 			switch rapid.SampledFrom(simulationEvents).Draw(t, "event") {
 			case "cut": // partition a router, or end its partition
 				r.partitioned = !r.partitioned
 			case "restart":
-				w.startRouter(r)
+				s.startRouter(r)
 			case "freeze": // suspend a router
-				r.frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
+				r.frozenUntil = s.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
 			case "kill leader":
-				w.leader().killed = true
+				s.leader().killed = true
 			case "partition leader": // its authority is no longer renewed
-				w.leader().authorityLost = true
+				s.leader().authorityLost = true
 			case "freeze leader": // suspend the leader
-				w.leader().frozenUntil = w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
+				s.leader().frozenUntil = s.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
 			case "elect":
-				w.elect()
+				s.elect()
 			case "follow": // a router follows the current leader
-				r.leader = len(w.leaders) - 1
+				r.leader = len(s.leaders) - 1
 			case "follow any": // a router follows the current leader or an earlier one
-				r.leader = rapid.IntRange(0, len(w.leaders)-1).Draw(t, "leader")
+				r.leader = rapid.IntRange(0, len(s.leaders)-1).Draw(t, "leader")
 			case "add":
-				if len(w.routers) < 9 {
-					w.addRouter()
+				if len(s.routers) < 9 {
+					s.addRouter()
 				}
 			case "store": // the store fails, or recovers
-				w.storeDown = !w.storeDown
+				s.storeDown = !s.storeDown
 			case "restart all":
-				w.leader().killed = true
-				for _, one := range w.routers {
-					w.startRouter(one)
+				s.leader().killed = true
+				for _, one := range s.routers {
+					s.startRouter(one)
 				}
 			case "limit":
-				w.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-				if w.leader().coordinator.SetTenants(w.now, tenants(w.tenant)) {
-					w.unreported, w.claimExpiry = UnreportedShares{All: 1}, w.now.Add(w.bound.TakeoverDelay())
+				s.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
+				if s.leader().coordinator.SetTenants(s.now, tenants(s.tenant)) {
+					s.unreported, s.claimExpiry = UnreportedShares{All: 1}, s.now.Add(s.bound.TakeoverDelay())
 				}
-				for _, one := range w.routers {
-					one.tenant = w.tenant
-					one.holder.SetTenants(tenants(w.tenant))
+				for _, one := range s.routers {
+					one.tenant = s.tenant
+					one.holder.SetTenants(tenants(s.tenant))
 				}
-				if units := w.bound.Allowed(w.tenant); units >= limit {
+				if units := s.bound.Allowed(s.tenant); units >= limit {
 					limit = units
 				} else {
-					lowered = w.now
+					lowered = s.now
 				}
 			case "return":
-				w.returnOne(t)
+				s.returnOne(t)
 			case "flood":
 				for range 2 * limit {
-					w.request(r)
+					s.request(r)
 				}
 			case "flood all":
-				for _, one := range w.routers {
+				for _, one := range s.routers {
 					for range limit {
-						w.request(one)
+						s.request(one)
 					}
 				}
 			default: // "ask" and "calm" send one request
-				w.request(r)
+				s.request(r)
 			}
-			if !lowered.IsZero() && w.now.Sub(lowered) >= testWindow {
-				limit, lowered = w.bound.Allowed(w.tenant), time.Time{}
+			if !lowered.IsZero() && s.now.Sub(lowered) >= testWindow {
+				limit, lowered = s.bound.Allowed(s.tenant), time.Time{}
 			}
-			if found := w.grantedInWindow(); found > limit {
-				t.Fatalf("%d requests within a window, limit %d", found, limit)
+			if granted := s.grantedInWindow(); granted > limit {
+				t.Fatalf("%d requests within a window, limit %d", granted, limit)
 			}
-			w.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
+			s.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
 		}
 	})
 }
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -22,11 +22,11 @@
 type Coordinator struct {
 	term  owner.Term
 	bound Bound
-	// startedAt is when this leader began to lead. firstLeader says that there was no leader in any
+	// startedAt is when this leader began to lead. firstLeader is true if there was no leader in any
 	// earlier term.
 	startedAt   time.Time
 	firstLeader bool
-	// reserveClaimed says that this leader may grant units that no previous leader can have
+	// reserveClaimed is true if this leader may grant units that no previous leader can have
 	// granted.
 	reserveClaimed bool
 	// busy are the tenants that are marked as busy in the store.
@@ -53,13 +53,13 @@
 	// routers.
 	limit, allocatable int
 	// priorUnits is the maximum number of units that previous leaders may have granted. wasUnmarked
-	// says that the tenant was not marked as busy when this leader claimed the reserve, which
+	// is true if the tenant was not marked as busy when this leader claimed the reserve, which
 	// lowers that number.
 	priorUnits  int
 	wasUnmarked bool
-	// markWanted says that the demand is too high for a tenant that is not marked as busy. cooling
-	// says that the demand of a marked tenant has been low since lowDemandSince, so that it is
-	// allocated no more than an unmarked one; unmarking says that its mark is being removed from
+	// markWanted is true if the demand is too high for a tenant that is not marked as busy. cooling
+	// is true if the demand of a marked tenant has been low since lowDemandSince, so that it is
+	// allocated no more than an unmarked one; unmarking is true if its mark is being removed from
 	// the store.
 	markWanted, cooling, unmarking bool
 	lowDemandSince                 time.Time
@@ -77,9 +77,9 @@
 	// frozenUntil is the time until which no units are granted, since the tenant's limit was
 	// removed and added again.
 	frozenUntil time.Time
-	// dirty says that the allocation must be recomputed at the next tick.
+	// dirty is true if the allocation must be recomputed at the next tick.
 	dirty bool
-	// overLimit says that the demand exceeds the limit; missingAt is when units were last missing.
+	// overLimit is true if the demand exceeds the limit; missingAt is when units were last missing.
 	overLimit bool
 	missingAt time.Time
 }
@@ -98,9 +98,9 @@
 	// grant to it, and ackedGrant that of the last grant that it has acknowledged.
 	lastReport, lastGrant, ackedGrant uint64
 	grantedAt                         time.Time
-	// changed says that a holding has changed since the last grant.
+	// changed is true if a holding has changed since the last grant.
 	changed bool
-	// firstGrantSent says that a grant was sent, which includes for how long units are withheld.
+	// firstGrantSent is true if a grant was sent, which includes for how long units are withheld.
 	firstGrantSent bool
 	holdings       map[routing.TenantName]*holding
 }
@@ -118,7 +118,7 @@
 	used, shortfall int
 }
 
-// fullReportRequest is the state of a request for a full report. due says that it must be sent.
+// fullReportRequest is the state of a request for a full report. due is true if it must be sent.
 type fullReportRequest struct {
 	incarnation int64
 	sentAt      time.Time
@@ -133,7 +133,7 @@
 	floorUnits int
 }
 
-// NewCoordinator returns the coordinator of a leader that begins to lead now. first says that there
+// NewCoordinator returns the coordinator of a leader that begins to lead now. first is true if there
 // was no leader in any earlier term.
 func NewCoordinator(now time.Time, term owner.Term, first bool, bound Bound) *Coordinator {
 	return &Coordinator{
@@ -257,7 +257,7 @@
 	}
 }
 
-// Tick performs what is due by now and returns the grants to send. authorized says that this
+// Tick performs what is due by now and returns the grants to send. authorized is true if this
 // leader's authority holds: without it no units are granted and no lease is renewed. routers is the
 // number of routers.
 func (c *Coordinator) Tick(now time.Time, authorized bool, routers int) []Grant {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -41,7 +41,7 @@
 	limit         int
 	grantedCredit Credit
 	window        windowCounter
-	// reportedUse is the use in the last report. mustReport says that the use must be in the next
+	// reportedUse is the use in the last report. mustReport is true if the use must be in the next
 	// report, since the credit was changed: the leader then releases units that need not stay
 	// outstanding.
 	reportedUse int
@@ -51,7 +51,7 @@
 	// the attempts that found no unit since the last report.
 	refused, granted uint64
 	shortfall        int
-	// shortfallReported says that the last report included a shortfall, so that the next one need
+	// shortfallReported is true if the last report included a shortfall, so that the next one need
 	// not be triggered.
 	shortfallReported bool
 	// raised is closed once the credit is raised; nil if no caller waits for that. Until overUntil
--- a/internal/quota/members.go
+++ b/internal/quota/members.go
@@ -36,7 +36,7 @@
 	heldUntil map[string]time.Time
 	// startedBy is when the newest incarnations of joined routers had started at the latest.
 	startedBy map[string]time.Time
-	// allReported says that all previous members have reported, in their stored incarnations or
+	// allReported is true if all previous members have reported, in their stored incarnations or
 	// later ones. lastEnded is when the last of their earlier incarnations had ended at the latest.
 	allReported bool
 	lastEnded   time.Time
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -19,7 +19,7 @@
 	Ack uint64 `json:"q,omitempty"`
 	// Stamp is the time at the router, in milliseconds since its epoch, and above zero.
 	Stamp int64 `json:"s"`
-	// Full says that Tenants lists every tenant of which the router holds anything.
+	// Full is true if Tenants lists every tenant of which the router holds anything.
 	Full bool `json:"a,omitempty"`
 	// Tenants are those whose use has changed.
 	Tenants map[routing.TenantName]TenantReport `json:"u,omitempty"`
--- a/internal/quota/refusals_test.go
+++ b/internal/quota/refusals_test.go
@@ -42,60 +42,60 @@
 func simulateLoad(t testing.TB, l load, seconds int) loadStats {
 	random := rand.New(rand.NewPCG(7, uint64(l.routers)))
 	tenant := &routing.Tenant{Name: "tenant-17", Rate: l.rate, Burst: l.rate}
-	w := newSimulation(t, l.routers, tenant)
-	w.pacedReports = true
-	limit := w.bound.Allowed(tenant)
+	s := newSimulation(t, l.routers, tenant)
+	s.pacedReports = true
+	limit := s.bound.Allowed(tenant)
 	static := make([]windowCounter, l.routers)
 	for index := range static {
-		static[index] = newWindowCounter(w.bound.slots())
+		static[index] = newWindowCounter(s.bound.slots())
 	}
-	var f loadStats
+	var stats loadStats
 	var staticTaken []time.Duration
 	var waiting []waitingRequest
-	began := w.now
-	for w.now.Sub(began) < time.Duration(seconds)*time.Second {
-		w.step(slotTime/10, func() time.Duration { return messageDelay })
-		if w.now.Sub(began) < 5*time.Second { // routers join
-			w.messages, w.bytes = 0, 0
+	began := s.now
+	for s.now.Sub(began) < time.Duration(seconds)*time.Second {
+		s.step(slotTime/10, func() time.Duration { return messageDelay })
+		if s.now.Sub(began) < 5*time.Second { // routers join
+			s.messages, s.bytes = 0, 0
 			continue
 		}
 		expected := l.rate * l.share * (slotTime / 10).Seconds()
 		for range poisson(random, expected) {
 			router := random.IntN(l.routers)
-			f.requests++
-			if !w.request(w.routers[router]) {
-				waiting = append(waiting, waitingRequest{w.routers[router], w.now.Add(250 * time.Millisecond)})
+			stats.requests++
+			if !s.request(s.routers[router]) {
+				waiting = append(waiting, waitingRequest{s.routers[router], s.now.Add(250 * time.Millisecond)})
 			}
 			staticShare := limit / l.routers
 			if router < limit%l.routers {
 				staticShare++
 			}
-			now := w.now.Sub(began)
+			now := s.now.Sub(began)
 			static[router].advance(now)
 			if static[router].used >= staticShare {
-				f.staticRefused++
+				stats.staticRefused++
 				continue
 			}
 			static[router].add()
 			staticTaken = append(staticTaken, now)
 		}
 		waiting = slices.DeleteFunc(waiting, func(one waitingRequest) bool {
-			if one.router.holder.Await(w.now, tenant) == nil || !w.now.Before(one.until) {
-				one.router.holder.Refused(w.now, tenant)
-				f.refused++
+			if one.router.holder.Await(s.now, tenant) == nil || !s.now.Before(one.until) {
+				one.router.holder.Refused(s.now, tenant)
+				stats.refused++
 				return true
 			}
-			return w.request(one.router)
+			return s.request(one.router)
 		})
-		f.peak = max(f.peak, float64(w.grantedInWindow())/float64(limit))
+		stats.peak = max(stats.peak, float64(s.grantedInWindow())/float64(limit))
 		within := 0
-		for index := len(staticTaken) - 1; index >= 0 && w.now.Sub(began)-staticTaken[index] < testWindow; index-- {
+		for index := len(staticTaken) - 1; index >= 0 && s.now.Sub(began)-staticTaken[index] < testWindow; index-- {
 			within++
 		}
-		f.staticPeak = max(f.staticPeak, float64(within)/float64(limit))
+		stats.staticPeak = max(stats.staticPeak, float64(within)/float64(limit))
 	}
-	f.messages, f.bytes = float64(w.messages)/float64(seconds-5), float64(w.bytes)/float64(seconds-5)
-	return f
+	stats.messages, stats.bytes = float64(s.messages)/float64(seconds-5), float64(s.bytes)/float64(seconds-5)
+	return stats
 }
 
 // poisson returns a random number of events whose expected number is given.
@@ -124,11 +124,11 @@
 		"81 routers, seven times as much": {load{81, 176, 4.65}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := simulateLoad(t, one.load, 45)
+			stats := simulateLoad(t, one.load, 45)
 			t.Logf("refused %.2f %% of %d, static shares %.1f %%; within a window at most %.2f of the limit, static %.2f; %.0f messages and %.0f bytes per second",
-				100*float64(f.refused)/float64(f.requests), f.requests, 100*float64(f.staticRefused)/float64(f.requests), f.peak, f.staticPeak, f.messages, f.bytes)
-			assert.Assert(t, float64(f.refused) <= one.maxRefused*float64(f.requests), "%d of %d refused", f.refused, f.requests)
-			assert.Assert(t, f.peak <= 1)
+				100*float64(stats.refused)/float64(stats.requests), stats.requests, 100*float64(stats.staticRefused)/float64(stats.requests), stats.peak, stats.staticPeak, stats.messages, stats.bytes)
+			assert.Assert(t, float64(stats.refused) <= one.maxRefused*float64(stats.requests), "%d of %d refused", stats.refused, stats.requests)
+			assert.Assert(t, stats.peak <= 1)
 		})
 	}
 }
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -17,41 +17,41 @@
 	const warm, election = 20 * time.Second, 2 * time.Second
 	random := rand.New(rand.NewPCG(7, uint64(l.routers)))
 	tenant := &routing.Tenant{Name: "tenant-17", Rate: l.rate, Burst: l.rate}
-	w := newSimulationWith(t, l.routers, tenant, unrecorded)
-	w.pacedReports = true
-	began, restarted, elected := w.now, false, false
-	asked, refused := make([]float64, seconds), make([]float64, seconds)
-	for w.now.Sub(began) < warm+election+time.Duration(seconds)*time.Second {
-		w.step(slotTime/10, func() time.Duration { return messageDelay })
-		at := w.now.Sub(began)
+	s := newSimulationWith(t, l.routers, tenant, unrecorded)
+	s.pacedReports = true
+	began, restarted, elected := s.now, false, false
+	requests, refused := make([]float64, seconds), make([]float64, seconds)
+	for s.now.Sub(began) < warm+election+time.Duration(seconds)*time.Second {
+		s.step(slotTime/10, func() time.Duration { return messageDelay })
+		at := s.now.Sub(began)
 		if at >= warm && !restarted {
-			restarted, w.leader().killed = true, true
-			for _, one := range w.routers {
-				w.startRouter(one)
+			restarted, s.leader().killed = true, true
+			for _, one := range s.routers {
+				s.startRouter(one)
 			}
 		}
 		if at >= warm+election && !elected {
 			elected = true
-			w.elect()
-			for _, one := range w.routers {
-				one.leader = len(w.leaders) - 1
+			s.elect()
+			for _, one := range s.routers {
+				one.leader = len(s.leaders) - 1
 			}
 		}
 		for range poisson(random, l.rate*l.share*(slotTime/10).Seconds()) {
-			granted := w.request(w.routers[random.IntN(l.routers)])
+			granted := s.request(s.routers[random.IntN(l.routers)])
 			if second := int((at - warm - election) / time.Second); elected && second < seconds {
-				asked[second]++
+				requests[second]++
 				if !granted {
 					refused[second]++
 				}
 			}
 		}
-		if found, most := w.grantedInWindow(), w.bound.Allowed(tenant); found > most {
-			t.Fatalf("%d requests within a window, limit %d", found, most)
+		if granted, limit := s.grantedInWindow(), s.bound.Allowed(tenant); granted > limit {
+			t.Fatalf("%d requests within a window, limit %d", granted, limit)
 		}
 	}
-	for second := range asked {
-		refused[second] /= max(1, asked[second])
+	for second := range requests {
+		refused[second] /= max(1, requests[second])
 	}
 	return refused
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -33,7 +33,7 @@
 	// members are the stored members; nil if there are none, as is the case while unrecorded.
 	members    Members
 	unrecorded bool
-	// storeDown says that the store does not answer.
+	// storeDown is true if the store does not answer.
 	storeDown bool
 	// pacedReports limits routers to their real report interval; otherwise they report in each
 	// step.
@@ -63,7 +63,7 @@
 
 type testLeader struct {
 	coordinator *Coordinator
-	// authorityEnd is when the leader's authority ends; authorityLost says that it is not renewed.
+	// authorityEnd is when the leader's authority ends; authorityLost is true if it is not renewed.
 	authorityEnd  time.Time
 	frozenUntil   time.Time
 	authorityLost bool
@@ -90,7 +90,7 @@
 	return newSimulationWith(t, routers, tenant, false)
 }
 
-// newSimulationWith returns a simulation; unrecorded says that members are not stored.
+// newSimulationWith returns a simulation; unrecorded is true if members are not stored.
 func newSimulationWith(t rapid.TB, routers int, tenant *routing.Tenant, unrecorded bool) *simulation {
 	s := &simulation{unrecorded: unrecorded, t: t, now: time.Unix(1000, 0), bound: Bound{Window: testWindow, Overshoot: 0.1, Slack: 20}, tenant: tenant, busy: map[routing.TenantName]bool{}}
 	s.elect()
@@ -150,19 +150,19 @@
 }
 
 // send puts a message in transit.
-func (s *simulation) send(e message, delay time.Duration) {
-	e.at = s.now.Add(delay)
+func (s *simulation) send(m message, delay time.Duration) {
+	m.at = s.now.Add(delay)
 	if s.pacedReports {
-		s.count(e)
+		s.count(m)
 	}
-	s.inFlight = append(s.inFlight, e)
+	s.inFlight = append(s.inFlight, m)
 }
 
 // count adds a message to messages and bytes.
-func (s *simulation) count(e message) {
-	encoded, err := json.Marshal(e.grant)
-	if e.report != nil {
-		encoded, err = json.Marshal(e.report)
+func (s *simulation) count(m message) {
+	encoded, err := json.Marshal(m.grant)
+	if m.report != nil {
+		encoded, err = json.Marshal(m.report)
 	}
 	if err != nil {
 		s.t.Fatalf("%v", err)
@@ -188,8 +188,8 @@
 			continue
 		}
 		r.reportedAt = s.now
-		if told := r.holder.Report(s.now); told != nil && !r.partitioned {
-			s.send(message{leader: r.leader, report: told}, delay())
+		if report := r.holder.Report(s.now); report != nil && !r.partitioned {
+			s.send(message{leader: r.leader, report: report}, delay())
 		}
 	}
 	for index, l := range s.leaders {
@@ -263,34 +263,34 @@
 // deliver delivers the messages that are due. Those to suspended receivers wait, and those to
 // killed leaders are dropped.
 func (s *simulation) deliver() {
-	var rest []message
-	for _, e := range s.inFlight {
+	var waiting []message
+	for _, m := range s.inFlight {
 		switch {
-		case s.now.Before(e.at):
-			rest = append(rest, e)
-		case e.report != nil:
-			if l := s.leaders[e.leader]; s.now.Before(l.frozenUntil) {
-				rest = append(rest, e)
+		case s.now.Before(m.at):
+			waiting = append(waiting, m)
+		case m.report != nil:
+			if l := s.leaders[m.leader]; s.now.Before(l.frozenUntil) {
+				waiting = append(waiting, m)
 			} else if !l.killed {
-				l.coordinator.HandleReport(s.now, *e.report)
+				l.coordinator.HandleReport(s.now, *m.report)
 			}
 		default:
-			rest = append(rest, s.deliverGrant(e)...)
+			waiting = append(waiting, s.deliverGrant(m)...)
 		}
 	}
-	s.inFlight = rest
+	s.inFlight = waiting
 }
 
 // deliverGrant delivers a grant to its router; it returns the message if the router is suspended,
 // and drops it if it is partitioned.
-func (s *simulation) deliverGrant(e message) []message {
+func (s *simulation) deliverGrant(m message) []message {
 	for _, r := range s.routers {
 		switch {
-		case r.node != e.grant.Node || r.partitioned:
+		case r.node != m.grant.Node || r.partitioned:
 		case s.now.Before(r.frozenUntil):
-			return []message{e}
+			return []message{m}
 		default:
-			r.holder.ApplyGrant(s.now, e.grant)
+			r.holder.ApplyGrant(s.now, m.grant)
 		}
 	}
 	return nil
