--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -37,7 +37,7 @@
 	return owner.Reply{Outcome: owner.OutcomeDone, Leaving: to.ID == o.leaving}
 }
 
-func (o *obeying) Release(context.Context, owner.Target, owner.Keys, owner.Fence) owner.Reply {
+func (o *obeying) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
 	return owner.Reply{Outcome: owner.OutcomeDone, Handover: "h"}
 }
 
@@ -63,7 +63,7 @@
 		assert.NilError(t, err)
 		store := memory.Bounded{Store: b.store, Limit: time.Second}
 		b.election = election.New(store, "cell/", "a:1", "process", b.nonce)
-		known := func() peerlink.Known { return peerlink.Known{} }
+		known := func() peerlink.ReadState { return peerlink.ReadState{} }
 		b.keeper = &Keeper{
 			Store: store, Prefix: "cell/", Orders: b.orders, Workers: workers.NewDirectory(),
 			Config: func() *routing.Config { return config },
