--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// bodiesShare is the share of the machine's memory that bodies in flight may take. As much
-	// again goes to what the collector has not taken back yet; the rest is the process's own.
+	// bodiesShare is the share of the machine's memory for bodies in flight. About as much is
+	// garbage that the collector has not reclaimed yet; the rest is for the process itself.
 	bodiesShare = 0.25
-	// bytesInMegabyte turns the setting into bytes.
+	// bytesInMegabyte converts the setting to bytes.
 	bytesInMegabyte = 1 << 20
 )
 
-// newRoom returns the room for bodies in flight, which logs when it is full and when no longer.
+// newRoom returns the memory budget for bodies in flight. It logs when the budget is exhausted and
+// when it is available again.
 func (r *Router) newRoom() *bodies.Room {
 	room := bodies.NewRoom(int64(bodiesShare * float64(r.settings.Machine.MemoryMB) * bytesInMegabyte))
 	room.Changed = func(full bool, used int64) {
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -14,8 +14,8 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// bundlesView follows the teams' bundles. A team's version never goes back, and one
-// that can't be verified leaves the version before in force.
+// bundlesView follows the teams' bundles. A team's version never decreases; if a bundle can't be
+// verified, the previous version stays in force.
 type bundlesView struct {
 	r       *Router
 	signers registry.Signers
@@ -26,7 +26,7 @@
 	return &bundlesView{r: r, signers: signers(r.settings.Operators), inForce: map[bundle.TeamName]bundle.Bundle{}}
 }
 
-// signers are the operators of the settings, which were checked.
+// signers returns the operators of the settings, which are already validated.
 func signers(operators []settings.Operator) registry.Signers {
 	trusted := registry.Signers{}
 	for _, one := range operators {
@@ -56,8 +56,8 @@
 	v.use()
 }
 
-// take reads a team's record. A record that was removed changes nothing: keys that
-// are held stay where the last bundle placed them.
+// take reads a team's record. A removed record has no effect: held keys stay where the last bundle
+// placed them.
 func (v *bundlesView) take(item coord.Item) {
 	v.r.config.noteRead(item.Revision)
 	if len(item.Value) == 0 {
@@ -69,7 +69,7 @@
 		used, err = record.InForce(v.signers)
 	}
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid bundle; the previous configuration stays in force")
 		return
 	}
 	if used != nil && used.Version > v.inForce[used.Team].Version {
@@ -77,7 +77,7 @@
 	}
 }
 
-// use puts all teams' bundles into force.
+// use puts the bundles of all teams into force.
 func (v *bundlesView) use() {
 	defer v.r.hub.Wake()
 	if len(v.inForce) == 0 {
@@ -85,7 +85,7 @@
 	}
 	compiled, err := registry.Compile(slices.Collect(maps.Values(v.inForce)))
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Err(err).Msg("invalid bundle; the previous configuration stays in force")
 		return
 	}
 	if !v.r.proxy.Use(compiled.Config) {
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -12,12 +12,12 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// configView follows what the platform's operators write: the configuration, and the
-// zones that are evacuated.
+// configView follows what the platform's operators write: the configuration, and the evacuated
+// zones.
 type configView struct {
 	r  *Router
 	mu sync.Mutex
-	// items are all that stand, by key, as of the revision at.
+	// items holds all existing items by key, as of revision at.
 	items map[string]coord.Item
 	at    coord.Revision
 }
@@ -31,7 +31,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if at < v.at {
-		return // the leader has told more meanwhile
+		return // newer changes were received from the leader
 	}
 	v.items = map[string]coord.Item{}
 	items = v.hashAllKeys(items)
@@ -40,7 +40,7 @@
 		newest = max(newest, item.Revision)
 		v.items[item.Key] = item
 	}
-	// How long ago a zone was evacuated is not told by a list.
+	// A list does not show since when a zone is evacuated.
 	v.apply(items, at, time.Time{})
 	v.r.config.noteRead(newest)
 }
@@ -54,20 +54,20 @@
 	for _, event := range events {
 		newest = max(newest, event.Revision)
 		switch {
-		case event.Revision <= v.at: // known from the leader
+		case event.Revision <= v.at: // already received from the leader
 		case event.Deleted:
 			delete(v.items, event.Key)
 		default:
 			item := v.hashKeys(event.Item)
 			v.items[event.Key] = item
-			fresh = append([]coord.Item{item}, fresh...) // the newest first
+			fresh = append([]coord.Item{item}, fresh...) // newest first
 		}
 	}
 	v.apply(fresh, at, v.r.earliestWatchChange(v.r.config))
-	v.r.config.noteRead(newest) // told to others after the change itself: they would read it at once
+	v.r.config.noteRead(newest) // announced to others after the change itself: they would otherwise read the service at once
 }
 
-// sealed returns items without API keys.
+// hashAllKeys returns items with their API keys hashed.
 func (v *configView) hashAllKeys(items []coord.Item) []coord.Item {
 	list := make([]coord.Item, 0, len(items))
 	for _, item := range items {
@@ -76,24 +76,24 @@
 	return list
 }
 
-// seal returns an item without API keys: they stand in no memory of this process and in no
-// message to another.
+// hashKeys returns an item with its API keys hashed: this process keeps no plain API key in memory
+// and sends none to another.
 func (v *configView) hashKeys(item coord.Item) coord.Item {
 	if v.r.adapter.HashAPIKeys == nil {
 		return item
 	}
 	hashed, err := v.r.adapter.HashAPIKeys(item)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid configuration; the previous one stays in force")
 	}
 	return hashed
 }
 
-// told takes what the leader has read; false if something is missing here.
+// applyRelayed applies configuration changes from the leader; false if items are missing here.
 func (v *configView) applyRelayed(news peerlink.ConfigNews) bool {
 	items, err := news.Items()
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("told by the leader")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
 		return false
 	}
 	v.mu.Lock()
@@ -122,17 +122,17 @@
 	return true
 }
 
-// configTold takes what the leader has read, and reads it from the service if that is
-// not enough.
+// handleConfigChanges applies configuration changes from the leader, and reads the service if that
+// fails.
 func (r *Router) handleConfigChanges(news peerlink.ConfigNews) {
 	if !r.configView.applyRelayed(news) {
 		r.config.requestResync()
 	}
 }
 
-// apply puts all that stands as of a revision into force, and lets a leader or relay pass
-// it on. fresh are the items that may be new, and since is since when they may stand, such as
-// zones that were not known to be evacuated. The caller holds mu.
+// apply puts the items as of a revision into force, and relays them if this process is the leader
+// or a relay. fresh holds the items that may be new. since is the earliest time at which they may
+// have been written, such as zones that were not known to be evacuated. The caller holds mu.
 func (v *configView) apply(fresh []coord.Item, at coord.Revision, since time.Time) {
 	v.at = max(v.at, at)
 	v.r.config.noteCovered(v.at)
@@ -149,7 +149,7 @@
 func (v *configView) useConfig(items []coord.Item) {
 	config, err := v.r.adapter.ParseConfig(items)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("invalid configuration; the previous one stays in force")
 		return
 	}
 	if config == nil || !v.r.proxy.Use(config) {
@@ -163,7 +163,7 @@
 	line.Msg("in force")
 }
 
-// evacuate puts into force which zones are evacuated.
+// evacuate applies the list of evacuated zones.
 func (v *configView) evacuate(items []coord.Item, since time.Time) {
 	if v.r.adapter.ParseEvacuationKey == nil {
 		return
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -11,41 +11,42 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// Times of watching what operators and workers write.
+// Timing of watches on the data that operators and workers write.
 const (
-	// defaultWatchTimeout is how long a watch may stay silent at the leader, and at a
-	// process that no leader tells of changes.
+	// defaultWatchTimeout is how long a watch may stay silent at the leader, and at a process that
+	// receives no updates from a leader.
 	defaultWatchTimeout = 1500 * time.Millisecond
-	// relayWatchTimeout is the same at a process that others follow: less than the age at which
-	// they read for themselves.
+	// relayWatchTimeout is the same for a process that has followers. It is shorter than the age at
+	// which the followers read the service themselves.
 	relayWatchTimeout = 700 * time.Millisecond
-	// leaderBatchDelay and followerBatchDelay are the pauses after changes of workers, at the
-	// leader and at the others; a worker that leaves may get requests for 2 s.
+	// leaderBatchDelay and followerBatchDelay are the pauses after a batch of worker changes, at
+	// the leader and at other processes. A worker that leaves may get requests for 2 s.
 	leaderBatchDelay   = 150 * time.Millisecond
 	followerBatchDelay = 700 * time.Millisecond
-	// maxLag is for how long a process may know less than the leader says.
+	// maxLag is how long a process may miss a revision that the leader has read.
 	maxLag = 900 * time.Millisecond
 )
 
-// followed is one followed prefix: what was read of it, and how to read it anew.
+// prefixState is the state of one followed prefix: the revisions read so far, and a channel that
+// requests a resync.
 type prefixState struct {
-	// newest is the newest change that was read, covered the revision up to which
-	// all changes were.
+	// newest is the revision of the newest change that was read; covered is the revision up to
+	// which all changes were read.
 	newest, covered atomic.Int64
 	resync          chan struct{}
-	// lagging is since when the leader knows a change, missed, that is not known here; zero if
-	// there is none.
+	// laggingSince is when this process first missed missedRevision, which the leader has read;
+	// zero if it misses none.
 	laggingSince   time.Time
 	missedRevision coord.Revision
-	// reached is as of when all was read from the service, a number of clock.Nanos.
+	// syncedAt is the time, in clock.Nanos, up to which everything was read from the service.
 	syncedAt atomic.Int64
-	// failed is when a call last found the service away, in the same form.
+	// failedAt is the last time, in clock.Nanos, at which a call found the service unreachable.
 	failedAt atomic.Int64
-	// asked is the last change of the leader's for which all was read anew.
+	// resyncedFor is the newest leader revision for which a resync was requested.
 	resyncedFor coord.Revision
 }
 
-// never is a number of clock.Nanos that lies before all times.
+// distantPast is a value in clock.Nanos that precedes all times.
 const distantPast = math.MinInt64 / 2
 
 func newPrefixState() *prefixState {
@@ -55,13 +56,13 @@
 	return f
 }
 
-// read notes a change that was read.
+// noteRead records the revision of a change that was read.
 func (f *prefixState) noteRead(revision coord.Revision) {
 	storeMax(&f.newest, revision)
 	storeMax(&f.covered, revision)
 }
 
-// cover notes that all changes up to a revision were read.
+// noteCovered records that all changes up to a revision were read.
 func (f *prefixState) noteCovered(at coord.Revision) { storeMax(&f.covered, at) }
 
 func storeMax(value *atomic.Int64, to coord.Revision) {
@@ -73,30 +74,30 @@
 	}
 }
 
-// maxAttemptInterval is how far apart the calls of a process begin at most that does not reach the
-// service: a watch that is not answered lasts longest.
+// maxAttemptInterval is the longest time between the starts of two calls of a process that can't
+// reach the service. An unanswered watch takes longest.
 const maxAttemptInterval = 2500 * time.Millisecond
 
-// away reports whether this process looks for changes itself and does not reach the service.
+// storeUnreachable reports whether this process reads the service itself and can't reach it.
 func (f *prefixState) storeUnreachable(now time.Time) bool {
 	failed := f.failedAt.Load()
 	return failed > f.syncedAt.Load() && now.Sub(clock.OfNanos(failed)) < maxAttemptInterval
 }
 
-// known returns the newest change that was read.
+// newestRevision returns the revision of the newest change that was read.
 func (f *prefixState) newestRevision() coord.Revision { return coord.Revision(f.newest.Load()) }
 
-// coveredUpTo returns the revision up to which all changes were read.
+// coveredRevision returns the revision up to which all changes were read.
 func (f *prefixState) coveredRevision() coord.Revision { return coord.Revision(f.covered.Load()) }
 
-// misses reports whether the leader has read a change that this process has not.
+// isBehind reports whether the leader has read a change that this process has not.
 func (f *prefixState) isBehind(leader coord.Revision) bool { return int64(leader) > f.covered.Load() }
 
-// compare reads anew if the leader has known more for too long. It is called
-// from one goroutine.
+// resyncIfLagging requests a resync if one revision of the leader has been missing for longer than
+// maxLag. It must be called from a single goroutine.
 //
-// What counts is for how long one change is missed: where changes come without a pause there is
-// always one that is on its way.
+// The time is measured for one missing revision: under a continuous stream of changes there is
+// always one in transit.
 func (f *prefixState) resyncIfLagging(now time.Time, leader coord.Revision) {
 	switch {
 	case !f.isBehind(leader):
@@ -109,7 +110,8 @@
 	}
 }
 
-// catchUp reads anew at once what the leader knows and this process does not.
+// resyncIfBehind requests a resync at once, the first time that the leader's revision is found
+// missing here; later calls for the same revision wait for maxLag.
 func (f *prefixState) resyncIfBehind(now time.Time, leader coord.Revision) {
 	if f.isBehind(leader) && leader > f.resyncedFor {
 		f.resyncedFor = leader
@@ -119,7 +121,7 @@
 	f.resyncIfLagging(now, leader)
 }
 
-// again gives up the waiting watch.
+// requestResync cancels the pending watch, so that the prefix is read again.
 func (f *prefixState) requestResync() {
 	select {
 	case f.resync <- struct{}{}:
@@ -127,7 +129,8 @@
 	}
 }
 
-// follow keeps a view of a prefix, by watches unless the leader tells of changes.
+// followPrefix keeps a view of a prefix up to date: by watches, unless updates from the leader are
+// received.
 func (r *Router) followPrefix(ctx context.Context, prefix string, view coord.View, state *prefixState) {
 	options := coord.Options{
 		Wait:    r.watchTimeout,
@@ -139,7 +142,7 @@
 		Reached: func(at time.Time) { r.noteStoreSynced(state, at) },
 		Failed:  func(at time.Time) { state.failedAt.Store(clock.Nanos(at)) },
 	}
-	if len(r.settings.Operators) == 0 { // nobody tells bundles
+	if len(r.settings.Operators) == 0 { // bundles are not relayed by the leader
 		options.Told = func(ctx context.Context) bool {
 			return r.awaitUpdate(ctx, func() bool { return state.coveredRevision() > 0 })
 		}
@@ -150,25 +153,27 @@
 	coord.Follow(ctx, r.adapter.Store, prefix, view, options)
 }
 
-// Times for which a process that starts waits to be told what it would else read from the
-// store: five calls a process, which counts where half of hundreds are started at once.
+// Timeouts of a starting process that waits for a leader to send what it would otherwise read from
+// the store. Reading takes five calls per process, which adds up when half of several hundred
+// processes start at once.
 const (
-	// firstStartTimeout is for the first start of all, long before requests come: the first leader
-	// is elected within it.
+	// firstStartTimeout applies to the first start of the whole system, long before requests
+	// arrive. The first leader is elected within it.
 	firstStartTimeout = 2500 * time.Millisecond
-	// startTimeout is for a leader that the store names: it answers within some tens of
-	// milliseconds, or is cut off.
+	// startTimeout applies to a leader that the store names: it answers within tens of
+	// milliseconds, or is unreachable.
 	startTimeout = 400 * time.Millisecond
-	// listTimeout is for an election, and for its winner to read the list, with some thousands
-	// of workers: the lease of a leader before lasts 1.5 s of it.
+	// listTimeout covers an election and the time in which its winner reads the list of some
+	// thousand workers. The lease of the previous leader takes 1.5 s of it.
 	listTimeout = 4 * time.Second
 	// relistTimeout is the same for a process that has an older list.
 	relistTimeout = 400 * time.Millisecond
 	pollInterval  = 10 * time.Millisecond
 )
 
-// awaitTold waits until something was told; false if there is no leader that tells it, or none
-// does in time. A leader that is heard tells it: where many start at once, each in its turn.
+// awaitUpdate waits until the data is received; false if there is no leader, or it does not send
+// the data in time. While updates from a leader arrive, the wait goes on: when many processes start
+// at once, it serves one after the other.
 func (r *Router) awaitUpdate(ctx context.Context, received func() bool) bool {
 	timeout := startTimeout
 	if r.settings.FirstStart {
@@ -177,14 +182,14 @@
 	return r.awaitReceived(ctx, timeout, received, r.noLeader.closed)
 }
 
-// awaitList waits, where a list has several pages, until a leader tells it; false if the pages
-// are to be read from the service. A process that leads reads them at once; if each of many did
-// that which start together, the service's link would carry the list so many times.
+// awaitRelayedList waits for the leader to send a list that has several pages; false if this
+// process must read the pages from the service. A leader reads them at once. If each of many
+// processes that start together did so, the list would cross the service's link once per process.
 func (r *Router) awaitRelayedList(ctx context.Context, state *prefixState, at coord.Revision) bool {
 	received := func() bool { return state.coveredRevision() >= at }
 	timeout := r.listTimeoutFor(state)
 	if state.coveredRevision() > 0 {
-		// The leader may be heard all the while and leave this process to read what it lacks.
+		// The leader may keep sending updates and still leave this process to read what it misses.
 		bounded, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		ctx = bounded
@@ -207,9 +212,9 @@
 	return r.awaitReceived(ctx, timeout, received, leading)
 }
 
-// listPatienceOf is how long this process waits for others to tell a long list. One that has an
-// older list must not fall behind: workers that left would get its requests; and one that others
-// follow reads at once, for all of them.
+// listTimeoutFor returns how long this process waits for others to send a long list. A process with
+// an older list must not fall behind, since it would send requests to workers that have left. A
+// process with followers reads the list at once, for all of them.
 func (r *Router) listTimeoutFor(state *prefixState) time.Duration {
 	switch {
 	case state.coveredRevision() == 0:
@@ -220,8 +225,8 @@
 	return relistTimeout
 }
 
-// awaitWhile waits until something was told, or has not been for as long as patience since a
-// leader was heard last, or until nobody is to be waited for.
+// awaitReceived waits until received reports true. It gives up when ctx ends, when giveUp is
+// closed, or after the timeout, which restarts while updates from a leader arrive.
 func (r *Router) awaitReceived(ctx context.Context, timeout time.Duration, received func() bool, giveUp <-chan struct{}) bool {
 	deadline := clock.Now().Add(timeout)
 	for !received() {
@@ -243,8 +248,8 @@
 	return true
 }
 
-// watchWait is how long a watch may stay silent. Processes that follow a relay without a
-// leader know as much as its last answer says.
+// watchTimeout returns how long a watch may stay silent. Followers of a relay that has no leader
+// know only as much as the relay's last answer.
 func (r *Router) watchTimeout() time.Duration {
 	if r.hub.Followers() > 0 {
 		return relayWatchTimeout
@@ -252,29 +257,31 @@
 	return defaultWatchTimeout
 }
 
-// storeReached notes an answer of the service; the relay's word is as old as the older
-// one of what it follows.
+// noteStoreSynced records an answer of the service. A relay's updates are as old as the older one
+// of its followed prefixes.
 func (r *Router) noteStoreSynced(state *prefixState, at time.Time) {
 	state.syncedAt.Store(clock.Nanos(at))
 	r.hub.Refresh(r.storeSyncedAt())
 }
 
-// readUpTo returns as of when this process has itself read all from the service.
+// storeSyncedAt returns the time up to which this process has itself read everything from the
+// service.
 func (r *Router) storeSyncedAt() time.Time {
-	if len(r.settings.Operators) > 0 { // bundles name workers too
+	if len(r.settings.Operators) > 0 { // bundles define the workers too
 		return clock.OfNanos(r.config.syncedAt.Load())
 	}
 	return clock.OfNanos(min(r.entries.syncedAt.Load(), r.config.syncedAt.Load()))
 }
 
-// knewAll returns as of when all of a prefix was known here: read from the service, or told.
+// completeAsOf returns the time up to which this process knew everything under a prefix, read from
+// the service or received in updates.
 func (r *Router) completeAsOf(state *prefixState) time.Time {
 	return clock.OfNanos(max(state.syncedAt.Load(), r.updates.currentAsOf()))
 }
 
-// learnedByWatch returns since when the changes of a prefix that a watch brings now may stand.
-// The first ones after a failure, or after a time in which others told of them, may be as old
-// as what was known last; else they have waited for as long as changes are gathered at most.
+// earliestWatchChange returns the earliest time at which changes that a watch returns now may have
+// been made. The first ones after a failure, or after a period of relayed updates, may be as old as
+// the last time at which everything was known. Others are at most one batch delay old.
 func (r *Router) earliestWatchChange(state *prefixState) time.Time {
 	syncedAt := state.syncedAt.Load()
 	if state.failedAt.Load() > syncedAt || r.updates.currentAsOf() > syncedAt {
@@ -283,7 +290,7 @@
 	return clock.Now().Add(-r.batchDelay())
 }
 
-// gather is short at the process that moves keys.
+// batchDelay is shorter at the leader, which moves keys.
 func (r *Router) batchDelay() time.Duration {
 	if r.hub.Leading() {
 		return leaderBatchDelay
@@ -291,7 +298,7 @@
 	return followerBatchDelay
 }
 
-// heard takes what the leader says of changes.
+// handleUpdate applies an update from the leader or a relay.
 func (r *Router) handleUpdate(update peerlink.Update) {
 	r.updates.received(clock.Now(), update.Age(), !update.Deaf && !update.Stale())
 	if !update.Leaderless {
@@ -314,14 +321,14 @@
 	if update.Config != nil {
 		r.handleConfigChanges(*update.Config)
 	}
-	if update.Leading || update.Relayed { // after what it tells: else followers would miss what they hear of
+	if update.Leading || update.Relayed { // relayed after it is applied here: followers would otherwise miss the changes that it announces
 		r.hub.Relay(update)
 	}
 	r.limits.handleUpdate(update.Limits)
 	r.leaving.handleUpdate(update.Leaving)
 	r.handleSuspects(update)
 	r.quotas.handleGrants(update.Quota)
-	if r.entries.coveredRevision() > 0 { // else the list is still to be told or read
+	if r.entries.coveredRevision() > 0 { // before that, the list is still to be received or read
 		r.entries.resyncIfLagging(now, update.Known.Workers)
 	}
 	r.config.resyncIfBehind(now, update.Known.Config)
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -13,51 +13,52 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Times of following a relay that has lost its leader.
+// Timing for followers of a relay that has lost its leader.
 const (
-	// leaderlessTimeout is how long a process stays: an election takes half as long.
+	// leaderlessTimeout is how long a process keeps following the relay. An election takes half as
+	// long.
 	leaderlessTimeout = 4 * time.Second
-	// maxOwnSyncAge is how recently a process must have read all from the service itself to
-	// count as reaching it, and aheadTimeout is for how long it must have done so, while
-	// the relay has not, to leave: after an outage some are back sooner than others.
+	// A process counts as reaching the service if it has read everything from it within
+	// maxOwnSyncAge. It leaves the relay after doing so for aheadTimeout while the relay does not:
+	// after an outage, some processes reconnect sooner than others.
 	maxOwnSyncAge = time.Second
-	// maxRedirects is how often a process is sent on without being told anything: from
-	// the leader to a relay and to one of its own, from one that stops to the leader, and to the
-	// next relay and one of its own.
+	// maxRedirects is how many consecutive redirects without an update are followed: from the
+	// leader to a relay and on to a sub-relay, from a stopping process to the leader, and on to the
+	// next relay and its sub-relay.
 	maxRedirects = 5
 	aheadTimeout = 1500 * time.Millisecond
 )
 
-// following is how a process follows a leader: itself, or through a relay.
+// followSession is the state of following a leader, directly or through a relay.
 type followSession struct {
 	r      *Router
 	leader election.Leader
-	// address is that of the process that is followed now.
+	// address is the process that is followed now.
 	address string
-	// avoid is a relay that was lost, or that has sent this process away.
+	// avoid is a relay that was lost, or that has redirected this process.
 	avoid string
-	// linked says that anything was told, and heardAny that it was since the last
-	// connection began; redirects are those without that.
+	// linked is set once any process has sent its owners, and updated once an update was received
+	// on the current connection. redirects counts consecutive redirects without an update.
 	linked, updated bool
 	redirects       int
-	// orphanSince is since when the relay has no leader; zero: it has one.
+	// leaderlessSince is when the relay lost its leader; zero if it has one.
 	leaderlessSince time.Time
-	// aheadSince is since when this process reaches the service and a relay without a
-	// leader does not; zero: it is not so.
+	// aheadSince is since when this process reaches the service while a relay without a leader does
+	// not; zero otherwise.
 	aheadSince time.Time
 	doubtOnce  sync.Once
 	stop       context.CancelFunc
 }
 
-// followLeader follows the leader until it is lost, then waits until the service names
-// another, or none.
+// followLeader follows the leader until it is lost, then waits until the service names another one,
+// or none.
 func (r *Router) followLeader(ctx context.Context, leader election.Leader) {
 	bounded, stop := context.WithCancel(ctx)
 	defer stop()
 	f := &followSession{r: r, leader: leader, address: leader.Address, stop: stop}
 	err := f.run(bounded)
 	r.hub.SetFollowed("")
-	r.updates.invalidate() // what was not told by now is read from the service
+	r.updates.invalidate() // what was not received by now is read from the service
 	r.standby.Lost()
 	if ctx.Err() != nil {
 		r.hub.LeaveTo(leader.Address)
@@ -74,8 +75,8 @@
 	r.awaitLeaderChange(ctx, leader)
 }
 
-// run follows the leader, or the relay that it names, until the leader is lost, or nobody
-// tells anything.
+// run follows the leader, or the relay to which it redirects, until the leader is lost, or
+// redirects lead nowhere.
 func (f *followSession) run(ctx context.Context) error {
 	for {
 		f.updated = false
@@ -95,7 +96,7 @@
 			f.r.hub.LeaveTo(redirect.Address)
 			f.switchTo(redirect.Address)
 		case f.viaRelay():
-			// What it told stands for as long as that of one that is silent.
+			// The updates of a lost relay stay trusted for as long as those of a silent one.
 			f.r.log.Line(decision.KindRelayLost).Str("relay", f.address).Err(err).Msg("")
 			f.switchTo(f.leader.Address)
 		default:
@@ -106,7 +107,7 @@
 
 func (f *followSession) viaRelay() bool { return f.address != f.leader.Address }
 
-// leave goes on with another process.
+// switchTo continues with another process.
 func (f *followSession) switchTo(address string) {
 	if f.viaRelay() {
 		f.avoid = f.address
@@ -114,7 +115,7 @@
 	f.address, f.leaderlessSince, f.aheadSince = address, time.Time{}, time.Time{}
 }
 
-// once follows one process until its link breaks.
+// followOnce follows one process until the connection ends.
 func (f *followSession) followOnce(ctx context.Context) error {
 	r := f.r
 	hello := r.hello()
@@ -127,7 +128,7 @@
 	return follower.Follow(ctx, f.address)
 }
 
-// heard takes what the followed process says.
+// handleUpdate applies an update from the followed process.
 func (f *followSession) handleUpdate(update peerlink.Update) {
 	f.updated = true
 	if update.Leading && f.viaRelay() { // the relay has become the leader
@@ -136,7 +137,7 @@
 	f.r.handleUpdate(update)
 }
 
-// told notes that the process that is followed has told its owners.
+// onLinked is called once the followed process has sent its owners.
 func (f *followSession) onLinked() {
 	f.linked = true
 	f.r.hub.SetFollowed(f.leader.Address)
@@ -151,7 +152,7 @@
 	line.Msg("")
 }
 
-// doubt waits for another leader, since this one says that there may be one, and stops
+// awaitSuccessor waits for another leader, since this one reports that there may be one, and stops
 // following once the service names it.
 func (f *followSession) awaitSuccessor(ctx context.Context) {
 	f.doubtOnce.Do(func() {
@@ -163,14 +164,15 @@
 	})
 }
 
-// applied lets others that follow this process know of changed owners.
+// relayOwners sends changed owners to the followers of this process.
 func (f *followSession) relayOwners(service routing.ServiceName) {
 	owners, term, version := f.r.table.Owners(service)
 	f.r.hub.RelayOwners(service, owners, term, version)
 }
 
-// stays reports whether a relay is followed on that says this. Without a leader it is
-// followed for a while only, and not if this process knows more than the relay.
+// keepsRelay reports whether to keep following a relay that sent this update. A relay without a
+// leader is followed for a limited time, and only while this process does not know more than the
+// relay.
 func (f *followSession) keepsRelay(update peerlink.Update) bool {
 	now := clock.Now()
 	ahead := update.Leaderless && update.Stale() && now.Sub(f.r.storeSyncedAt()) < maxOwnSyncAge
@@ -180,7 +182,7 @@
 		!(ahead && now.Sub(f.aheadSince) >= aheadTimeout)
 }
 
-// lasts keeps since when something is so; zero if it is not.
+// trackSince keeps the time since which a condition holds; zero while it does not.
 func trackSince(since *time.Time, holds bool, now time.Time) {
 	switch {
 	case !holds:
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -17,43 +17,44 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// Times of finding a leader.
+// Timing of leader election.
 const (
 	storeCallTimeout = 1500 * time.Millisecond
-	// retryPause is the pause after a failed look, and maxRetryPause after many.
+	// retryPause is the pause after the first failed lookup; it grows to maxRetryPause.
 	retryPause    = 300 * time.Millisecond
 	maxRetryPause = time.Second
-	// configPollInterval is the pause between looks for the first configuration.
+	// configPollInterval is how often a process checks whether the first configuration has arrived.
 	configPollInterval = 30 * time.Millisecond
-	// campaignJitter keeps processes from campaigning all at once.
+	// campaignJitter spreads the campaigns of processes that start them together.
 	campaignJitter = 150 * time.Millisecond
-	// weakMachineDelay is by how much later those on weaker machines campaign: after an outage
-	// of the service the strong ones may look for a leader up to a second later.
+	// weakMachineDelay delays campaigns on weaker machines: after an outage of the service, strong
+	// machines may look for a leader up to a second later.
 	weakMachineDelay = 700 * time.Millisecond
-	// distanceFactor times the quickest call to the store is by how much later a process campaigns: by
-	// more than campaignJitter where the way there and back takes 15 ms longer, which is two
-	// neighbouring regions, and no longer than maxDistanceDelay, since no leader is worse than a
-	// far one.
+	// distanceFactor times the latency of the fastest store call is the delay of a campaign. A
+	// round trip that is 15 ms longer, as between two neighbouring regions, outweighs
+	// campaignJitter. The delay is capped at maxDistanceDelay, since having no leader is worse than
+	// a distant one.
 	distanceFactor   = 10
 	maxDistanceDelay = 500 * time.Millisecond
-	// askTimeout bounds asking the leader before whether it has stopped.
+	// askTimeout bounds the query whether the previous leader has stopped.
 	askTimeout = 400 * time.Millisecond
-	// selfReportInterval is the pause between a leader's reports to itself.
+	// selfReportInterval is how often a leader reports to itself.
 	selfReportInterval = 200 * time.Millisecond
-	// maxOrderDuration is how long an order may be under way.
+	// maxOrderDuration is how long an order may be in flight.
 	maxOrderDuration = 700 * time.Millisecond
 	resignTimeout    = 500 * time.Millisecond
-	// listSizeTimeout is how long the first page of the workers' entries is waited for.
+	// listSizeTimeout is how long to wait for the first page of worker entries.
 	listSizeTimeout = 500 * time.Millisecond
 )
 
-// lead follows the leader, or becomes it, until ctx ends. A process that finds no leader when it
-// starts finds the owners where they are stored.
+// lead follows the leader, or becomes it, until ctx ends. A starting process that finds no leader
+// loads the stored owners.
 func (r *Router) lead(ctx context.Context) {
 	if r.settings.FirstStart {
-		clock.Sleep(ctx, r.campaignDelay()) // most find a leader at their first look then
+		clock.Sleep(ctx, r.campaignDelay()) // most processes then find a leader at the first lookup
 	}
-	// Who finds none has measured by that look how far the store is, and pauses by that.
+	// The lookup that finds no leader has measured the distance to the store, on which the campaign
+	// delay depends.
 	paused := false
 	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
 	for ctx.Err() == nil {
@@ -79,7 +80,7 @@
 			r.followLeader(ctx, leader)
 			r.proceedWithoutLeader(ctx)
 		default:
-			if paused || !r.settings.FirstStart { // at the first start of all others may campaign by now
+			if paused || !r.settings.FirstStart { // at the first start of the system, other processes may campaign by now
 				r.proceedWithoutLeader(ctx)
 			}
 			paused = r.campaign(ctx, 0, paused)
@@ -89,8 +90,8 @@
 	}
 }
 
-// goOnUnled lets a process that has just started read for itself, since no leader tells it what
-// there is. A process that knows no configuration yet can't lead.
+// proceedWithoutLeader lets a starting process read the store itself, since no leader sends it the
+// data. It waits for a configuration, which a process needs to lead.
 func (r *Router) proceedWithoutLeader(ctx context.Context) {
 	r.noLeader.close()
 	r.awaitConfig(ctx)
@@ -99,10 +100,9 @@
 	}
 }
 
-// readRecords takes the owners from where they are stored, for a process that has just started or
-// does not reach the leader. Where there are many workers it does so only if nobody tells the
-// owners for a while: each of hundreds of processes that start together would read as much as all
-// workers' entries take.
+// loadOwnersIfNeeded loads the stored owners for a process that has just started or can't reach the
+// leader. With a long worker list it does so only if no leader sends the owners for a while: if
+// hundreds of processes start together, each would otherwise read as much as all worker entries.
 func (r *Router) loadOwnersIfNeeded(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, listSizeTimeout)
 	defer cancel()
@@ -122,13 +122,13 @@
 	}()
 }
 
-// knowsOwners reports whether a leader has told owners of keys.
+// knowsOwners reports whether owners of keys were received from a leader.
 func (r *Router) knowsOwners() bool {
 	term, _ := r.table.Age()
 	return term > 0
 }
 
-// latch is closed once. It is safe for concurrent use.
+// latch is a channel that is closed once. It is safe for concurrent use.
 type latch struct {
 	once   sync.Once
 	closed chan struct{}
@@ -145,8 +145,8 @@
 	}
 }
 
-// hasEnded reports whether another process, or a later life of the same, answers
-// where the leader was: that is proof that the leader's process has ended.
+// hasEnded reports whether another process, or a later incarnation of the same, answers at the
+// leader's address: that proves that the leader's process has ended.
 func (r *Router) hasEnded(ctx context.Context, leader election.Leader) bool {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -160,8 +160,8 @@
 	return r.election.Look(bounded)
 }
 
-// awaitChange waits until the service no longer names a leader that was lost, or
-// something answers again where it was.
+// awaitLeaderChange waits until the service no longer names a lost leader, peers name another one,
+// or a process answers at its address.
 func (r *Router) awaitLeaderChange(ctx context.Context, leader election.Leader) {
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -184,7 +184,7 @@
 	<-changed
 }
 
-// takeRecords takes the owners from where they are stored.
+// loadOwners reads the stored owners.
 func (r *Router) loadOwners(ctx context.Context) {
 	config := r.proxy.Config()
 	if config == nil {
@@ -206,9 +206,9 @@
 	}
 }
 
-// campaign tries to lead, and leads until the tenure ends. replace is the
-// revision of the key of a leader that has ended, or zero. Before a process has paused,
-// so that not all of them campaign at once, it only does that: it then looks again.
+// campaign runs for leadership, and leads until the tenure ends. replace is the revision of the key
+// of a leader that has ended, or zero. If paused is false, it only waits, so that processes do not
+// campaign all at once, and returns true: the caller then looks for a leader again.
 func (r *Router) campaign(ctx context.Context, replace coord.Revision, paused bool) bool {
 	if !paused {
 		clock.Sleep(ctx, r.campaignDelay())
@@ -218,7 +218,7 @@
 	return false
 }
 
-// tryToLead campaigns once, and leads until the tenure ends if it wins.
+// tryToLead campaigns once; if it wins, it leads until the tenure ends.
 func (r *Router) tryToLead(ctx context.Context, replace coord.Revision) {
 	tenure, err := r.election.Campaign(ctx, replace)
 	if err != nil {
@@ -238,10 +238,10 @@
 	go r.quotas.coordinate(tenureCtx, tenure)
 	r.limits.lead(tenure)
 	r.leaving.member.Lead(true)
-	r.leaderStoreUnreachable.Store(false) // that was the leader before
+	r.leaderStoreUnreachable.Store(false) // it referred to the previous leader
 	r.nodes.Store(int32(r.hub.Nodes()))
 	r.keeper.Lead(tenureCtx, tenure, until)
-	r.limits.stopLeading() // before another may lead
+	r.limits.stopLeading() // before another process may lead
 	r.leaving.member.Lead(false)
 	resign, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
@@ -249,9 +249,9 @@
 	r.log.Line(decision.KindResigned).Int64("term", int64(tenure.Leader.Term)).Msg("")
 }
 
-// campaignPause lets processes campaign one after the other, and those on the strongest
-// machines first: the leader speaks with all others. Who knows of no others waits by
-// how far its machine is from strong.
+// campaignDelay staggers campaigns, strongest machines first, since the leader communicates with
+// all other processes. A process that knows no others is delayed by how far its machine is below
+// full strength.
 func (r *Router) campaignDelay() time.Duration {
 	pause := jitter(campaignJitter)
 	strongest := math.Float64frombits(r.strongest.Load())
@@ -264,10 +264,9 @@
 	return pause + r.distanceDelay()
 }
 
-// farPause lets processes of the store's region campaign first: each renewal of the lease and
-// all that the leader reads and writes would cross between regions, and a region that is cut off
-// from the store would take the leader with it. Which region that is shows by how long the
-// quickest call took.
+// distanceDelay lets processes in the store's region campaign first. From another region, each
+// lease renewal and all reads and writes of the leader would cross regions, and a region that loses
+// the store would lose the leader with it. The latency of the fastest call indicates the region.
 func (r *Router) distanceDelay() time.Duration {
 	if r.zoneMap.Regions() <= 1 {
 		return 0
@@ -275,7 +274,7 @@
 	return min(maxDistanceDelay, distanceFactor*r.store.roundTrip())
 }
 
-// spread returns a random part of a time, so that processes do not act all at once.
+// jitter returns a random duration below limit, so that processes do not act all at once.
 func jitter(limit time.Duration) time.Duration {
 	return time.Duration(rand.Int64N(int64(limit)))
 }
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// leavingCleanupInterval is the pause between looks for workers that are gone.
+	// leavingCleanupInterval is how often removed workers are cleaned up.
 	leavingCleanupInterval = 10 * time.Second
-	// leavingRetention is for how long it stays known that a worker leaves whose entry is gone: the entry
-	// may be back while the worker serves on.
+	// leavingRetention is how long a leaving worker is remembered after its entry is removed: the
+	// entry may come back while the worker still serves.
 	leavingRetention = 2 * time.Minute
-	// maxLeavingPerReport is how many workers one report tells of.
+	// maxLeavingPerReport is how many workers one report contains.
 	maxLeavingPerReport = 64
 )
 
-// leavingWorkers are those that say in their answers that they leave. They count as draining here,
-// and others are told.
+// leavingWorkers tracks the workers that announce in their responses that they leave. They are
+// treated as draining here, and reported to other processes.
 type leavingWorkers struct {
 	r      *Router
 	member *facts.Member[departure.Fact]
@@ -32,16 +32,16 @@
 	return &leavingWorkers{r: r, member: facts.NewMember[departure.Fact]()}
 }
 
-// answered notes that a worker has said to this process, in answer to a request or an order, that it
-// leaves.
+// noteLeaving records that a worker has announced to this process, in response to a request or an
+// order, that it leaves.
 func (l *leavingWorkers) noteLeaving(worker workers.Life) {
 	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenBySelf)
 }
 
-// heard takes what processes that follow this one have learned.
+// handleReports records facts reported by followers of this process.
 func (l *leavingWorkers) handleReports(reports []departure.Told) { l.addAll(reports, l.member.Learn) }
 
-// told takes what the leader, or a relay, tells.
+// handleUpdate applies facts received from the leader or a relay.
 func (l *leavingWorkers) handleUpdate(reports []departure.Told) { l.addAll(reports, l.member.Hear) }
 
 func (l *leavingWorkers) addAll(reports []departure.Told, record func(departure.Fact) bool) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// take adds a fact, and lets the worker drain if that is news.
+// add records a fact, and marks the worker as draining if the fact is new.
 func (l *leavingWorkers) add(fact departure.Fact, record func(departure.Fact) bool, seenBy string) {
 	if !record(fact) {
 		return
@@ -61,7 +61,7 @@
 		Float64("for", clock.Since(fact.Since).Seconds()).Msg("")
 }
 
-// tell returns what the leader is to know.
+// report returns the facts to report to the leader.
 func (l *leavingWorkers) report() []departure.Told {
 	var reports []departure.Told
 	now := clock.Now()
@@ -71,7 +71,7 @@
 	return reports
 }
 
-// run forgets workers that are gone, until ctx ends.
+// run forgets removed workers, until ctx ends.
 func (l *leavingWorkers) run(ctx context.Context) {
 	for clock.Sleep(ctx, leavingCleanupInterval) {
 		l.member.Book().Forget(func(fact departure.Fact) bool {
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// registerGauges registers what this process believes.
+// registerMetrics registers metrics of this process's state.
 func (r *Router) registerMetrics(registerer prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
@@ -75,20 +75,20 @@
 	return 0
 }
 
-// meteredStore counts the calls to a store.
+// meteredStore counts and times the calls to a store.
 type meteredStore struct {
 	coord.Store
 	calls   *prometheus.CounterVec
 	latency *prometheus.HistogramVec
-	// quickest is the time of the quickest call, in nanoseconds; zero: there was none.
+	// minLatency is the duration of the fastest call in nanoseconds; zero if there was none.
 	minLatency atomic.Int64
 }
 
-// distance returns the time of the quickest call so far, which is mostly that of the way to the
-// service and back; zero if there was none.
+// roundTrip returns the duration of the fastest call so far, which is mostly network round trip to
+// the service; zero if there was none.
 func (s *meteredStore) roundTrip() time.Duration { return time.Duration(s.minLatency.Load()) }
 
-// measure notes the time of a call.
+// noteLatency records the duration of a call.
 func (s *meteredStore) noteLatency(took time.Duration) {
 	for {
 		fastest := s.minLatency.Load()
@@ -115,7 +115,7 @@
 	return metered
 }
 
-// outcomeLabel names what came of a call.
+// outcomeLabel returns the metric label for the result of a call.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -8,12 +8,12 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// maxPeersAsked is how many processes are asked at once for a leader: of four that were drawn at
-// random, all are refused by the service too in one case of 81, where it refuses a third.
+// maxPeersAsked is how many processes are queried for the leader at once. If the service refuses a
+// third of the processes, it refuses all of four drawn at random in one case of 81.
 const maxPeersAsked = 4
 
-// askAround asks other processes for the leader, since the service does not name it; false if none
-// of them knows one. without is an address that is known not to lead.
+// askPeersForLeader queries other processes for the leader, since the service does not name it;
+// false if none of them knows one. excluded is an address that is known not to lead.
 func (r *Router) askPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -30,8 +30,8 @@
 	return election.Leader{}, false
 }
 
-// askFor returns the address of the leader if the process at an address is the one or follows it;
-// empty if not.
+// askPeerForLeader returns the leader's address if the process at the given address leads or
+// follows a leader; empty otherwise.
 func (r *Router) askPeerForLeader(ctx context.Context, address, excluded string) string {
 	answer, ok := peerlink.Ask(ctx, address, 0)
 	switch {
@@ -49,8 +49,8 @@
 	return answer.Leader
 }
 
-// awaitOther waits until another process than a leader that was lost is said to lead. It asks only
-// while the service does not answer here: else that names the next one.
+// awaitOtherLeader waits until peers name another leader than the lost one. It queries them only
+// while this process can't reach the service, which otherwise names the next leader.
 func (r *Router) awaitOtherLeader(ctx context.Context, lost election.Leader) {
 	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
 	for ctx.Err() == nil {
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// quotaTickInterval is the pause between looks of a leader at what time brings to quotas, and
-	// quotaBatchDelay the least between answers to routers, which are gathered.
+	// quotaTickInterval is how often the leader updates time-dependent quota state. quotaBatchDelay
+	// is the minimum pause between its responses to routers, which are batched.
 	quotaTickInterval = 100 * time.Millisecond
 	quotaBatchDelay   = 20 * time.Millisecond
-	// maxRelayed is how many messages about quotas wait at a relay at most. Routers whose
-	// message is dropped tell all anew.
+	// maxRelayed is how many quota reports a relay queues. A router whose report is dropped sends a
+	// full report again.
 	maxRelayed = 4096
 )
 
-// quotas keeps tenants within their limits: this router's units, and while it leads the books
-// of all. It implements proxy.Quota.
+// quotas enforces tenants' request limits: it manages this router's units and, while it leads,
+// coordinates those of all routers. It implements proxy.Quota.
 type quotas struct {
 	r           *Router
 	holder      *quota.Holder
 	node        string
 	incarnation int64
 	bound       quota.Bound
-	// wake gets a token when routers have told something.
+	// wake receives a token when routers have sent reports.
 	wake chan struct{}
 
 	mu sync.Mutex
 	// coordinator is nil while this process does not lead.
 	coordinator *quota.Coordinator
-	// relayed waits to be passed on to the leader.
+	// relayed holds reports to be forwarded to the leader.
 	relayed []quota.Told
-	// used is the configuration whose tenants were taken.
+	// usedConfig is the configuration whose tenants are in use.
 	usedConfig *routing.Config
 }
 
@@ -53,14 +53,15 @@
 	return q
 }
 
-// unitTimeout is how long a request waits for units at most that other routers may have to spare:
-// the way to the leader and back through relays, twice where a unit is taken back from another.
-// With 120 ms, 0.9 % of the requests of a tenant that sends 22 a second were refused at 81
-// routers, with it 0.2 % (TestRefusedBelowTheLimit).
+// unitTimeout bounds how long a request waits for units that other routers may have to spare. It
+// covers the path to the leader and back through relays, twice if a unit is reclaimed from another
+// router. With 120 ms, 0.9 % of the requests of a tenant that sends 22 per second were refused at
+// 81 routers; with 250 ms, 0.2 % (TestRefusedBelowTheLimit).
 const unitTimeout = 250 * time.Millisecond
 
-// refreshed is the time, also if the machine was suspended until now: a lease that has ended
-// meanwhile must not be used for the half second until that is noticed otherwise. It costs 1 µs.
+// refreshedNow returns the current time, including time for which the machine was suspended until
+// now: an expired lease must not be used during the half second until the suspension is detected
+// otherwise. It costs 1 µs.
 func refreshedNow() time.Time {
 	clock.Refresh()
 	return clock.Now()
@@ -115,7 +116,7 @@
 	q.holder.Return(granted, tenant)
 }
 
-// tell returns what the leader is to know of this router, and of those that follow it.
+// collectReports returns the reports of this router and of its followers to the leader.
 func (q *quotas) collectReports() []quota.Told {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -127,7 +128,7 @@
 	return reports
 }
 
-// own returns what this router tells. The caller holds mu.
+// ownReport returns this router's report; nil if there is nothing to report. The caller holds mu.
 func (q *quotas) ownReport() *quota.Told {
 	if config := q.r.proxy.Config(); config != nil && config != q.usedConfig {
 		q.usedConfig = config
@@ -136,10 +137,10 @@
 	return q.holder.Tell(clock.Now())
 }
 
-// report is what is told between reports.
+// report returns the quota reports that are sent between regular reports.
 func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.collectReports()} }
 
-// heard takes what linked routers tell: a leader books it, a relay passes it on.
+// handleReports handles reports of linked routers: a leader records them, a relay forwards them.
 func (q *quotas) handleReports(reports []quota.Told) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -160,7 +161,7 @@
 	}
 }
 
-// granted takes what a leader says to this router, and passes on what is for others.
+// handleGrants applies grants for this router, and forwards those for other routers.
 func (q *quotas) handleGrants(grants []quota.Grant) {
 	var others []quota.Grant
 	for _, grant := range grants {
@@ -175,7 +176,7 @@
 	}
 }
 
-// coordinate keeps the books while this process leads.
+// coordinate coordinates the units of all routers while this process leads.
 func (q *quotas) coordinate(ctx context.Context, tenure *election.Tenure) {
 	term := tenure.Leader.Term
 	startedAt := refreshedNow()
@@ -207,14 +208,15 @@
 	}
 }
 
-// lead begins to keep the books, or ends it.
+// setCoordinator starts coordination, or stops it if coordinator is nil.
 func (q *quotas) setCoordinator(coordinator *quota.Coordinator) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.coordinator, q.relayed = coordinator, nil
 }
 
-// step does what is due, and returns what routers are to be told.
+// step performs the work that is due, and returns the grants to send to routers and whether a limit
+// was lowered.
 func (q *quotas) step(config *routing.Config, coordinator *quota.Coordinator, authority time.Time) (grants []quota.Grant, lowered bool) {
 	nodes := q.r.hub.Nodes()
 	q.mu.Lock()
--- a/internal/router/quotamarks.go
+++ b/internal/router/quotamarks.go
@@ -16,24 +16,26 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// busyTenantsKey is where the tenants stand that are marked as busy.
+// busyTenantsKey is the store key of the tenants that are marked as busy.
 const busyTenantsKey = "quota-busy"
 
-// marksInterval is the pause between looks for tenants that are to be marked: well within unitTimeout, so
-// that a request that waits for a unit sees what the mark brings.
+// marksInterval is how often tenants are checked for marking. It is well below unitTimeout, so that
+// a request that waits for a unit benefits from the mark.
 const marksInterval = 100 * time.Millisecond
 
-// busyMarks are the tenants that are marked as busy in the store: a leader deals all that is
-// allowed of them, so the next one can deal nothing before it knows what routers hold.
+// busyMarks are the tenants that are marked as busy in the store. A leader allocates the whole
+// limit of a busy tenant, so the next leader can allocate nothing before it knows what routers
+// hold.
 type busyMarks struct {
 	Tenants []routing.TenantName `json:"tenants"`
-	// revision of the stored list; zero if there is none.
+	// revision is that of the stored list; zero if there is none.
 	revision coord.Revision
 }
 
-// keepMarks tells a coordinator which tenants are marked, lets it deal what no leader before can
-// have dealt, and marks tenants that ask for more than is dealt of a calm one, until ctx ends. A
-// mark is stored before more is dealt, and taken off once no more is booked than of a calm one.
+// keepMarks passes the stored marks to the coordinator, which may then allocate what no previous
+// leader can have allocated. Until ctx ends, it marks tenants that request more than is allocated
+// to an unmarked tenant. A mark is stored before more is allocated, and removed once no more is
+// outstanding than for an unmarked tenant.
 func (q *quotas) keepMarks(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) {
 	marks, ok := q.awaitMarks(ctx)
 	if !ok {
@@ -71,7 +73,7 @@
 	coordinator.Mark(names...)
 }
 
-// loadMarks reads the stored marks; false if ctx ended before.
+// awaitMarks reads the stored marks; false if ctx ended first.
 func (q *quotas) awaitMarks(ctx context.Context) (busyMarks, bool) {
 	for ctx.Err() == nil {
 		if q.hasTenants() {
@@ -84,7 +86,7 @@
 	return busyMarks{}, false
 }
 
-// getMarks reads them once. A list that can't be read marks all tenants.
+// getMarks reads the stored marks once. If the list can't be parsed, all tenants count as marked.
 func (q *quotas) getMarks(ctx context.Context) (busyMarks, error) {
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -94,14 +96,14 @@
 	}
 	marks := busyMarks{revision: item.Revision}
 	if err := json.Unmarshal(item.Value, &marks); err != nil {
-		q.r.log.Line(decision.KindQuotaBusy).Int64("revision", int64(item.Revision)).Err(err).Msg("can't be read; all tenants count as busy")
+		q.r.log.Line(decision.KindQuotaBusy).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of busy tenants; all tenants count as busy")
 		marks.Tenants = slices.Sorted(maps.Keys(q.r.proxy.Config().Tenants))
 	}
 	return marks, nil
 }
 
-// storeMarks adds tenants to the stored marks and takes off those that have cooled down; false if
-// that is not known to be done. Tenants that are no longer known are left out.
+// storeMarks adds tenants to the stored marks and removes those that are no longer busy; false if
+// the write is not known to have succeeded. Tenants that no longer exist are dropped.
 func (q *quotas) storeMarks(ctx context.Context, tenure *election.Tenure, marks *busyMarks, wanted, cooled []routing.TenantName) bool {
 	known := q.r.proxy.Config().Tenants
 	tenants := slices.DeleteFunc(slices.Concat(marks.Tenants, wanted), func(name routing.TenantName) bool {
@@ -111,7 +113,7 @@
 	fresh := busyMarks{Tenants: slices.Compact(tenants)}
 	value, err := json.Marshal(fresh)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // can't fail on plain data
 	}
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -125,7 +127,7 @@
 		*marks = fresh
 		return true
 	}
-	if errors.Is(err, coord.ErrConflict) { // an earlier write of this leader was done unseen
+	if errors.Is(err, coord.ErrConflict) { // an earlier write of this leader was applied without an acknowledgement
 		if stored, err := q.getMarks(ctx); err == nil {
 			*marks = stored
 		}
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -11,17 +11,17 @@
 	"github.com/shalefork/shalefork/internal/quota"
 )
 
-// membersKey is where the routers stand that may hold units.
+// membersKey is the store key of the routers that may hold units.
 const membersKey = "quota-members"
 
-// storedMembers is what was read or written there last.
+// storedMembers describes the members that were last read or written.
 type storedMembers struct {
-	// revision of the stored members; zero if there are none.
+	// revision is that of the stored members; zero if there are none.
 	revision coord.Revision
 }
 
-// loadMembers tells a coordinator which routers leaders before may have given units; false if ctx
-// ended before.
+// awaitMembers tells the coordinator which routers may have units from previous leaders; false if
+// ctx ended first.
 func (q *quotas) awaitMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
 	for ctx.Err() == nil {
 		item, found, err := q.getMembers(ctx)
@@ -43,22 +43,22 @@
 	return q.r.adapter.Store.Get(bounded, KeyPrefix+membersKey)
 }
 
-// membersOf reads stored members; nil if there are none, or they can't be read: then nobody knows
-// whom leaders before gave to.
+// membersOf decodes stored members; nil if there are none or they can't be decoded: it is then
+// unknown which routers previous leaders gave units to.
 func (q *quotas) membersOf(item coord.Item, found bool) quota.Members {
 	if !found {
 		return nil
 	}
 	members := quota.Members{}
 	if err := json.Unmarshal(item.Value, &members); err != nil {
-		q.r.log.Line(decision.KindQuotaReserve).Int64("revision", int64(item.Revision)).Err(err).Msg("the stored members can't be read")
+		q.r.log.Line(decision.KindQuotaReserve).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of quota members; the holders of earlier grants are unknown")
 		return nil
 	}
 	return members
 }
 
-// keepMembers stores the routers that are to be given units, if any of them is not stored yet. What
-// is not known to be done is tried again.
+// keepMembers stores the routers that are about to get units, if any of them is not stored yet. A
+// write that is not known to have succeeded is retried.
 func (q *quotas) keepMembers(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, stored *storedMembers) {
 	q.mu.Lock()
 	fresh := coordinator.Unstored(clock.Now())
@@ -68,7 +68,7 @@
 	}
 	value, err := json.Marshal(fresh)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // can't fail on plain data
 	}
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -79,7 +79,8 @@
 		Puts: []coord.Put{{Key: KeyPrefix + membersKey, Value: value}},
 	})
 	if err != nil {
-		// An earlier write of this leader may have been done unseen: its routers are a part of these.
+		// An earlier write of this leader may have been applied without an acknowledgement. Its
+		// routers are a subset of these.
 		if item, _, err := q.getMembers(bounded); err == nil {
 			stored.revision = item.Revision
 		}
--- a/internal/router/quotametrics.go
+++ b/internal/router/quotametrics.go
@@ -8,11 +8,12 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// maxTenantSeries is for how many tenants, those with the highest limits, metrics tell each by
-// name: a router's metrics stay readable with thousands of tenants. The others are summed.
+// maxTenantSeries is for how many tenants, those with the highest limits, metrics have a series per
+// tenant, so that a router's metrics stay readable with thousands of tenants. The others are
+// summed.
 const maxTenantSeries = 100
 
-// otherTenants is the name under which the others are summed. No tenant's name is empty.
+// otherTenants is the label of the summed series. No tenant has an empty name.
 const otherTenants = ""
 
 var (
@@ -51,7 +52,7 @@
 	}
 }
 
-// named sums the tenants that get no series of their own.
+// capSeries sums the tenants that get no series of their own.
 func capSeries(usages []quota.Usage) []quota.Usage {
 	if len(usages) <= maxTenantSeries {
 		return usages
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -12,27 +12,28 @@
 	"github.com/shalefork/shalefork/internal/quota"
 )
 
-// reserveKey is where the claim stands.
+// reserveKey is the store key of the claim.
 const reserveKey = "quota-reserve"
 
 const (
-	// reserveRetryPause is the pause between tries to claim the reserve.
+	// reserveRetryPause is the pause between attempts to claim the reserve.
 	reserveRetryPause = 250 * time.Millisecond
-	// reserveMargin is for how much longer than needed the claim stands.
+	// reserveMargin is how much longer than needed the claim is kept.
 	reserveMargin = time.Second
 )
 
 const (
-	// claimRefreshInterval is the pause between looks whether less is left over than a claim tells, and
-	// claimRefreshStep by which share less it must be for the claim to be written anew: routers that lost
-	// their leader tell what they hold within seconds, and the next leader gains by that.
+	// claimRefreshInterval is how often the unreported shares are compared with the claim, and
+	// claimRefreshStep the share by which they must have shrunk for the claim to be rewritten.
+	// Routers that lost their leader report what they hold within seconds, from which the next
+	// leader benefits.
 	claimRefreshInterval = time.Second
 	claimRefreshStep     = 0.05
 )
 
-// claimReserve lets a new leader deal at once what leaders before can't have dealt: the reserve.
-// The claim is a key in the store that lapses by itself once what it tells of has. It is written
-// anew as more routers tell what they hold.
+// claimReserve lets a new leader allocate at once what previous leaders can't have allocated: the
+// reserve. The claim is a key in the store whose lease ends once the shares that it describes have
+// expired. It is rewritten as more routers report what they hold.
 func (q *quotas) claimReserve(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) {
 	end := clock.Now().Add(q.bound.Unknown())
 	var written reservation
@@ -67,12 +68,13 @@
 // reservation is a claim that was written.
 type reservation struct {
 	claimed bool
-	// revision of the claim, before is what the one before told, and leftover what this one tells.
+	// revision is that of the claim. before holds the unreported shares of the previous claim, and
+	// unreported those of this one.
 	revision           coord.Revision
 	before, unreported quota.Leftovers
 }
 
-// claim writes a leader's claim after it has read that of the one before.
+// claim writes this leader's claim after reading the previous one.
 func (q *quotas) claim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) reservation {
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
@@ -94,7 +96,8 @@
 	return one
 }
 
-// refreshClaim writes a claim anew if less is left over by now, for as long as it is needed still.
+// refreshClaim rewrites the claim if the unreported shares have shrunk, for the rest of the time
+// for which it is needed.
 func (q *quotas) refreshClaim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, written *reservation, end time.Time) {
 	leftover := q.unreportedShares(coordinator, written.before)
 	if leftover.Sum() > (1-claimRefreshStep)*written.unreported.Sum() {
@@ -107,7 +110,7 @@
 	}
 }
 
-// unreportedOf reads a claim: one that can't be read leaves all over.
+// unreportedOf decodes a claim; if it is invalid, everything counts as unreported.
 func unreportedOf(item coord.Item) quota.Leftovers {
 	var left quota.Leftovers
 	if err := json.Unmarshal(item.Value, &left); err != nil || left.All < 0 || left.All > 1 {
@@ -116,14 +119,14 @@
 	return left
 }
 
-// limits reports whether any tenant is known.
+// hasTenants reports whether any tenant is configured.
 func (q *quotas) hasTenants() bool {
 	config := q.r.proxy.Config()
 	return config != nil && len(config.Tenants) > 0
 }
 
-// bar keeps new leaders from dealing the reserve for a while, since less of a tenant's requests
-// is allowed from now on.
+// blockReserve keeps new leaders from allocating the reserve for a while, since a tenant's limit
+// was lowered.
 func (q *quotas) blockReserve(ctx context.Context, tenure *election.Tenure) {
 	for ctx.Err() == nil && !q.tryBlockReserve(ctx, tenure) {
 		clock.Sleep(ctx, reserveRetryPause)
@@ -141,12 +144,12 @@
 	return done
 }
 
-// writeClaim replaces the claim of a revision, zero if there is none, by one that stands for as
-// long as needed; false if that is not known to be done.
+// writeClaim replaces the claim at a revision, zero if there is none, by one that exists for at
+// least as long as needed; false if the write is not known to have succeeded.
 func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.Leftovers, needed time.Duration) (coord.Revision, bool) {
 	value, err := json.Marshal(leftover)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // can't fail on plain data
 	}
 	store := q.r.adapter.Store
 	lease, holds, err := store.GrantLease(ctx, needed+reserveMargin)
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -12,13 +12,11 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// reloadInterval is the pause between looks at the settings file, which may change
-// without a signal.
+// reloadInterval is how often the settings file is checked for changes that come without a signal.
 const reloadInterval = 3 * time.Second
 
-// FollowSettings reads the settings file again after each signal, and now and
-// then, until ctx ends. What can change without a restart takes effect; a file
-// that can't be used changes nothing.
+// FollowSettings re-reads the settings file after each signal, and periodically, until ctx ends.
+// Settings that can change without a restart take effect; an invalid file has no effect.
 func (r *Router) FollowSettings(ctx context.Context, file string, read []byte, signals <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -33,7 +31,7 @@
 		}
 		data, err := os.ReadFile(file)
 		if err != nil {
-			r.log.Line(decision.KindReload).Err(err).Msg("the settings before stay in force")
+			r.log.Line(decision.KindReload).Err(err).Msg("cannot read the settings file; the previous settings stay in force")
 			continue
 		}
 		if signaled || !bytes.Equal(data, read) {
@@ -43,16 +41,16 @@
 	}
 }
 
-// reload puts new settings into force as far as that goes.
+// reload applies new settings as far as possible without a restart.
 func (r *Router) reload(file string, data []byte, changed bool) {
 	fresh, err := settings.ReadRouter(file, data, nil)
 	if err != nil {
-		r.log.Line(decision.KindReload).Err(err).Msg("the settings before stay in force")
+		r.log.Line(decision.KindReload).Err(err).Msg("invalid settings; the previous settings stay in force")
 		return
 	}
 	if fresh.Store != r.settings.Store {
 		r.adapter.SetStoreAddress(fresh.Store)
-		r.store.minLatency.Store(0) // the other one may stand elsewhere
+		r.store.minLatency.Store(0) // the new address may be at another distance
 	}
 	r.proxy.SetLimits(retryLimits(fresh))
 	mutableOnly := r.settings
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -11,9 +11,9 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// holdsEnd returns when all that earlier leaders gave has surely ended: processes that
-// say they have stopped, or are of another life, renew nothing more but what is under
-// way. Those that do not answer are kept in mind.
+// holdsEndAt returns when all holds that earlier leaders granted have certainly ended. Processes
+// that report to have stopped, or that are another incarnation, renew no holds beyond the orders in
+// flight. Those that do not answer are kept as unresolved.
 func (r *Router) holdsEndAt(ctx context.Context, tenure *election.Tenure) time.Time {
 	times := r.keeper.Times
 	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.Before, tenure.Leader.Term)
@@ -23,8 +23,8 @@
 	return clock.Now().Add(times.StaleRenewals + times.HoldBound())
 }
 
-// askAll asks all processes that may renew to stop, and returns those that may not have
-// done so.
+// stopRenewers asks all processes that may renew holds to stop, and returns those that may not have
+// stopped.
 func (r *Router) stopRenewers(ctx context.Context, list []election.Renewer, term owner.Term) []election.Renewer {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -32,7 +32,7 @@
 	var requests sync.WaitGroup
 	for _, one := range list {
 		if one.Process == r.process {
-			continue // it has stopped, and leads now
+			continue // it has stopped renewing, and leads now
 		}
 		requests.Go(func() {
 			answer, ok := peerlink.Ask(bounded, one.Address, term)
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -8,7 +8,7 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// hello introduces this process to a leader.
+// hello returns this process's introduction to a leader.
 func (r *Router) hello() peerlink.Hello {
 	return peerlink.Hello{
 		Node: r.settings.Node, Strength: r.hub.Strength, Address: r.settings.PeerListen, Zone: r.settings.Zone, Process: r.process,
@@ -16,7 +16,7 @@
 	}
 }
 
-// report is what the leader is told.
+// report returns the report to the leader.
 func (r *Router) report() peerlink.Report {
 	report := r.meter.Take()
 	report.Followers = r.hub.Followers()
@@ -28,7 +28,7 @@
 	return report
 }
 
-// reportToSelf gives the leader what its own process sees.
+// reportToSelf passes this process's own measurements to it as the leader.
 func (r *Router) reportToSelf(ctx context.Context) {
 	ticker := time.NewTicker(selfReportInterval)
 	defer ticker.Stop()
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -8,11 +8,12 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// revocationMargin is kept from the time within which callers whose key was taken away must be refused.
+// revocationMargin is subtracted from the time within which callers with a revoked key must be
+// refused.
 const revocationMargin = settings.LeastRevokeWithin
 
-// noteConfigTold notes as of when a leader or relay that reaches the store has told the
-// configuration, if this process has all of it.
+// noteConfigCurrent records the time as of which a leader or relay that reaches the store has
+// confirmed the configuration, if this process has all of it.
 func (r *Router) noteConfigCurrent(now time.Time, update peerlink.Update) {
 	if update.Deaf || update.Stale() || r.config.isBehind(update.Known.Config) {
 		return
@@ -20,8 +21,8 @@
 	r.configAsOf.Store(clock.Nanos(now.Add(-update.Age())))
 }
 
-// configOutdated reports whether keys may have been taken away for as long as the settings allow
-// without this process knowing it.
+// configOutdated reports whether keys may have been revoked, without this process knowing, for as
+// long as the settings allow.
 func (r *Router) configOutdated() bool {
 	known := clock.OfNanos(max(r.config.syncedAt.Load(), r.configAsOf.Load()))
 	return clock.Since(known) > r.settings.RevokeWithin.Std()-revocationMargin
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,8 @@
-// Package router is the process that stands on every machine: it takes clients'
-// requests, and one of them at a time leads and keeps the owners of keys.
+// Package router implements the process that runs on every machine. It forwards clients' requests
+// to workers; one of the processes at a time is the leader and assigns the owners of keys.
 //
-// Nothing of it outlasts the process. What must last (the term, the owners of
-// keys) lies in the key-value service.
+// The process keeps no state across restarts. Durable state (the term, the owners of keys) is in
+// the key-value service.
 package router
 
 import (
@@ -40,38 +40,38 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("router")
 
-// KeyPrefix is where the system's own keys stand in the key-value service.
+// KeyPrefix is the prefix of the system's own keys in the key-value service.
 const KeyPrefix = "shalefork/"
 
-// Adapter is what a platform brings: its services, and how its words are read.
+// Adapter connects a platform: its services, and the parsers of its formats.
 type Adapter struct {
 	Store coord.Store
-	// MoveStore sends the next calls to another address of the store.
+	// SetStoreAddress sends subsequent calls to another address of the store.
 	SetStoreAddress func(address string)
 	Orders          owner.Orders
-	// Headers are the platform's names of headers.
+	// Headers are the platform's header names.
 	Headers upstream.Headers
-	// ReadyPath is asked at the ready address.
+	// ReadyPath is the path of readiness checks on the ready address.
 	ReadyPath string
-	// ConfigPrefix is where the operators' configuration stands.
+	// ConfigPrefix is the key prefix of the operators' configuration.
 	ConfigPrefix string
-	// SealConfig puts digests in the place of the API keys in what operators write; an item in
-	// which it can't find them comes back empty, with the error. Nil: there are no keys.
+	// HashAPIKeys replaces the API keys in an operator's item by their digests. If it can't find
+	// the keys in an item, it returns the item empty, with an error. Nil: there are no keys.
 	HashAPIKeys func(item coord.Item) (coord.Item, error)
-	// ReadConfig finds the configuration among items; nil if it is not there.
+	// ParseConfig returns the configuration among items; nil if there is none.
 	ParseConfig func(items []coord.Item) (*routing.Config, error)
-	// ReadEvacuation returns the zone whose workers are to get no work while a key stands
-	// under ConfigPrefix; false if the key is about something else. Nil: there are none.
+	// ParseEvacuationKey returns the zone whose workers get no work while the key exists under
+	// ConfigPrefix; false if the key is unrelated. Nil: zones are never evacuated.
 	ParseEvacuationKey func(key string) (zone string, evacuates bool)
-	// WorkersPrefix is where workers announce themselves.
+	// WorkersPrefix is the key prefix of worker entries.
 	WorkersPrefix string
-	// ReadWorker reads a worker's entry; its error is a *workers.EntryError.
+	// ParseWorker parses a worker's entry; its error is a *workers.EntryError.
 	ParseWorker func(item coord.Item) (workers.Worker, error)
-	// WorkerID returns the worker that an entry's key names.
+	// WorkerID returns the worker of an entry's key.
 	WorkerID func(key string) workers.ID
 }
 
-// Metrics is where a router registers what it measures, and shows it from.
+// Metrics is where a router registers its metrics and gathers them for exposition.
 type Metrics interface {
 	prometheus.Registerer
 	prometheus.Gatherer
@@ -81,9 +81,9 @@
 type Router struct {
 	settings settings.Router
 	adapter  Adapter
-	// store is the adapter's, with what was measured of it.
+	// store is the adapter's store with call metrics.
 	store *meteredStore
-	// places are the regions of the zones.
+	// zoneMap maps zones to regions.
 	zoneMap topology.Map
 	log     *decision.Log
 	metrics Metrics
@@ -94,49 +94,49 @@
 	hub     *peerlink.Hub
 	keeper  *keeper.Keeper
 	standby *standby.Standby
-	// process is unique to the life of this process.
+	// process is a random ID, unique to this run of the process.
 	process  string
 	election *election.Election
 	reports  chan peerlink.Report
 	nodes    *atomic.Int32
 	stopping atomic.Bool
-	// config and entries are what was read of the configuration and of the
-	// workers' entries.
+	// config and entries are the read states of the configuration and of the worker entries.
 	config, entries *prefixState
 	entriesView     *workersView
 	configView      *configView
-	// unreadable counts the entries that name no worker.
+	// unreadable counts the entries that can't be used as workers.
 	unreadable unreadableMetric
-	// told says that a leader tells this process of changes, and unled is closed once this
-	// process, when it started, has found no leader that would.
+	// updates tracks whether a leader or relay sends updates to this process. noLeader is closed
+	// once a starting process has found no leader that would.
 	updates  updateSource
 	noLeader *latch
-	// recordsRead says that the stored owners were looked for, since no leader told them.
+	// ownersLoaded guards the load of the stored owners by a process that starts without a leader.
 	ownersLoaded sync.Once
-	// large says that the workers take several pages of a list, and sized is closed once that
-	// is known.
+	// largeList is set if the worker list has several pages; listSizeKnown is closed once that is
+	// known.
 	largeList     atomic.Bool
 	listSizeKnown *latch
-	// peers are other processes, to be asked for the leader where the service does not name it.
+	// peers are other processes to query for the leader when the service does not name it.
 	peers peerlink.Peers
-	// configAsOf is as of when the configuration in force here was told to be the newest, a number
-	// of clock.Nanos.
+	// configAsOf is the time, in clock.Nanos, as of which updates have confirmed the current
+	// configuration to be the newest.
 	configAsOf atomic.Int64
-	// leaderDeaf says that the leader, as told last, does not reach the key-value service.
+	// leaderStoreUnreachable is whether the leader, by its last update, can't reach the key-value
+	// service.
 	leaderStoreUnreachable atomic.Bool
-	// strongest holds the greatest strength of all machines, as bits of a float64.
+	// strongest is the greatest strength of any machine, as the bits of a float64.
 	strongest atomic.Uint64
 	quotas    *quotas
 	limits    *workerLimits
 	leaving   *leavingWorkers
-	// pipelined are the requests that run behind others on their connections.
+	// pipelined runs requests that are pipelined behind others on their connections.
 	pipelined *pipeline.Splitter
 }
 
-// reportQueueSize is how many reports wait for the keeper.
+// reportQueueSize is how many reports may wait for the keeper.
 const reportQueueSize = 256
 
-// New returns a router that has opened nothing yet.
+// New returns a router that has not opened any listener.
 func New(config settings.Router, adapter Adapter, log *decision.Log, metrics Metrics) *Router {
 	store := meterStore(adapter.Store, metrics)
 	adapter.Store = store
@@ -206,7 +206,7 @@
 	return r
 }
 
-// Run serves until ctx ends, then finishes what is under way.
+// Run serves until ctx ends, then shuts down gracefully.
 func (r *Router) Run(ctx context.Context) error {
 	listeners, err := r.openListeners()
 	if err != nil {
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// followOperators follows what operators and workers write: the teams' bundles where
-// the settings name operators, else the platform's configuration and entries.
+// followOperators follows what operators and workers write: the teams' bundles if the settings name
+// operators, otherwise the platform's configuration and worker entries.
 func (r *Router) followOperators(ctx context.Context) {
 	if len(r.settings.Operators) > 0 {
 		go r.followPrefix(ctx, registry.Prefix(KeyPrefix), newBundlesView(r), r.config)
@@ -256,7 +256,7 @@
 	go r.followPrefix(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
 }
 
-// known returns what this process has read.
+// known returns the revisions that this process has read.
 func (r *Router) known() peerlink.Known {
 	return peerlink.Known{
 		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.Settling().Milliseconds(),
@@ -267,7 +267,7 @@
 	clients, ready, peers, metrics net.Listener
 }
 
-// close ends all listeners that are open.
+// close closes all open listeners.
 func (l listeners) close() {
 	for _, one := range []net.Listener{l.clients, l.ready, l.peers, l.metrics} {
 		if one != nil {
@@ -296,8 +296,8 @@
 	return opened, nil
 }
 
-// openMetrics listens for those who read the metrics; nil if the address can't be
-// had, since requests matter more.
+// openMetrics opens the metrics listener; nil if the address is unavailable, since serving requests
+// matters more.
 func (r *Router) openMetrics() net.Listener {
 	listener, err := net.Listen("tcp", r.settings.MetricsListen)
 	if err != nil {
@@ -307,28 +307,28 @@
 	return listener
 }
 
-// Times of the clients' server.
+// Timeouts and limits of the server for clients.
 const (
-	// headerTimeout bounds how long a client takes to send its headers.
+	// headerTimeout bounds how long a client may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than operators let connections rest.
+	// idleTimeout is longer than operators leave connections idle.
 	idleTimeout    = 120 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// Bounds of requests that run behind others on their connections.
+// Limits of pipelined requests.
 const (
-	// pipelineDepth is how many of one connection do.
+	// pipelineDepth is the limit per connection.
 	pipelineDepth = 16
-	// pipelineTotal is how many of all connections do: as many goroutines.
+	// pipelineTotal is the limit over all connections. Each request takes a goroutine.
 	pipelineTotal = 1024
-	// pipelineHeldShare is the part of the machine's memory that their answers may take until it is
-	// their turn, and pipelineHeld the bytes where the memory is not known.
+	// pipelineHeldShare is the share of the machine's memory for responses that wait for their
+	// turn; pipelineHeld is the limit in bytes if the memory size is unknown.
 	pipelineHeldShare = 1.0 / 32
 	pipelineHeld      = 4 << 20
 )
 
-// pipelineLimits bounds what runs behind others.
+// pipelineLimits returns the limits of pipelined requests.
 func (r *Router) pipelineLimits() pipeline.Limits {
 	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.Beside}
 	if memory := r.settings.Machine.MemoryMB; memory > 0 {
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -10,14 +10,13 @@
 	"github.com/shalefork/shalefork/internal/telemetry"
 )
 
-// Times of a planned stop, as shares of the grace.
+// Timing of a planned stop, as shares of the grace period.
 const (
-	// acceptShare of the grace passes before new connections are refused: the
-	// entry needs some seconds to see that the process is not ready.
+	// acceptShare is when new connections are refused: the readiness checks that direct clients
+	// need some seconds to notice that the process is not ready.
 	acceptShare = 0.45
-	// answerShare of the grace passes before what is still under way is answered, and
-	// finishShare before the process ends at the latest: 0.1 s for answers where the grace
-	// is 6 s.
+	// answerShare is when requests in flight are answered, and finishShare is when the process ends
+	// at the latest. With a grace period of 6 s, that leaves 0.1 s for the answers.
 	answerShare = 0.93
 	finishShare = 0.95
 )
@@ -43,8 +42,8 @@
 	return mux
 }
 
-// drain ends the process: not ready at once, leadership given up, then new
-// connections refused, then all that is under way finished.
+// drain ends the process: it becomes not ready at once, gives up leadership, then refuses new
+// connections, and finally finishes requests in flight.
 func (r *Router) drain(server *http.Server, stopLeading context.CancelFunc, led <-chan struct{}) {
 	began := clock.Now()
 	grace := r.settings.Grace.Std()
@@ -61,15 +60,15 @@
 	defer time.AfterFunc(clock.Until(began.Add(time.Duration(answerShare*float64(grace)))), r.proxy.End).Stop()
 	bounded, cancel := context.WithTimeout(context.Background(), clock.Until(began.Add(time.Duration(finishShare*float64(grace)))))
 	defer cancel()
-	r.awaitPipelined(bounded) // the server takes their connections to be idle, or closes them with the first answer
+	r.awaitPipelined(bounded) // the server would treat their connections as idle, or close them with the first response
 	_ = server.Shutdown(bounded)
 	r.awaitPipelined(bounded)
 }
 
-// pipelinedPollInterval is the pause between looks whether requests behind others are answered.
+// pipelinedPollInterval is how often to check whether pipelined requests are answered.
 const pipelinedPollInterval = 5 * time.Millisecond
 
-// awaitPipelined waits until no request runs behind another, or ctx ends.
+// awaitPipelined waits until no pipelined request is left, or ctx ends.
 func (r *Router) awaitPipelined(ctx context.Context) {
 	for r.pipelined.Behind() > 0 && ctx.Err() == nil {
 		clock.Sleep(ctx, pipelinedPollInterval)
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -14,39 +14,40 @@
 	"github.com/shalefork/shalefork/internal/quarantine"
 )
 
-// Times of keeping the list of suspected requests.
+// Timing of the list of suspected requests.
 const (
-	// suspectsTickInterval is the pause between looks at what time brings.
+	// suspectsTickInterval is how often time-dependent state is updated.
 	suspectsTickInterval = 500 * time.Millisecond
-	// suspectsWritePause is the least pause between writes: crashes come seconds apart, and one
-	// brings reports from many routers within half a second.
+	// suspectsWritePause is the minimum pause between writes: crashes are seconds apart, and one
+	// crash brings reports from many routers within half a second.
 	suspectsWritePause = 200 * time.Millisecond
-	// operatorPollInterval is the pause between looks whether an operator has changed the stored list.
-	// Each is a priced call.
+	// operatorPollInterval is how often the stored list is checked for changes by an operator. Each
+	// check is a priced call.
 	operatorPollInterval = 10 * time.Second
-	// suspectsTimeout bounds one call: one that was lost unseen is tried again while a process
-	// that starts can still wait.
+	// suspectsTimeout bounds one call, so that a lost call is retried while a starting process can
+	// still wait.
 	suspectsTimeout = 700 * time.Millisecond
-	// suspectsStartTimeout is after how long a process that starts serves although it does not know
-	// the list: nobody answers it. The users' platform gives it 3 s to know.
+	// suspectsStartTimeout is when a starting process serves requests without the list, since
+	// neither a leader nor the store sends it. The users' platform allows 3 s to obtain it.
 	suspectsStartTimeout = 2 * time.Second
 )
 
-// suspectsKeeper keeps the stored list while its process leads: all evidence comes here, and
-// from here all processes are told. What is quarantined outlasts leaders and restarts of all.
+// suspectsKeeper maintains the stored list while its process leads. It receives all evidence and
+// sends the list to all processes. Quarantined requests stay so across leaders and restarts of the
+// whole system.
 type suspectsKeeper struct {
 	r      *Router
 	tenure *election.Tenure
-	// revision of the stored list, zero if there is none, and version of what was stored and
-	// told last.
+	// revision is that of the stored list, zero if there is none. storedVersion and sentVersion are
+	// the versions that were last stored and sent.
 	revision                   coord.Revision
 	storedVersion, sentVersion uint64
-	// begun says that all processes were told once.
+	// announced is set once the list was sent to all processes.
 	announced bool
 	checkedAt time.Time
 }
 
-// keepSuspects keeps the list until ctx ends.
+// keepSuspects maintains the list until ctx ends.
 func (r *Router) keepSuspects(ctx context.Context, tenure *election.Tenure) {
 	k := &suspectsKeeper{r: r, tenure: tenure}
 	if !k.load(ctx) {
@@ -70,7 +71,7 @@
 	}
 }
 
-// load adds what earlier leaders have stored; false if ctx ended before.
+// load merges the list that earlier leaders have stored; false if ctx ended first.
 func (k *suspectsKeeper) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		item, found, err := k.r.getSuspects(ctx)
@@ -87,40 +88,40 @@
 	return false
 }
 
-// take adds a stored list to what is known. What an operator has lifted is lifted here too.
+// mergeItem merges a stored list. Requests that an operator has lifted are lifted here too.
 func (k *suspectsKeeper) mergeItem(item coord.Item) {
 	for _, request := range k.r.mergeStored(item) {
 		k.r.log.Line(decision.KindQuarantined).Str("fingerprint", request.String()).Bool("lifted", true).
-			Int64("revision", int64(item.Revision)).Msg("by an operator")
+			Int64("revision", int64(item.Revision)).Msg("lifted by an operator")
 	}
 }
 
-// getSuspects reads what is stored.
+// getSuspects reads the stored list.
 func (r *Router) getSuspects(ctx context.Context) (coord.Item, bool, error) {
 	bounded, cancel := context.WithTimeout(ctx, suspectsTimeout)
 	defer cancel()
 	return r.adapter.Store.Get(bounded, quarantine.StoreKey(KeyPrefix))
 }
 
-// readSnapshot reads a stored list; false, with a log line, if it can't be read.
+// decodeSuspects decodes a stored list; it logs an error and returns false if the list is invalid.
 func (r *Router) decodeSuspects(item coord.Item) (quarantine.Snapshot, bool) {
 	snapshot, err := quarantine.DecodeSnapshot(item.Value)
 	if err != nil {
-		r.log.Line(decision.KindQuarantined).Int64("revision", int64(item.Revision)).Err(err).Msg("the stored list can't be read")
+		r.log.Line(decision.KindQuarantined).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid stored list of suspected requests; ignoring it")
 	}
 	return snapshot, err == nil
 }
 
-// settle does what time brings.
+// settle applies time-dependent changes.
 func (k *suspectsKeeper) settle(now time.Time) {
 	for _, record := range k.r.proxy.Suspects.Settle(now) {
 		proxy.TellQuarantined(k.r.log, record.Attempt)
 	}
 }
 
-// tell tells all processes what has changed. The first message, which may be of nothing, says
-// that this leader knows what is stored. Telling the same twice a second cost half as much
-// processor time again as all else on a quiet day: 6.3 s in place of 4.2 s of 11 routers.
+// broadcast sends changes to all processes. The first message, which may be empty, indicates that
+// this leader has read the stored list. Sending an unchanged list twice a second raised the CPU
+// time of 11 routers on a quiet day by half, from 4.2 s to 6.3 s.
 func (k *suspectsKeeper) broadcast() {
 	records, version := k.r.proxy.Suspects.Records()
 	if k.announced && version == k.sentVersion {
@@ -130,8 +131,8 @@
 	k.r.hub.TellSuspects(records)
 }
 
-// store writes the list if it has changed. A write without an answer is tried again at the next
-// tick, and may then find its own one done.
+// store writes the list if it has changed. A write without an answer is retried at the next tick,
+// which may then find the earlier write applied.
 func (k *suspectsKeeper) store(ctx context.Context) {
 	snapshot, version := k.r.proxy.Suspects.Snapshot(clock.Now())
 	if version == k.storedVersion || (k.revision == 0 && len(snapshot.Records) == 0) {
@@ -155,8 +156,8 @@
 	clock.Sleep(ctx, suspectsWritePause)
 }
 
-// look takes what an operator has stored. The list that an earlier write of this process has
-// left, unseen, adds nothing.
+// reload merges what an operator has stored. A list left by an earlier, unacknowledged write of
+// this process adds nothing.
 func (k *suspectsKeeper) reload(ctx context.Context) {
 	k.checkedAt = clock.Now()
 	item, found, err := k.r.getSuspects(ctx)
@@ -167,9 +168,9 @@
 	k.mergeItem(item)
 }
 
-// readSuspects takes the list from where it is stored, for a process that has just started,
-// unless a leader tells it first. Until then requests are refused: one that crashes workers was
-// sent within 50 ms of a start, before the list was known.
+// loadSuspects reads the stored list for a starting process, unless a leader sends it first.
+// Requests are refused until then: a request that crashes workers was once forwarded within 50 ms
+// of a start, before the list was known.
 func (r *Router) loadSuspects(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, suspectsStartTimeout)
 	defer cancel()
@@ -188,11 +189,11 @@
 		r.proxy.Starting.Store(false)
 	}
 	if r.proxy.Starting.Swap(false) {
-		r.log.Line(decision.KindStoreLost).Str("for", "quarantined requests").Msg("nobody tells them; requests are served")
+		r.log.Line(decision.KindStoreLost).Str("for", "quarantined requests").Msg("list not received from a leader or the store; serving requests without it")
 	}
 }
 
-// mergeStored adds a stored list to what is known. It returns what an operator has lifted with that.
+// mergeStored merges a stored list, and returns the requests that an operator has lifted by it.
 func (r *Router) mergeStored(item coord.Item) []quarantine.Fingerprint {
 	snapshot, ok := r.decodeSuspects(item)
 	if !ok {
@@ -205,18 +206,18 @@
 	return lifted
 }
 
-// tellQuarantined logs which requests are sent no longer.
+// logQuarantined logs requests that are no longer forwarded.
 func (r *Router) logQuarantined(attempts []quarantine.Attempt) {
 	for _, attempt := range attempts {
 		proxy.TellQuarantined(r.log, attempt)
 	}
 }
 
-// suspectsTold takes what a leader knows, and lets a relay pass it on.
+// handleSuspects applies the list in a leader's update, and relays it.
 func (r *Router) handleSuspects(update peerlink.Update) {
 	changes, present, err := update.SuspectsNews()
 	if err != nil {
-		r.log.Line(decision.KindQuarantined).Err(err).Msg("what the leader tells can't be read")
+		r.log.Line(decision.KindQuarantined).Err(err).Msg("invalid list of suspected requests from the leader; ignoring it")
 	}
 	if !present {
 		return
@@ -225,7 +226,7 @@
 	r.proxy.Starting.Store(false)
 }
 
-// evidenceTaken takes what another process has seen of crashes.
+// handleEvidence applies evidence of crashes from another process.
 func (r *Router) handleEvidence(evidence quarantine.Evidence) {
 	r.logQuarantined(r.proxy.Suspects.Take(clock.Now(), evidence))
 }
--- a/internal/router/suspension.go
+++ b/internal/router/suspension.go
@@ -8,11 +8,12 @@
 	"github.com/shalefork/shalefork/internal/decision"
 )
 
-// watchSuspension finds out when the machine was suspended, until ctx ends. Beliefs that rest on
-// time end by themselves, since clock.Now has gone on; what does not is ended here.
+// watchSuspension detects when the machine was suspended, until ctx ends. State that expires by
+// time does so by itself, since clock.Now advances during a suspension; other state is invalidated
+// here.
 func (r *Router) watchSuspension(ctx context.Context) {
 	if !clock.Counts() {
-		r.log.Line(decision.KindSuspended).Msg("this platform has no clock that counts the time for which a machine is suspended")
+		r.log.Line(decision.KindSuspended).Msg("no clock that includes suspended time on this platform; suspensions are not detected")
 		return
 	}
 	known := clock.Suspended()
@@ -25,11 +26,11 @@
 	}
 }
 
-// woke doubts what the process kept from before its machine was suspended: a leader's word, and
-// resting connections to workers, which may have been closed unseen.
+// handleResume invalidates state from before the suspension: the trust in the leader's updates, and
+// idle connections to workers, which may have been closed unnoticed.
 func (r *Router) handleResume(suspended time.Duration) {
 	r.log.Line(decision.KindSuspended).Float64("for", suspended.Seconds()).Bool("led", r.hub.Leading()).
-		Msg("the leader's word and resting connections are not relied on")
+		Msg("discarding trust in the leader's updates and idle connections")
 	r.workers.Expire()
 	r.updates.invalidate()
 	r.entries.requestResync()
--- a/internal/router/unknownzones.go
+++ b/internal/router/unknownzones.go
@@ -8,21 +8,21 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// unknownZones are the zones of workers whose region the settings do not tell, each of which
-// is a region of its own. They are told once each. It is safe for concurrent use.
+// unknownZones tracks zones of workers for which the settings name no region. Each counts as a
+// region by itself, and is logged once. It is safe for concurrent use.
 type unknownZones struct {
 	mu     sync.Mutex
 	logged map[topology.Zone]bool
 }
 
-// note tells a worker's zone if nothing is known of it.
+// logIfUnknown logs a worker's zone when it is first found to be unknown.
 func (z *unknownZones) logIfUnknown(places topology.Map, worker workers.Worker, log *decision.Log) {
 	if z.firstSeenUnknown(places, topology.Zone(worker.Zone)) {
 		log.Line(decision.KindZoneUnknown).Str("zone", worker.Zone).Str("worker", string(worker.ID)).Msg("")
 	}
 }
 
-// strange reports whether nothing is known of a zone, which is seen for the first time.
+// firstSeenUnknown reports whether a zone is unknown and is seen for the first time.
 func (z *unknownZones) firstSeenUnknown(places topology.Map, zone topology.Zone) bool {
 	if places.Known(zone) {
 		return false
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -11,18 +11,18 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// unreadable is an entry that names no worker.
+// unreadableEntry is an entry that can't be used as a worker.
 type unreadableEntry struct {
 	revision coord.Revision
 	fault    workers.EntryError
 }
 
-// readEntry reads what an entry announces, or why it names no worker. The caller holds mu.
+// readEntry returns the worker of an entry, or why the entry is unusable. The caller holds mu.
 func (v *workersView) readEntry(item coord.Item) peerlink.WorkerChange {
 	worker, err := v.r.adapter.ParseWorker(item)
 	id := v.r.adapter.WorkerID(item.Key)
 	if err == nil && worker.Born == 0 {
-		err = v.checkBornKept(id, item.Revision)
+		err = v.checkStartTime(id, item.Revision)
 	}
 	if err == nil {
 		return peerlink.Changed(item.Revision, worker)
@@ -32,9 +32,9 @@
 	return peerlink.WorkerChange{Revision: item.Revision, ID: id, Gone: true, Unreadable: fault}
 }
 
-// hidesStart returns an error for an entry that does not tell when its worker began although that
-// one has: a worker does so in all of its entries, so somebody else has written it.
-func (v *workersView) checkBornKept(id workers.ID, revision coord.Revision) error {
+// checkStartTime returns an error for an entry without the worker's start time, if an earlier entry
+// had one. A worker includes it in all of its entries, so another writer has written this one.
+func (v *workersView) checkStartTime(id workers.ID, revision coord.Revision) error {
 	known, announced := v.r.workers.Get(id)
 	before, refused := v.unreadable[id]
 	if (announced && known.Born != 0) || (refused && before.revision == revision) {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// replaceUnreadable sets all entries that name no worker. The caller holds mu.
+// replaceUnreadable sets all unusable entries. The caller holds mu.
 func (v *workersView) replaceUnreadable(faulty map[workers.ID]unreadableEntry) {
 	for id, entry := range faulty {
 		v.logUnreadable(id, entry)
@@ -57,7 +57,7 @@
 	v.r.unreadable.count(faulty)
 }
 
-// noteUnreadable takes what a change says of its entry. The caller holds mu.
+// noteUnreadable records whether a changed entry is usable. The caller holds mu.
 func (v *workersView) noteUnreadable(change peerlink.WorkerChange) {
 	_, was := v.unreadable[change.ID]
 	if change.Unreadable == nil && !was {
@@ -74,16 +74,16 @@
 	v.r.unreadable.count(v.unreadable)
 }
 
-// tellUnreadable writes a line, once for an entry and revision.
+// logUnreadable logs an unusable entry once per revision.
 func (v *workersView) logUnreadable(id workers.ID, entry unreadableEntry) {
 	if known, logged := v.unreadable[id]; logged && known.revision == entry.revision {
 		return
 	}
 	v.r.log.Line(decision.KindEntryBad).Str("worker", string(id)).Str("reason", string(entry.fault.Reason)).
-		Str("field", entry.fault.Field).Int64("revision", int64(entry.revision)).Msg("names no worker to use")
+		Str("field", entry.fault.Field).Int64("revision", int64(entry.revision)).Msg("unusable worker entry; ignoring it")
 }
 
-// unreadableMetric shows how many entries name no worker, by reason.
+// unreadableMetric shows the number of unusable entries by reason.
 type unreadableMetric struct {
 	entries *prometheus.GaugeVec
 }
--- a/internal/router/updatesource.go
+++ b/internal/router/updatesource.go
@@ -8,17 +8,19 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// told is until when a leader or a relay is relied on to tell of changes. It lapses by
-// itself after a silence, whatever became of the link, so that a process reads the
-// key-value service again. It is safe for concurrent use; the zero value has lapsed.
+// updateSource tracks until when the updates of a leader or relay are trusted to be complete. Trust
+// expires after peerlink.SilenceLimit without an update, even if the connection stays open, so that
+// the process reads the key-value service again. It is safe for concurrent use; the zero value is
+// expired.
 type updateSource struct {
-	// until is a number of clock.Nanos; zero: nobody tells.
+	// liveUntil is in clock.Nanos; 0: no process sends updates.
 	liveUntil atomic.Int64
-	// asOf is as of when all changes were told last, in the same form.
+	// asOf is the time, in clock.Nanos, up to which the received updates are complete.
 	asOf atomic.Int64
 }
 
-// heard notes that changes are told, as they stood age ago, or that they are not.
+// received records an update that is complete up to now-age. An update that is not trusted ends the
+// trust in the source.
 func (t *updateSource) received(now time.Time, age time.Duration, trusted bool) {
 	if !trusted {
 		t.invalidate()
@@ -28,7 +30,7 @@
 	t.liveUntil.Store(clock.Nanos(now.Add(peerlink.SilenceLimit)))
 }
 
-// known returns as of when all changes were told last, a number of clock.Nanos.
+// currentAsOf returns the time, in clock.Nanos, up to which the received updates are complete.
 func (t *updateSource) currentAsOf() int64 {
 	if at := t.asOf.Load(); at != 0 {
 		return at
@@ -36,14 +38,14 @@
 	return distantPast
 }
 
-// end stops relying on what is told.
+// invalidate ends the trust in the source until the next trusted update.
 func (t *updateSource) invalidate() { t.liveUntil.Store(0) }
 
-// holds reports whether changes are told at a time.
+// liveAt reports whether the source is trusted at the given time.
 func (t *updateSource) liveAt(now time.Time) bool {
 	until := t.liveUntil.Load()
 	return until != 0 && clock.Nanos(now) < until
 }
 
-// now reports whether changes are told now.
+// live reports whether the source is trusted now.
 func (t *updateSource) live() bool { return t.liveAt(clock.Now()) }
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// limitsCleanupInterval is the pause between looks for workers that are gone.
+	// limitsCleanupInterval is how often limits of removed workers are cleaned up.
 	limitsCleanupInterval = time.Second
-	// limitRetention is for how long the limit of a worker stays known whose entry is gone: it may
-	// serve on, and its entry may be back.
+	// limitRetention is how long the limit of a worker is kept after its entry is removed: the
+	// worker may still serve, and its entry may come back.
 	limitRetention = 30 * time.Second
-	// permitTimeout bounds the wait for the leader's answer: the way there and back between
-	// regions, and a leader that is busy.
+	// permitTimeout bounds the wait for the leader's answer. It covers a round trip between regions
+	// and a busy leader.
 	permitTimeout = 250 * time.Millisecond
-	// permitRetryDelay is the pause until a leader is asked again that did not answer, for whatever
-	// worker: else each request would wait for it.
+	// permitRetryDelay is the delay, for all workers, until a leader that did not answer is asked
+	// again. Without it, each request would wait for the leader.
 	permitRetryDelay = 100 * time.Millisecond
-	// maxLimitsPerReport is how many limits one report tells.
+	// maxLimitsPerReport is how many limits one report contains.
 	maxLimitsPerReport = 64
 )
 
-// Outcomes of asking for permits, as metrics name them.
+// Outcomes of permit requests, as metrics label them.
 const (
 	permitGranted    = "granted"
 	permitRefused    = "refused"
 	permitUnanswered = "unanswered"
 )
 
-// Who has seen what a worker says of itself, as log lines name it.
+// Sources of a worker's notice about itself, as log lines name them.
 const (
 	seenBySelf = "self"
 	seenByPeer = "told"
 )
 
-// workerLimits keeps workers within the limits that they name: it asks the leader before a request
-// leaves for one, and answers others while this process leads. It implements proxy.Limits.
+// workerLimits enforces the rate limits that workers declare. Before a request is sent to such a
+// worker, it asks the leader for a permit; while this process leads, it grants permits to others.
+// It implements proxy.Limits.
 type workerLimits struct {
 	r      *Router
 	member *workerlimit.Member
 	book   workerlimit.Book
 	link   peerlink.PermitLink
-	// tenure is that in which this process leads, or led last.
+	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
-	// silentUntil is until when no leader is asked, a number of clock.Nanos.
+	// noAskUntil is the time, in clock.Nanos, until which no leader is asked.
 	noAskUntil atomic.Int64
-	// unreadable counts the answers that named a limit which can't be read.
+	// unreadable counts the responses with a limit that can't be parsed.
 	unreadable atomic.Int64
 	permits    *prometheus.CounterVec
 }
@@ -90,20 +91,20 @@
 	case answer.Limit.Naming == upstream.UnreadableLimit:
 		l.unreadable.Add(1)
 		l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(worker.ID)).
-			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("what was known of its limit stands")
+			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("invalid limit in a response; the previous limit stays in effect")
 	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.Limited(worker):
 		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.Sent}, seenBySelf)
 	}
 }
 
-// learn adds what was seen here, or told by a process that follows this one.
+// learn records a fact that was observed here or reported by a follower.
 func (l *workerLimits) learn(fact workerlimit.Fact, seenBy string) {
 	if l.member.Learn(fact) {
 		l.log(fact, seenBy)
 	}
 }
 
-// heard takes what processes that follow this one have learned.
+// handleReports records facts reported by followers of this process.
 func (l *workerLimits) handleReports(reports []workerlimit.Told) {
 	now := clock.Now()
 	for _, one := range reports {
@@ -111,7 +112,7 @@
 	}
 }
 
-// told takes what the leader, or a relay, tells.
+// handleUpdate applies facts received from the leader or a relay.
 func (l *workerLimits) handleUpdate(reports []workerlimit.Told) {
 	now := clock.Now()
 	for _, one := range reports {
@@ -121,7 +122,7 @@
 	}
 }
 
-// tell returns what the leader is to know.
+// report returns the facts to report to the leader.
 func (l *workerLimits) report() []workerlimit.Told {
 	var reports []workerlimit.Told
 	now := clock.Now()
@@ -153,7 +154,7 @@
 	return permit.Wait(), permit.Granted
 }
 
-// ask asks the leader for a permit; false if nobody answers in time that leads.
+// ask requests a permit from the leader; false if no leader answers in time.
 func (l *workerLimits) ask(fact workerlimit.Fact, patience, within time.Duration) (peerlink.Permit, bool) {
 	now := clock.Now()
 	if permit, leading := l.issue(now, fact, patience); leading {
@@ -174,7 +175,7 @@
 	return permit, err == nil
 }
 
-// asked answers another process that asks for a permit.
+// handlePermitRequest answers a permit request from another process.
 func (l *workerLimits) handlePermitRequest(ask peerlink.PermitAsk) (peerlink.Permit, bool) {
 	now := refreshedNow()
 	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.PatienceMillis))*time.Millisecond)
@@ -182,7 +183,7 @@
 	return permit, leading
 }
 
-// issue answers for a leader; false if this process does not lead.
+// issue grants or refuses a permit as the leader; false if this process does not lead.
 func (l *workerLimits) issue(now time.Time, fact workerlimit.Fact, patience time.Duration) (peerlink.Permit, bool) {
 	tenure := l.tenure.Load()
 	if tenure == nil {
@@ -200,16 +201,16 @@
 	return message, leading
 }
 
-// lead begins to pace all routers' requests in a tenure.
+// lead starts pacing the requests of all routers, for a tenure.
 func (l *workerLimits) lead(tenure *election.Tenure) {
 	l.tenure.Store(tenure)
 	l.member.Lead(true)
 }
 
-// stopLeading ends that.
+// stopLeading stops pacing the requests of all routers.
 func (l *workerLimits) stopLeading() { l.member.Lead(false) }
 
-// run keeps the book tidy until ctx ends.
+// run cleans up the recorded limits until ctx ends.
 func (l *workerLimits) run(ctx context.Context) {
 	for clock.Sleep(ctx, limitsCleanupInterval) {
 		l.forget()
@@ -224,7 +225,7 @@
 	})
 }
 
-// log tells what is known now of a worker's limit.
+// log logs the current state of a worker's limit.
 func (l *workerLimits) log(fact workerlimit.Fact, seenBy string) {
 	l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(fact.Worker.ID)).Float64("limit", fact.Rate).
 		Bool("ended", fact.Ended).Str("seen_by", seenBy).Msg("")
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -12,23 +12,23 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// workersView follows the workers' entries, as the service or the leader tells them.
+// workersView follows the worker entries, as read from the service or received from the leader.
 type workersView struct {
 	r  *Router
 	mu sync.Mutex
 	// at is the revision up to which all entries were read.
 	at coord.Revision
-	// lostAt is when the service was lost last.
+	// lostAt is when the connection to the service was last lost.
 	lostAt time.Time
-	// unreadable are the entries that name no worker, as of their last changes.
+	// unreadable holds the entries that can't be used as workers, as of their last changes.
 	unreadable map[workers.ID]unreadableEntry
 	zones      unknownZones
-	// collected are the pages of a list that is being told.
+	// partial is the part of a paged list that was received so far.
 	partial partialList
 }
 
-// collected are the pages of a list that were told so far: all workers up to one, as of a
-// revision.
+// partialList holds the received pages of a list as of one revision: all workers up to the ID
+// after.
 type partialList struct {
 	after   workers.ID
 	at      coord.Revision
@@ -40,7 +40,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if at < v.at {
-		return // the leader has told more meanwhile
+		return // newer changes were received from the leader
 	}
 	since := v.r.completeAsOf(v.r.entries)
 	list := make([]peerlink.WorkerChange, 0, len(items))
@@ -52,7 +52,8 @@
 	v.replace(list, at, since)
 }
 
-// replace sets the whole list. since is as of when all was known before. The caller holds mu.
+// replace sets the whole list. since is the time up to which everything was known before. The
+// caller holds mu.
 func (v *workersView) replace(list []peerlink.WorkerChange, at coord.Revision, since time.Time) {
 	v.at = at
 	v.r.entries.noteCovered(at)
@@ -75,7 +76,7 @@
 	vanished := v.r.workers.Replace(announced, learned, since)
 	v.r.hub.EntriesRead(list, at, since)
 	v.logVanished(vanished, at)
-	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("list read")
+	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("worker list read")
 }
 
 // Changed implements coord.View.
@@ -85,7 +86,7 @@
 	v.apply(v.changesOf(events), at)
 }
 
-// relayed applies what the leader passes on; false if changes are missing.
+// applyRelayed applies changes that the leader relays; false if earlier changes are missing.
 func (v *workersView) applyRelayed(news peerlink.Entries) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -100,8 +101,8 @@
 	return true
 }
 
-// collect takes a page of the list, or all of it, and replaces what was known once there are no
-// more; false if pages before it are missing. The caller holds mu.
+// collectPage adds a page of a list, and replaces the known list once it has the last page; false
+// if earlier pages are missing. The caller holds mu.
 func (v *workersView) collectPage(news peerlink.Entries, changes []peerlink.WorkerChange) bool {
 	if news.After == "" {
 		v.partial = partialList{}
@@ -122,21 +123,21 @@
 	return true
 }
 
-// collectedUpTo returns up to which worker a list was told in part, and as of which revision.
+// partialListUpTo returns the last worker of a partially received list, and the list's revision.
 func (v *workersView) partialListUpTo() (workers.ID, coord.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.partial.after, v.partial.at
 }
 
-// revision returns up to which revision all entries were read.
+// revision returns the revision up to which all entries were read.
 func (v *workersView) revision() coord.Revision {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.at
 }
 
-// read turns events into changes of workers.
+// changesOf converts events into worker changes.
 func (v *workersView) changesOf(events []coord.Event) []peerlink.WorkerChange {
 	learned := v.r.earliestWatchChange(v.r.entries)
 	changes := make([]peerlink.WorkerChange, 0, len(events))
@@ -151,7 +152,7 @@
 	return changes
 }
 
-// apply changes the list of workers by what is new. The caller holds mu.
+// apply applies the changes that are new. The caller holds mu.
 func (v *workersView) apply(changes []peerlink.WorkerChange, at coord.Revision) {
 	changes = slices.DeleteFunc(changes, func(one peerlink.WorkerChange) bool { return one.Revision <= v.at })
 	v.at = max(v.at, at)
@@ -186,7 +187,7 @@
 	v.logVanished(v.r.workers.Update(changed, gone, learned), at)
 }
 
-// tellVanished logs what became of workers whose entries went.
+// logVanished logs workers whose entries were removed, and whether they are kept.
 func (v *workersView) logVanished(vanished workers.Vanished, at coord.Revision) {
 	for _, id := range vanished.Gone {
 		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "gone").
@@ -194,14 +195,14 @@
 	}
 	for _, id := range vanished.Kept {
 		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "kept").
-			Int64("revision", int64(at)).Float64("for", v.r.workers.Settling().Seconds()).Msg("its entry may have lapsed only")
+			Int64("revision", int64(at)).Float64("for", v.r.workers.Settling().Seconds()).Msg("entry vanished, but may merely have expired; keeping the worker")
 	}
 }
 
-// expired logs which entries did not come back.
+// logExpired logs workers whose removed entries did not come back in time.
 func (v *workersView) logExpired(ids []workers.ID) {
 	for _, id := range ids {
-		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "gone").Msg("its entry did not come back")
+		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "gone").Msg("expired entry did not come back; worker removed")
 	}
 }
 
@@ -211,16 +212,17 @@
 	v.r.log.Line(decision.KindStoreLost).Str("for", "workers").Err(err).Msg("")
 }
 
-// catchUpMargin is kept from the time in which a router must have caught up: requests that
-// were sent before take a moment to reach their worker.
+// catchUpMargin is subtracted from the time within which a router must have caught up: requests
+// that are already sent take a moment to reach their worker.
 const catchUpMargin = 200 * time.Millisecond
 
-// Regained implements coord.View. Entries that lapsed while the service was away are waited
-// for; a worker that left must get nothing once the router has to have caught up. That time
-// counts from the end of the outage or cut, and this process's first answer may come a second
-// later, by the pause between its tries: the wait counts from the last one that failed.
-// Counted from the answer, requests went to a worker that had left for up to 3.9 s after the
-// end of a cut, where 3 s are allowed (18 of 40 ends of a cut between two tries, in virtual time).
+// Regained implements coord.View. Workers whose entries may have expired during the outage are kept
+// for a while; a worker that left must get no requests once the router has to have caught up. That
+// deadline counts from the end of the outage or disconnection, but this process's first answer may
+// come a second later, because of the pause between attempts. The wait therefore counts from the
+// last failed attempt. Counted from the first answer, requests went to a worker that had left for
+// up to 3.9 s after the end of a disconnection, where 3 s are allowed (18 of 40 ends of a
+// disconnection between two attempts, in virtual time).
 func (v *workersView) Regained(since time.Time) {
 	now := clock.Now()
 	until := now.Add(workers.SettleTime)
@@ -232,12 +234,12 @@
 		Float64("waits", max(0, until.Sub(now)).Seconds()).Msg("")
 }
 
-// settleAsTold takes the leader's word that entries may have lapsed only. A process that was
-// away itself waits as long as the leader; another has read all changes, and waits for half of
-// the time in which workers that leave may get requests, less what a request takes on its way.
-// Waiting as long as the leader, it sent requests to workers for 2.2 s after they had left, where
-// 2 s are allowed; without the margin, up to the very end of the 2 s (in 16 of 60 runs of 41 times
-// of leaving, in virtual time).
+// settleWithLeader applies the leader's notice that removed entries may merely have expired. A
+// process that was disconnected itself waits as long as the leader. Any other has read all changes;
+// it waits for half of the drain time, in which leaving workers may get requests, less the transit
+// time of a request. When it waited as long as the leader, it sent requests to workers for 2.2 s
+// after they had left, where 2 s are allowed; without the margin, until the very end of the 2 s (in
+// 16 of 60 runs of 41 leaving times, in virtual time).
 func (r *Router) settleWithLeader(now time.Time, settle time.Duration) {
 	each := workers.SettleTime
 	if !r.entries.storeUnreachable(now) {
