--- a/internal/router/campaigndelay_test.go
+++ b/internal/router/campaigndelay_test.go
@@ -9,8 +9,8 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// Two processes at 1 and 9 ms from a store that takes 4 ms: whatever the random part of their
-// pauses, the near one campaigns first.
+// Two processes at 1 and 9 ms from a store that takes 4 ms per call: regardless of the random part
+// of their delays, the near one campaigns first.
 func TestProcessesNearTheStoreCampaignFirst(t *testing.T) {
 	places := topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
 	for name, test := range map[string]struct {
--- a/internal/router/changetime_test.go
+++ b/internal/router/changetime_test.go
@@ -13,34 +13,34 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// What is read or told late counts from the first process that knew, or from when all was known
-// here last, if nobody can tell.
+// A change that is read or received late counts from the time at which the first process knew it
+// or, if that is unknown, from the last time at which this process knew everything.
 func TestDelayedChangeCountsFromEarliestPossibleTime(t *testing.T) {
 	drains := coord.Event{Item: item("a", 11, workers.StateDraining)}
 	for name, test := range map[string]struct {
 		learn func(r *Router)
 		want  time.Duration
 	}{
-		"told by a neighbour": {learn: func(r *Router) {
+		"update from another process": {learn: func(r *Router) {
 			late := delayedDraining(1000)
 			r.handleUpdate(peerlink.Update{Entries: &peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
 		}, want: time.Second},
-		"by a watch without a failure": {learn: func(r *Router) {
+		"watch without a failure": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
 			r.entriesView.Changed([]coord.Event{drains}, 11)
 		}, want: followerBatchDelay},
-		"by the first watch after failures": {learn: func(r *Router) {
+		"first watch after failures": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
 			time.Sleep(2 * time.Second)
 			r.entries.failedAt.Store(clock.Nanos(clock.Now()))
 			r.entriesView.Changed([]coord.Event{drains}, 11)
 		}, want: 2 * time.Second},
-		"by the first watch after the leader's silence": {learn: func(r *Router) {
+		"first watch after the leader's silence": {learn: func(r *Router) {
 			r.handleUpdate(peerlink.Update{})
 			time.Sleep(1200 * time.Millisecond)
 			r.entriesView.Changed([]coord.Event{drains}, 11)
 		}, want: 1200 * time.Millisecond},
-		"listed after failures": {learn: func(r *Router) {
+		"list after failures": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
 			time.Sleep(4 * time.Second)
 			r.entriesView.Snapshot([]coord.Item{drains.Item}, 11)
@@ -57,7 +57,7 @@
 	}
 }
 
-// delayedDraining is a change that the first process has known for some milliseconds.
+// delayedDraining returns a change that the first process has known for the given milliseconds.
 func delayedDraining(millis int64) peerlink.WorkerChange {
 	change := drainingChange("a", 11)
 	change.AgeMillis = millis
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -12,8 +12,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// newConfigRouter returns a router that runs nothing. A configuration's version is its
-// revision.
+// newConfigRouter returns a router with nothing running. A configuration's version is its revision.
 func newConfigRouter(t *testing.T) *Router {
 	r := newTestRouter(t)
 	r.adapter.ParseConfig = func(items []coord.Item) (*routing.Config, error) {
@@ -28,7 +27,7 @@
 	return r
 }
 
-// written is an item that operators wrote.
+// written returns an item that operators wrote.
 func written(key string, revision coord.Revision) coord.Item {
 	return coord.Item{Key: "op/" + key, Revision: revision, Value: []byte("v")}
 }
@@ -41,22 +40,22 @@
 	for name, c := range map[string]struct {
 		write func(v *configView)
 		zones []string
-		// knownSince says that it is known since when the zones are evacuated.
+		// knownSince is whether it is known since when the zones are evacuated.
 		knownSince bool
 	}{
 		"none":   {write: func(*configView) {}},
 		"listed": {write: func(v *configView) { v.Snapshot([]coord.Item{written("evacuate/a", 9)}, 9) }, zones: []string{"a"}},
-		"asked for": {write: func(v *configView) {
+		"watched": {write: func(v *configView) {
 			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 		}, zones: []string{"a"}, knownSince: true},
 		"two": {write: func(v *configView) {
 			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}, {Item: written("evacuate/b", 10)}}, 10)
 		}, zones: []string{"a", "b"}, knownSince: true},
-		"taken back": {write: func(v *configView) {
+		"one withdrawn": {write: func(v *configView) {
 			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 			v.Changed([]coord.Event{removed("evacuate/a", 10)}, 10)
 		}},
-		"taken back while nothing was heard": {write: func(v *configView) {
+		"withdrawn while disconnected": {write: func(v *configView) {
 			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 			v.Snapshot([]coord.Item{written("config", 8)}, 12)
 		}},
@@ -83,19 +82,19 @@
 }
 
 func TestEvacuationsFromTheLeader(t *testing.T) {
-	// The leader knows a configuration and then an evacuation.
+	// The leader has a configuration and then an evacuation.
 	leader := newConfigRouter(t)
 	leader.configView.Snapshot([]coord.Item{written("config", 5)}, 6)
 	leader.configView.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 	for name, c := range map[string]struct {
-		// items that the process has read, up to a revision.
+		// items were read by the process, up to revision at.
 		items []coord.Item
 		at    coord.Revision
 		news  peerlink.ConfigNews
 		taken bool
 		zones []string
 	}{
-		"all is new": {
+		"everything is new": {
 			news: leader.hub.ConfigSince(0), taken: true, zones: []string{"a"},
 		},
 		"the evacuation is new": {
@@ -104,15 +103,15 @@
 		"the configuration is missing": {
 			news: leader.hub.ConfigSince(6),
 		},
-		"an evacuation was taken back": {
+		"an evacuation was withdrawn": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7, news: leader.hub.ConfigSince(7),
 			taken: true, zones: []string{"a"},
 		},
-		"more is known here": {
+		"newer state is known here": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 10)}, at: 10, news: leader.hub.ConfigSince(6),
 			taken: true, zones: []string{"b"},
 		},
-		"can't be read": {
+		"invalid update": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7,
 			news: peerlink.ConfigNews{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
 		},
@@ -128,14 +127,14 @@
 	}
 }
 
-// Whatever a router hears of a configuration, from the store or from another router, it keeps and
-// passes on without API keys.
+// A router keeps and relays configurations without plain API keys, whether it received them from
+// the store or from another router.
 func TestConfigIsRelayedWithHashedKeys(t *testing.T) {
 	raw := coord.Item{Key: "op/config", Revision: 9, Value: []byte("a KEY in it")}
-	for name, hear := range map[string]func(v *configView){
+	for name, receive := range map[string]func(v *configView){
 		"listed":  func(v *configView) { v.Snapshot([]coord.Item{raw}, 9) },
 		"watched": func(v *configView) { v.Changed([]coord.Event{{Item: raw}}, 9) },
-		"told by a router that seals nothing": func(v *configView) {
+		"received from a router that hashes nothing": func(v *configView) {
 			leader := newConfigRouter(t)
 			leader.configView.Snapshot([]coord.Item{raw}, 9)
 			assert.Assert(t, v.applyRelayed(leader.hub.ConfigSince(0)))
@@ -147,12 +146,12 @@
 				item.Value = []byte(strings.ReplaceAll(string(item.Value), "KEY", "digest"))
 				return item, nil
 			}
-			hear(r.configView)
+			receive(r.configView)
 			assert.Equal(t, string(r.configView.items["op/config"].Value), "a digest in it")
-			told, err := r.hub.ConfigSince(0).Items()
+			relayed, err := r.hub.ConfigSince(0).Items()
 			assert.NilError(t, err)
-			assert.Equal(t, len(told), 1)
-			assert.Equal(t, string(told[0].Value), "a digest in it")
+			assert.Equal(t, len(relayed), 1)
+			assert.Equal(t, string(relayed[0].Value), "a digest in it")
 			assert.Assert(t, r.proxy.Config() != nil)
 		})
 	}
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -15,18 +15,19 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Users saw requests reach a worker 12 s after it had left; 2 s are allowed. The leader and
-// three other routers were cut off from the key-value service for 9 s. The worker left without
-// a word meanwhile and served on. Those four knew neither the service, which names the next
-// leader, nor that leader, and kept the worker in their lists. When they reached the service
-// again they kept it for another 2.2 s, since an entry that vanished may have lapsed with the
-// service, counted from their own first answer: up to 1.7 s after the cut had ended, by the
-// pause between tries and the time of a try. That is 3.9 s, where 3 s are allowed.
+// Guards against requests that reach a worker long after it left: users saw 12 s, where 2 s are
+// allowed. The leader and three other routers were cut off from the key-value service for 9 s, in
+// which the worker removed its entry without draining first, and kept serving. The four reached
+// neither the service, which names the next leader, nor that leader, and kept the worker in their
+// lists. After reconnecting they kept it for another 2.2 s, since a vanished entry may have expired
+// in an outage. They counted that from their own first answer, up to 1.7 s after the disconnection
+// had ended, because of the pause between attempts and the duration of an attempt: 3.9 s in total,
+// where 3 s are allowed.
 //
-// Evidence: on a day with such a cut the four had no leader from 4.5 to 13.7 s while the others
-// found theirs at 4.55 s; read a list without three workers at 13.36 s; and the requests of the
-// report ended 3.04 s after the cut had. The wait below reproduces it for the ends of a cut
-// that fall between two tries.
+// Evidence, from a day with such a disconnection: the four had no leader from 4.5 to 13.7 s, while
+// the others found theirs at 4.55 s; they read a list without three workers at 13.36 s; the
+// reported requests ended 3.04 s after the disconnection. The phases below reproduce it where the
+// disconnection ends between two attempts.
 func TestReconnectedRouterDropsDepartedWorkers(t *testing.T) {
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
@@ -39,7 +40,7 @@
 				store.setCut(true)
 				remove(t, store, "w/left")
 				elapse(9*time.Second + phase)
-				assert.Equal(t, usable(r), 2, "nobody tells it of the worker")
+				assert.Equal(t, usable(r), 2, "no process informs it of the worker")
 				store.setCut(false)
 				elapse(catchUpTime)
 				assert.Equal(t, usable(r), 1)
@@ -48,16 +49,17 @@
 	}
 }
 
-// catchUpTime is how long after the end of a cut a router must have caught up: the bound of
-// the users' platform.
+// catchUpTime is how long after the end of a disconnection a router must have caught up: the limit
+// of the users' platform.
 const catchUpTime = 3 * time.Second
 
-// drainTime is how long workers that leave may get requests on the users' platform.
+// drainTime is how long leaving workers may get requests on the users' platform.
 const drainTime = 2 * time.Second
 
-// A leader that was cut off alone waits for lapsed entries, and said so to all. Routers that
-// had read of every change themselves meanwhile then kept a worker that left around that time
-// for 2.2 s after the leader was back.
+// Guards against routers that adopt the leader's wait for expired entries although they stayed
+// connected. A leader that alone was cut off waits for such entries and reports that to all.
+// Routers that had read every change themselves then kept a worker that left around that time for
+// 2.2 s after the leader was back.
 func TestConnectedRouterDropsDepartedWorkers(t *testing.T) {
 	settle := workers.SettleTime.Milliseconds()
 	for left := -time.Second; left <= time.Second; left += 50 * time.Millisecond {
@@ -88,7 +90,7 @@
 	}
 }
 
-// What is kept in a true outage: entries are back within 2 s of the service's return.
+// In a real outage, workers are kept: entries are back within 2 s of the service's return.
 func TestEntriesLapsedInOutageAreKept(t *testing.T) {
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
@@ -112,17 +114,17 @@
 	}
 }
 
-// cutStore is a service that a router may be cut off from. Each call that begins meanwhile
-// fails after the time that a connection may take; one that waits then is never answered.
+// cutStore is a service from which a router can be cut off. A call that starts meanwhile fails
+// after the connection timeout; a pending one is never answered.
 type cutStore struct {
 	*memory.Store
 	mu   sync.Mutex
 	down bool
-	// breaks is closed when calls that wait are lost; nil while none waits.
+	// lost is closed when pending calls are lost; nil while none is pending.
 	lost chan struct{}
 }
 
-// broken returns what is closed when calls that wait are lost. The caller holds mu.
+// lostCalls returns the channel that is closed when pending calls are lost. The caller holds mu.
 func (s *cutStore) lostCalls() chan struct{} {
 	if s.lost == nil {
 		s.lost = make(chan struct{})
@@ -137,10 +139,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = is
-	s.SetDeaf(is) // watches that wait
+	s.SetDeaf(is) // pending watches
 }
 
-// connect fails as a connection does that finds nobody.
+// connect fails like a connection attempt to an unreachable service.
 func (s *cutStore) connect(ctx context.Context) error {
 	s.mu.Lock()
 	isCut := s.down
@@ -169,11 +171,11 @@
 		return nil, 0, err
 	}
 	s.mu.Lock()
-	broken := s.lostCalls()
+	lost := s.lostCalls()
 	s.mu.Unlock()
 	events, at, err := s.Store.Watch(ctx, prefix, after, wait)
 	select {
-	case <-broken: // nothing comes through any more
+	case <-lost: // the answer is lost
 		<-ctx.Done()
 		return nil, 0, memory.ErrDown
 	default:
@@ -181,7 +183,8 @@
 	}
 }
 
-// newCutOffRouter returns a router that follows the entries of a service, and nothing else.
+// newCutOffRouter returns a router that follows the worker entries of a service, and does nothing
+// else.
 func newCutOffRouter(t *testing.T) (*Router, *cutStore) {
 	t.Helper()
 	r := newTestRouter(t)
@@ -194,7 +197,7 @@
 	return r, store
 }
 
-// elapse lets time pass and all that is due in it happen.
+// elapse lets time pass, and everything that is due happen.
 func elapse(length time.Duration) {
 	time.Sleep(length)
 	synctest.Wait()
@@ -213,14 +216,15 @@
 	return at
 }
 
-// usable returns how many workers new work may go to.
+// usable returns how many workers may get new requests.
 func usable(r *Router) int {
 	list, _ := r.workers.Usable("s")
 	return len(list)
 }
 
-// A leader that has a list and finds its history forgotten reads the next one whole: what it knew
-// before was taken for what others tell, it stopped at the first page, and began again without end.
+// Guards against a leader that never finishes a paged list. A leader that has a list, and whose
+// history the service has compacted, must read the new list completely. It took its older list for
+// one received from others, stopped at the first page, and started again without end.
 func TestPagedListIsReadCompletelyAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -13,7 +13,7 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// stale is an age at which a relay's word is not relied on.
+// staleAge is an age at which a relay's updates are not trusted.
 const staleAge = peerlink.SilenceLimit + 50*time.Millisecond
 
 func TestStaleRelayIsNotTrusted(t *testing.T) {
@@ -28,20 +28,20 @@
 	for name, test := range map[string]struct {
 		update peerlink.Update
 		orphan time.Duration
-		// read says that this process has read all from the service itself, and ahead for
-		// how long it does so while the relay does not.
+		// read is whether this process has itself read everything from the service; ahead is for
+		// how long it has done so while the relay has not.
 		read  bool
 		ahead time.Duration
 		stays bool
 	}{
 		"has a leader":                      {update: peerlink.Update{Relayed: true}, orphan: time.Hour, stays: true},
-		"lost it just now":                  {update: peerlink.Update{Leaderless: true}, stays: true},
+		"just lost its leader":              {update: peerlink.Update{Leaderless: true}, stays: true},
 		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, orphan: 3 * time.Second, stays: true},
-		"for too long":                      {update: peerlink.Update{Leaderless: true}, orphan: leaderlessTimeout},
-		"nobody reaches the service":        {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, orphan: time.Second, stays: true},
+		"leaderless for too long":           {update: peerlink.Update{Leaderless: true}, orphan: leaderlessTimeout},
+		"no process reaches the service":    {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, orphan: time.Second, stays: true},
 		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, stays: true},
 		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, ahead: aheadTimeout},
-		"neither reaches it any more":       {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, ahead: aheadTimeout, stays: true},
+		"neither reaches the service":       {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, ahead: aheadTimeout, stays: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Found on trouble-3 of malaika-charge-grown: a relay was sent to itself for ever, and
-// believed all the while that it was told of changes.
+// Guards against endless redirects: on trouble-3 of malaika-charge-grown, a relay was redirected to
+// itself without end, while it kept trusting the updates it had received.
 func TestRedirectsAreBounded(t *testing.T) {
 	for name, own := range map[string]bool{"to itself": true, "in a circle": false} {
 		t.Run(name, func(t *testing.T) {
@@ -93,31 +93,31 @@
 	}
 }
 
-// While a relay was sent to itself for ever nothing ended its belief that it was told of
-// changes: the belief has to lapse by itself.
+// Guards against trust that never expires: while a relay was redirected to itself without end,
+// nothing invalidated its trust in earlier updates. Trust must expire by itself.
 func TestUpdateSourceExpires(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
-		heard  []time.Duration
-		ended  bool
-		at     time.Duration
-		stands bool
+		updates     []time.Duration
+		invalidated bool
+		at          time.Duration
+		live        bool
 	}{
-		"nothing was heard":   {at: 0},
-		"a moment ago":        {heard: []time.Duration{0}, at: peerlink.SilenceLimit - 1, stands: true},
-		"silent for too long": {heard: []time.Duration{0}, at: peerlink.SilenceLimit},
-		"heard again":         {heard: []time.Duration{0, time.Second}, at: 2 * time.Second, stands: true},
-		"the link broke":      {heard: []time.Duration{0}, ended: true, at: time.Millisecond},
+		"no update":           {at: 0},
+		"recent update":       {updates: []time.Duration{0}, at: peerlink.SilenceLimit - 1, live: true},
+		"silent for too long": {updates: []time.Duration{0}, at: peerlink.SilenceLimit},
+		"updated again":       {updates: []time.Duration{0, time.Second}, at: 2 * time.Second, live: true},
+		"the link failed":     {updates: []time.Duration{0}, invalidated: true, at: time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var word updateSource
-			for _, after := range test.heard {
-				word.received(start.Add(after), 0, true)
+			var source updateSource
+			for _, after := range test.updates {
+				source.received(start.Add(after), 0, true)
 			}
-			if test.ended {
-				word.invalidate()
+			if test.invalidated {
+				source.invalidate()
 			}
-			assert.Equal(t, word.liveAt(start.Add(test.at)), test.stands)
+			assert.Equal(t, source.liveAt(start.Add(test.at)), test.live)
 		})
 	}
 }
--- a/internal/router/lag_test.go
+++ b/internal/router/lag_test.go
@@ -14,17 +14,18 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// While workers come without a pause, the leader always knows one more than has been told; each of
-// hundreds of processes read the service for that, again and again.
+// Guards against needless resyncs: while workers arrive in a continuous stream, the leader is
+// always one revision ahead of its updates. Each of hundreds of processes repeatedly read the
+// service because of that.
 func TestContinuousUpdatesAreNotLag(t *testing.T) {
 	for name, test := range map[string]struct {
-		// late is by how much what is told lags behind what the leader knows.
+		// late is how far received updates lag behind the leader's revision.
 		late  time.Duration
 		reads bool
 	}{
-		"a moment behind":        {late: 400 * time.Millisecond},
-		"longer than it may be":  {late: 1500 * time.Millisecond, reads: true},
-		"nothing is told at all": {late: time.Hour, reads: true},
+		"slightly behind":     {late: 400 * time.Millisecond},
+		"behind for too long": {late: 1500 * time.Millisecond, reads: true},
+		"no updates at all":   {late: time.Hour, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newPrefixState()
@@ -40,8 +41,8 @@
 	}
 }
 
-// A process that passes on what the leader knows says so once it has what that is: those that
-// follow it would else read the service at once, each for itself.
+// A process that relays a leader's updates announces a revision only with the change itself.
+// Otherwise each of its followers would read the service at once.
 func TestRevisionIsAnnouncedWithItsChange(t *testing.T) {
 	r := newTestRouter(t)
 	r.handleUpdate(peerlink.Update{Leading: true, Known: peerlink.Known{Config: 3}})
@@ -60,9 +61,9 @@
 	for known.Load() != 3 {
 		time.Sleep(time.Millisecond)
 	}
-	r.adapter.HashAPIKeys = func(item coord.Item) (coord.Item, error) { // the change is taken in just now
+	r.adapter.HashAPIKeys = func(item coord.Item) (coord.Item, error) { // the change is being applied
 		time.Sleep(800 * time.Millisecond)
-		assert.Check(t, known.Load() == 3, "told %d", known.Load())
+		assert.Check(t, known.Load() == 3, "announced %d", known.Load())
 		return item, nil
 	}
 	r.adapter.ParseConfig = func([]coord.Item) (*routing.Config, error) { return nil, nil }
--- a/internal/router/peerdiscovery_test.go
+++ b/internal/router/peerdiscovery_test.go
@@ -13,7 +13,7 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// servePeer serves a process that answers questions, and returns its address.
+// servePeer starts a process that answers leadership queries, and returns its address.
 func servePeer(t *testing.T) (*peerlink.Hub, string) {
 	t.Helper()
 	hub := peerlink.NewHub(t.Name(), nil, func() peerlink.Known { return peerlink.Known{} })
@@ -30,26 +30,26 @@
 	follows, follower := servePeer(t)
 	follows.SetFollowed(leader)
 	stale, astray := servePeer(t)
-	stale.SetFollowed(follower) // it led once
+	stale.SetFollowed(follower) // it led earlier
 	_, alone := servePeer(t)
 	for name, test := range map[string]struct {
-		known   []string
-		without string
-		want    string
+		known    []string
+		excluded string
+		want     string
 	}{
-		"nobody is known":             {},
-		"the leader is known":         {known: []string{alone, leader}, want: leader},
-		"one that follows it":         {known: []string{alone, follower}, want: leader},
-		"one that follows another":    {known: []string{alone, astray}},
-		"nobody follows any":          {known: []string{alone}},
-		"nobody answers":              {known: []string{"127.0.0.1:1"}},
-		"the leader that was lost":    {known: []string{leader, follower}, without: leader},
-		"this process itself, at one": {known: []string{astray}, want: ""},
+		"no process is known":                     {},
+		"the leader is known":                     {known: []string{alone, leader}, want: leader},
+		"a follower of the leader is known":       {known: []string{alone, follower}, want: leader},
+		"a follower of a follower is known":       {known: []string{alone, astray}},
+		"a process excluded a leader is known":    {known: []string{alone}},
+		"no process answers":                      {known: []string{"127.0.0.1:1"}},
+		"the leader is excluded":                  {known: []string{leader, follower}, excluded: leader},
+		"a process that names no leader is known": {known: []string{astray}, want: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.peers.Add(test.known...)
-			found, ok := r.askPeersForLeader(t.Context(), test.without)
+			found, ok := r.askPeersForLeader(t.Context(), test.excluded)
 			assert.Equal(t, ok, test.want != "")
 			assert.Equal(t, found.Address, test.want)
 		})
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -16,8 +16,8 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// A leader keeps the books for itself and for those that tell it, by the way on which it heard
-// them; what a relay does not lead it passes on.
+// A leader manages the units of its own router and of the routers that report to it, and answers
+// each over the link of its report. A relay forwards reports.
 func TestLeaderGrantsItsOwnRouter(t *testing.T) {
 	r := newTestRouter(t)
 	config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 10, Burst: 5}})
@@ -26,11 +26,11 @@
 	assert.Assert(t, r.proxy.Use(config))
 	tenant := config.Tenants["a"]
 	refused, wait := r.quotas.Take(t.Context(), tenant)
-	assert.Assert(t, refused.IsZero(), "no leader has given anything")
+	assert.Assert(t, refused.IsZero(), "no leader has granted units")
 	assert.Assert(t, wait > 0)
 	coordinator := quota.NewCoordinator(clock.Now(), 1, true, r.quotas.bound)
 	r.quotas.setCoordinator(coordinator)
-	for range 3 { // it asks for all, hears all, and grants
+	for range 3 { // it sends a full report, receives it, and grants
 		grants, lowered := r.quotas.step(config, coordinator, clock.Now().Add(time.Minute))
 		assert.Assert(t, !lowered)
 		r.quotas.handleGrants(grants)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A claim tells the next leader what the one before did not know to be held, for as long as it may
-// be; a lower limit bars the reserve.
+// A claim tells the next leader the shares that the previous one did not know to be held, for as
+// long as they may be in use. A lowered limit blocks the reserve.
 func TestReserveClaimsBuildOnThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
@@ -89,10 +89,10 @@
 		r.election = election.New(store, KeyPrefix, "a:1", "process", rand.Text)
 		tenure, err := r.election.Campaign(t.Context(), 0)
 		assert.NilError(t, err)
-		keeps, stop := context.WithCancel(t.Context())
+		leaseCtx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go tenure.Keep(keeps)
-		stands := func() float64 {
+		go tenure.Keep(leaseCtx)
+		claimed := func() float64 {
 			item, found, err := store.Get(t.Context(), KeyPrefix+reserveKey)
 			assert.NilError(t, err)
 			if !found {
@@ -106,14 +106,14 @@
 			assert.Assert(t, r.quotas.claim(t.Context(), tenure, c).claimed)
 		}
 		claim()
-		assert.Assert(t, stands() > 0.5 && stands() < 0.7, "nobody has told anything: %v", stands())
+		assert.Assert(t, claimed() > 0.5 && claimed() < 0.7, "no router has reported: %v", claimed())
 		claim()
-		assert.Equal(t, stands(), 1.0, "nor since")
+		assert.Equal(t, claimed(), 1.0, "and none has reported since")
 		time.Sleep(r.quotas.bound.Unknown())
-		assert.Equal(t, stands(), 1.0, "it stands for longer than what it guards")
+		assert.Equal(t, claimed(), 1.0, "the claim outlasts what it guards")
 		time.Sleep(2 * reserveMargin)
-		assert.Equal(t, stands(), -1.0)
+		assert.Equal(t, claimed(), -1.0)
 		assert.Assert(t, r.quotas.tryBlockReserve(t.Context(), tenure))
-		assert.Equal(t, stands(), 1.0)
+		assert.Equal(t, claimed(), 1.0)
 	})
 }
--- a/internal/router/quotamarks_test.go
+++ b/internal/router/quotamarks_test.go
@@ -16,25 +16,25 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// A tenant that asks for nearly all that is dealt of a calm one gets all that it may have, once
-// that is stored; the next leader knows it from there.
+// A tenant that requests nearly all that is allocated to an unmarked tenant gets its whole limit
+// once the mark is stored, where the next leader reads it.
 func TestBusyTenantsAreMarkedBeforeMoreIsAllocated(t *testing.T) {
 	for name, test := range map[string]struct {
-		// deposed says that another leader was elected, and stored is what stands in the store.
+		// deposed is whether another leader was elected; stored is what the store contains.
 		deposed bool
 		stored  string
 		marked  []routing.TenantName
 	}{
-		"the store answers":       {marked: []routing.TenantName{"a"}},
-		"another leader leads":    {deposed: true},
-		"another is marked":       {stored: `{"tenants":["b","gone"]}`, marked: []routing.TenantName{"a", "b"}},
-		"the list can't be read":  {stored: "?", marked: []routing.TenantName{"a", "b"}},
-		"it was marked before us": {stored: `{"tenants":["a"]}`, marked: []routing.TenantName{"a"}},
+		"the store answers":          {marked: []routing.TenantName{"a"}},
+		"another leader was elected": {deposed: true},
+		"another tenant is marked":   {stored: `{"tenants":["b","gone"]}`, marked: []routing.TenantName{"a", "b"}},
+		"the list is invalid":        {stored: "?", marked: []routing.TenantName{"a", "b"}},
+		"it is already marked":       {stored: `{"tenants":["a"]}`, marked: []routing.TenantName{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, store := newCutOffRouter(t)
-				r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20} // 75 are allowed, 45 dealt
+				r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20} // 75 are allowed, 45 allocated
 				config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{
 					"a": {Name: "a", Rate: 10}, "b": {Name: "b", Rate: 10},
 				})
--- a/internal/router/revocation_test.go
+++ b/internal/router/revocation_test.go
@@ -13,37 +13,37 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// Whether keys may be gone unheard counts from the last word that came from the store and was
-// taken whole, by whatever way.
+// Whether keys may have been revoked without this router knowing is judged by the last complete
+// state that came from the store, directly or through updates.
 func TestConfigIsOutdatedWithoutUpdates(t *testing.T) {
 	const within = 5 * time.Second
-	knows := func(r *Router) { r.config.noteCovered(10) }
+	covered := func(r *Router) { r.config.noteCovered(10) }
 	for name, test := range map[string]struct {
-		hear func(r *Router)
-		// left is for how long the configuration is not outdated after that.
+		receive func(r *Router)
+		// left is how long the configuration stays valid after that.
 		left time.Duration
 	}{
-		"nothing ever":               {hear: func(*Router) {}},
-		"the store":                  {hear: func(r *Router) { r.noteStoreSynced(r.config, time.Now()) }, left: within - revocationMargin},
-		"the store, of workers only": {hear: func(r *Router) { r.noteStoreSynced(r.entries, time.Now()) }},
-		"a leader": {hear: func(r *Router) {
-			knows(r)
+		"no update":                  {receive: func(*Router) {}},
+		"the store":                  {receive: func(r *Router) { r.noteStoreSynced(r.config, time.Now()) }, left: within - revocationMargin},
+		"the store, of workers only": {receive: func(r *Router) { r.noteStoreSynced(r.entries, time.Now()) }},
+		"a leader": {receive: func(r *Router) {
+			covered(r)
 			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
 		}, left: within - revocationMargin},
-		"a relay that heard a second ago": {hear: func(r *Router) {
-			knows(r)
+		"a relay with an update of a second ago": {receive: func(r *Router) {
+			covered(r)
 			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1000, Known: peerlink.Known{Config: 10}})
 		}, left: within - revocationMargin - time.Second},
-		"a relay that heard long ago": {hear: func(r *Router) {
-			knows(r)
+		"a relay with an old update": {receive: func(r *Router) {
+			covered(r)
 			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1900, Known: peerlink.Known{Config: 10}})
 		}},
-		"a leader that does not reach the store": {hear: func(r *Router) {
-			knows(r)
+		"a leader that does not reach the store": {receive: func(r *Router) {
+			covered(r)
 			r.handleUpdate(peerlink.Update{Deaf: true, Known: peerlink.Known{Config: 10}})
 		}},
-		"a leader that knows more than was told": {hear: func(r *Router) {
-			knows(r)
+		"a leader with a newer revision": {receive: func(r *Router) {
+			covered(r)
 			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 11}})
 		}},
 	} {
@@ -53,7 +53,7 @@
 				config := base.settings
 				config.Revocation, config.RevokeWithin = settings.RevocationStrict, bundle.Duration(within)
 				r := New(config, base.adapter, base.log, prometheus.NewRegistry())
-				test.hear(r)
+				test.receive(r)
 				if test.left > 0 {
 					time.Sleep(test.left - time.Millisecond)
 					assert.Assert(t, !r.proxy.Outdated())
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -13,44 +13,44 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A process that starts waits for a leader to tell it what there is, and no longer than is known
-// that none will.
+// A starting process waits for a leader to send the data, but no longer than until it is known that
+// none will.
 func TestStartWaitsForLeaderUpdate(t *testing.T) {
 	for name, test := range map[string]struct {
-		first  bool
-		happen func(r *Router)
-		told   bool
-		after  time.Duration
+		first    bool
+		act      func(r *Router)
+		received bool
+		after    time.Duration
 	}{
-		"told":                       {happen: func(r *Router) { r.entries.noteCovered(7) }, told: true, after: 100 * time.Millisecond},
-		"no leader":                  {happen: func(r *Router) { r.noLeader.close() }, after: 100 * time.Millisecond},
-		"a leader that says nothing": {happen: func(*Router) {}, after: startTimeout},
-		"a leader that tells others first": {happen: func(r *Router) {
+		"told":                        {act: func(r *Router) { r.entries.noteCovered(7) }, received: true, after: 100 * time.Millisecond},
+		"no leader":                   {act: func(r *Router) { r.noLeader.close() }, after: 100 * time.Millisecond},
+		"a leader that sends nothing": {act: func(*Router) {}, after: startTimeout},
+		"a leader that serves others first": {act: func(r *Router) {
 			r.updates.received(time.Now(), 0, true)
 			time.AfterFunc(time.Second, func() { r.updates.received(time.Now(), 0, true) })
 			time.AfterFunc(2*time.Second, func() { r.entries.noteCovered(7) })
-		}, told: true, after: 2100 * time.Millisecond},
-		"a leader that is lost": {happen: func(r *Router) {
+		}, received: true, after: 2100 * time.Millisecond},
+		"a leader that is lost": {act: func(r *Router) {
 			r.updates.received(time.Now(), 0, true)
 		}, after: 90*time.Millisecond + peerlink.SilenceLimit + startTimeout},
-		"nothing, at the first start": {first: true, happen: func(*Router) {}, after: firstStartTimeout},
+		"no leader at the first start": {first: true, act: func(*Router) {}, after: firstStartTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newTestRouter(t)
 				r.settings.FirstStart = test.first
-				time.AfterFunc(95*time.Millisecond, func() { test.happen(r) })
+				time.AfterFunc(95*time.Millisecond, func() { test.act(r) })
 				began := time.Now()
-				told := r.awaitUpdate(t.Context(), func() bool { return r.entries.coveredRevision() > 0 })
-				assert.Equal(t, told, test.told)
+				received := r.awaitUpdate(t.Context(), func() bool { return r.entries.coveredRevision() > 0 })
+				assert.Equal(t, received, test.received)
 				assert.Equal(t, time.Since(began).Round(pollInterval), test.after)
 			})
 		})
 	}
 }
 
-// What a leader tells a process that knows nothing replaces a list of the store's: also for
-// those that follow it, and with the time for which workers have been leaving.
+// A list from a leader replaces a list from the store at a process that has none, and at its
+// followers. It includes for how long workers have been leaving.
 func TestWholeWorkerListIsRelayedToNewRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leader, relay, last := newTestRouter(t), newTestRouter(t), newTestRouter(t)
@@ -73,33 +73,34 @@
 	})
 }
 
-// Where there are many workers, one process reads the list: who leads at once, the others only if
-// nobody tells it.
+// A long worker list is read by one process: the leader reads it at once, the others only if no
+// process sends it.
 func TestLongListIsReadByOneProcess(t *testing.T) {
 	for name, test := range map[string]struct {
-		happen func(r *Router)
-		told   bool
-		after  time.Duration
+		act      func(r *Router)
+		received bool
+		after    time.Duration
 	}{
-		"it leads":         {happen: func(r *Router) { r.hub.Open(1) }, after: 100 * time.Millisecond},
-		"it is told":       {happen: func(r *Router) { r.entries.noteCovered(7) }, told: true, after: 100 * time.Millisecond},
-		"nobody is heard":  {happen: func(*Router) {}, after: listTimeout},
-		"the leader tells": {happen: func(r *Router) { r.updates.received(time.Now(), 0, true) }, after: 90*time.Millisecond + peerlink.SilenceLimit + listTimeout},
+		"it leads":                       {act: func(r *Router) { r.hub.Open(1) }, after: 100 * time.Millisecond},
+		"it receives the list":           {act: func(r *Router) { r.entries.noteCovered(7) }, received: true, after: 100 * time.Millisecond},
+		"no updates":                     {act: func(*Router) {}, after: listTimeout},
+		"the leader sends other updates": {act: func(r *Router) { r.updates.received(time.Now(), 0, true) }, after: 90*time.Millisecond + peerlink.SilenceLimit + listTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newTestRouter(t)
-				time.AfterFunc(95*time.Millisecond, func() { test.happen(r) })
+				time.AfterFunc(95*time.Millisecond, func() { test.act(r) })
 				began := time.Now()
-				assert.Equal(t, r.awaitRelayedList(t.Context(), r.entries, 7), test.told)
+				assert.Equal(t, r.awaitRelayedList(t.Context(), r.entries, 7), test.received)
 				assert.Equal(t, time.Since(began).Round(pollInterval), test.after)
 			})
 		})
 	}
 }
 
-// A process that has an older list than its leader keeps changes for is left to read it. It waited to
-// be told for as long as it heard that leader, and knew no worker that came or went from then on.
+// Guards against waiting forever for a list. A process whose list is older than the changes that
+// its leader retains must read the list itself. It waited for the list for as long as it received
+// updates from that leader, and missed every later change.
 func TestOutdatedListIsReadFromStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRouter(t)
@@ -116,6 +117,6 @@
 		assert.Assert(t, !r.awaitRelayedList(bounded, r.entries, 70))
 		assert.Assert(t, time.Since(began) <= relistTimeout+pollInterval)
 		cancel()
-		time.Sleep(time.Second) // the leader falls silent
+		time.Sleep(time.Second) // the leader goes silent
 	})
 }
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -14,8 +14,8 @@
 	"github.com/shalefork/shalefork/internal/quarantine"
 )
 
-// A list that has not changed is told once and written never: it is told to all processes, and each
-// of them unpacks it.
+// An unchanged list is sent once and not written at all, since it goes to all processes and each
+// must unpack it.
 func TestSuspectsAreBroadcastOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
@@ -24,7 +24,7 @@
 		assert.NilError(t, err)
 		k := &suspectsKeeper{r: r, tenure: tenure}
 		assert.Assert(t, k.load(t.Context()))
-		told := func() uint64 {
+		sentVersion := func() uint64 {
 			for range 10 {
 				k.settle(clock.Now())
 				k.broadcast()
@@ -32,15 +32,15 @@
 			}
 			return r.hub.SuspectsVersion()
 		}
-		assert.Equal(t, told(), uint64(1), "nothing is suspected, and all know that this leader knows")
+		assert.Equal(t, sentVersion(), uint64(1), "nothing is suspected; the first message indicates that the list was read")
 		assert.Equal(t, k.revision, coord.Revision(0), "nothing is stored")
 		attempt := quarantine.Attempt{Request: quarantine.Fingerprint{1}}
 		r.proxy.Suspects.Crashed(clock.Now(), attempt, quarantine.Crash{Worker: "w", At: clock.Now()})
-		assert.Equal(t, told(), uint64(2))
+		assert.Equal(t, sentVersion(), uint64(2))
 		written := k.revision
 		assert.Assert(t, written != coord.Revision(0))
 		time.Sleep(time.Second)
-		assert.Equal(t, told(), uint64(2))
+		assert.Equal(t, sentVersion(), uint64(2))
 		assert.Equal(t, k.revision, written)
 	})
 }
--- a/internal/router/suspension_test.go
+++ b/internal/router/suspension_test.go
@@ -12,24 +12,24 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// What a leader told before a suspension is not relied on after it, though by the steady clock it
-// was told a moment ago.
+// Updates received before a suspension are not trusted after it, although by the monotonic clock
+// they have just arrived.
 func TestUpdateSourceExpiresDuringSuspension(t *testing.T) {
-	var word updateSource
-	word.received(clock.Now(), 0, true)
-	assert.Assert(t, word.live())
+	var source updateSource
+	source.received(clock.Now(), 0, true)
+	assert.Assert(t, source.live())
 	defer clock.Suspend(2 * peerlink.SilenceLimit)()
-	assert.Assert(t, !word.live())
+	assert.Assert(t, !source.live())
 }
 
-// A worker leaves while the machine of a router that a leader tells of changes is suspended. The
-// router reads the store itself once it wakes, at once, and sends it nothing.
+// A worker leaves while the machine of a router that receives updates is suspended. After resuming,
+// the router reads the store at once, and sends the worker nothing.
 func TestResumedRouterResyncs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
 		put(t, store, "w/left", workers.StateReady)
 		elapse(5 * time.Second)
-		r.updates.received(clock.Now().Add(time.Hour), 0, true) // relied on without end
+		r.updates.received(clock.Now().Add(time.Hour), 0, true) // trusted without end
 		elapse(time.Second)
 		remove(t, store, "w/left")
 		assert.Equal(t, usable(r), 1)
--- a/internal/router/unknownzones_test.go
+++ b/internal/router/unknownzones_test.go
@@ -11,12 +11,12 @@
 func TestUnknownZonesAreReportedOnce(t *testing.T) {
 	places := topology.New(map[topology.Zone]topology.Region{"a1": "a"})
 	var zones unknownZones
-	var told []topology.Zone
+	var reported []topology.Zone
 	for _, zone := range []topology.Zone{"a1", "c1", "c1", "", "c2", "c1"} {
 		if zones.firstSeenUnknown(places, zone) {
-			told = append(told, zone)
+			reported = append(reported, zone)
 		}
 	}
-	assert.DeepEqual(t, told, []topology.Zone{"c1", "", "c2"})
-	assert.Assert(t, !zones.firstSeenUnknown(topology.Map{}, "c3"), "where no region is named there is one")
+	assert.DeepEqual(t, reported, []topology.Zone{"c1", "", "c2"})
+	assert.Assert(t, !zones.firstSeenUnknown(topology.Map{}, "c3"), "without named regions there is one region")
 }
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -17,12 +17,12 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// spoiled is an entry that another writer has written.
+// overwrittenItem returns an entry that another writer has overwritten.
 func overwrittenItem(id string, revision coord.Revision) coord.Item {
 	return coord.Item{Key: "w/" + id, Revision: revision}
 }
 
-// refusedEntries returns how many entries a router shows to name no worker for a reason.
+// refusedEntries returns the metric of unusable entries for a reason.
 func refusedEntries(t *testing.T, r *Router, reason workers.Reason) float64 {
 	t.Helper()
 	families, err := r.metrics.Gather()
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// One bad entry ends neither a list nor a watch nor what a leader passes on.
+// An unusable entry does not stop the processing of a list, a watch or relayed changes.
 func TestUnreadableEntryIsSkipped(t *testing.T) {
 	good := item("a", 11, "ready 5")
 	for name, learn := range map[string]func(v *workersView) bool{
@@ -49,13 +49,13 @@
 			v.Changed([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}, 12)
 			return true
 		},
-		"told all by a leader": func(v *workersView) bool {
+		"in a whole list from a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
 			return v.applyRelayed(peerlink.Entries{
 				To: 12, Whole: true, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}),
 			})
 		},
-		"told by a leader": func(v *workersView) bool {
+		"in changes from a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
 			return v.applyRelayed(peerlink.Entries{To: 12, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}})})
 		},
@@ -75,8 +75,8 @@
 	}
 }
 
-// A worker whose entry another writer has overwritten gets no new work, also while entries may
-// have lapsed: it may have said meanwhile that it leaves. Its own next entry brings it back.
+// A worker whose entry was overwritten by another writer gets no new requests, even while entries
+// may have expired: it may have announced meanwhile that it leaves. Its own next entry restores it.
 func TestWorkerWithOverwrittenEntryIsNotUsed(t *testing.T) {
 	for name, state := range map[string]workers.State{"was ready": workers.StateReady, "was draining": workers.StateDraining} {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// A worker that has told when it began always does.
+// A worker that has announced its start time always includes it.
 func TestEntryThatDropsItsStartTimeIsUnreadable(t *testing.T) {
 	r := newTestRouter(t)
 	r.entriesView.Changed([]coord.Event{{Item: item("a", 1, "ready 5")}, {Item: item("b", 2, "ready")}}, 2)
@@ -109,10 +109,10 @@
 	_, known := r.workers.Get("b")
 	assert.Assert(t, known)
 	r.entriesView.Snapshot([]coord.Item{item("a", 3, "ready"), item("b", 4, "ready")}, 6)
-	assert.Assert(t, r.workers.Unreadable("a"), "it is no better in a list")
+	assert.Assert(t, r.workers.Unreadable("a"), "the same applies to a list")
 }
 
-// A relay's older news of the first life does not replace the second.
+// An older update about the first incarnation, from a relay, does not replace the second.
 func TestStaleUpdateOfPreviousIncarnationIsIgnored(t *testing.T) {
 	r := newTestRouter(t)
 	view := r.entriesView
@@ -127,7 +127,7 @@
 	assert.Equal(t, r.workers.DrainingFor("a"), time.Duration(0))
 }
 
-// shared is a writer that several goroutines may use.
+// lockedBuffer is a writer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -16,53 +16,55 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// What a router believes of one worker, over that worker's life, the router's links to the
-// service and to its leader, outages of the service, and changes of the leader. Two routers run
-// their real code in virtual time, each with its own link to one service; the second leads at
-// times and tells the first what it knows. Each seed is one order of events.
+// A randomized model of a router's view of one worker, over the worker's restarts, disconnections
+// of the router from the service and from its leader, outages of the service, and changes of the
+// leader. Two routers run their real code in virtual time, each with its own connection to one
+// service; the second one leads at times and sends updates to the first. Each seed is one order of
+// events.
 
 const (
 	modelSeeds  = 1000
 	modelLength = 24 * time.Second
-	// modelStep is no part of any time of the code, so that no two things fall together.
+	// modelStep does not divide any duration in the code, so that no two events coincide.
 	modelStep = 47*time.Millisecond + 3*time.Microsecond
-	// entryLapse is how long entries last that can't be renewed.
+	// entryLapse is when entries expire that can't be renewed.
 	entryLapse = 3900 * time.Millisecond
-	// entryReturn is within what time lapsed entries are back that must be waited for.
+	// entryReturn is within what time expired entries come back that must be waited for.
 	entryReturn = 1700 * time.Millisecond
 )
 
-// belief is one order of events under way.
+// viewModel is one order of events in progress.
 type viewModel struct {
-	// mu is held but while time passes.
+	// mu is held except while time passes.
 	mu          sync.Mutex
 	t           *testing.T
 	store       *cutStore
 	router      *Router
 	routerStore *cutStore
-	// leader is the other router; leads says that it leads, and linked that it reaches the
-	// first one. ledSince is since when it leads.
+	// leader is the other router. leads is whether it leads, leaderLinked whether it reaches the
+	// first router, and ledSince since when it leads.
 	leader       *Router
 	leaderStore  *cutStore
 	leads        bool
 	leaderLinked bool
 	ledSince     time.Time
-	// changes are those of the worker's entry, by which the leader tells what it has read.
+	// changes are those of the worker's entry, from which the leader's updates are made.
 	changes []peerlink.WorkerChange
-	// lastCut is when the first router's link to the service was cut last, and lastAway when
-	// the service was.
+	// lastCut is when the first router's connection to the service was last cut or restored;
+	// lastDown is the same for the service itself.
 	lastCut, lastDown time.Time
 	cut, leaderIsCut  bool
 	storeDown         bool
-	// leaderReached is when the leader's lease was renewed last.
+	// leaderReached is when the leader's lease was last renewed.
 	leaderReached time.Time
-	// lastBlind is when nobody could tell the first router that a worker is back.
+	// lastUninformed is the last time at which no process could inform the first router that a
+	// worker is back.
 	lastUninformed time.Time
-	// left is when the service had acknowledged that the worker leaves; zero if it does not.
+	// leftAt is when the service acknowledged that the worker leaves; zero if it does not.
 	leftAt time.Time
-	// lapsed says that the entry went with the service.
+	// lapsed is whether the entry expired in an outage of the service.
 	lapsed bool
-	// born is the life of the worker.
+	// born is the incarnation of the worker.
 	born workers.Born
 }
 
@@ -87,20 +89,20 @@
 	b.changes = append(b.changes, peerlink.Changed(at, worker))
 }
 
-// remove takes the worker's entry away.
+// remove removes the worker's entry.
 func (b *viewModel) remove() {
 	at := remove(b.t, b.store, "w/a")
 	b.changes = append(b.changes, peerlink.WorkerChange{Revision: at, ID: "a", Gone: true})
 }
 
-// After these times without an answer a leader says that it is cut off from the service: the
-// figures of internal/keeper.
+// After these times without an answer, a leader reports that the service is unreachable. The
+// figures are those of internal/keeper.
 const (
 	leaseSilenceLimit = 1100 * time.Millisecond
 	readSilenceLimit  = 2200 * time.Millisecond
 )
 
-// tell lets the leader say what it knows, as its hub would.
+// sendUpdate delivers an update from the leader, as its hub would.
 func (b *viewModel) sendUpdate() {
 	if !b.storeDown && !b.leaderIsCut {
 		b.leaderReached = time.Now()
@@ -124,15 +126,15 @@
 	b.router.handleUpdate(update)
 }
 
-// step is one thing that happens at a time.
+// event is an action at a time.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// draw draws an order of events: the first router is cut off for a while; the leader is cut off
-// with it, is lost or not linked meanwhile, or leads on; the worker leaves around that time, or
-// does not; and the service may be away.
+// drawSteps draws an order of events. The first router is disconnected for a while; meanwhile the
+// leader is disconnected too, is lost, is unreachable from the first router, or keeps leading. The
+// worker may leave around that time, and the service may have an outage.
 func (b *viewModel) drawSteps(random *rand.Rand) []event {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(random.Int64N(int64(most-least)))
@@ -144,8 +146,8 @@
 	steps = append(steps, event{from + between(-time.Second, time.Second), func() { disturb(true) }},
 		event{end + between(-time.Second, 4*time.Second), func() { disturb(false) }})
 	if random.IntN(4) > 0 {
-		withWord := random.IntN(3) == 0
-		steps = append(steps, event{between(from-time.Second, end+3*time.Second), func() { b.leave(withWord) }})
+		announced := random.IntN(3) == 0
+		steps = append(steps, event{between(from-time.Second, end+3*time.Second), func() { b.leave(announced) }})
 	}
 	if random.IntN(3) == 0 {
 		away := between(0, 12*time.Second)
@@ -154,7 +156,7 @@
 	return append(steps, b.drawRestarts(random)...)
 }
 
-// drawRestarts draws when the worker starts again under its ID, after it has left or without.
+// drawRestarts draws when the worker restarts under its ID, whether or not it has left.
 func (b *viewModel) drawRestarts(random *rand.Rand) []event {
 	var steps []event
 	for range random.IntN(3) {
@@ -164,8 +166,8 @@
 	return steps
 }
 
-// restart begins another life of the worker, whose clock may have stepped back. What it said of
-// leaving was the life before.
+// restart starts another incarnation of the worker, whose clock may have stepped back. A notice of
+// leaving belongs to the previous incarnation.
 func (b *viewModel) restart() {
 	if b.lapsed || b.storeDown || time.Since(b.lastDown) < catchUpTime {
 		return
@@ -174,11 +176,11 @@
 	b.announce(workers.StateReady)
 	if !b.leftAt.IsZero() {
 		b.leftAt = time.Time{}
-		b.lastUninformed = time.Now() // it takes as long to hear that it is back
+		b.lastUninformed = time.Now() // the news that it is back takes as long
 	}
 }
 
-// setLost lets nobody lead, or the leader lead again.
+// setLeaderLost ends or restores the leader's leadership.
 func (b *viewModel) setLeaderLost(is bool) {
 	b.leads = !is
 	b.ledSince = time.Now()
@@ -197,14 +199,14 @@
 	b.routerStore.setRouterCut(cut || b.storeDown)
 }
 
-// setAway begins or ends an outage of the service. The worker's entry lapses in a long one,
-// and is back soon after.
-func (b *viewModel) setStoreDown(away bool) {
-	b.storeDown = away
-	wasLong := !away && time.Since(b.lastDown) > entryLapse
+// setStoreDown starts or ends an outage of the service. In a long one the worker's entry expires;
+// it comes back soon after.
+func (b *viewModel) setStoreDown(down bool) {
+	b.storeDown = down
+	wasLong := !down && time.Since(b.lastDown) > entryLapse
 	b.lastDown = time.Now()
-	b.routerStore.setRouterCut(away || b.cut)
-	b.leaderStore.setRouterCut(away || b.leaderIsCut)
+	b.routerStore.setRouterCut(down || b.cut)
+	b.leaderStore.setRouterCut(down || b.leaderIsCut)
 	if !wasLong || !b.leftAt.IsZero() {
 		return
 	}
@@ -218,8 +220,8 @@
 	})
 }
 
-// leave lets the worker leave, unless the service is or was disturbed: then its word counts
-// from no known time.
+// leave lets the worker leave, unless the service is or recently was disturbed: the time from which
+// the departure counts would then be unknown.
 func (b *viewModel) leave(announced bool) {
 	if !b.leftAt.IsZero() || b.lapsed || b.storeDown || time.Since(b.lastDown) < catchUpTime {
 		return
@@ -232,26 +234,26 @@
 	b.leftAt = time.Now()
 }
 
-// check returns what is wrong with what the first router believes now.
+// check returns an error if the first router's current view is wrong.
 func (b *viewModel) check() error {
 	believed := usable(b.router) > 0
-	awayMeanwhile := b.storeDown && (b.lapsed || b.router.workers.Kept() > 0 || !believed)
-	if awayMeanwhile || b.cut && !(b.leads && b.leaderLinked && !b.leaderIsCut) {
+	downMeanwhile := b.storeDown && (b.lapsed || b.router.workers.Kept() > 0 || !believed)
+	if downMeanwhile || b.cut && !(b.leads && b.leaderLinked && !b.leaderIsCut) {
 		b.lastUninformed = time.Now()
 	}
 	inTouch := !b.cut && !b.storeDown && time.Since(b.lastCut) >= catchUpTime && time.Since(b.lastDown) >= catchUpTime
 	switch {
 	case believed && inTouch && !b.leftAt.IsZero() && time.Since(b.leftAt) >= drainTime:
-		return fmt.Errorf("work goes to a worker that left %v ago", time.Since(b.leftAt))
+		return fmt.Errorf("requests go to a worker that left %v ago", time.Since(b.leftAt))
 	case inTouch && b.router.workers.DrainingFor("a") > 0 && b.leftAt.IsZero() && time.Since(b.lastUninformed) >= catchUpTime:
-		return fmt.Errorf("another life of the worker is taken to leave")
+		return fmt.Errorf("another incarnation of the worker counts as leaving")
 	case !believed && b.leftAt.IsZero() && time.Since(b.lastUninformed) >= catchUpTime:
-		return fmt.Errorf("no work goes to a worker that lives")
+		return fmt.Errorf("no requests go to a live worker")
 	}
 	return nil
 }
 
-// cutAlone cuts one router off from a service that others reach: watches that wait are lost.
+// setRouterCut cuts one router off from a service that others reach. Pending watches are lost.
 func (s *cutStore) setRouterCut(is bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -19,8 +19,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// newTestRouter returns a router that runs nothing. An entry's value is its worker's
-// state.
+// newTestRouter returns a router with nothing running. An entry's value is its worker's state.
 func newTestRouter(t *testing.T) *Router {
 	t.Helper()
 	log := decision.NewTo(io.Discard, "n")
@@ -46,7 +45,7 @@
 	return coord.Item{Key: "w/" + id, Value: []byte(state), Revision: revision}
 }
 
-// drains is a change that the leader passes on.
+// drainingChange returns a change that the leader relays.
 func drainingChange(id workers.ID, revision coord.Revision) peerlink.WorkerChange {
 	return peerlink.Changed(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
 }
@@ -58,10 +57,10 @@
 		drains  bool
 		at      coord.Revision
 	}{
-		"next":                {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
-		"some known already":  {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
-		"some missing before": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
-		"too many to pass on": {news: peerlink.Entries{From: 12, To: 12}, at: 10},
+		"next":                    {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
+		"some already known":      {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
+		"earlier changes missing": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
+		"too many to relay":       {news: peerlink.Entries{From: 12, To: 12}, at: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
@@ -76,7 +75,7 @@
 	}
 }
 
-// A list that was under way while the leader told of more must not undo that.
+// A list that was being read while newer changes arrived from the leader must not undo them.
 func TestOlderListIsIgnored(t *testing.T) {
 	r := newTestRouter(t)
 	view := r.entriesView
@@ -87,11 +86,11 @@
 	assert.Equal(t, worker.State, workers.StateDraining)
 	view.Changed([]coord.Event{{Item: item("a", 8, workers.StateReady)}}, 11)
 	worker, _ = r.workers.Get("a")
-	assert.Equal(t, worker.State, workers.StateDraining, "nor do events that are known already")
+	assert.Equal(t, worker.State, workers.StateDraining, "already known events change nothing either")
 }
 
 func TestLeaderRevisionIsReadOnce(t *testing.T) {
-	asked := func(of *prefixState) bool {
+	resyncRequested := func(of *prefixState) bool {
 		select {
 		case <-of.resync:
 			return true
@@ -103,16 +102,16 @@
 	r := newTestRouter(t)
 	r.config.noteCovered(10)
 	r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
-	assert.Assert(t, !asked(r.config), "it is known")
+	assert.Assert(t, !resyncRequested(r.config), "already known")
 	r.config.resyncIfBehind(now, 12)
-	assert.Assert(t, asked(r.config))
+	assert.Assert(t, resyncRequested(r.config))
 	r.config.resyncIfBehind(now, 12)
-	assert.Assert(t, !asked(r.config), "it was asked for")
+	assert.Assert(t, !resyncRequested(r.config), "already requested")
 	r.config.resyncIfBehind(now.Add(2*maxLag), 12)
-	assert.Assert(t, asked(r.config), "and did not come")
+	assert.Assert(t, resyncRequested(r.config), "it did not arrive")
 	r.config.noteRead(12)
 	r.config.resyncIfBehind(now.Add(4*maxLag), 12)
-	assert.Assert(t, !asked(r.config))
+	assert.Assert(t, !resyncRequested(r.config))
 }
 
 func TestLeaderWithoutStoreIsNotTrusted(t *testing.T) {
@@ -123,29 +122,30 @@
 	assert.Assert(t, !r.updates.live())
 }
 
-// Found on a day on which machines were cut off for 12 s (DRAIN): they took entries that
-// had gone meanwhile for lapsed, and sent requests to workers that had left.
+// Guards against vanished workers that are kept although only this process was cut off. On a day on
+// which machines were cut off for 12 s (DRAIN), their routers assumed that the missing entries had
+// expired, and sent requests to workers that had left.
 func TestVanishedWorkersAreGoneIfTheLeaderStayedConnected(t *testing.T) {
 	settle := workers.SettleTime.Milliseconds()
 	stale := (2 * peerlink.SilenceLimit).Milliseconds()
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		update peerlink.Update
 		kept   bool
 	}{
-		"the leader was not":            {update: peerlink.Update{Known: peerlink.Known{Steady: true}}},
-		"the leader may have been":      {update: peerlink.Update{}, kept: true},
-		"the leader was":                {update: peerlink.Update{Known: peerlink.Known{SettleMillis: settle}}, kept: true},
-		"the leader is now":             {update: peerlink.Update{Deaf: true, Known: peerlink.Known{Steady: true}}, kept: true},
-		"a relay has not heard of late": {update: peerlink.Update{AgeMillis: stale, Known: peerlink.Known{Steady: true}}, kept: true},
+		"the leader stayed connected":           {update: peerlink.Update{Known: peerlink.Known{Steady: true}}},
+		"the leader may have been disconnected": {update: peerlink.Update{}, kept: true},
+		"the leader was disconnected":           {update: peerlink.Update{Known: peerlink.Known{SettleMillis: settle}}, kept: true},
+		"the leader is disconnected":            {update: peerlink.Update{Deaf: true, Known: peerlink.Known{Steady: true}}, kept: true},
+		"a relay has no recent update":          {update: peerlink.Update{AgeMillis: stale, Known: peerlink.Known{Steady: true}}, kept: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
 			r.entriesView.Regained(time.Now())
 			r.entriesView.Snapshot(nil, 12)
-			r.handleUpdate(c.update)
+			r.handleUpdate(test.update)
 			_, known := r.workers.Get("a")
-			assert.Equal(t, known, c.kept)
+			assert.Equal(t, known, test.kept)
 		})
 	}
 }
@@ -156,11 +156,11 @@
 		own, strongest float64
 		least          time.Duration
 	}{
-		"strong, knows nobody":  {own: 1},
-		"weak, knows nobody":    {own: 0.2, least: weakMachineDelay / 2},
-		"weak, as all are":      {own: 0.2, strongest: 0.2},
-		"weaker than another":   {own: 0.2, strongest: 0.5, least: weakMachineDelay},
-		"the strongest of them": {own: 0.5, strongest: 0.5},
+		"strong, knows no others": {own: 1},
+		"weak, knows no others":   {own: 0.2, least: weakMachineDelay / 2},
+		"weak, like all others":   {own: 0.2, strongest: 0.2},
+		"weaker than another":     {own: 0.2, strongest: 0.5, least: weakMachineDelay},
+		"the strongest of them":   {own: 0.5, strongest: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r.hub.Strength = test.own
