--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -27,7 +27,7 @@
 	{
 		name: "older-word-undoes-an-evacuation",
 		file: "internal/router/configview.go",
-		old:  "\tif news.Revision <= v.at {",
+		old:  "\tif changes.Revision <= v.at {",
 		new:  "\tif false {",
 		pkg:  "./internal/router", test: "TestEvacuationsFromTheLeader",
 	},
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -90,15 +90,15 @@
 }
 
 // applyRelayed applies configuration changes from the leader; false if items are missing here.
-func (v *configView) applyRelayed(news peerlink.ConfigNews) bool {
-	items, err := news.Items()
+func (v *configView) applyRelayed(changes peerlink.ConfigNews) bool {
+	items, err := changes.Items()
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(changes.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
 		return false
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if news.Revision <= v.at {
+	if changes.Revision <= v.at {
 		return true
 	}
 	current := map[string]coord.Item{}
@@ -106,7 +106,7 @@
 	for _, item := range items {
 		current[item.Key] = item
 	}
-	for _, key := range news.Keys {
+	for _, key := range changes.Keys {
 		if _, fresh := current[key]; fresh {
 			continue
 		}
@@ -117,15 +117,15 @@
 		current[key] = item
 	}
 	v.items = current
-	v.apply(items, news.Revision, news.Since(clock.Now()))
-	v.r.config.noteRead(news.Revision)
+	v.apply(items, changes.Revision, changes.Since(clock.Now()))
+	v.r.config.noteRead(changes.Revision)
 	return true
 }
 
 // handleConfigChanges applies configuration changes from the leader, and reads the service if that
 // fails.
-func (r *Router) handleConfigChanges(news peerlink.ConfigNews) {
-	if !r.configView.applyRelayed(news) {
+func (r *Router) handleConfigChanges(changes peerlink.ConfigNews) {
+	if !r.configView.applyRelayed(changes) {
 		r.config.requestResync()
 	}
 }
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -45,7 +45,7 @@
 	}{
 		"none":   {write: func(*configView) {}},
 		"listed": {write: func(v *configView) { v.Snapshot([]coord.Item{written("evacuate/a", 9)}, 9) }, zones: []string{"a"}},
-		"watched": {write: func(v *configView) {
+		"one watched": {write: func(v *configView) {
 			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 		}, zones: []string{"a"}, knownSince: true},
 		"two": {write: func(v *configView) {
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -313,15 +313,17 @@
 	if update.Known.Steady && !update.Deaf && !update.Stale() {
 		r.workers.EndSettling()
 	}
-	for _, news := range []*peerlink.Entries{update.Page, update.Entries} {
-		if news != nil && !r.entriesView.applyRelayed(*news) {
+	for _, entries := range []*peerlink.Entries{update.Page, update.Entries} {
+		if entries != nil && !r.entriesView.applyRelayed(*entries) {
 			r.entries.requestResync()
 		}
 	}
 	if update.Config != nil {
 		r.handleConfigChanges(*update.Config)
 	}
-	if update.Leading || update.Relayed { // relayed after it is applied here: followers would otherwise miss the changes that it announces
+	// An update is relayed after it is applied here. Followers would otherwise miss the changes that it
+	// announces.
+	if update.Leading || update.Relayed {
 		r.hub.Relay(update)
 	}
 	r.limits.handleUpdate(update.Limits)
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -26,19 +26,19 @@
 
 func TestLeaderlessRelayIsAbandoned(t *testing.T) {
 	for name, test := range map[string]struct {
-		update peerlink.Update
-		orphan time.Duration
+		update        peerlink.Update
+		leaderlessFor time.Duration
 		// read is whether this process has itself read everything from the service; ahead is for
 		// how long it has done so while the relay has not.
 		read  bool
 		ahead time.Duration
 		stays bool
 	}{
-		"has a leader":                      {update: peerlink.Update{Relayed: true}, orphan: time.Hour, stays: true},
+		"has a leader":                      {update: peerlink.Update{Relayed: true}, leaderlessFor: time.Hour, stays: true},
 		"just lost its leader":              {update: peerlink.Update{Leaderless: true}, stays: true},
-		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, orphan: 3 * time.Second, stays: true},
-		"leaderless for too long":           {update: peerlink.Update{Leaderless: true}, orphan: leaderlessTimeout},
-		"no process reaches the service":    {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, orphan: time.Second, stays: true},
+		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, leaderlessFor: 3 * time.Second, stays: true},
+		"leaderless for too long":           {update: peerlink.Update{Leaderless: true}, leaderlessFor: leaderlessTimeout},
+		"no process reaches the service":    {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, leaderlessFor: time.Second, stays: true},
 		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, stays: true},
 		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, ahead: aheadTimeout},
 		"neither reaches the service":       {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, ahead: aheadTimeout, stays: true},
@@ -46,8 +46,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			f := &followSession{r: r}
-			if test.orphan > 0 {
-				f.leaderlessSince = time.Now().Add(-test.orphan)
+			if test.leaderlessFor > 0 {
+				f.leaderlessSince = time.Now().Add(-test.leaderlessFor)
 			}
 			if test.ahead > 0 {
 				f.aheadSince = time.Now().Add(-test.ahead)
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -89,10 +89,10 @@
 func (s *meteredStore) roundTrip() time.Duration { return time.Duration(s.minLatency.Load()) }
 
 // noteLatency records the duration of a call.
-func (s *meteredStore) noteLatency(took time.Duration) {
+func (s *meteredStore) noteLatency(latency time.Duration) {
 	for {
 		fastest := s.minLatency.Load()
-		if fastest > 0 && fastest <= int64(took) || s.minLatency.CompareAndSwap(fastest, max(1, int64(took))) {
+		if fastest > 0 && fastest <= int64(latency) || s.minLatency.CompareAndSwap(fastest, max(1, int64(latency))) {
 			return
 		}
 	}
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -23,8 +23,8 @@
 		go func() { found <- r.askPeerForLeader(bounded, address, excluded) }()
 	}
 	for range asked {
-		if leading := <-found; leading != "" {
-			return election.Leader{Address: leading}, true
+		if leader := <-found; leader != "" {
+			return election.Leader{Address: leader}, true
 		}
 	}
 	return election.Leader{}, false
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -78,12 +78,12 @@
 func (q *quotas) claim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) reservation {
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	item, stands, err := q.r.adapter.Store.Get(bounded, KeyPrefix+reserveKey)
+	item, found, err := q.r.adapter.Store.Get(bounded, KeyPrefix+reserveKey)
 	if err != nil {
 		return reservation{}
 	}
 	var one reservation
-	if stands {
+	if found {
 		one.before = unreportedOf(item)
 	}
 	one.unreported = q.unreportedShares(coordinator, one.before)
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -53,9 +53,9 @@
 		r.store.minLatency.Store(0) // the new address may be at another distance
 	}
 	r.proxy.SetLimits(retryLimits(fresh))
-	mutableOnly := r.settings
-	mutableOnly.Store, mutableOnly.Retry = fresh.Store, fresh.Retry
-	restart := !reflect.DeepEqual(mutableOnly, fresh)
+	applied := r.settings
+	applied.Store, applied.Retry = fresh.Store, fresh.Retry
+	restart := !reflect.DeepEqual(applied, fresh)
 	r.settings.Store, r.settings.Retry = fresh.Store, fresh.Retry
 	r.log.Line(decision.KindReload).Bool("changed", changed).Bool("rest_needs_restart", restart).Msg("")
 }
--- a/internal/router/unknownzones.go
+++ b/internal/router/unknownzones.go
@@ -16,15 +16,15 @@
 }
 
 // logIfUnknown logs a worker's zone when it is first found to be unknown.
-func (z *unknownZones) logIfUnknown(places topology.Map, worker workers.Worker, log *decision.Log) {
-	if z.firstSeenUnknown(places, topology.Zone(worker.Zone)) {
+func (z *unknownZones) logIfUnknown(zoneMap topology.Map, worker workers.Worker, log *decision.Log) {
+	if z.firstSeenUnknown(zoneMap, topology.Zone(worker.Zone)) {
 		log.Line(decision.KindZoneUnknown).Str("zone", worker.Zone).Str("worker", string(worker.ID)).Msg("")
 	}
 }
 
 // firstSeenUnknown reports whether a zone is unknown and is seen for the first time.
-func (z *unknownZones) firstSeenUnknown(places topology.Map, zone topology.Zone) bool {
-	if places.Known(zone) {
+func (z *unknownZones) firstSeenUnknown(zoneMap topology.Map, zone topology.Zone) bool {
+	if zoneMap.Known(zone) {
 		return false
 	}
 	z.mu.Lock()
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -44,17 +44,17 @@
 }
 
 // replaceUnreadable sets all unusable entries. The caller holds mu.
-func (v *workersView) replaceUnreadable(faulty map[workers.ID]unreadableEntry) {
-	for id, entry := range faulty {
+func (v *workersView) replaceUnreadable(unusable map[workers.ID]unreadableEntry) {
+	for id, entry := range unusable {
 		v.logUnreadable(id, entry)
 	}
-	v.unreadable = faulty
-	ids := make([]workers.ID, 0, len(faulty))
-	for id := range faulty {
+	v.unreadable = unusable
+	ids := make([]workers.ID, 0, len(unusable))
+	for id := range unusable {
 		ids = append(ids, id)
 	}
 	v.r.workers.SetUnreadable(ids)
-	v.r.unreadable.count(faulty)
+	v.r.unreadable.count(unusable)
 }
 
 // noteUnreadable records whether a changed entry is usable. The caller holds mu.
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -111,9 +111,9 @@
 		return
 	}
 	known := b.leader.known()
-	deaf := time.Since(clock.OfNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
-	known.Steady = !deaf && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
-	update := peerlink.Update{Leading: true, Deaf: deaf, Known: known}
+	unreachable := time.Since(clock.OfNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
+	known.Steady = !unreachable && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
+	update := peerlink.Update{Leading: true, Deaf: unreachable, Known: known}
 	from, to := b.router.entriesView.revision(), b.leader.entriesView.revision()
 	if from < to {
 		update.Entries = &peerlink.Entries{From: from, To: to}
@@ -150,8 +150,8 @@
 		steps = append(steps, event{between(from-time.Second, end+3*time.Second), func() { b.leave(announced) }})
 	}
 	if random.IntN(3) == 0 {
-		away := between(0, 12*time.Second)
-		steps = append(steps, event{away, func() { b.setStoreDown(true) }}, event{away + between(time.Second, 7*time.Second), func() { b.setStoreDown(false) }})
+		start := between(0, 12*time.Second)
+		steps = append(steps, event{start, func() { b.setStoreDown(true) }}, event{start + between(time.Second, 7*time.Second), func() { b.setStoreDown(false) }})
 	}
 	return append(steps, b.drawRestarts(random)...)
 }
@@ -176,7 +176,7 @@
 	b.announce(workers.StateReady)
 	if !b.leftAt.IsZero() {
 		b.leftAt = time.Time{}
-		b.lastUninformed = time.Now() // the news that it is back takes as long
+		b.lastUninformed = time.Now() // its return takes as long to arrive
 	}
 }
 
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -59,12 +59,12 @@
 	v.r.entries.noteCovered(at)
 	v.r.listSizeKnown.close()
 	announced := make([]workers.Worker, 0, len(list))
-	faulty := map[workers.ID]unreadableEntry{}
+	unusable := map[workers.ID]unreadableEntry{}
 	learned := workers.Learned{}
 	for _, change := range list {
 		v.r.entries.noteRead(change.Revision)
 		if change.Unreadable != nil {
-			faulty[change.ID] = unreadableEntry{revision: change.Revision, fault: *change.Unreadable}
+			unusable[change.ID] = unreadableEntry{revision: change.Revision, fault: *change.Unreadable}
 			continue
 		}
 		worker := change.Worker()
@@ -72,7 +72,7 @@
 		announced = append(announced, worker)
 		learned[change.ID] = change.Learned
 	}
-	v.replaceUnreadable(faulty)
+	v.replaceUnreadable(unusable)
 	vanished := v.r.workers.Replace(announced, learned, since)
 	v.r.hub.EntriesRead(list, at, since)
 	v.logVanished(vanished, at)
@@ -87,32 +87,32 @@
 }
 
 // applyRelayed applies changes that the leader relays; false if earlier changes are missing.
-func (v *workersView) applyRelayed(news peerlink.Entries) bool {
+func (v *workersView) applyRelayed(update peerlink.Entries) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	changes, err := news.All(clock.Now())
-	if news.Whole && err == nil {
-		return v.collectPage(news, changes)
+	changes, err := update.All(clock.Now())
+	if update.Whole && err == nil {
+		return v.collectPage(update, changes)
 	}
-	if v.at < news.From || err != nil {
+	if v.at < update.From || err != nil {
 		return false
 	}
-	v.apply(changes, news.To)
+	v.apply(changes, update.To)
 	return true
 }
 
 // collectPage adds a page of a list, and replaces the known list once it has the last page; false
 // if earlier pages are missing. The caller holds mu.
-func (v *workersView) collectPage(news peerlink.Entries, changes []peerlink.WorkerChange) bool {
-	if news.After == "" {
+func (v *workersView) collectPage(update peerlink.Entries, changes []peerlink.WorkerChange) bool {
+	if update.After == "" {
 		v.partial = partialList{}
 	}
-	if news.After != v.partial.after {
+	if update.After != v.partial.after {
 		return false
 	}
 	v.partial.changes = append(v.partial.changes, changes...)
-	v.partial.after, v.partial.at = news.Last, news.To
-	if news.More {
+	v.partial.after, v.partial.at = update.Last, update.To
+	if update.More {
 		return true
 	}
 	list := v.partial
