--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -133,7 +133,7 @@
 		name: "silent-relay-relied-on",
 		file: "internal/router/updatesource.go",
 		old:  "clock.Nanos(now) < until",
-		new:  "t.liveUntil.Load() > 0",
+		new:  "u.liveUntil.Load() > 0",
 		pkg:  "./internal/router", test: "TestUpdateSourceExpires",
 	},
 	{
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -50,20 +50,20 @@
 const distantPast = math.MinInt64 / 2
 
 func newPrefixState() *prefixState {
-	f := &prefixState{resync: make(chan struct{}, 1)}
-	f.syncedAt.Store(distantPast)
-	f.failedAt.Store(distantPast)
-	return f
+	p := &prefixState{resync: make(chan struct{}, 1)}
+	p.syncedAt.Store(distantPast)
+	p.failedAt.Store(distantPast)
+	return p
 }
 
 // noteRead records the revision of a change that was read.
-func (f *prefixState) noteRead(revision coord.Revision) {
-	storeMax(&f.newest, revision)
-	storeMax(&f.covered, revision)
+func (p *prefixState) noteRead(revision coord.Revision) {
+	storeMax(&p.newest, revision)
+	storeMax(&p.covered, revision)
 }
 
 // noteCovered records that all changes up to a revision were read.
-func (f *prefixState) noteCovered(at coord.Revision) { storeMax(&f.covered, at) }
+func (p *prefixState) noteCovered(at coord.Revision) { storeMax(&p.covered, at) }
 
 func storeMax(value *atomic.Int64, to coord.Revision) {
 	for {
@@ -79,52 +79,52 @@
 const maxAttemptInterval = 2500 * time.Millisecond
 
 // storeUnreachable reports whether this process reads the service itself and can't reach it.
-func (f *prefixState) storeUnreachable(now time.Time) bool {
-	failed := f.failedAt.Load()
-	return failed > f.syncedAt.Load() && now.Sub(clock.OfNanos(failed)) < maxAttemptInterval
+func (p *prefixState) storeUnreachable(now time.Time) bool {
+	failed := p.failedAt.Load()
+	return failed > p.syncedAt.Load() && now.Sub(clock.OfNanos(failed)) < maxAttemptInterval
 }
 
 // newestRevision returns the revision of the newest change that was read.
-func (f *prefixState) newestRevision() coord.Revision { return coord.Revision(f.newest.Load()) }
+func (p *prefixState) newestRevision() coord.Revision { return coord.Revision(p.newest.Load()) }
 
 // coveredRevision returns the revision up to which all changes were read.
-func (f *prefixState) coveredRevision() coord.Revision { return coord.Revision(f.covered.Load()) }
+func (p *prefixState) coveredRevision() coord.Revision { return coord.Revision(p.covered.Load()) }
 
 // isBehind reports whether the leader has read a change that this process has not.
-func (f *prefixState) isBehind(leader coord.Revision) bool { return int64(leader) > f.covered.Load() }
+func (p *prefixState) isBehind(leader coord.Revision) bool { return int64(leader) > p.covered.Load() }
 
 // resyncIfLagging requests a resync if one revision of the leader has been missing for longer than
 // maxLag. It must be called from a single goroutine.
 //
 // The time is measured for one missing revision: under a continuous stream of changes there is
 // always one in transit.
-func (f *prefixState) resyncIfLagging(now time.Time, leader coord.Revision) {
+func (p *prefixState) resyncIfLagging(now time.Time, leader coord.Revision) {
 	switch {
-	case !f.isBehind(leader):
-		f.laggingSince = time.Time{}
-	case f.laggingSince.IsZero() || !f.isBehind(f.missedRevision):
-		f.laggingSince, f.missedRevision = now, leader
-	case now.Sub(f.laggingSince) > maxLag:
-		f.laggingSince = time.Time{}
-		f.requestResync()
+	case !p.isBehind(leader):
+		p.laggingSince = time.Time{}
+	case p.laggingSince.IsZero() || !p.isBehind(p.missedRevision):
+		p.laggingSince, p.missedRevision = now, leader
+	case now.Sub(p.laggingSince) > maxLag:
+		p.laggingSince = time.Time{}
+		p.requestResync()
 	}
 }
 
 // resyncIfBehind requests a resync at once, the first time that the leader's revision is found
 // missing here; later calls for the same revision wait for maxLag.
-func (f *prefixState) resyncIfBehind(now time.Time, leader coord.Revision) {
-	if f.isBehind(leader) && leader > f.resyncedFor {
-		f.resyncedFor = leader
-		f.requestResync()
+func (p *prefixState) resyncIfBehind(now time.Time, leader coord.Revision) {
+	if p.isBehind(leader) && leader > p.resyncedFor {
+		p.resyncedFor = leader
+		p.requestResync()
 		return
 	}
-	f.resyncIfLagging(now, leader)
+	p.resyncIfLagging(now, leader)
 }
 
 // requestResync cancels the pending watch, so that the prefix is read again.
-func (f *prefixState) requestResync() {
+func (p *prefixState) requestResync() {
 	select {
-	case f.resync <- struct{}{}:
+	case p.resync <- struct{}{}:
 	default:
 	}
 }
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -18,9 +18,9 @@
 	// leaderlessTimeout is how long a process keeps following the relay. An election takes half as
 	// long.
 	leaderlessTimeout = 4 * time.Second
-	// A process counts as reaching the service if it has read everything from it within
-	// maxOwnSyncAge. It leaves the relay after doing so for aheadTimeout while the relay does not:
-	// after an outage, some processes reconnect sooner than others.
+	// maxOwnSyncAge is how recently a process must have read everything from the service to count
+	// as reaching it. The process leaves the relay after reaching the service for aheadTimeout
+	// while the relay does not: after an outage, some processes reconnect sooner than others.
 	maxOwnSyncAge = time.Second
 	// maxRedirects is how many consecutive redirects without an update are followed: from the
 	// leader to a relay and on to a sub-relay, from a stopping process to the leader, and on to the
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -217,7 +217,7 @@
 
 // step performs the work that is due, and returns the grants to send to routers and whether a limit
 // was lowered.
-func (q *quotas) step(config *routing.Config, coordinator *quota.Coordinator, authority time.Time) (grants []quota.Grant, lowered bool) {
+func (q *quotas) step(config *routing.Config, coordinator *quota.Coordinator, leadsUntil time.Time) (grants []quota.Grant, lowered bool) {
 	nodes := q.r.hub.Nodes()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -226,7 +226,7 @@
 	if own := q.ownReport(); own != nil {
 		coordinator.Hear(now, *own)
 	}
-	grants = coordinator.Tick(now, now.Before(authority), nodes)
+	grants = coordinator.Tick(now, now.Before(leadsUntil), nodes)
 	for _, change := range coordinator.Changes() {
 		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Dealt).
 			Int("used", change.Used).Int("booked", change.Booked).Int("withheld", change.Withheld).Int("missing", change.Missing).
--- a/internal/router/updatesource.go
+++ b/internal/router/updatesource.go
@@ -21,31 +21,31 @@
 
 // received records an update that is complete up to now-age. An update that is not trusted ends the
 // trust in the source.
-func (t *updateSource) received(now time.Time, age time.Duration, trusted bool) {
+func (u *updateSource) received(now time.Time, age time.Duration, trusted bool) {
 	if !trusted {
-		t.invalidate()
+		u.invalidate()
 		return
 	}
-	t.asOf.Store(clock.Nanos(now.Add(-age)))
-	t.liveUntil.Store(clock.Nanos(now.Add(peerlink.SilenceLimit)))
+	u.asOf.Store(clock.Nanos(now.Add(-age)))
+	u.liveUntil.Store(clock.Nanos(now.Add(peerlink.SilenceLimit)))
 }
 
 // currentAsOf returns the time, in clock.Nanos, up to which the received updates are complete.
-func (t *updateSource) currentAsOf() int64 {
-	if at := t.asOf.Load(); at != 0 {
+func (u *updateSource) currentAsOf() int64 {
+	if at := u.asOf.Load(); at != 0 {
 		return at
 	}
 	return distantPast
 }
 
 // invalidate ends the trust in the source until the next trusted update.
-func (t *updateSource) invalidate() { t.liveUntil.Store(0) }
+func (u *updateSource) invalidate() { u.liveUntil.Store(0) }
 
 // liveAt reports whether the source is trusted at the given time.
-func (t *updateSource) liveAt(now time.Time) bool {
-	until := t.liveUntil.Load()
+func (u *updateSource) liveAt(now time.Time) bool {
+	until := u.liveUntil.Load()
 	return until != 0 && clock.Nanos(now) < until
 }
 
 // live reports whether the source is trusted now.
-func (t *updateSource) live() bool { return t.liveAt(clock.Now()) }
+func (u *updateSource) live() bool { return u.liveAt(clock.Now()) }
