--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -14,14 +14,14 @@
 		file: "internal/proxy/backend.go",
 		old:  "\treturn worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born",
 		new:  "\treturn false",
-		pkg:  "./internal/proxy", test: "TestAnotherLifeIsAnotherWorker",
+		pkg:  "./internal/proxy", test: "TestRestartedWorkerStartsWithFreshState",
 	},
 	{
 		name: "crash-missed-where-a-worker-is-back-at-once",
 		file: "internal/proxy/fleet.go",
 		old:  "\t\tif f.ended != nil {",
 		new:  "\t\tif false {",
-		pkg:  "./internal/proxy", test: "TestARestartAtOnceIsACrash",
+		pkg:  "./internal/proxy", test: "TestImmediateRestartCountsAsCrash",
 	},
 	{
 		name: "crashes-of-lives-counted-as-one",
@@ -54,7 +54,7 @@
 	{
 		name: "answer-of-the-life-before-believed",
 		file: "internal/owner/dispatch.go",
-		old:  "\torder.overtaken = order.Target.Born != b.lives[order.Target.ID]",
+		old:  "\torder.overtaken = order.Target.Incarnation != b.lives[order.Target.ID]",
 		new:  "\torder.overtaken = false",
 		pkg:  "./internal/owner", test: "TestEveryOrderOfEvents",
 	},
@@ -68,7 +68,7 @@
 	{
 		name: "standby-renews-another-life",
 		file: "internal/owner/standby.go",
-		old:  "one.Target.ID == life.ID && one.Target.Born != life.Born &&",
+		old:  "one.Target.ID == life.ID && one.Target.Incarnation != life.Born &&",
 		new:  "false &&",
 		pkg:  "./internal/owner", test: "TestAStandbyRenewsNothingOfAnotherLife",
 	},
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -13,7 +13,7 @@
 	{
 		name: "owner-in-an-evacuated-zone-used",
 		file: "internal/proxy/keyed.go",
-		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.described().Zone) > c.evacuationGrace():",
+		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():",
 		new:  "\tcase false:",
 		pkg:  "./internal/proxy", test: "TestOwnersInAnEvacuatedZoneGetWorkForAWhile",
 	},
@@ -34,7 +34,7 @@
 	{
 		name: "vanished-entries-kept-whatever-the-leader-says",
 		file: "internal/router/follow.go",
-		old:  "\tif update.Known.Steady &&",
+		old:  "\tif update.ReadState.Settled &&",
 		new:  "\tif false &&",
 		pkg:  "./internal/router", test: "TestVanishedWorkersAreGoneIfTheLeaderStayedConnected",
 	},
@@ -71,14 +71,14 @@
 		file: "internal/workers/workers.go",
 		old:  "\tif _, announced := d.byID[id]; announced || !d.listed {",
 		new:  "\tif _, gone := d.goneAt[id]; !gone {",
-		pkg:  "./internal/proxy", test: "TestAnOwnerThatIsNotAnnouncedGetsWorkForAMomentOnly",
+		pkg:  "./internal/proxy", test: "TestUnannouncedOwnerReceivesRequestsOnlyBriefly",
 	},
 	{
 		name: "configuration-goes-back",
 		file: "internal/proxy/handler.go",
 		old:  "old.config.Version >= config.Version",
 		new:  "old.config.Version == config.Version",
-		pkg:  "./internal/proxy", test: "TestConfigurationNeverGoesBack",
+		pkg:  "./internal/proxy", test: "TestOlderConfigurationIsIgnored",
 	},
 	{
 		name: "bundle-approved-by-its-proposer",
@@ -113,7 +113,7 @@
 		file: "internal/peerlink/entries.go",
 		old:  "	return max(0, now.Sub(learned).Milliseconds())",
 		new:  "	return 0",
-		pkg:  "./internal/peerlink", test: "TestChangesTellHowOldTheyAre",
+		pkg:  "./internal/peerlink", test: "TestEntryChangesCarryTheirAge",
 	},
 	{
 		name: "first-watch-after-failures-taken-for-fresh",
@@ -125,7 +125,7 @@
 	{
 		name: "deaf-leader-relied-on",
 		file: "internal/router/follow.go",
-		old:  "	r.updates.received(clock.Now(), update.Age(), !update.Deaf && !update.Stale())",
+		old:  "	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())",
 		new:  "	r.updates.received(clock.Now(), update.Age(), !update.Stale())",
 		pkg:  "./internal/router", test: "TestLeaderWithoutStoreIsNotTrusted",
 	},
@@ -139,8 +139,8 @@
 	{
 		name: "stale-relay-relied-on",
 		file: "internal/router/follow.go",
-		old:  "	r.updates.received(clock.Now(), update.Age(), !update.Deaf && !update.Stale())",
-		new:  "	r.updates.received(clock.Now(), update.Age(), !update.Deaf)",
+		old:  "	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())",
+		new:  "	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable)",
 		pkg:  "./internal/router", test: "TestStaleRelayIsNotTrusted",
 	},
 	{
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -68,7 +68,7 @@
 	{
 		name: "refusal-awaits-the-body",
 		file: "internal/proxy/answer.go",
-		old:  "	if c.unread {\n		c.leaveUnread()\n	}\n	c.writer.WriteHeader(status)",
+		old:  "	if c.bodyUnread {\n		c.leaveUnread()\n	}\n	c.writer.WriteHeader(status)",
 		new:  "	c.writer.WriteHeader(status)",
 		pkg:  "./internal/proxy", test: "TestCallersWithoutATenantAreRefusedAtOnce",
 	},
@@ -103,7 +103,7 @@
 	{
 		name: "strict-relies-on-what-was-not-taken",
 		file: "internal/router/revocation.go",
-		old:  " || r.config.isBehind(update.Known.Config)",
+		old:  " || r.config.isBehind(update.ReadState.Config)",
 		new:  "",
 		pkg:  "./internal/router", test: "TestConfigIsOutdatedWithoutUpdates",
 	},
--- a/internal/router/changetime_test.go
+++ b/internal/router/changetime_test.go
@@ -23,7 +23,7 @@
 	}{
 		"update from another process": {learn: func(r *Router) {
 			late := delayedDraining(1000)
-			r.handleUpdate(peerlink.Update{Entries: &peerlink.Entries{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
+			r.handleUpdate(peerlink.Update{Entries: &peerlink.EntryChanges{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}})
 		}, want: time.Second},
 		"watch without a failure": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -90,7 +90,7 @@
 }
 
 // applyRelayed applies configuration changes from the leader; false if items are missing here.
-func (v *configView) applyRelayed(changes peerlink.ConfigNews) bool {
+func (v *configView) applyRelayed(changes peerlink.ConfigChanges) bool {
 	items, err := changes.Items()
 	if err != nil {
 		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(changes.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
@@ -117,14 +117,14 @@
 		current[key] = item
 	}
 	v.items = current
-	v.apply(items, changes.Revision, changes.Since(clock.Now()))
+	v.apply(items, changes.Revision, changes.KnownSince(clock.Now()))
 	v.r.config.noteRead(changes.Revision)
 	return true
 }
 
 // handleConfigChanges applies configuration changes from the leader, and reads the service if that
 // fails.
-func (r *Router) handleConfigChanges(changes peerlink.ConfigNews) {
+func (r *Router) handleConfigChanges(changes peerlink.ConfigChanges) {
 	if !r.configView.applyRelayed(changes) {
 		r.config.requestResync()
 	}
@@ -138,7 +138,7 @@
 	v.r.config.noteCovered(v.at)
 	items := slices.Collect(maps.Values(v.items))
 	if len(items) > 0 {
-		v.r.hub.ConfigRead(items, v.at, since)
+		v.r.hub.SetConfig(items, v.at, since)
 	}
 	v.useConfig(fresh)
 	v.evacuate(items, since)
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -90,7 +90,7 @@
 		// items were read by the process, up to revision at.
 		items []coord.Item
 		at    coord.Revision
-		news  peerlink.ConfigNews
+		news  peerlink.ConfigChanges
 		taken bool
 		zones []string
 	}{
@@ -113,7 +113,7 @@
 		},
 		"invalid update": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7,
-			news: peerlink.ConfigNews{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
+			news: peerlink.ConfigChanges{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -261,7 +261,7 @@
 // of its followed prefixes.
 func (r *Router) noteStoreSynced(state *prefixState, at time.Time) {
 	state.syncedAt.Store(clock.Nanos(at))
-	r.hub.Refresh(r.storeSyncedAt())
+	r.hub.MarkStoreRead(r.storeSyncedAt())
 }
 
 // storeSyncedAt returns the time up to which this process has itself read everything from the
@@ -300,20 +300,20 @@
 
 // handleUpdate applies an update from the leader or a relay.
 func (r *Router) handleUpdate(update peerlink.Update) {
-	r.updates.received(clock.Now(), update.Age(), !update.Deaf && !update.Stale())
+	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())
 	if !update.Leaderless {
 		r.standby.Heard(update.Term, update.Mandate)
 	}
-	r.leaderStoreUnreachable.Store(update.Deaf)
+	r.leaderStoreUnreachable.Store(update.StoreUnreachable)
 	r.strongest.Store(math.Float64bits(update.Strongest))
 	now := clock.Now()
-	if settle := update.Known.SettleMillis; settle > 0 {
+	if settle := update.ReadState.SettleMillis; settle > 0 {
 		r.settleWithLeader(now, time.Duration(settle)*time.Millisecond)
 	}
-	if update.Known.Steady && !update.Deaf && !update.Stale() {
+	if update.ReadState.Settled && !update.StoreUnreachable && !update.Stale() {
 		r.workers.EndSettling()
 	}
-	for _, entries := range []*peerlink.Entries{update.Page, update.Entries} {
+	for _, entries := range []*peerlink.EntryChanges{update.Page, update.Entries} {
 		if entries != nil && !r.entriesView.applyRelayed(*entries) {
 			r.entries.requestResync()
 		}
@@ -324,16 +324,16 @@
 	// An update is relayed after it is applied here. Followers would otherwise miss the changes that it
 	// announces.
 	if update.Leading || update.Relayed {
-		r.hub.Relay(update)
+		r.hub.RelayUpdate(update)
 	}
 	r.limits.handleUpdate(update.Limits)
 	r.leaving.handleUpdate(update.Leaving)
 	r.handleSuspects(update)
 	r.quotas.handleGrants(update.Quota)
 	if r.entries.coveredRevision() > 0 { // before that, the list is still to be received or read
-		r.entries.resyncIfLagging(now, update.Known.Workers)
+		r.entries.resyncIfLagging(now, update.ReadState.Workers)
 	}
-	r.config.resyncIfBehind(now, update.Known.Config)
+	r.config.resyncIfBehind(now, update.ReadState.Config)
 	r.noteConfigCurrent(now, update)
 	r.peers.Add(update.Peers...)
 }
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -57,14 +57,14 @@
 	defer stop()
 	f := &followSession{r: r, leader: leader, address: leader.Address, stop: stop}
 	err := f.run(bounded)
-	r.hub.SetFollowed("")
+	r.hub.SetFollowedLeader("")
 	r.updates.invalidate() // what was not received by now is read from the service
 	r.standby.Lost()
 	if ctx.Err() != nil {
-		r.hub.LeaveTo(leader.Address)
+		r.hub.RedirectFollowers(leader.Address)
 		return
 	}
-	r.hub.LeaderLost()
+	r.hub.MarkLeaderLost()
 	if f.linked {
 		r.log.Line(decision.KindLeaderLost).Str("leader", leader.Address).Int64("term", int64(leader.Term)).Err(err).Msg("")
 	} else {
@@ -93,7 +93,7 @@
 			if f.redirects > maxRedirects || redirect.Address == f.r.settings.PeerListen {
 				return err
 			}
-			f.r.hub.LeaveTo(redirect.Address)
+			f.r.hub.RedirectFollowers(redirect.Address)
 			f.switchTo(redirect.Address)
 		case f.viaRelay():
 			// The updates of a lost relay stay trusted for as long as those of a silent one.
@@ -121,9 +121,9 @@
 	hello := r.hello()
 	hello.Avoid, hello.Followers, hello.Nodes = f.avoid, r.hub.Followers(), int(r.nodes.Load())
 	follower := peerlink.Follower{
-		Hello: hello, Table: r.table, Take: r.report, Urgent: r.quotas.holder.Urgent(), TakeUrgent: r.quotas.report, Nodes: r.nodes,
-		Entries: r.entriesView.revision, List: r.entriesView.partialListUpTo, Config: r.config.coveredRevision,
-		Heard: f.handleUpdate, Linked: f.onLinked, Doubted: func() { f.awaitSuccessor(ctx) }, Stays: f.keepsRelay, Applied: f.relayOwners,
+		Hello: hello, Table: r.table, TakeReport: r.report, Urgent: r.quotas.holder.ReportTriggered(), TakeUrgentReport: r.quotas.report, Nodes: r.nodes,
+		EntriesRevision: r.entriesView.revision, ListPosition: r.entriesView.partialListUpTo, ConfigRevision: r.config.coveredRevision,
+		OnUpdate: f.handleUpdate, OnFirstUpdate: f.onLinked, OnLeadershipUncertain: func() { f.awaitSuccessor(ctx) }, KeepFollowing: f.keepsRelay, OnOwnersApplied: f.relayOwners,
 	}
 	return follower.Follow(ctx, f.address)
 }
@@ -140,7 +140,7 @@
 // onLinked is called once the followed process has sent its owners.
 func (f *followSession) onLinked() {
 	f.linked = true
-	f.r.hub.SetFollowed(f.leader.Address)
+	f.r.hub.SetFollowedLeader(f.leader.Address)
 	f.r.peers.Add(f.leader.Address, f.address)
 	f.r.quotas.holder.Linked()
 	f.r.limits.member.Linked()
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -17,7 +17,7 @@
 func (r *Router) askPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	asked := r.peers.Some(maxPeersAsked, r.settings.PeerListen)
+	asked := r.peers.Sample(maxPeersAsked, r.settings.PeerListen)
 	found := make(chan string, maxPeersAsked)
 	for _, address := range asked {
 		go func() { found <- r.askPeerForLeader(bounded, address, excluded) }()
@@ -33,7 +33,7 @@
 // askPeerForLeader returns the leader's address if the process at the given address leads or
 // follows a leader; empty otherwise.
 func (r *Router) askPeerForLeader(ctx context.Context, address, excluded string) string {
-	answer, ok := peerlink.Ask(ctx, address, 0)
+	answer, ok := peerlink.QueryLeadership(ctx, address, 0)
 	switch {
 	case !ok:
 		return ""
@@ -43,7 +43,7 @@
 		return ""
 	}
 	r.peers.Add(answer.Leader)
-	if leader, ok := peerlink.Ask(ctx, answer.Leader, 0); !ok || !leader.Leading {
+	if leader, ok := peerlink.QueryLeadership(ctx, answer.Leader, 0); !ok || !leader.Leading {
 		return ""
 	}
 	return answer.Leader
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -38,7 +38,7 @@
 	// coordinator is nil while this process does not lead.
 	coordinator *quota.Coordinator
 	// relayed holds reports to be forwarded to the leader.
-	relayed []quota.Told
+	relayed []quota.Report
 	// usedConfig is the configuration whose tenants are in use.
 	usedConfig *routing.Config
 }
@@ -117,7 +117,7 @@
 }
 
 // collectReports returns the reports of this router and of its followers to the leader.
-func (q *quotas) collectReports() []quota.Told {
+func (q *quotas) collectReports() []quota.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	reports := q.relayed
@@ -129,31 +129,31 @@
 }
 
 // ownReport returns this router's report; nil if there is nothing to report. The caller holds mu.
-func (q *quotas) ownReport() *quota.Told {
+func (q *quotas) ownReport() *quota.Report {
 	if config := q.r.proxy.Config(); config != nil && config != q.usedConfig {
 		q.usedConfig = config
-		q.holder.Use(config.Tenants)
+		q.holder.SetTenants(config.Tenants)
 	}
-	return q.holder.Tell(clock.Now())
+	return q.holder.Report(clock.Now())
 }
 
 // report returns the quota reports that are sent between regular reports.
 func (q *quotas) report() peerlink.Report { return peerlink.Report{Quota: q.collectReports()} }
 
 // handleReports handles reports of linked routers: a leader records them, a relay forwards them.
-func (q *quotas) handleReports(reports []quota.Told) {
+func (q *quotas) handleReports(reports []quota.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.coordinator == nil {
 		if len(q.relayed)+len(reports) <= maxRelayed {
 			q.relayed = append(q.relayed, reports...)
 		}
-		q.holder.Hurry()
+		q.holder.TriggerReport()
 		return
 	}
 	now := refreshedNow()
 	for _, one := range reports {
-		q.coordinator.Hear(now, one)
+		q.coordinator.HandleReport(now, one)
 	}
 	select {
 	case q.wake <- struct{}{}:
@@ -166,13 +166,13 @@
 	var others []quota.Grant
 	for _, grant := range grants {
 		if grant.Node == q.node {
-			q.holder.Granted(clock.Now(), grant)
+			q.holder.ApplyGrant(clock.Now(), grant)
 		} else {
 			others = append(others, grant)
 		}
 	}
 	if len(others) > 0 {
-		q.r.hub.TellQuota(others)
+		q.r.hub.SendQuota(others)
 	}
 }
 
@@ -183,7 +183,7 @@
 	coordinator := quota.NewCoordinator(startedAt, term, term == 1, q.bound)
 	coordinator.AwaitMembers()
 	if config := q.r.proxy.Config(); config != nil {
-		coordinator.Use(startedAt, config.Tenants)
+		coordinator.SetTenants(startedAt, config.Tenants)
 	}
 	q.setCoordinator(coordinator)
 	defer q.setCoordinator(nil)
@@ -191,7 +191,7 @@
 	ticker := time.NewTicker(quotaTickInterval)
 	defer ticker.Stop()
 	for {
-		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.Tenants() > 0) {
+		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.TenantCount() > 0) {
 			grants, lowered := q.step(config, coordinator, tenure.Until())
 			q.handleGrants(grants)
 			if lowered {
@@ -222,14 +222,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := refreshedNow()
-	lowered = coordinator.Use(now, config.Tenants)
+	lowered = coordinator.SetTenants(now, config.Tenants)
 	if own := q.ownReport(); own != nil {
-		coordinator.Hear(now, *own)
+		coordinator.HandleReport(now, *own)
 	}
 	grants = coordinator.Tick(now, now.Before(leadsUntil), nodes)
 	for _, change := range coordinator.Changes() {
-		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Dealt).
-			Int("used", change.Used).Int("booked", change.Booked).Int("withheld", change.Withheld).Int("missing", change.Missing).
+		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Allocatable).
+			Int("used", change.Used).Int("booked", change.Outstanding).Int("withheld", change.Withheld).Int("missing", change.Missing).
 			Float64("age", change.Age.Seconds()).Msg("")
 	}
 	return grants, lowered
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -35,7 +35,7 @@
 // reserve. The claim is a key in the store whose lease ends once the shares that it describes have
 // expired. It is rewritten as more routers report what they hold.
 func (q *quotas) claimReserve(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator) {
-	end := clock.Now().Add(q.bound.Unknown())
+	end := clock.Now().Add(q.bound.TakeoverDelay())
 	var written reservation
 	for ctx.Err() == nil && clock.Now().Before(end) {
 		pause := reserveRetryPause
@@ -56,13 +56,13 @@
 func (q *quotas) mayClaim(coordinator *quota.Coordinator) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return coordinator.Claims(clock.Now())
+	return coordinator.ReserveClaimDue(clock.Now())
 }
 
-func (q *quotas) unreportedShares(coordinator *quota.Coordinator, before quota.Leftovers) quota.Leftovers {
+func (q *quotas) unreportedShares(coordinator *quota.Coordinator, before quota.UnreportedShares) quota.UnreportedShares {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return coordinator.Leftover(before)
+	return coordinator.Unreported(before)
 }
 
 // reservation is a claim that was written.
@@ -71,7 +71,7 @@
 	// revision is that of the claim. before holds the unreported shares of the previous claim, and
 	// unreported those of this one.
 	revision           coord.Revision
-	before, unreported quota.Leftovers
+	before, unreported quota.UnreportedShares
 }
 
 // claim writes this leader's claim after reading the previous one.
@@ -87,11 +87,11 @@
 		one.before = unreportedOf(item)
 	}
 	one.unreported = q.unreportedShares(coordinator, one.before)
-	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.unreported, q.bound.Unknown())
+	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.unreported, q.bound.TakeoverDelay())
 	if one.claimed {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		coordinator.Reserved(one.before)
+		coordinator.ReserveClaimed(one.before)
 	}
 	return one
 }
@@ -111,10 +111,10 @@
 }
 
 // unreportedOf decodes a claim; if it is invalid, everything counts as unreported.
-func unreportedOf(item coord.Item) quota.Leftovers {
-	var left quota.Leftovers
+func unreportedOf(item coord.Item) quota.UnreportedShares {
+	var left quota.UnreportedShares
 	if err := json.Unmarshal(item.Value, &left); err != nil || left.All < 0 || left.All > 1 {
-		return quota.Leftovers{All: 1}
+		return quota.UnreportedShares{All: 1}
 	}
 	return left
 }
@@ -140,13 +140,13 @@
 	if err != nil {
 		return false
 	}
-	_, done := q.writeClaim(bounded, tenure, item.Revision, quota.Leftovers{All: 1}, q.bound.Unknown())
+	_, done := q.writeClaim(bounded, tenure, item.Revision, quota.UnreportedShares{All: 1}, q.bound.TakeoverDelay())
 	return done
 }
 
 // writeClaim replaces the claim at a revision, zero if there is none, by one that exists for at
 // least as long as needed; false if the write is not known to have succeeded.
-func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.Leftovers, needed time.Duration) (coord.Revision, bool) {
+func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.UnreportedShares, needed time.Duration) (coord.Revision, bool) {
 	value, err := json.Marshal(leftover)
 	if err != nil {
 		panic(err) // can't fail on plain data
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -18,9 +18,9 @@
 	times := r.keeper.Times
 	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.Before, tenure.Leader.Term)
 	if len(tenure.Before) > 0 && len(r.keeper.Unresolved) == 0 {
-		return clock.Now().Add(maxOrderDuration + times.HoldBound())
+		return clock.Now().Add(maxOrderDuration + times.MaxHold())
 	}
-	return clock.Now().Add(times.StaleRenewals + times.HoldBound())
+	return clock.Now().Add(times.RenewalGrace + times.MaxHold())
 }
 
 // stopRenewers asks all processes that may renew holds to stop, and returns those that may not have
@@ -35,7 +35,7 @@
 			continue // it has stopped renewing, and leads now
 		}
 		requests.Go(func() {
-			answer, ok := peerlink.Ask(bounded, one.Address, term)
+			answer, ok := peerlink.QueryLeadership(bounded, one.Address, term)
 			if !ok || (answer.Leading && answer.Process == one.Process) {
 				unresolved <- one
 			}
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -15,7 +15,7 @@
 // noteConfigCurrent records the time as of which a leader or relay that reaches the store has
 // confirmed the configuration, if this process has all of it.
 func (r *Router) noteConfigCurrent(now time.Time, update peerlink.Update) {
-	if update.Deaf || update.Stale() || r.config.isBehind(update.Known.Config) {
+	if update.StoreUnreachable || update.Stale() || r.config.isBehind(update.ReadState.Config) {
 		return
 	}
 	r.configAsOf.Store(clock.Nanos(now.Add(-update.Age())))
--- a/internal/router/revocation_test.go
+++ b/internal/router/revocation_test.go
@@ -28,23 +28,23 @@
 		"the store, of workers only": {receive: func(r *Router) { r.noteStoreSynced(r.entries, time.Now()) }},
 		"a leader": {receive: func(r *Router) {
 			covered(r)
-			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{ReadState: peerlink.ReadState{Config: 10}})
 		}, left: within - revocationMargin},
 		"a relay with an update of a second ago": {receive: func(r *Router) {
 			covered(r)
-			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1000, Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1000, ReadState: peerlink.ReadState{Config: 10}})
 		}, left: within - revocationMargin - time.Second},
 		"a relay with an old update": {receive: func(r *Router) {
 			covered(r)
-			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1900, Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 1900, ReadState: peerlink.ReadState{Config: 10}})
 		}},
 		"a leader that does not reach the store": {receive: func(r *Router) {
 			covered(r)
-			r.handleUpdate(peerlink.Update{Deaf: true, Known: peerlink.Known{Config: 10}})
+			r.handleUpdate(peerlink.Update{StoreUnreachable: true, ReadState: peerlink.ReadState{Config: 10}})
 		}},
 		"a leader with a newer revision": {receive: func(r *Router) {
 			covered(r)
-			r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 11}})
+			r.handleUpdate(peerlink.Update{ReadState: peerlink.ReadState{Config: 11}})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -48,7 +48,7 @@
 	Store coord.Store
 	// SetStoreAddress sends subsequent calls to another address of the store.
 	SetStoreAddress func(address string)
-	Orders          owner.Orders
+	Orders          owner.OrderSender
 	// Headers are the platform's header names.
 	Headers upstream.Headers
 	// ReadyPath is the path of readiness checks on the ready address.
@@ -183,8 +183,8 @@
 	}
 	r.standby = standby.New(adapter.Orders, r.keeper.Times, log)
 	r.standby.Workers = r.workers
-	r.hub.OnAsked(r.standby.Stop)
-	r.hub.OnReported(r.meter.Add)
+	r.hub.OnLeaderQuery(r.standby.Stop)
+	r.hub.OnFollowerReport(r.meter.AddReport)
 	r.hub.OnLinked(r.peers.Add)
 	r.hub.OnEvidence(r.handleEvidence)
 	r.quotas = newQuotas(r)
@@ -198,7 +198,7 @@
 	r.leaving = newLeavingWorkers(r)
 	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
 	r.hub.OnLeaving(r.leaving.handleReports)
-	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.Deaf() }
+	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
 	r.keeper.Leaving = r.leaving.noteLeaving
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
@@ -257,8 +257,8 @@
 }
 
 // known returns the revisions that this process has read.
-func (r *Router) known() peerlink.Known {
-	return peerlink.Known{
+func (r *Router) known() peerlink.ReadState {
+	return peerlink.ReadState{
 		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.Settling().Milliseconds(),
 	}
 }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -128,7 +128,7 @@
 		return
 	}
 	k.announced, k.sentVersion = true, version
-	k.r.hub.TellSuspects(records)
+	k.r.hub.PublishSuspects(records)
 }
 
 // store writes the list if it has changed. A write without an answer is retried at the next tick,
@@ -215,14 +215,14 @@
 
 // handleSuspects applies the list in a leader's update, and relays it.
 func (r *Router) handleSuspects(update peerlink.Update) {
-	changes, present, err := update.SuspectsNews()
+	changes, present, err := update.DecodeSuspects()
 	if err != nil {
 		r.log.Line(decision.KindQuarantined).Err(err).Msg("invalid list of suspected requests from the leader; ignoring it")
 	}
 	if !present {
 		return
 	}
-	r.logQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.HearSuspects(changes)))
+	r.logQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.ApplySuspects(changes)))
 	r.proxy.Starting.Store(false)
 }
 
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -86,7 +86,7 @@
 	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.born)}}})
 	assert.NilError(b.t, err)
 	worker := workers.Worker{ID: "a", Service: "s", State: state, Born: b.born}
-	b.changes = append(b.changes, peerlink.Changed(at, worker))
+	b.changes = append(b.changes, peerlink.NewWorkerChange(at, worker))
 }
 
 // remove removes the worker's entry.
@@ -112,11 +112,11 @@
 	}
 	known := b.leader.known()
 	unreachable := time.Since(clock.OfNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
-	known.Steady = !unreachable && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
-	update := peerlink.Update{Leading: true, Deaf: unreachable, Known: known}
+	known.Settled = !unreachable && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
+	update := peerlink.Update{Leading: true, StoreUnreachable: unreachable, ReadState: known}
 	from, to := b.router.entriesView.revision(), b.leader.entriesView.revision()
 	if from < to {
-		update.Entries = &peerlink.Entries{From: from, To: to}
+		update.Entries = &peerlink.EntryChanges{From: from, To: to}
 		for _, change := range b.changes {
 			if change.Revision > from && change.Revision <= to {
 				update.Entries.Changes = append(update.Entries.Changes, change)
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -52,7 +52,7 @@
 	r      *Router
 	member *workerlimit.Member
 	book   workerlimit.Book
-	link   peerlink.PermitLink
+	link   peerlink.PermitClient
 	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
 	// noAskUntil is the time, in clock.Nanos, until which no leader is asked.
@@ -66,7 +66,7 @@
 	member := workerlimit.NewMember()
 	return &workerLimits{
 		r: r, member: member, book: member.Book(),
-		link: peerlink.PermitLink{Node: r.settings.Node, Zone: r.settings.Zone},
+		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
 			Help: "Requests for workers that name limits, by what the leader said: granted, refused or unanswered.",
@@ -148,8 +148,8 @@
 		outcome = permitGranted
 	}
 	l.permits.WithLabelValues(outcome).Inc()
-	if permit.Ended != nil {
-		l.handleUpdate([]workerlimit.Told{*permit.Ended})
+	if permit.LimitEnded != nil {
+		l.handleUpdate([]workerlimit.Told{*permit.LimitEnded})
 	}
 	return permit.Wait(), permit.Granted
 }
@@ -160,14 +160,14 @@
 	if permit, leading := l.issue(now, fact, patience); leading {
 		return permit, true
 	}
-	leader := l.r.hub.Followed()
+	leader := l.r.hub.FollowedLeader()
 	if leader == "" || clock.Nanos(now) < l.noAskUntil.Load() {
 		return peerlink.Permit{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	permit, err := l.link.Ask(ctx, leader, peerlink.PermitAsk{
-		Limit: workerlimit.Tell(now, fact), PatienceMillis: patience.Milliseconds(),
+	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
+		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: patience.Milliseconds(),
 	})
 	if err != nil {
 		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
@@ -176,9 +176,9 @@
 }
 
 // handlePermitRequest answers a permit request from another process.
-func (l *workerLimits) handlePermitRequest(ask peerlink.PermitAsk) (peerlink.Permit, bool) {
+func (l *workerLimits) handlePermitRequest(ask peerlink.PermitRequest) (peerlink.Permit, bool) {
 	now := refreshedNow()
-	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.PatienceMillis))*time.Millisecond)
+	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.MaxWaitMillis))*time.Millisecond)
 	permit.Number = ask.Number
 	return permit, leading
 }
@@ -196,7 +196,7 @@
 	message := peerlink.Permit{Granted: permit.Granted, WaitMillis: (permit.Wait + time.Millisecond - 1).Milliseconds()}
 	if permit.Ended != nil {
 		report := workerlimit.Tell(now, *permit.Ended)
-		message.Ended = &report
+		message.LimitEnded = &report
 	}
 	return message, leading
 }
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -46,7 +46,7 @@
 	list := make([]peerlink.WorkerChange, 0, len(items))
 	for _, item := range items {
 		change := v.readEntry(item)
-		change.Learned = v.r.workers.ListedSince(since)
+		change.LearnedAt = v.r.workers.ListedSince(since)
 		list = append(list, change)
 	}
 	v.replace(list, at, since)
@@ -70,11 +70,11 @@
 		worker := change.Worker()
 		v.zones.logIfUnknown(v.r.zoneMap, worker, v.r.log)
 		announced = append(announced, worker)
-		learned[change.ID] = change.Learned
+		learned[change.ID] = change.LearnedAt
 	}
 	v.replaceUnreadable(unusable)
 	vanished := v.r.workers.Replace(announced, learned, since)
-	v.r.hub.EntriesRead(list, at, since)
+	v.r.hub.SetEntries(list, at, since)
 	v.logVanished(vanished, at)
 	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("worker list read")
 }
@@ -87,10 +87,10 @@
 }
 
 // applyRelayed applies changes that the leader relays; false if earlier changes are missing.
-func (v *workersView) applyRelayed(update peerlink.Entries) bool {
+func (v *workersView) applyRelayed(update peerlink.EntryChanges) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	changes, err := update.All(clock.Now())
+	changes, err := update.Decode(clock.Now())
 	if update.Whole && err == nil {
 		return v.collectPage(update, changes)
 	}
@@ -103,7 +103,7 @@
 
 // collectPage adds a page of a list, and replaces the known list once it has the last page; false
 // if earlier pages are missing. The caller holds mu.
-func (v *workersView) collectPage(update peerlink.Entries, changes []peerlink.WorkerChange) bool {
+func (v *workersView) collectPage(update peerlink.EntryChanges, changes []peerlink.WorkerChange) bool {
 	if update.After == "" {
 		v.partial = partialList{}
 	}
@@ -146,7 +146,7 @@
 		if !event.Deleted {
 			change = v.readEntry(event.Item)
 		}
-		change.Learned = learned
+		change.LearnedAt = learned
 		changes = append(changes, change)
 	}
 	return changes
@@ -157,7 +157,7 @@
 	changes = slices.DeleteFunc(changes, func(one peerlink.WorkerChange) bool { return one.Revision <= v.at })
 	v.at = max(v.at, at)
 	v.r.entries.noteCovered(at)
-	v.r.hub.EntriesChanged(changes, at)
+	v.r.hub.AddEntryChanges(changes, at)
 	last := map[workers.ID]peerlink.WorkerChange{}
 	for _, change := range changes {
 		v.r.entries.noteRead(change.Revision)
@@ -170,7 +170,7 @@
 	var gone []workers.ID
 	learned := workers.Learned{}
 	for id, change := range last {
-		learned[id] = change.Learned
+		learned[id] = change.LearnedAt
 		v.noteUnreadable(change)
 		if change.Gone {
 			gone = append(gone, id)
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -47,20 +47,20 @@
 
 // drainingChange returns a change that the leader relays.
 func drainingChange(id workers.ID, revision coord.Revision) peerlink.WorkerChange {
-	return peerlink.Changed(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
+	return peerlink.NewWorkerChange(revision, workers.Worker{ID: id, Service: "s", State: workers.StateDraining})
 }
 
 func TestWorkerChangesFromTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
-		news    peerlink.Entries
+		news    peerlink.EntryChanges
 		applied bool
 		drains  bool
 		at      coord.Revision
 	}{
-		"next":                    {news: peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
-		"some already known":      {news: peerlink.Entries{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
-		"earlier changes missing": {news: peerlink.Entries{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
-		"too many to relay":       {news: peerlink.Entries{From: 12, To: 12}, at: 10},
+		"next":                    {news: peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
+		"some already known":      {news: peerlink.EntryChanges{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
+		"earlier changes missing": {news: peerlink.EntryChanges{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
+		"too many to relay":       {news: peerlink.EntryChanges{From: 12, To: 12}, at: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
@@ -80,7 +80,7 @@
 	r := newTestRouter(t)
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-	assert.Assert(t, view.applyRelayed(peerlink.Entries{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}))
+	assert.Assert(t, view.applyRelayed(peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}))
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining)
@@ -101,7 +101,7 @@
 	now := time.Unix(1000, 0)
 	r := newTestRouter(t)
 	r.config.noteCovered(10)
-	r.handleUpdate(peerlink.Update{Known: peerlink.Known{Config: 10}})
+	r.handleUpdate(peerlink.Update{ReadState: peerlink.ReadState{Config: 10}})
 	assert.Assert(t, !resyncRequested(r.config), "already known")
 	r.config.resyncIfBehind(now, 12)
 	assert.Assert(t, resyncRequested(r.config))
@@ -118,7 +118,7 @@
 	r := newTestRouter(t)
 	r.handleUpdate(peerlink.Update{})
 	assert.Assert(t, r.updates.live())
-	r.handleUpdate(peerlink.Update{Deaf: true})
+	r.handleUpdate(peerlink.Update{StoreUnreachable: true})
 	assert.Assert(t, !r.updates.live())
 }
 
@@ -132,11 +132,11 @@
 		update peerlink.Update
 		kept   bool
 	}{
-		"the leader stayed connected":           {update: peerlink.Update{Known: peerlink.Known{Steady: true}}},
+		"the leader stayed connected":           {update: peerlink.Update{ReadState: peerlink.ReadState{Settled: true}}},
 		"the leader may have been disconnected": {update: peerlink.Update{}, kept: true},
-		"the leader was disconnected":           {update: peerlink.Update{Known: peerlink.Known{SettleMillis: settle}}, kept: true},
-		"the leader is disconnected":            {update: peerlink.Update{Deaf: true, Known: peerlink.Known{Steady: true}}, kept: true},
-		"a relay has no recent update":          {update: peerlink.Update{AgeMillis: stale, Known: peerlink.Known{Steady: true}}, kept: true},
+		"the leader was disconnected":           {update: peerlink.Update{ReadState: peerlink.ReadState{SettleMillis: settle}}, kept: true},
+		"the leader is disconnected":            {update: peerlink.Update{StoreUnreachable: true, ReadState: peerlink.ReadState{Settled: true}}, kept: true},
+		"a relay has no recent update":          {update: peerlink.Update{AgeMillis: stale, ReadState: peerlink.ReadState{Settled: true}}, kept: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
