--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -88,32 +88,32 @@
 	leader.configView.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 	for name, c := range map[string]struct {
 		// items were read by the process, up to revision at.
-		items []coord.Item
-		at    coord.Revision
-		news  peerlink.ConfigChanges
-		taken bool
-		zones []string
+		items   []coord.Item
+		at      coord.Revision
+		changes peerlink.ConfigChanges
+		taken   bool
+		zones   []string
 	}{
 		"everything is new": {
-			news: leader.hub.ConfigSince(0), taken: true, zones: []string{"a"},
+			changes: leader.hub.ConfigSince(0), taken: true, zones: []string{"a"},
 		},
 		"the evacuation is new": {
-			items: []coord.Item{written("config", 5)}, at: 6, news: leader.hub.ConfigSince(6), taken: true, zones: []string{"a"},
+			items: []coord.Item{written("config", 5)}, at: 6, changes: leader.hub.ConfigSince(6), taken: true, zones: []string{"a"},
 		},
 		"the configuration is missing": {
-			news: leader.hub.ConfigSince(6),
+			changes: leader.hub.ConfigSince(6),
 		},
 		"an evacuation was withdrawn": {
-			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7, news: leader.hub.ConfigSince(7),
+			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7, changes: leader.hub.ConfigSince(7),
 			taken: true, zones: []string{"a"},
 		},
 		"newer state is known here": {
-			items: []coord.Item{written("config", 5), written("evacuate/b", 10)}, at: 10, news: leader.hub.ConfigSince(6),
+			items: []coord.Item{written("config", 5), written("evacuate/b", 10)}, at: 10, changes: leader.hub.ConfigSince(6),
 			taken: true, zones: []string{"b"},
 		},
 		"invalid update": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7,
-			news: peerlink.ConfigChanges{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
+			changes: peerlink.ConfigChanges{Revision: 9, Packed: []byte("no packed items")}, zones: []string{"b"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 			if c.at > 0 {
 				r.configView.Snapshot(c.items, c.at)
 			}
-			assert.Equal(t, r.configView.applyRelayed(c.news), c.taken)
+			assert.Equal(t, r.configView.applyRelayed(c.changes), c.taken)
 			assert.DeepEqual(t, r.workers.EvacuatedZones(), append([]string{}, c.zones...))
 		})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -169,7 +169,7 @@
 		r.proxy.Outdated = r.configOutdated
 	}
 	r.process = rand.Text()
-	r.hub = peerlink.NewHub(r.process, r.reports, r.known)
+	r.hub = peerlink.NewHub(r.process, r.reports, r.readState)
 	r.hub.Strength, r.hub.DirectNodes = config.Machine.Strength(), config.DirectRouters
 	r.hub.LinkRate = config.Machine.LinkBytes()
 	r.hub.Traffic = r.proxy.Traffic
@@ -257,7 +257,7 @@
 }
 
 // known returns the revisions that this process has read.
-func (r *Router) known() peerlink.ReadState {
+func (r *Router) readState() peerlink.ReadState {
 	return peerlink.ReadState{
 		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.Settling().Milliseconds(),
 	}
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -60,9 +60,9 @@
 		leader.entriesView.apply([]peerlink.WorkerChange{{ID: "c", Revision: 11, Gone: true}, leaves}, 12)
 		time.Sleep(500 * time.Millisecond)
 		for _, hop := range [][2]*Router{{leader, relay}, {relay, last}} {
-			news := hop[0].hub.EntriesSince(0)
-			assert.Assert(t, news.Whole)
-			assert.Assert(t, hop[1].entriesView.applyRelayed(*news))
+			update := hop[0].hub.EntriesSince(0)
+			assert.Assert(t, update.Whole)
+			assert.Assert(t, hop[1].entriesView.applyRelayed(*update))
 		}
 		assert.Equal(t, last.workers.Count(), 2)
 		assert.Equal(t, last.entriesView.revision(), coord.Revision(12))
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -110,10 +110,10 @@
 	if !b.leads || !b.leaderLinked {
 		return
 	}
-	known := b.leader.known()
+	readState := b.leader.readState()
 	unreachable := time.Since(clock.OfNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
-	known.Settled = !unreachable && known.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
-	update := peerlink.Update{Leading: true, StoreUnreachable: unreachable, ReadState: known}
+	readState.Settled = !unreachable && readState.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
+	update := peerlink.Update{Leading: true, StoreUnreachable: unreachable, ReadState: readState}
 	from, to := b.router.entriesView.revision(), b.leader.entriesView.revision()
 	if from < to {
 		update.Entries = &peerlink.EntryChanges{From: from, To: to}
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -133,12 +133,12 @@
 }
 
 // Take implements proxy.Limits.
-func (l *workerLimits) Take(worker workers.Life, patience, within time.Duration) (time.Duration, bool) {
+func (l *workerLimits) Take(worker workers.Life, maxWait, timeout time.Duration) (time.Duration, bool) {
 	fact, known := l.book.Fact(worker)
 	if !known || fact.Ended {
 		return 0, true
 	}
-	permit, answered := l.ask(fact, patience, min(within, permitTimeout))
+	permit, answered := l.ask(fact, maxWait, min(timeout, permitTimeout))
 	outcome := permitRefused
 	switch {
 	case !answered:
@@ -155,19 +155,19 @@
 }
 
 // ask requests a permit from the leader; false if no leader answers in time.
-func (l *workerLimits) ask(fact workerlimit.Fact, patience, within time.Duration) (peerlink.Permit, bool) {
+func (l *workerLimits) ask(fact workerlimit.Fact, maxWait, timeout time.Duration) (peerlink.Permit, bool) {
 	now := clock.Now()
-	if permit, leading := l.issue(now, fact, patience); leading {
+	if permit, leading := l.issue(now, fact, maxWait); leading {
 		return permit, true
 	}
 	leader := l.r.hub.FollowedLeader()
 	if leader == "" || clock.Nanos(now) < l.noAskUntil.Load() {
 		return peerlink.Permit{}, false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
-		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: patience.Milliseconds(),
+		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: maxWait.Milliseconds(),
 	})
 	if err != nil {
 		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
@@ -184,12 +184,12 @@
 }
 
 // issue grants or refuses a permit as the leader; false if this process does not lead.
-func (l *workerLimits) issue(now time.Time, fact workerlimit.Fact, patience time.Duration) (peerlink.Permit, bool) {
+func (l *workerLimits) issue(now time.Time, fact workerlimit.Fact, maxWait time.Duration) (peerlink.Permit, bool) {
 	tenure := l.tenure.Load()
 	if tenure == nil {
 		return peerlink.Permit{}, false
 	}
-	permit, leading := l.member.Issue(now, fact, patience, !now.Before(tenure.Until()))
+	permit, leading := l.member.Issue(now, fact, maxWait, !now.Before(tenure.Until()))
 	if permit.News {
 		l.log(fact, seenByPeer)
 	}
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -52,21 +52,21 @@
 
 func TestWorkerChangesFromTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
-		news    peerlink.EntryChanges
+		changes peerlink.EntryChanges
 		applied bool
 		drains  bool
 		at      coord.Revision
 	}{
-		"next":                    {news: peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
-		"some already known":      {news: peerlink.EntryChanges{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
-		"earlier changes missing": {news: peerlink.EntryChanges{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
-		"too many to relay":       {news: peerlink.EntryChanges{From: 12, To: 12}, at: 10},
+		"next":                    {changes: peerlink.EntryChanges{From: 10, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 11)}}, applied: true, drains: true, at: 12},
+		"some already known":      {changes: peerlink.EntryChanges{From: 5, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 9)}}, applied: true, at: 12},
+		"earlier changes missing": {changes: peerlink.EntryChanges{From: 11, To: 12, Changes: []peerlink.WorkerChange{drainingChange("a", 12)}}, at: 10},
+		"too many to relay":       {changes: peerlink.EntryChanges{From: 12, To: 12}, at: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			view := r.entriesView
 			view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-			assert.Equal(t, view.applyRelayed(test.news), test.applied)
+			assert.Equal(t, view.applyRelayed(test.changes), test.applied)
 			worker, known := r.workers.Get("a")
 			assert.Assert(t, known)
 			assert.Equal(t, worker.State == workers.StateDraining, test.drains)
