--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -111,7 +111,7 @@
 	{
 		name: "age-of-news-not-told",
 		file: "internal/peerlink/entries.go",
-		old:  "	return max(0, now.Sub(learned).Milliseconds())",
+		old:  "	return max(0, now.Sub(learnedAt).Milliseconds())",
 		new:  "	return 0",
 		pkg:  "./internal/peerlink", test: "TestEntryChangesCarryTheirAge",
 	},
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -34,7 +34,7 @@
 	{
 		name: "routers-are-not-told-who-leaves",
 		file: "internal/peerlink/update.go",
-		old:  "	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.Tell)\n",
+		old:  "	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.Tell)\n",
 		new:  "	_ = departure.Tell\n",
 		pkg:  "./platform/session", test: "TestAllRoutersKnowThatAWorkerLeavesThroughRelays",
 	},
--- a/internal/peerlink/age_test.go
+++ b/internal/peerlink/age_test.go
@@ -15,23 +15,23 @@
 // heard 1.0 s later than its neighbour that a worker leaves gave it the whole time for leaving
 // from then, and sent to it 2.57 s after it had left, where 2.5 s were allowed.
 func TestEntryChangesCarryTheirAge(t *testing.T) {
-	for name, count := range map[string]int{"as they are": 1, "packed": fewChanges + 1} {
+	for name, count := range map[string]int{"as they are": 1, "packed": maxUnpackedChanges + 1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				first, second := newAgeHub(), newAgeHub()
+				first, second := newTestHub(), newTestHub()
 				learned := time.Now()
-				first.AddEntryChanges(leaving(count, learned), coord.Revision(count))
+				first.AddEntryChanges(drainingChanges(count, learned), coord.Revision(count))
 				time.Sleep(300 * time.Millisecond)
-				first.entriesFor(&link{}, time.Now()) // another link hears sooner
+				first.entryChangesFor(&link{}, time.Now()) // another link hears sooner
 				time.Sleep(200 * time.Millisecond)
-				relayed, err := first.entriesFor(&link{}, time.Now()).Decode(time.Now())
+				relayed, err := first.entryChangesFor(&link{}, time.Now()).Decode(time.Now())
 				assert.NilError(t, err)
 				second.AddEntryChanges(relayed, coord.Revision(count))
 				time.Sleep(400 * time.Millisecond)
-				heard, err := second.entriesFor(&link{}, time.Now()).Decode(time.Now())
+				received, err := second.entryChangesFor(&link{}, time.Now()).Decode(time.Now())
 				assert.NilError(t, err)
-				for _, one := range heard {
-					assert.Equal(t, one.LearnedAt, learned)
+				for _, change := range received {
+					assert.Equal(t, change.LearnedAt, learned)
 				}
 			})
 		})
@@ -40,7 +40,7 @@
 
 func TestConfigChangesCarryTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		hub := newAgeHub()
+		hub := newTestHub()
 		learned := time.Now()
 		hub.SetConfig([]coord.Item{{Key: "a", Revision: 1}}, 1, learned)
 		time.Sleep(700 * time.Millisecond)
@@ -50,15 +50,15 @@
 	})
 }
 
-func newAgeHub() *Hub { return NewHub("process", nil, func() ReadState { return ReadState{} }) }
+func newTestHub() *Hub { return NewHub("process", nil, func() ReadState { return ReadState{} }) }
 
 // leaving are changes by which workers begin to drain.
-func leaving(count int, learned time.Time) []WorkerChange {
+func drainingChanges(count int, learned time.Time) []WorkerChange {
 	var changes []WorkerChange
 	for index := range count {
-		one := change(workers.ID(rune('a'+index)), coord.Revision(1+index))
-		one.LearnedAt = learned
-		changes = append(changes, one)
+		drained := drainingChange(workers.ID(rune('a'+index)), coord.Revision(1+index))
+		drained.LearnedAt = learned
+		changes = append(changes, drained)
 	}
 	return changes
 }
--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -21,7 +21,7 @@
 
 // fleet returns workers, and owners of equal runs of keys, with names that pack no better than real
 // ones.
-func fleet(count, keyed int) ([]WorkerChange, []owner.Owner) {
+func testFleet(count, keyed int) ([]WorkerChange, []owner.Owner) {
 	source := rand.New(rand.NewSource(1))
 	var list []WorkerChange
 	var owners []owner.Owner
@@ -41,22 +41,22 @@
 
 // collector is a follower that puts pages together as a router does.
 type collector struct {
-	table *keytable.Table
-	mu    sync.Mutex
-	known map[workers.ID]bool
-	after workers.ID
-	at    coord.Revision
+	table    *keytable.Table
+	mu       sync.Mutex
+	known    map[workers.ID]bool
+	after    workers.ID
+	revision coord.Revision
 	// entries is the revision up to which all is known, and whole counts the lists that were told.
-	entries coord.Revision
-	whole   int
-	ends    atomic.Int32
+	entriesRevision coord.Revision
+	lists           int
+	brokenLinks     atomic.Int32
 }
 
 func newCollector() *collector {
 	return &collector{table: keytable.New(), known: map[workers.ID]bool{}}
 }
 
-func (c *collector) heard(update Update) {
+func (c *collector) onUpdate(update Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, news := range []*EntryChanges{update.Page, update.Entries} {
@@ -67,14 +67,14 @@
 			clear(c.known)
 		}
 		changes, _ := news.Decode(time.Now())
-		for _, one := range changes {
-			c.known[one.ID] = true
+		for _, change := range changes {
+			c.known[change.ID] = true
 		}
-		c.after, c.at = news.Last, news.To
+		c.after, c.revision = news.Last, news.To
 		if !news.More {
-			c.entries = news.To
-			c.after, c.at = "", 0
-			c.whole++
+			c.entriesRevision = news.To
+			c.after, c.revision = "", 0
+			c.lists++
 		}
 	}
 }
@@ -84,24 +84,24 @@
 	follower := Follower{
 		Hello: Hello{Node: "n"}, Table: c.table, TakeReport: NewMeter().Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
 		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true }, ConfigRevision: func() coord.Revision { return 0 },
-		EntriesRevision: func() coord.Revision { c.mu.Lock(); defer c.mu.Unlock(); return c.entries },
-		ListPosition:    func() (workers.ID, coord.Revision) { c.mu.Lock(); defer c.mu.Unlock(); return c.after, c.at },
-		OnUpdate:        c.heard,
+		EntriesRevision: func() coord.Revision { c.mu.Lock(); defer c.mu.Unlock(); return c.entriesRevision },
+		ListPosition:    func() (workers.ID, coord.Revision) { c.mu.Lock(); defer c.mu.Unlock(); return c.after, c.revision },
+		OnUpdate:        c.onUpdate,
 	}
 	for ctx.Err() == nil {
 		_ = follower.Follow(ctx, address)
 		if ctx.Err() == nil {
-			c.ends.Add(1)
+			c.brokenLinks.Add(1)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
 }
 
-func (c *collector) knows(count int) bool {
+func (c *collector) complete(count int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, _, version := c.table.Owners("s")
-	return c.whole > 0 && len(c.known) == count && version == 1
+	return c.lists > 0 && len(c.known) == count && version == 1
 }
 
 // A whole zone that starts at once is told all workers and owners over a link that takes several
@@ -109,9 +109,9 @@
 // broke before its message was through, and began with all of it again.
 func TestManyFollowersSyncOverASlowLink(t *testing.T) {
 	const followers, workerCount, bytesPerSecond = 40, 3000, 4e6
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	hub.DirectNodes, hub.LinkRate = 2*followers, bytesPerSecond
-	list, owners := fleet(workerCount, 1000)
+	list, owners := testFleet(workerCount, 1000)
 	hub.SetEntries(list, 99999, time.Time{})
 	hub.Publish("s", owners)
 	slow, err := lablink.New("127.0.0.1:0", address)
@@ -126,77 +126,77 @@
 		go all[index].follow(ctx, slow.Address())
 	}
 	ends := int32(0)
-	for _, one := range all {
-		eventually(t, "that all are told", func() bool { return one.knows(workerCount) })
-		ends += one.ends.Load()
+	for _, collector := range all {
+		eventually(t, "that all are told", func() bool { return collector.complete(workerCount) })
+		ends += collector.brokenLinks.Load()
 	}
 	assert.Equal(t, ends, int32(0), "links that broke")
-	for _, one := range owners {
-		held, _ := all[0].table.Lookup("s", one.Keys.From)
-		assert.Equal(t, held.Worker, one.Worker)
+	for _, collector := range owners {
+		held, _ := all[0].table.Lookup("s", collector.Keys.From)
+		assert.Equal(t, held.Worker, collector.Worker)
 	}
 }
 
 // A link has to wait while others are told, and is told once one of them knows all or has gone.
 func TestBulkTransfersAreLimitedToAFewLinks(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var turns bulk
+	var transfers bulkTransfers
 	links := make([]*link, bulkLinks+2)
 	for index := range links {
 		links[index] = &link{wake: make(chan struct{}, 1)}
-		assert.Equal(t, turns.admits(links[index], now), index < bulkLinks)
+		assert.Equal(t, transfers.admit(links[index], now), index < bulkLinks)
 	}
 	next, last := links[bulkLinks], links[bulkLinks+1]
-	turns.leave(links[3])
+	transfers.release(links[3])
 	assert.Equal(t, len(next.wake), 1, "the first that waits is told so")
-	assert.Assert(t, !turns.admits(last, now), "it does not overtake")
-	assert.Assert(t, turns.admits(next, now))
-	turns.leave(last) // gone while it waited
-	turns.leave(links[0])
-	assert.Assert(t, turns.admits(links[0], now), "nobody waits")
-	turns.spend(now, 3_000_000, 1_000_000)
-	assert.Assert(t, !turns.admits(next, now.Add(3900*time.Millisecond)), "pieces keep to their part of the bandwidth")
-	assert.Assert(t, turns.admits(next, now.Add(4*time.Second)))
+	assert.Assert(t, !transfers.admit(last, now), "it does not overtake")
+	assert.Assert(t, transfers.admit(next, now))
+	transfers.release(last) // gone while it waited
+	transfers.release(links[0])
+	assert.Assert(t, transfers.admit(links[0], now), "nobody waits")
+	transfers.reserve(now, 3_000_000, 1_000_000)
+	assert.Assert(t, !transfers.admit(next, now.Add(3900*time.Millisecond)), "pieces keep to their part of the bandwidth")
+	assert.Assert(t, transfers.admit(next, now.Add(4*time.Second)))
 }
 
 // tell sends a link its next message as if the bandwidth had no bounds.
-func tell(h *Hub, one *link) Update {
-	update, _ := h.update(one)
+func nextUpdate(h *Hub, l *link) Update {
+	update, _ := h.update(l)
 	return update
 }
 
 func newLink(hello Hello) *link {
 	return &link{
-		wake: make(chan struct{}, 1), sent: map[routing.ServiceName]sentOwners{}, hello: hello, entries: hello.Entries,
-		list: listPosition{after: hello.ListAfter, at: hello.ListAt},
+		wake: make(chan struct{}, 1), sentOwners: map[routing.ServiceName]sentOwners{}, hello: hello, entriesRevision: hello.Entries,
+		listPosition: listPosition{after: hello.ListAfter, revision: hello.ListAt},
 	}
 }
 
 // A process that was told a part of the list by one goes on at another, and misses nothing that has
 // changed since the first page: neither workers that came nor those that went.
 func TestPagedListResumesAtAnotherProcess(t *testing.T) {
-	list, _ := fleet(3*pageWorkers, 0)
-	first, second := newAgeHub(), newAgeHub()
+	list, _ := testFleet(3*pageWorkers, 0)
+	first, second := newTestHub(), newTestHub()
 	for _, hub := range []*Hub{first, second} {
 		hub.Open(1)
 		hub.SetEntries(list, 10_000, time.Time{})
 	}
 	c := newCollector()
-	update := tell(first, newLink(Hello{}))
+	update := nextUpdate(first, newLink(Hello{}))
 	assert.Assert(t, update.Page.More)
-	c.heard(update)
+	c.onUpdate(update)
 	assert.Equal(t, len(c.known), pageWorkers)
 	gone := update.Page.Last
-	second.AddEntryChanges([]WorkerChange{{ID: gone, Revision: 10_001, Gone: true}, ready("i-zzz", 10_002)}, 10_002)
-	after, at := c.after, c.at
-	one := newLink(Hello{ListAfter: after, ListAt: at})
-	for c.entries == 0 {
-		update = tell(second, one)
-		c.heard(update)
+	second.AddEntryChanges([]WorkerChange{{ID: gone, Revision: 10_001, Gone: true}, readyChange("i-zzz", 10_002)}, 10_002)
+	after, at := c.after, c.revision
+	l := newLink(Hello{ListAfter: after, ListAt: at})
+	for c.entriesRevision == 0 {
+		update = nextUpdate(second, l)
+		c.onUpdate(update)
 	}
 	assert.Equal(t, len(c.known), 3*pageWorkers+1)
-	assert.Equal(t, c.entries, coord.Revision(10_000), "what is known of all of them")
-	update = tell(second, one)
+	assert.Equal(t, c.entriesRevision, coord.Revision(10_000), "what is known of all of them")
+	update = nextUpdate(second, l)
 	assert.Equal(t, update.Entries.From, coord.Revision(10_000))
 	assert.Equal(t, len(update.Entries.Changes), 2)
 	assert.Assert(t, update.Entries.Changes[0].Gone && update.Entries.Changes[0].ID == gone)
@@ -204,36 +204,36 @@
 
 // What changed since the pages that a process has may no longer be kept where it goes on.
 func TestPagedListRestartsAfterTooManyChanges(t *testing.T) {
-	list, _ := fleet(3*pageWorkers, 0)
-	hub := newAgeHub()
+	list, _ := testFleet(3*pageWorkers, 0)
+	hub := newTestHub()
 	hub.Open(1)
 	hub.SetEntries(list, 10_000, time.Time{})
-	update := tell(hub, newLink(Hello{ListAfter: list[0].ID, ListAt: 9_999}))
+	update := nextUpdate(hub, newLink(Hello{ListAfter: list[0].ID, ListAt: 9_999}))
 	assert.Equal(t, update.Page.After, workers.ID(""))
 	// The same for one that knew all, long ago.
-	update = tell(hub, newLink(Hello{Entries: 9_999}))
+	update = nextUpdate(hub, newLink(Hello{Entries: 9_999}))
 	assert.Assert(t, update.Page.Whole && update.Page.More && update.Entries == nil)
 }
 
 // Owners change while they are told: what a link was told already changes with them, the rest is
 // told as it stands then.
 func TestOwnersChangeDuringTransfer(t *testing.T) {
-	_, owners := fleet(4*pieceRuns, 4*pieceRuns)
-	hub := newAgeHub()
+	_, owners := testFleet(4*maxPieceRuns, 4*maxPieceRuns)
+	hub := newTestHub()
 	hub.Open(1)
 	hub.Publish("s", owners)
-	one, table := newLink(Hello{}), keytable.New()
+	l, table := newLink(Hello{}), keytable.New()
 	apply := func(update Update) {
-		for _, news := range update.Services {
-			told, ok := news.Owners()
+		for _, message := range update.Services {
+			decoded, ok := message.Owners()
 			assert.Assert(t, ok)
 			table.Apply("s", keytable.Change{
-				Term: update.Term, Version: news.Version, Part: news.Part, Whole: news.Whole, Within: news.Keys, Owners: told,
+				Term: update.Term, Version: message.Version, Part: message.Part, Whole: message.Whole, Within: message.Keys, Owners: decoded,
 			})
 		}
 	}
 	for step := range 4 {
-		apply(tell(hub, one))
+		apply(nextUpdate(hub, l))
 		changed := append([]owner.Owner(nil), owners...)
 		for index := step; index < len(changed); index += 7 {
 			changed[index].Worker = workers.ID(fmt.Sprint("new-", step))
@@ -241,19 +241,19 @@
 		owners = changed
 		hub.Publish("s", owners)
 	}
-	apply(tell(hub, one))
-	for _, should := range owners {
-		held, _ := table.Lookup("s", should.Keys.From)
-		assert.Equal(t, held.Worker, should.Worker)
+	apply(nextUpdate(hub, l))
+	for _, want := range owners {
+		held, _ := table.Lookup("s", want.Keys.From)
+		assert.Equal(t, held.Worker, want.Worker)
 	}
 	_, _, version := table.Owners("s")
 	assert.Equal(t, version, uint64(5))
-	assert.Equal(t, len(tell(hub, one).Services), 0, "all is told")
+	assert.Equal(t, len(nextUpdate(hub, l).Services), 0, "all is told")
 }
 
 func TestInvalidServiceOwnersAreRejected(t *testing.T) {
 	worker := []NamedWorker{{ID: "w", Address: "a"}}
-	for name, news := range map[string]ServiceOwners{
+	for name, message := range map[string]ServiceOwners{
 		"an unknown worker": {Workers: worker, Runs: [][4]int{{0, 9, 1, 0}}},
 		"out of order":      {Workers: worker, Runs: [][4]int{{5, 9, 0, 0}, {0, 4, 0, 0}}},
 		"twice":             {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
@@ -263,7 +263,7 @@
 		"not packed":        {Packed: []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, ok := news.Owners()
+			_, ok := message.Owners()
 			assert.Assert(t, !ok)
 		})
 	}
@@ -272,15 +272,15 @@
 // A leader that reads the list anew, since the service has forgotten its history, told all of it to
 // each of hundreds of processes, which had missed a few changes of ten thousand workers.
 func TestListReadAgainIsSentAsChanges(t *testing.T) {
-	list, _ := fleet(3*pageWorkers, 0)
-	hub := newAgeHub()
+	list, _ := testFleet(3*pageWorkers, 0)
+	hub := newTestHub()
 	hub.Open(1)
 	hub.SetEntries(list, 10_000, time.Time{})
-	one := newLink(Hello{Entries: 10_000})
-	again := append([]WorkerChange(nil), list[5:]...) // five went
-	again = append(again, ready("i-new", 10_007), change("i-leaves", 10_006))
-	hub.SetEntries(again, 10_020, time.Time{})
-	update := tell(hub, one)
+	item := newLink(Hello{Entries: 10_000})
+	reread := append([]WorkerChange(nil), list[5:]...) // five went
+	reread = append(reread, readyChange("i-new", 10_007), drainingChange("i-leaves", 10_006))
+	hub.SetEntries(reread, 10_020, time.Time{})
+	update := nextUpdate(hub, item)
 	assert.Assert(t, update.Page == nil)
 	assert.Equal(t, update.Entries.From, coord.Revision(10_000))
 	assert.Equal(t, update.Entries.To, coord.Revision(10_020))
@@ -288,18 +288,18 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(changes), 7)
 	gone := 0
-	for _, one := range changes {
-		if one.Gone {
+	for _, item := range changes {
+		if item.Gone {
 			gone++
-			assert.Equal(t, one.Revision, coord.Revision(10_020))
+			assert.Equal(t, item.Revision, coord.Revision(10_020))
 		}
 	}
 	assert.Equal(t, gone, 5)
 	assert.Assert(t, changes[0].Draining && changes[0].ID == "i-leaves", "in the order of revisions")
 	// Who knows nothing is told the list as it is now.
 	c := newCollector()
-	for link := newLink(Hello{}); c.entries == 0; {
-		c.heard(tell(hub, link))
+	for link := newLink(Hello{}); c.entriesRevision == 0; {
+		c.onUpdate(nextUpdate(hub, link))
 	}
-	assert.Equal(t, len(c.known), len(again))
+	assert.Equal(t, len(c.known), len(reread))
 }
--- a/internal/peerlink/entries.go
+++ b/internal/peerlink/entries.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// keptChanges is how many changes of workers are kept for links that lag at the least, and
-	// keptFor is for how long all are, however many come when workers start or a service is
+	// minKeptChanges is how many changes of workers are kept for links that lag at the least, and
+	// changesKeptFor is for how long all are, however many come when workers start or a service is
 	// released.
-	keptChanges = 512
-	keptFor     = 5 * time.Second
-	// fewChanges are told as they are; more of them are packed.
-	fewChanges = 8
-	// newcomersPause is the pause between messages to a link that tell of nothing but
+	minKeptChanges = 512
+	changesKeptFor = 5 * time.Second
+	// maxUnpackedChanges are told as they are; more of them are packed.
+	maxUnpackedChanges = 8
+	// newWorkersInterval is the pause between messages to a link that tell of nothing but
 	// workers that came, of which there are many at a start. A worker that leaves is
 	// told at once.
-	newcomersPause = 400 * time.Millisecond
+	newWorkersInterval = 400 * time.Millisecond
 )
 
 // entryLog keeps the last changes of workers. Each process keeps one, so that it has
@@ -31,85 +31,85 @@
 	from, to coord.Revision
 	changes  []WorkerChange
 	// came is when each of them did.
-	came []time.Time
+	receivedAt []time.Time
 	// all are the last changes of the workers that have an entry; nil: no list was read.
-	all map[workers.ID]WorkerChange
+	current map[workers.ID]WorkerChange
 }
 
 // read takes a list of all workers as of a revision. What it tells that was not known is kept as
 // changes, so that links which knew all before are told these only, and not the list: each time
 // that the history is forgotten one process reads the list anew.
 // since is as of when all was known before.
-func (l *entryLog) read(list []WorkerChange, at coord.Revision, since, now time.Time) {
-	if l.all == nil || at < l.to {
-		l.reset(list, at)
+func (l *entryLog) setList(list []WorkerChange, revision coord.Revision, goneSince, now time.Time) {
+	if l.current == nil || revision < l.to {
+		l.reset(list, revision)
 		return
 	}
-	l.add(l.news(list, at, since), at, now)
+	l.add(l.changesIn(list, revision, goneSince), revision, now)
 }
 
 // reset begins anew: all up to a revision was read at once.
-func (l *entryLog) reset(list []WorkerChange, at coord.Revision) {
-	l.from, l.to, l.changes, l.came, l.all = at, at, nil, nil, map[workers.ID]WorkerChange{}
-	for _, one := range list {
-		l.all[one.ID] = one
+func (l *entryLog) reset(list []WorkerChange, revision coord.Revision) {
+	l.from, l.to, l.changes, l.receivedAt, l.current = revision, revision, nil, nil, map[workers.ID]WorkerChange{}
+	for _, change := range list {
+		l.current[change.ID] = change
 	}
 }
 
 // news returns what a list tells that was not known, in the order of revisions. When workers went
 // that are in it no longer is not told: their changes count as of the list, and are known since all
 // was known before.
-func (l *entryLog) news(list []WorkerChange, at coord.Revision, since time.Time) []WorkerChange {
+func (l *entryLog) changesIn(list []WorkerChange, revision coord.Revision, goneSince time.Time) []WorkerChange {
 	listed := make(map[workers.ID]bool, len(list))
-	var news []WorkerChange
-	for _, one := range list {
-		listed[one.ID] = true
-		if one.Revision > l.to {
-			news = append(news, one)
+	var changes []WorkerChange
+	for _, change := range list {
+		listed[change.ID] = true
+		if change.Revision > l.to {
+			changes = append(changes, change)
 		}
 	}
-	slices.SortFunc(news, func(a, b WorkerChange) int { return cmp.Compare(a.Revision, b.Revision) })
-	for id := range l.all {
+	slices.SortFunc(changes, func(a, b WorkerChange) int { return cmp.Compare(a.Revision, b.Revision) })
+	for id := range l.current {
 		if !listed[id] {
-			news = append(news, WorkerChange{Revision: at, ID: id, Gone: true, LearnedAt: since})
+			changes = append(changes, WorkerChange{Revision: revision, ID: id, Gone: true, LearnedAt: goneSince})
 		}
 	}
-	return news
+	return changes
 }
 
 // add takes changes that lead up to a revision.
-func (l *entryLog) add(changes []WorkerChange, at coord.Revision, now time.Time) {
+func (l *entryLog) add(changes []WorkerChange, revision coord.Revision, now time.Time) {
 	l.changes = append(l.changes, changes...)
 	for range changes {
-		l.came = append(l.came, now)
+		l.receivedAt = append(l.receivedAt, now)
 	}
-	l.to = max(l.to, at)
-	l.know(changes)
-	old, _ := slices.BinarySearchFunc(l.came, now.Add(-keptFor), time.Time.Compare)
-	surplus := min(old, len(l.changes)-keptChanges)
+	l.to = max(l.to, revision)
+	l.updateCurrent(changes)
+	old, _ := slices.BinarySearchFunc(l.receivedAt, now.Add(-changesKeptFor), time.Time.Compare)
+	surplus := min(old, len(l.changes)-minKeptChanges)
 	if surplus > 0 {
 		l.from = l.changes[surplus-1].Revision
 		l.changes = slices.Clone(l.changes[surplus:])
-		l.came = slices.Clone(l.came[surplus:])
+		l.receivedAt = slices.Clone(l.receivedAt[surplus:])
 	}
 }
 
 // know keeps what is announced, once a list was read.
-func (l *entryLog) know(changes []WorkerChange) {
-	if l.all == nil {
+func (l *entryLog) updateCurrent(changes []WorkerChange) {
+	if l.current == nil {
 		return
 	}
-	for _, one := range changes {
-		if one.Gone && one.Unreadable == nil {
-			delete(l.all, one.ID)
+	for _, change := range changes {
+		if change.Gone && change.Unreadable == nil {
+			delete(l.current, change.ID)
 			continue
 		}
-		l.all[one.ID] = one
+		l.current[change.ID] = change
 	}
 }
 
 // announced describes a worker as it is told at a time.
-func (c WorkerChange) announced(now time.Time) WorkerChange {
+func (c WorkerChange) withAges(now time.Time) WorkerChange {
 	if c.Draining {
 		c.AgeMillis = ageMillis(c.LearnedAt, now)
 	}
@@ -118,78 +118,78 @@
 }
 
 // whole announces all workers, to who knows none.
-func (l *entryLog) whole(now time.Time) *EntryChanges {
-	news := &EntryChanges{From: l.to, To: l.to, Whole: true}
-	for _, one := range l.all {
-		news.Changes = append(news.Changes, one.announced(now))
+func (l *entryLog) fullList(now time.Time) *EntryChanges {
+	full := &EntryChanges{From: l.to, To: l.to, Whole: true}
+	for _, change := range l.current {
+		full.Changes = append(full.Changes, change.withAges(now))
 	}
-	return news
+	return full
 }
 
 // since returns all changes after a revision, or all workers to who knows none; without them if
 // they are too many or no longer kept, and nil if there are none. Each says how old it is now.
-func (l *entryLog) since(revision coord.Revision, now time.Time) *EntryChanges {
+func (l *entryLog) changesSince(revision coord.Revision, now time.Time) *EntryChanges {
 	switch {
 	case revision >= l.to:
 		return nil
-	case revision == 0 && l.all != nil:
-		return l.whole(now)
+	case revision == 0 && l.current != nil:
+		return l.fullList(now)
 	case revision < l.from:
 		return &EntryChanges{From: l.to, To: l.to}
 	}
-	news := &EntryChanges{From: revision, To: l.to}
+	result := &EntryChanges{From: revision, To: l.to}
 	for _, change := range l.changes {
 		if change.Revision > revision {
 			change.AgeMillis = ageMillis(change.LearnedAt, now)
-			news.Changes = append(news.Changes, change)
+			result.Changes = append(result.Changes, change)
 		}
 	}
-	return news
+	return result
 }
 
 // ageMillis is for how long something has been known; zero if that is not told.
-func ageMillis(learned, now time.Time) int64 {
-	if learned.IsZero() {
+func ageMillis(learnedAt, now time.Time) int64 {
+	if learnedAt.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(learned).Milliseconds())
+	return max(0, now.Sub(learnedAt).Milliseconds())
 }
 
 // urgent reports whether a change says that a worker leaves.
-func urgent(one WorkerChange) bool { return one.Gone || one.Draining }
+func urgent(change WorkerChange) bool { return change.Gone || change.Draining }
 
 // tellEntries adds to an update what a link has not heard of the workers. The caller holds mu.
-func (h *Hub) tellEntries(one *link, update *Update, now time.Time) {
-	if !h.listsTo(one) {
-		one.list = listPosition{}
-		update.Entries = h.entriesFor(one, now)
+func (h *Hub) addEntries(l *link, update *Update, now time.Time) {
+	if !h.needsPagedList(l) {
+		l.listPosition = listPosition{}
+		update.Entries = h.entryChangesFor(l, now)
 		return
 	}
-	update.Page = h.pageFor(one, now)
+	update.Page = h.pageFor(l, now)
 }
 
 // listsTo reports whether a link is to be told a list that takes several messages: it knows no
 // worker, or has missed more changes than are kept.
-func (h *Hub) listsTo(one *link) bool {
-	lacks := one.entries == 0 || one.entries < h.entries.from
-	return lacks && one.entries < h.entries.to && len(h.entries.all) > pageWorkers
+func (h *Hub) needsPagedList(l *link) bool {
+	lacks := l.entriesRevision == 0 || l.entriesRevision < h.entries.from
+	return lacks && l.entriesRevision < h.entries.to && len(h.entries.current) > pageWorkers
 }
 
 // entriesFor returns what a link has not heard of the workers. The caller holds mu.
-func (h *Hub) entriesFor(one *link, now time.Time) *EntryChanges {
-	news := h.entries.since(one.entries, now)
-	if news == nil {
+func (h *Hub) entryChangesFor(l *link, now time.Time) *EntryChanges {
+	changes := h.entries.changesSince(l.entriesRevision, now)
+	if changes == nil {
 		return nil
 	}
-	hurry := news.Whole || len(news.Changes) == 0 || slices.ContainsFunc(news.Changes, urgent)
-	if !hurry && now.Sub(one.entriesAt) < newcomersPause {
+	immediate := changes.Whole || len(changes.Changes) == 0 || slices.ContainsFunc(changes.Changes, urgent)
+	if !immediate && now.Sub(l.entriesSentAt) < newWorkersInterval {
 		return nil
 	}
-	one.entries, one.entriesAt = news.To, now
-	if len(news.Changes) > fewChanges {
-		h.packed.pack(news, now)
+	l.entriesRevision, l.entriesSentAt = changes.To, now
+	if len(changes.Changes) > maxUnpackedChanges {
+		h.packedEntries.pack(changes, now)
 	}
-	return news
+	return changes
 }
 
 // packedEntries keeps what was packed last: links lag by the same.
@@ -197,23 +197,23 @@
 	from, to coord.Revision
 	whole    bool
 	packed   []byte
-	at       time.Time
+	packedAt time.Time
 }
 
 // pack packs the changes of a message.
-func (p *packedEntries) pack(news *EntryChanges, now time.Time) {
-	if p.from != news.From || p.to != news.To || p.whole != news.Whole {
-		*p = packedEntries{from: news.From, to: news.To, whole: news.Whole, packed: pack(news.Changes), at: now}
+func (p *packedEntries) pack(changes *EntryChanges, now time.Time) {
+	if p.from != changes.From || p.to != changes.To || p.whole != changes.Whole {
+		*p = packedEntries{from: changes.From, to: changes.To, whole: changes.Whole, packed: pack(changes.Changes), packedAt: now}
 	}
-	news.Packed, news.Changes, news.PackedMillis = p.packed, nil, ageMillis(p.at, now)
+	changes.Packed, changes.Changes, changes.PackedMillis = p.packed, nil, ageMillis(p.packedAt, now)
 }
 
 // EntriesRead tells which entries there are at a revision, up to which all were read at once. since
 // is as of when all was known before; the zero time: until now.
-func (h *Hub) SetEntries(list []WorkerChange, at coord.Revision, since time.Time) {
+func (h *Hub) SetEntries(list []WorkerChange, revision coord.Revision, goneSince time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.entries.read(list, at, since, clock.Now())
+	h.entries.setList(list, revision, goneSince, clock.Now())
 	h.wakeAll()
 }
 
@@ -221,23 +221,23 @@
 func (h *Hub) EntriesSince(revision coord.Revision) *EntryChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.entries.since(revision, clock.Now())
+	return h.entries.changesSince(revision, clock.Now())
 }
 
 // EntriesChanged tells of changes that lead up to a revision.
-func (h *Hub) AddEntryChanges(changes []WorkerChange, at coord.Revision) {
+func (h *Hub) AddEntryChanges(changes []WorkerChange, revision coord.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.entries.add(changes, at, clock.Now())
+	h.entries.add(changes, revision, clock.Now())
 	h.wakeAll()
 }
 
 // strongest returns the greatest strength of the linked machines and the own. The
 // caller holds mu.
-func (h *Hub) strongest() float64 {
+func (h *Hub) maxStrength() float64 {
 	strongest := h.Strength
-	for one := range h.links {
-		strongest = max(strongest, one.hello.Strength)
+	for l := range h.links {
+		strongest = max(strongest, l.hello.Strength)
 	}
 	return strongest
 }
--- a/internal/peerlink/follow.go
+++ b/internal/peerlink/follow.go
@@ -31,17 +31,17 @@
 // Error implements error.
 func (e *RedirectError) Error() string { return "follow " + e.Address + " instead" }
 
-// The pause between reports is reportEvery, and reportEach for each process that reports
+// The pause between reports is reportInterval, and reportIntervalPerSibling for each process that reports
 // to the same one: with many of them that one sees as much in a longer time, and gets
 // fewer bytes.
 const (
-	reportEvery = 180 * time.Millisecond
-	reportEach  = 3 * time.Millisecond
-	// urgentEvery is the least pause between reports.
-	urgentEvery = 40 * time.Millisecond
-	// emptyEvery is the pause after which a report is sent that tells nothing: who is silent
+	reportInterval           = 180 * time.Millisecond
+	reportIntervalPerSibling = 3 * time.Millisecond
+	// minReportInterval is the least pause between reports.
+	minReportInterval = 40 * time.Millisecond
+	// emptyReportInterval is the pause after which a report is sent that tells nothing: who is silent
 	// counts as lost.
-	emptyEvery = reportSilence / 4
+	emptyReportInterval = reportSilence / 4
 )
 
 // Follower is the other processes' side.
@@ -102,7 +102,7 @@
 }
 
 func (f *Follower) receive(conn net.Conn, siblings *atomic.Int32) error {
-	reader := bufio.NewReader(moving{Conn: conn, silence: SilenceLimit})
+	reader := bufio.NewReader(idleTimeoutConn{Conn: conn, timeout: SilenceLimit})
 	first := true
 	for {
 		var update Update
@@ -123,9 +123,9 @@
 		if update.LeadershipUncertain {
 			f.OnLeadershipUncertain()
 		}
-		for _, news := range update.Services {
-			if !f.apply(update.Term, news) {
-				return Error.New("what the leader tells of the owners of %s can't be read", news.Service)
+		for _, owners := range update.Services {
+			if !f.apply(update.Term, owners) {
+				return Error.New("what the leader tells of the owners of %s can't be read", owners.Service)
 			}
 		}
 		if first {
@@ -135,20 +135,20 @@
 	}
 }
 
-func (f *Follower) apply(term owner.Term, news ServiceOwners) bool {
-	owners, readable := news.Owners()
-	if !readable {
+func (f *Follower) apply(term owner.Term, changed ServiceOwners) bool {
+	owners, ok := changed.Owners()
+	if !ok {
 		return false
 	}
-	f.Table.Apply(news.Service, keytable.Change{
-		Term: term, Version: news.Version, Part: news.Part, Whole: news.Whole, Within: news.Keys, Owners: owners,
+	f.Table.Apply(changed.Service, keytable.Change{
+		Term: term, Version: changed.Version, Part: changed.Part, Whole: changed.Whole, Within: changed.Keys, Owners: owners,
 	})
-	f.OnOwnersApplied(news.Service)
+	f.OnOwnersApplied(changed.Service)
 	return true
 }
 
 func (f *Follower) report(conn net.Conn, siblings *atomic.Int32, done <-chan struct{}) {
-	due := time.NewTimer(reportEvery)
+	due := time.NewTimer(reportInterval)
 	defer due.Stop()
 	sent := clock.Now()
 	for {
@@ -160,9 +160,9 @@
 			report = f.TakeUrgentReport()
 		case <-due.C:
 			report = f.TakeReport()
-			due.Reset(reportEvery + time.Duration(siblings.Load())*reportEach)
+			due.Reset(reportInterval + time.Duration(siblings.Load())*reportIntervalPerSibling)
 		}
-		if report.Empty() && clock.Since(sent) < emptyEvery {
+		if report.Empty() && clock.Since(sent) < emptyReportInterval {
 			continue
 		}
 		sent = clock.Now()
@@ -172,7 +172,7 @@
 		select {
 		case <-done:
 			return
-		case <-time.After(urgentEvery):
+		case <-time.After(minReportInterval):
 		}
 	}
 }
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -22,7 +22,7 @@
 // Times of a link.
 const (
 	// heartbeat is the longest that the leader stays silent.
-	heartbeat = 350 * time.Millisecond
+	heartbeatInterval = 350 * time.Millisecond
 	// SilenceLimit is the silence after which a leader counts as lost. Until then its
 	// links know nothing of changes that it does not tell.
 	SilenceLimit = 1100 * time.Millisecond
@@ -30,10 +30,10 @@
 	reportSilence = 10 * SilenceLimit
 	// helloTimeout bounds the wait for the first line.
 	helloTimeout = 2 * time.Second
-	// writeTimeout bounds the time in which a link takes nothing, and writePiece is how many
+	// writeTimeout bounds the time in which a link takes nothing, and writeChunk is how many
 	// bytes are handed to it at once.
 	writeTimeout = time.Second
-	writePiece   = 4 << 10
+	writeChunk   = 4 << 10
 	dialTimeout  = 500 * time.Millisecond
 	maxLine      = 4 << 20
 )
@@ -56,58 +56,58 @@
 	mu      sync.Mutex
 	leading bool
 	// doubtful says that the leader's authority has ended for now.
-	doubtful bool
+	leadershipUncertain bool
 	// superseded is closed once a leader of a later term has asked.
 	superseded chan struct{}
 	term       owner.Term
 	openedAt   time.Time
-	owners     map[routing.ServiceName]published
-	stamps     uint64
+	owners     map[routing.ServiceName]publishedOwners
+	lastStamp  uint64
 	links      map[*link]struct{}
 	// relays are the leader's, by zone; upstream is set while this process is one.
 	relays   map[string]*link
 	upstream *upstream
 	// mostNodes is the greatest number of processes lately, as of mostNodesAt.
-	mostNodes   int
-	mostNodesAt time.Time
-	reports     chan<- Report
-	process     string
-	known       func() ReadState
-	entries     entryLog
-	packed      packedEntries
-	pages       entryPages
-	bulk        bulk
-	difference  ownerChanges
-	config      configLog
-	suspects    quarantine.Ledger
-	deaf        bool
-	standbys    standbys
+	maxNodes         int
+	maxNodesAt       time.Time
+	reports          chan<- Report
+	process          string
+	readState        func() ReadState
+	entries          entryLog
+	packedEntries    packedEntries
+	pages            entryPages
+	bulkTransfers    bulkTransfers
+	ownerChanges     ownerChangesCache
+	config           configLog
+	suspects         quarantine.Ledger
+	storeUnreachable bool
+	standbys         standbys
 	// asked is called with the term of a leader that asks; nil: nobody wants to know.
-	asked func(term owner.Term)
+	onLeaderQuery func(term owner.Term)
 	// reported is called with the reports of processes that follow this relay.
-	reported func(Report)
+	onFollowerReport func(Report)
 	// evidence is called with what linked processes have seen of crashes.
-	evidence func(quarantine.Evidence)
-	quotas   quotaLinks
+	onEvidence  func(quarantine.Evidence)
+	quotaRoutes quotaRoutes
 	// limitsTold and leavingTold are called with what linked processes have learned of workers, and
 	// permit answers those that ask for permits.
-	limitsTold  func([]workerlimit.Told)
-	leavingTold func([]departure.Told)
-	permit      func(PermitRequest) (Permit, bool)
+	onLimits     func([]workerlimit.Told)
+	onLeaving    func([]departure.Told)
+	answerPermit func(PermitRequest) (Permit, bool)
 	// backoffs are those that owners of keys have asked for, as operators are told.
 	backoffs []BackoffShare
 	// followed is the address of the leader that this process follows; empty: none.
-	followed string
+	followedLeader string
 	// linked is called with the addresses of processes that follow this one; nil: nobody wants them.
-	linked func(addresses ...string)
+	onLinked func(addresses ...string)
 }
 
 // published are the owners of a service as they are told.
-type published struct {
+type publishedOwners struct {
 	owners []owner.Owner
 	// version counts the leader's changes of them, and part says that more of it is to come.
 	version uint64
-	part    bool
+	partial bool
 	// stamp differs for any two owners that were published here.
 	stamp uint64
 }
@@ -116,8 +116,8 @@
 // unique to the life of this process; known returns what it has read.
 func NewHub(process string, reports chan<- Report, known func() ReadState) *Hub {
 	h := &Hub{
-		process: process, owners: map[routing.ServiceName]published{}, links: map[*link]struct{}{},
-		relays: map[string]*link{}, reports: reports, known: known,
+		process: process, owners: map[routing.ServiceName]publishedOwners{}, links: map[*link]struct{}{},
+		relays: map[string]*link{}, reports: reports, readState: known,
 	}
 	h.standbys.reset()
 	return h
@@ -125,9 +125,9 @@
 
 // link is one connected process.
 type link struct {
-	conn net.Conn
-	wake chan struct{}
-	sent map[routing.ServiceName]sentOwners
+	conn       net.Conn
+	wake       chan struct{}
+	sentOwners map[routing.ServiceName]sentOwners
 	// term is that of the leader whose owners were sent, and since is when the link began.
 	term  owner.Term
 	since time.Time
@@ -137,34 +137,34 @@
 	subRelay  bool
 	// entries is the revision up to which the link knows of workers' entries, and
 	// entriesAt is when it was told last; config is the one that it has.
-	entries   coord.Revision
-	entriesAt time.Time
-	config    coord.Revision
+	entriesRevision coord.Revision
+	entriesSentAt   time.Time
+	configRevision  coord.Revision
 	// list is what the link was told of a list that has several pages.
-	list listPosition
+	listPosition listPosition
 	// suspects is the version of the suspects that it was told, and suspectsAt is when.
-	suspects   uint64
-	suspectsAt time.Time
+	suspectsVersion uint64
+	suspectsSentAt  time.Time
 	// limits and leaving are what it was told of workers' limits, and of those that leave.
-	limits, leaving factsTold
+	limits, leaving factsSent
 	// quota waits to be sent.
-	quota []quota.Grant
+	pendingGrants []quota.Grant
 	// hello is how the process introduced itself.
 	hello Hello
 	// stamp is the last one that it sent, and holds are the versions that it was sent,
 	// if it is a standby.
-	stamp   int64
-	holds   map[routing.ServiceName]uint64
-	holdsAt time.Time
+	stamp        int64
+	holdVersions map[routing.ServiceName]uint64
+	holdsSentAt  time.Time
 	// peersAt is when the link was last told of other processes.
-	peersAt time.Time
+	peersSentAt time.Time
 }
 
 // Open begins to lead.
 func (h *Hub) Open(term owner.Term) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leading, h.term, h.doubtful, h.openedAt = true, term, false, clock.Now()
+	h.leading, h.term, h.leadershipUncertain, h.openedAt = true, term, false, clock.Now()
 	h.upstream = nil
 	h.superseded = make(chan struct{})
 	clear(h.owners)
@@ -174,7 +174,7 @@
 
 // OnAsked sets what is called when a leader of a term asks whether this process leads,
 // before it gets an answer.
-func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.asked = call }
+func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.onLeaderQuery = call }
 
 // Superseded is closed once a leader of a later term has asked.
 func (h *Hub) Superseded() <-chan struct{} {
@@ -191,20 +191,20 @@
 }
 
 // SetDoubtful tells the links that another process may lead.
-func (h *Hub) SetLeadershipUncertain(doubtful bool) { h.set(&h.doubtful, doubtful) }
+func (h *Hub) SetLeadershipUncertain(doubtful bool) { h.setFlag(&h.leadershipUncertain, doubtful) }
 
 // SetDeaf tells the links that this process does not reach the key-value service.
-func (h *Hub) SetStoreUnreachable(deaf bool) { h.set(&h.deaf, deaf) }
+func (h *Hub) SetStoreUnreachable(deaf bool) { h.setFlag(&h.storeUnreachable, deaf) }
 
 // Deaf reports whether this process leads, and does not reach the key-value service.
 func (h *Hub) StoreUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.leading && h.deaf
+	return h.leading && h.storeUnreachable
 }
 
 // set changes what the links are told.
-func (h *Hub) set(flag *bool, to bool) {
+func (h *Hub) setFlag(flag *bool, to bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if *flag == to {
@@ -222,13 +222,13 @@
 }
 
 func (h *Hub) wakeAll() {
-	for one := range h.links {
-		one.rouse()
+	for l := range h.links {
+		l.signal()
 	}
 }
 
 // rouse lets the link send what is new.
-func (l *link) rouse() {
+func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -245,8 +245,8 @@
 
 // dropAll ends all links. The caller holds mu.
 func (h *Hub) dropAll() {
-	for one := range h.links {
-		_ = one.conn.Close()
+	for l := range h.links {
+		_ = l.conn.Close()
 	}
 }
 
@@ -254,14 +254,14 @@
 func (h *Hub) Publish(service routing.ServiceName, owners []owner.Owner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.publish(service, published{owners: owners, version: h.owners[service].version + 1})
+	h.publish(service, publishedOwners{owners: owners, version: h.owners[service].version + 1})
 }
 
 // publish sets the owners of a service as the links are to know them. The caller holds mu.
-func (h *Hub) publish(service routing.ServiceName, now published) {
-	h.stamps++
-	now.stamp = h.stamps
-	h.owners[service] = now
+func (h *Hub) publish(service routing.ServiceName, owners publishedOwners) {
+	h.lastStamp++
+	owners.stamp = h.lastStamp
+	h.owners[service] = owners
 	h.wakeAll()
 }
 
@@ -294,13 +294,13 @@
 	}
 	conn.OnBytes(func(bytes int) { h.Traffic.Add(traffic.Peers, topology.Zone(hello.Zone), bytes) })
 	if hello.Permits {
-		if h.permit != nil {
+		if h.answerPermit != nil {
 			h.servePermits(conn, reader)
 		}
 		return
 	}
-	if h.asked != nil && hello.Term > 0 {
-		h.asked(hello.Term)
+	if h.onLeaderQuery != nil && hello.Term > 0 {
+		h.onLeaderQuery(hello.Term)
 	}
 	h.mu.Lock()
 	if h.leading && hello.Term > h.term {
@@ -308,37 +308,37 @@
 		close(h.superseded)
 	}
 	leading, term := h.leading, h.term
-	one := &link{
+	l := &link{
 		conn: conn, wake: make(chan struct{}, 1),
-		sent:    map[routing.ServiceName]sentOwners{},
-		entries: hello.Entries, config: hello.Config, hello: hello, holds: map[routing.ServiceName]uint64{},
-		list:  listPosition{after: hello.ListAfter, at: hello.ListAt},
-		since: clock.Now(), followers: hello.Followers,
+		sentOwners:      map[routing.ServiceName]sentOwners{},
+		entriesRevision: hello.Entries, configRevision: hello.Config, hello: hello, holdVersions: map[routing.ServiceName]uint64{},
+		listPosition: listPosition{after: hello.ListAfter, revision: hello.ListAt},
+		since:        clock.Now(), followers: hello.Followers,
 	}
-	h.expectNodes(hello.Nodes, one.since)
+	h.noteNodeCount(hello.Nodes, l.since)
 	redirect := ""
-	takes := !hello.QueryOnly && (leading || h.takesFollowers())
+	follows := !hello.QueryOnly && (leading || h.acceptsFollowers())
 	switch {
-	case takes && leading:
-		redirect = h.relayFor(one, one.since)
-	case takes:
-		redirect = h.subRelayFor(one, one.since)
+	case follows && leading:
+		redirect = h.relayFor(l, l.since)
+	case follows:
+		redirect = h.subRelayFor(l, l.since)
 	}
-	if takes = takes && redirect == ""; takes {
-		h.links[one] = struct{}{}
+	if follows = follows && redirect == ""; follows {
+		h.links[l] = struct{}{}
 	}
-	followed := h.followed
+	followed := h.followedLeader
 	h.mu.Unlock()
-	if !takes {
+	if !follows {
 		answer := Update{Leading: leading, Term: term, Process: h.process, Redirect: redirect, FollowedLeader: followed}
-		h.addNotices(hello, &answer, one.since)
+		h.addWorkerNotices(hello, &answer, l.since)
 		_ = writeLine(conn, answer)
 		return
 	}
-	if h.linked != nil {
-		h.linked(hello.Address)
+	if h.onLinked != nil {
+		h.onLinked(hello.Address)
 	}
-	defer h.drop(one)
-	go h.receive(one, reader)
-	h.send(one)
+	defer h.drop(l)
+	go h.receive(l, reader)
+	h.send(l)
 }
--- a/internal/peerlink/lines.go
+++ b/internal/peerlink/lines.go
@@ -32,7 +32,7 @@
 	}
 	left := append(encoded, '\n')
 	for len(left) > 0 {
-		count := min(len(left), writePiece)
+		count := min(len(left), writeChunk)
 		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := conn.Write(left[:count]); err != nil {
 			return err
@@ -44,13 +44,13 @@
 
 // moving reads from a connection for as long as bytes come: silence ends it, not the length of
 // what is read.
-type moving struct {
+type idleTimeoutConn struct {
 	net.Conn
-	silence time.Duration
+	timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (m moving) Read(into []byte) (int, error) {
-	_ = m.SetReadDeadline(time.Now().Add(m.silence))
+func (m idleTimeoutConn) Read(into []byte) (int, error) {
+	_ = m.SetReadDeadline(time.Now().Add(m.timeout))
 	return m.Conn.Read(into)
 }
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-func (h *Hub) drop(one *link) {
+func (h *Hub) drop(l *link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.links, one)
-	h.bulk.leave(one)
-	h.quotas.drop(one)
-	if h.relays[one.hello.Zone] == one {
-		delete(h.relays, one.hello.Zone)
+	delete(h.links, l)
+	h.bulkTransfers.release(l)
+	h.quotaRoutes.drop(l)
+	if h.relays[l.hello.Zone] == l {
+		delete(h.relays, l.hello.Zone)
 	}
-	h.standbys.lost(one)
+	h.standbys.markLinkLost(l)
 }
 
 // receive passes the link's reports on. Reports that find no room are dropped:
 // the next ones tell as much.
-func (h *Hub) receive(one *link, reader *bufio.Reader) {
-	defer func() { _ = one.conn.Close() }()
+func (h *Hub) receive(l *link, reader *bufio.Reader) {
+	defer func() { _ = l.conn.Close() }()
 	for {
-		_ = one.conn.SetReadDeadline(time.Now().Add(reportSilence))
+		_ = l.conn.SetReadDeadline(time.Now().Add(reportSilence))
 		var report Report
 		if err := readLine(reader, &report); err != nil {
 			return
 		}
 		if report.Stamp > 0 {
-			h.stamped(one, report)
+			h.recordStandbyReport(l, report)
 		}
-		h.take(one, report)
+		h.handleReport(l, report)
 	}
 }
 
 // take passes a link's report on.
-func (h *Hub) take(one *link, report Report) {
-	if report.Evidence != nil && h.evidence != nil {
-		h.evidence(*report.Evidence)
+func (h *Hub) handleReport(l *link, report Report) {
+	if report.Evidence != nil && h.onEvidence != nil {
+		h.onEvidence(*report.Evidence)
 	}
-	h.takeQuota(one, report.Quota)
-	if len(report.Limits) > 0 && h.limitsTold != nil {
-		h.limitsTold(report.Limits)
+	h.handleQuota(l, report.Quota)
+	if len(report.Limits) > 0 && h.onLimits != nil {
+		h.onLimits(report.Limits)
 	}
-	if len(report.Leaving) > 0 && h.leavingTold != nil {
-		h.leavingTold(report.Leaving)
+	if len(report.Leaving) > 0 && h.onLeaving != nil {
+		h.onLeaving(report.Leaving)
 	}
 	h.mu.Lock()
-	one.followers = report.Followers
+	l.followers = report.Followers
 	leading := h.leading
 	h.mu.Unlock()
 	if !leading {
-		if h.reported != nil {
-			h.reported(report)
+		if h.onFollowerReport != nil {
+			h.onFollowerReport(report)
 		}
 		return
 	}
@@ -62,18 +62,18 @@
 	}
 }
 
-func (h *Hub) send(one *link) {
-	timer := time.NewTicker(heartbeat)
+func (h *Hub) send(l *link) {
+	timer := time.NewTicker(heartbeatInterval)
 	defer timer.Stop()
 	for {
-		update, ok := h.update(one)
-		if !ok || writeLine(one.conn, update) != nil || update.Redirect != "" {
+		update, ok := h.update(l)
+		if !ok || writeLine(l.conn, update) != nil || update.Redirect != "" {
 			return
 		}
 		select {
-		case <-one.wake:
+		case <-l.wake:
 		case <-timer.C:
-		case <-h.nextPiece(one):
+		case <-h.pieceTimer(l):
 		}
 	}
 }
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -150,15 +150,15 @@
 func EncodeHolds(service routing.ServiceName, version uint64, holds []owner.Hold) ServiceHolds {
 	described := ServiceHolds{Service: service, Version: version}
 	runs := make([][4]int64, 0, len(holds))
-	places := map[workers.ID]int{}
-	for _, one := range holds {
-		place, named := places[one.Target.ID]
-		if !named {
-			place = len(described.Workers)
-			places[one.Target.ID] = place
-			described.Workers = append(described.Workers, NamedWorker{ID: one.Target.ID, Address: one.Target.Address, Born: one.Target.Born})
+	indexes := map[workers.ID]int{}
+	for _, hold := range holds {
+		index, known := indexes[hold.Target.ID]
+		if !known {
+			index = len(described.Workers)
+			indexes[hold.Target.ID] = index
+			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Born: hold.Target.Born})
 		}
-		runs = append(runs, [4]int64{int64(one.Keys.From), int64(one.Keys.To), int64(place), int64(one.Fence)})
+		runs = append(runs, [4]int64{int64(hold.Keys.From), int64(hold.Keys.To), int64(index), int64(hold.Fence)})
 	}
 	described.Runs = pack(runs)
 	return described
@@ -176,9 +176,9 @@
 		if run[2] < 0 || run[2] >= int64(len(h.Workers)) {
 			return nil, false
 		}
-		of := h.Workers[run[2]]
+		worker := h.Workers[run[2]]
 		holds = append(holds, owner.Hold{
-			Keys: owner.Keys{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: of.ID, Address: of.Address, Born: of.Born},
+			Keys: owner.Keys{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Born: worker.Born},
 			Fence: owner.Fence(run[3]),
 		})
 	}
--- a/internal/peerlink/meter.go
+++ b/internal/peerlink/meter.go
@@ -12,23 +12,23 @@
 // Meter counts what a process sees, for its reports. It is safe for concurrent
 // use.
 type Meter struct {
-	mu    sync.Mutex
-	keys  map[routing.ServiceName]map[int]int
-	times map[workers.ID][2]int
+	mu            sync.Mutex
+	keyCounts     map[routing.ServiceName]map[int]int
+	responseTimes map[workers.ID][2]int
 	// backoffs are, by worker, for how many backoffs it has asked, and their sum in milliseconds.
 	backoffs map[workers.ID][2]int
 	// timesAt is when times were last taken.
-	timesAt time.Time
+	responseTimesTakenAt time.Time
 }
 
-// timesEvery is the pause between reports of workers' times, which change slowly;
+// responseTimesInterval is the pause between reports of workers' times, which change slowly;
 // bytes between zones are dear.
-const timesEvery = 600 * time.Millisecond
+const responseTimesInterval = 600 * time.Millisecond
 
 // NewMeter returns a meter that has counted nothing.
 func NewMeter() *Meter {
 	return &Meter{
-		keys: map[routing.ServiceName]map[int]int{}, times: map[workers.ID][2]int{}, backoffs: map[workers.ID][2]int{},
+		keyCounts: map[routing.ServiceName]map[int]int{}, responseTimes: map[workers.ID][2]int{}, backoffs: map[workers.ID][2]int{},
 	}
 }
 
@@ -41,10 +41,10 @@
 
 // count counts requests for a key. The caller holds mu.
 func (m *Meter) count(service routing.ServiceName, key, requests int) {
-	counts := m.keys[service]
+	counts := m.keyCounts[service]
 	if counts == nil {
 		counts = map[int]int{}
-		m.keys[service] = counts
+		m.keyCounts[service] = counts
 	}
 	counts[key] += requests
 }
@@ -53,7 +53,7 @@
 func (m *Meter) CountResponse(worker workers.ID, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	add(m.times, worker, 1, int(took.Milliseconds()))
+	addSum(m.responseTimes, worker, 1, int(took.Milliseconds()))
 }
 
 // BackedOff counts that a worker has asked this process to send it nothing for a time, or for so much
@@ -61,11 +61,11 @@
 func (m *Meter) CountBackoff(worker workers.ID, longer time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	add(m.backoffs, worker, 1, int(longer.Milliseconds()))
+	addSum(m.backoffs, worker, 1, int(longer.Milliseconds()))
 }
 
 // add counts events and the sum of their times at a worker.
-func add(sums map[workers.ID][2]int, worker workers.ID, count, millis int) {
+func addSum(sums map[workers.ID][2]int, worker workers.ID, count, millis int) {
 	sum := sums[worker]
 	sums[worker] = [2]int{sum[0] + count, sum[1] + millis}
 }
@@ -79,11 +79,11 @@
 			m.count(service, pairs[index], pairs[index+1])
 		}
 	}
-	for worker, seen := range report.ResponseTimes {
-		add(m.times, worker, seen[0], seen[1])
+	for worker, sum := range report.ResponseTimes {
+		addSum(m.responseTimes, worker, sum[0], sum[1])
 	}
-	for worker, seen := range report.Backoffs {
-		add(m.backoffs, worker, seen[0], seen[1])
+	for worker, sum := range report.Backoffs {
+		addSum(m.backoffs, worker, sum[0], sum[1])
 	}
 }
 
@@ -92,22 +92,22 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	report := Report{}
-	if now := clock.Now(); now.Sub(m.timesAt) >= timesEvery {
-		report.ResponseTimes, m.times, m.timesAt = m.times, map[workers.ID][2]int{}, now
+	if now := clock.Now(); now.Sub(m.responseTimesTakenAt) >= responseTimesInterval {
+		report.ResponseTimes, m.responseTimes, m.responseTimesTakenAt = m.responseTimes, map[workers.ID][2]int{}, now
 	}
 	if len(m.backoffs) > 0 {
 		report.Backoffs, m.backoffs = m.backoffs, map[workers.ID][2]int{}
 	}
-	if len(m.keys) > 0 {
+	if len(m.keyCounts) > 0 {
 		report.Keys = map[routing.ServiceName][]int{}
 	}
-	for service, counts := range m.keys {
+	for service, counts := range m.keyCounts {
 		pairs := make([]int, 0, 2*len(counts))
 		for key, count := range counts {
 			pairs = append(pairs, key, count)
 		}
 		report.Keys[service] = pairs
 	}
-	m.keys = map[routing.ServiceName]map[int]int{}
+	m.keyCounts = map[routing.ServiceName]map[int]int{}
 	return report
 }
--- a/internal/peerlink/notices.go
+++ b/internal/peerlink/notices.go
@@ -29,11 +29,11 @@
 
 // OnLeaving sets what is called with what linked processes tell of workers that leave, by a leader and
 // by a relay.
-func (h *Hub) OnLeaving(call func([]departure.Told)) { h.leavingTold = call }
+func (h *Hub) OnLeaving(call func([]departure.Told)) { h.onLeaving = call }
 
 // OnLimits sets what is called with what linked processes tell of workers' limits, by a leader and
 // by a relay.
-func (h *Hub) OnLimits(call func([]workerlimit.Told)) { h.limitsTold = call }
+func (h *Hub) OnLimits(call func([]workerlimit.Told)) { h.onLimits = call }
 
 // SetBackoffs sets which owners of keys have asked routers for backoffs, for operators.
 func (h *Hub) SetBackoffs(backoffs []BackoffShare) {
@@ -65,15 +65,15 @@
 }
 
 // addNotices adds to an answer what workers say of themselves, if the question asks for it.
-func (h *Hub) addNotices(hello Hello, answer *Update, now time.Time) {
+func (h *Hub) addWorkerNotices(hello Hello, answer *Update, now time.Time) {
 	if !hello.WorkerNotices {
 		return
 	}
 	if h.Limits != nil {
-		answer.Limits = tellAll(now, h.Limits.Told(), workerlimit.Tell)
+		answer.Limits = encodeFacts(now, h.Limits.Told(), workerlimit.Tell)
 	}
 	if h.Leaving != nil {
-		answer.Leaving = tellAll(now, h.Leaving.Told(), departure.Tell)
+		answer.Leaving = encodeFacts(now, h.Leaving.Told(), departure.Tell)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -20,7 +20,7 @@
 )
 
 // limited is a fact on a worker's limit.
-func limited(id workers.ID, perSecond float64) workerlimit.Fact {
+func limitFact(id workers.ID, perSecond float64) workerlimit.Fact {
 	return workerlimit.Fact{Worker: workers.Life{ID: id}, Rate: perSecond, At: time.Now()}
 }
 
@@ -34,17 +34,17 @@
 }
 
 func TestFirstUpdateContainsAllLimits(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	hub.Limits = workerlimit.NewBook().Book
 	for index := range 200 {
-		hub.Limits.Merge(limited(workers.ID(fmt.Sprint("w", index)), 2.5))
+		hub.Limits.Merge(limitFact(workers.ID(fmt.Sprint("w", index)), 2.5))
 	}
 	conn, reader := dialLink(t, address, Hello{Node: "n"})
 	defer func() { _ = conn.Close() }()
 	var first Update
 	assert.NilError(t, readLine(reader, &first))
 	assert.Equal(t, len(first.Limits), 200)
-	hub.Limits.Merge(limited("w7", 9))
+	hub.Limits.Merge(limitFact("w7", 9))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		var update Update
 		if err := readLine(reader, &update); err != nil {
@@ -60,40 +60,40 @@
 }
 
 func TestOnlyLeaderReturnsWorkerNotices(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	hub.Limits = workerlimit.NewBook().Book
-	hub.Limits.Merge(limited("w", 2.5))
+	hub.Limits.Merge(limitFact("w", 2.5))
 	hub.Leaving = facts.NewBook[departure.Fact]()
 	hub.Leaving.Merge(departure.Fact{Worker: workers.Life{ID: "v"}, Since: time.Now()})
 	hub.SetBackoffs([]BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
-	told, err := QueryNotices(t.Context(), address)
+	notices, err := QueryNotices(t.Context(), address)
 	assert.NilError(t, err)
-	assert.Equal(t, len(told.Limits), 1)
-	assert.Equal(t, told.Limits[0].PerSecond, 2.5)
-	assert.Equal(t, len(told.Leaving), 1)
-	assert.Equal(t, told.Leaving[0].Worker, workers.ID("v"))
-	assert.DeepEqual(t, told.Backoffs, []BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
+	assert.Equal(t, len(notices.Limits), 1)
+	assert.Equal(t, notices.Limits[0].PerSecond, 2.5)
+	assert.Equal(t, len(notices.Leaving), 1)
+	assert.Equal(t, notices.Leaving[0].Worker, workers.ID("v"))
+	assert.DeepEqual(t, notices.Backoffs, []BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
 	hub.Close()
 	_, err = QueryNotices(t.Context(), address)
 	assert.ErrorIs(t, err, ErrNotLeading)
 }
 
 func TestPermitResponsesMatchRequests(t *testing.T) {
-	hub, _, address := leading(t, 3)
-	hub.OnPermit(func(ask PermitRequest) (Permit, bool) {
-		return Permit{Number: ask.Number, Granted: ask.Limit.PerSecond > 1, WaitMillis: ask.MaxWaitMillis}, true
+	hub, _, address := newLeadingHub(t, 3)
+	hub.OnPermit(func(request PermitRequest) (Permit, bool) {
+		return Permit{Number: request.Number, Granted: request.Limit.PerSecond > 1, WaitMillis: request.MaxWaitMillis}, true
 	})
-	var l PermitClient
-	var asking sync.WaitGroup
+	var client PermitClient
+	var requests sync.WaitGroup
 	for index := range 100 {
-		asking.Go(func() {
-			ask := PermitRequest{Limit: workerlimit.Told{Worker: "w", PerSecond: float64(index % 3)}, MaxWaitMillis: int64(index)}
-			permit, err := l.Request(t.Context(), address, ask)
+		requests.Go(func() {
+			request := PermitRequest{Limit: workerlimit.Told{Worker: "w", PerSecond: float64(index % 3)}, MaxWaitMillis: int64(index)}
+			permit, err := client.Request(t.Context(), address, request)
 			assert.Check(t, err)
 			assert.Check(t, permit.WaitMillis == int64(index) && permit.Granted == (index%3 > 1))
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 }
 
 func TestPermitRequestTimesOutWithoutResponse(t *testing.T) {
@@ -110,19 +110,19 @@
 			accepted <- conn
 		}
 	}()
-	hub, _, other := leading(t, 3)
+	hub, _, other := newLeadingHub(t, 3)
 	hub.OnPermit(func(PermitRequest) (Permit, bool) { return Permit{}, false })
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	_ = nobody.Close()
+	_ = closed.Close()
 	for name, address := range map[string]string{
-		"silent": silent.Addr().String(), "does not lead": other, "not there": nobody.Addr().String(),
+		"silent": silent.Addr().String(), "does not lead": other, "not there": closed.Addr().String(),
 	} {
 		t.Run(name, func(t *testing.T) {
-			var l PermitClient
-			bounded, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+			var client PermitClient
+			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			_, err := l.Request(bounded, address, PermitRequest{})
+			_, err := client.Request(ctx, address, PermitRequest{})
 			assert.ErrorContains(t, err, "")
 			assert.Assert(t, err != nil)
 		})
@@ -134,13 +134,13 @@
 }
 
 func TestPermitClientReconnectsToNewLeader(t *testing.T) {
-	var l PermitClient
+	var client PermitClient
 	for number := range 3 {
-		hub, _, address := leading(t, 3)
-		hub.OnPermit(func(ask PermitRequest) (Permit, bool) {
-			return Permit{Number: ask.Number, WaitMillis: int64(number)}, true
+		hub, _, address := newLeadingHub(t, 3)
+		hub.OnPermit(func(request PermitRequest) (Permit, bool) {
+			return Permit{Number: request.Number, WaitMillis: int64(number)}, true
 		})
-		permit, err := l.Request(t.Context(), address, PermitRequest{})
+		permit, err := client.Request(t.Context(), address, PermitRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, permit.WaitMillis, int64(number))
 	}
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// pieceRuns is how many owners a link is told in one piece, and fewRuns are told as they
+	// maxPieceRuns is how many owners a link is told in one piece, and maxUnpackedRuns are told as they
 	// are; more of them are packed.
-	pieceRuns = 512
-	fewRuns   = 16
+	maxPieceRuns    = 512
+	maxUnpackedRuns = 16
 )
 
 // sentOwners is what a link was told of the owners of a service: those of the keys before next, as
@@ -22,98 +22,98 @@
 	stamp  uint64
 	// version is the last one that was told, and part that it was told in part only.
 	version uint64
-	part    bool
-	next    int
+	partial bool
+	nextKey int
 }
 
 // whole reports whether the link was told the owners of all keys.
-func (s sentOwners) whole() bool { return s.next >= owner.KeyCount }
+func (s sentOwners) complete() bool { return s.nextKey >= owner.KeyCount }
 
-// ownerChanges keeps the difference of two states of a service that was asked for last: links lag
+// ownerChangesCache keeps the difference of two states of a service that was asked for last: links lag
 // by the same, and looking through all owners for each of them costs the most where there are many.
-type ownerChanges struct {
+type ownerChangesCache struct {
 	from, to uint64
 	changes  []owner.Owner
 }
 
 // between returns which owners have changed from one state to another.
-func (c *ownerChanges) between(before sentOwners, now published) []owner.Owner {
-	if c.from != before.stamp || c.to != now.stamp {
-		*c = ownerChanges{from: before.stamp, to: now.stamp, changes: keytable.Difference(before.owners, now.owners)}
+func (c *ownerChangesCache) between(sent sentOwners, current publishedOwners) []owner.Owner {
+	if c.from != sent.stamp || c.to != current.stamp {
+		*c = ownerChangesCache{from: sent.stamp, to: current.stamp, changes: keytable.Difference(sent.owners, current.owners)}
 	}
 	return c.changes
 }
 
 // tellOwners adds to an update which owners a link has not heard. The caller holds mu.
-func (h *Hub) tellOwners(one *link, update *Update, now time.Time) {
-	if one.term != h.term { // another leader: its owners are told whole
-		one.term = h.term
-		clear(one.sent)
+func (h *Hub) addOwners(l *link, update *Update, now time.Time) {
+	if l.term != h.term { // another leader: its owners are told whole
+		l.term = h.term
+		clear(l.sentOwners)
 	}
 	for service, state := range h.owners {
 		if len(state.owners) == 0 {
 			continue
 		}
-		sent := one.sent[service]
-		if sent.next > 0 && sent.stamp != state.stamp {
-			h.tellChanged(update, service, state, &sent)
+		sent := l.sentOwners[service]
+		if sent.nextKey > 0 && sent.stamp != state.stamp {
+			h.addChangedOwners(update, service, state, &sent)
 		}
 		sent.owners, sent.stamp = state.owners, state.stamp
-		if !sent.whole() {
-			h.tellPiece(one, update, service, state, &sent, now)
+		if !sent.complete() {
+			h.addOwnersPiece(l, update, service, state, &sent, now)
 		}
-		if sent.next > 0 {
-			one.sent[service] = sent
+		if sent.nextKey > 0 {
+			l.sentOwners[service] = sent
 		}
 	}
 }
 
 // tellChanged tells changes of those owners that the link was told of.
-func (h *Hub) tellChanged(update *Update, service routing.ServiceName, state published, sent *sentOwners) {
-	changes := h.difference.between(*sent, state)
-	if !sent.whole() {
-		changes = keytable.Within(changes, owner.Keys{To: sent.next - 1})
+func (h *Hub) addChangedOwners(update *Update, service routing.ServiceName, state publishedOwners, sent *sentOwners) {
+	changes := h.ownerChanges.between(*sent, state)
+	if !sent.complete() {
+		changes = keytable.Within(changes, owner.Keys{To: sent.nextKey - 1})
 	}
-	news := ServiceOwners{Service: service, Version: state.version, Part: state.part || !sent.whole()}
-	if len(changes) == 0 && news.Version == sent.version && news.Part == sent.part {
+	message := ServiceOwners{Service: service, Version: state.version, Part: state.partial || !sent.complete()}
+	if len(changes) == 0 && message.Version == sent.version && message.Part == sent.partial {
 		return
 	}
-	news.describe(changes)
-	sent.version, sent.part = news.Version, news.Part
-	update.Services = append(update.Services, news)
+	message.encode(changes)
+	sent.version, sent.partial = message.Version, message.Part
+	update.Services = append(update.Services, message)
 }
 
 // tellPiece tells the owners of the next keys, if the link may be told them now. Owners that one
 // piece holds are told at once.
-func (h *Hub) tellPiece(one *link, update *Update, service routing.ServiceName, state published, sent *sentOwners, now time.Time) {
-	if state.bulky() && !h.bulk.admits(one, now) {
+func (h *Hub) addOwnersPiece(l *link, update *Update, service routing.ServiceName, state publishedOwners, sent *sentOwners, now time.Time) {
+	if state.needsPieces() && !h.bulkTransfers.admit(l, now) {
 		return
 	}
-	keys := nextPiece(state.owners, sent.next)
-	sent.next = keys.To + 1
-	news := ServiceOwners{
-		Service: service, Version: state.version, Whole: true, Keys: &keys, Part: state.part || !sent.whole(),
+	keys := nextPieceKeys(state.owners, sent.nextKey)
+	sent.nextKey = keys.To + 1
+	message := ServiceOwners{
+		Service: service, Version: state.version, Whole: true, Keys: &keys, Part: state.partial || !sent.complete(),
 	}
-	news.describe(keytable.Within(state.owners, keys))
-	sent.version, sent.part = news.Version, news.Part
-	update.Services = append(update.Services, news)
-	if state.bulky() {
-		h.bulk.spend(now, news.size(), h.LinkRate)
+	message.encode(keytable.Within(state.owners, keys))
+	sent.version, sent.partial = message.Version, message.Part
+	update.Services = append(update.Services, message)
+	if state.needsPieces() {
+		h.bulkTransfers.reserve(now, message.approximateSize(), h.LinkRate)
 	}
 }
 
 // bulky reports whether the owners take more than one piece.
-func (p published) bulky() bool { return len(p.owners) > pieceRuns }
+func (p publishedOwners) needsPieces() bool { return len(p.owners) > maxPieceRuns }
 
-// nextPiece returns the keys of the next pieceRuns owners from a key on.
-func nextPiece(owners []owner.Owner, from int) owner.Keys {
+// nextPieceKeys returns the keys of the next maxPieceRuns owners from a key on.
+func nextPieceKeys(owners []owner.Owner, from int) owner.Keys {
 	runs := 0
-	for _, one := range owners {
-		if one.Keys.To < from {
+	for _, run := range owners {
+		if run.Keys.To < from {
 			continue
 		}
-		if runs++; runs == pieceRuns {
-			return owner.Keys{From: from, To: one.Keys.To}
+		if runs++; runs == maxPieceRuns {
+			return owner.Keys{From: from, To: run.Keys.To}
 		}
 	}
 	return owner.Keys{From: from, To: owner.KeyCount - 1}
@@ -127,53 +127,53 @@
 }
 
 // describe writes owners into the message.
-func (n *ServiceOwners) describe(owners []owner.Owner) {
-	var told ownerRuns
-	places := map[NamedWorker]int{}
-	for _, one := range owners {
-		worker := NamedWorker{ID: one.Worker, Address: one.Address}
-		place, named := places[worker]
-		if !named {
-			place = len(told.Workers)
-			places[worker] = place
-			told.Workers = append(told.Workers, worker)
+func (n *ServiceOwners) encode(owners []owner.Owner) {
+	var table ownerRuns
+	indexes := map[NamedWorker]int{}
+	for _, held := range owners {
+		worker := NamedWorker{ID: held.Worker, Address: held.Address}
+		index, known := indexes[worker]
+		if !known {
+			index = len(table.Workers)
+			indexes[worker] = index
+			table.Workers = append(table.Workers, worker)
 		}
 		moving := 0
-		if one.Moving {
+		if held.Moving {
 			moving = 1
 		}
-		told.Runs = append(told.Runs, [4]int{one.Keys.From, one.Keys.To, place, moving})
+		table.Runs = append(table.Runs, [4]int{held.Keys.From, held.Keys.To, index, moving})
 	}
-	if len(told.Runs) > fewRuns {
-		n.Packed = pack(told)
+	if len(table.Runs) > maxUnpackedRuns {
+		n.Packed = pack(table)
 		return
 	}
-	n.Workers, n.Runs = told.Workers, told.Runs
+	n.Workers, n.Runs = table.Workers, table.Runs
 }
 
 // size is about how many bytes the message takes.
-func (n *ServiceOwners) size() int { return len(n.Packed)*4/3 + 64*len(n.Runs) }
+func (n *ServiceOwners) approximateSize() int { return len(n.Packed)*4/3 + 64*len(n.Runs) }
 
 // Owners returns what the message tells; false if it can't be read, names a worker that it has not
 // introduced, is not in the order of the keys, or is of others than it says.
 func (n *ServiceOwners) Owners() ([]owner.Owner, bool) {
-	told := ownerRuns{Workers: n.Workers, Runs: n.Runs}
-	if len(n.Packed) > 0 && unpack(n.Packed, &told) != nil {
+	table := ownerRuns{Workers: n.Workers, Runs: n.Runs}
+	if len(n.Packed) > 0 && unpack(n.Packed, &table) != nil {
 		return nil, false
 	}
-	owners := make([]owner.Owner, 0, len(told.Runs))
-	next, last := 0, owner.KeyCount-1
+	owners := make([]owner.Owner, 0, len(table.Runs))
+	minKey, maxKey := 0, owner.KeyCount-1
 	if n.Keys != nil {
-		next, last = max(next, n.Keys.From), min(last, n.Keys.To)
+		minKey, maxKey = max(minKey, n.Keys.From), min(maxKey, n.Keys.To)
 	}
-	for _, run := range told.Runs {
-		if run[2] < 0 || run[2] >= len(told.Workers) || run[0] < next || run[1] < run[0] || run[1] > last {
+	for _, run := range table.Runs {
+		if run[2] < 0 || run[2] >= len(table.Workers) || run[0] < minKey || run[1] < run[0] || run[1] > maxKey {
 			return nil, false
 		}
-		next = run[1] + 1
-		of := told.Workers[run[2]]
+		minKey = run[1] + 1
+		worker := table.Workers[run[2]]
 		owners = append(owners, owner.Owner{
-			Keys: owner.Keys{From: run[0], To: run[1]}, Worker: of.ID, Address: of.Address, Moving: run[3] == 1,
+			Keys: owner.Keys{From: run[0], To: run[1]}, Worker: worker.ID, Address: worker.Address, Moving: run[3] == 1,
 		})
 	}
 	return owners, true
--- a/internal/peerlink/pack.go
+++ b/internal/peerlink/pack.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// maxUnpacked bounds what a packed message may hold.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes bounds what a packed message may hold.
+const maxUnpackedBytes = 16 << 20
 
 // pack writes a value as compressed JSON.
 func pack(value any) []byte {
@@ -28,7 +28,7 @@
 
 // unpack reads such a value.
 func unpack(packed []byte, into any) error {
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/peerlink/pages.go
+++ b/internal/peerlink/pages.go
@@ -18,97 +18,97 @@
 // listPosition is how far a link was told a list.
 type listPosition struct {
 	// after is the last worker that was told of, and at the least revision of the pages so far.
-	after workers.ID
-	at    coord.Revision
+	after    workers.ID
+	revision coord.Revision
 }
 
 // entryPages keeps pages that were packed, for as long as what changed since is kept. The zero
 // value has none.
 type entryPages struct {
 	// cuts are the last workers of the pages but the last one, in order.
-	cuts   []workers.ID
-	packed []packedPage
+	lastIDs []workers.ID
+	pages   []packedPage
 }
 
 // packedPage is a page; its revision is zero if it is still to be packed.
 type packedPage struct {
 	revision coord.Revision
 	packed   []byte
-	at       time.Time
+	packedAt time.Time
 }
 
 // pageFor returns the next page of the list for a link; nil if it has to wait. The caller holds mu.
-func (h *Hub) pageFor(one *link, now time.Time) *EntryChanges {
-	if !h.bulk.admits(one, now) {
+func (h *Hub) pageFor(l *link, now time.Time) *EntryChanges {
+	if !h.bulkTransfers.admit(l, now) {
 		return nil
 	}
-	if one.list.at < h.entries.from { // what changed since its pages is no longer kept
-		one.list = listPosition{}
+	if l.listPosition.revision < h.entries.from { // what changed since its pages is no longer kept
+		l.listPosition = listPosition{}
 	}
-	page := h.pages.next(&h.entries, one.list.after, now)
-	if one.list.after == "" || page.To < one.list.at {
-		one.list.at = page.To
+	page := h.pages.next(&h.entries, l.listPosition.after, now)
+	if l.listPosition.after == "" || page.To < l.listPosition.revision {
+		l.listPosition.revision = page.To
 	}
-	page.From, page.To = one.list.at, one.list.at
-	one.list.after = page.Last
+	page.From, page.To = l.listPosition.revision, l.listPosition.revision
+	l.listPosition.after = page.Last
 	if !page.More {
-		one.entries, one.entriesAt, one.list = one.list.at, now, listPosition{}
+		l.entriesRevision, l.entriesSentAt, l.listPosition = l.listPosition.revision, now, listPosition{}
 	}
-	h.bulk.spend(now, len(page.Packed)*4/3, h.LinkRate)
+	h.bulkTransfers.reserve(now, len(page.Packed)*4/3, h.LinkRate)
 	return page
 }
 
 // next returns the page of a list that begins after a worker.
 func (p *entryPages) next(log *entryLog, after workers.ID, now time.Time) *EntryChanges {
-	p.cut(log)
-	index, _ := slices.BinarySearch(p.cuts, after)
-	if index < len(p.cuts) && p.cuts[index] == after {
+	p.divide(log)
+	index, _ := slices.BinarySearch(p.lastIDs, after)
+	if index < len(p.lastIDs) && p.lastIDs[index] == after {
 		index++
 	}
-	one := &p.packed[index]
-	if one.revision == 0 || one.revision < log.from {
-		*one = packedPage{revision: log.to, packed: pack(p.announced(log, index, now)), at: now}
+	entry := &p.pages[index]
+	if entry.revision == 0 || entry.revision < log.from {
+		*entry = packedPage{revision: log.to, packed: pack(p.changesOf(log, index, now)), packedAt: now}
 	}
-	page := &EntryChanges{To: one.revision, Whole: true, After: after, Packed: one.packed, PackedMillis: ageMillis(one.at, now)}
-	if page.More = index < len(p.cuts); page.More {
-		page.Last = p.cuts[index]
+	page := &EntryChanges{To: entry.revision, Whole: true, After: after, Packed: entry.packed, PackedMillis: ageMillis(entry.packedAt, now)}
+	if page.More = index < len(p.lastIDs); page.More {
+		page.Last = p.lastIDs[index]
 	}
 	return page
 }
 
 // cut divides the workers into pages, and does so again once their number has changed by half of a
 // page for each of them.
-func (p *entryPages) cut(log *entryLog) {
-	pages := len(p.cuts) + 1
-	if p.packed != nil && 2*len(log.all) >= pages*pageWorkers && 2*len(log.all) <= 3*pages*pageWorkers {
+func (p *entryPages) divide(log *entryLog) {
+	pages := len(p.lastIDs) + 1
+	if p.pages != nil && 2*len(log.current) >= pages*pageWorkers && 2*len(log.current) <= 3*pages*pageWorkers {
 		return
 	}
-	ids := make([]workers.ID, 0, len(log.all))
-	for id := range log.all {
+	ids := make([]workers.ID, 0, len(log.current))
+	for id := range log.current {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	p.cuts = nil
+	p.lastIDs = nil
 	for last := pageWorkers; last < len(ids); last += pageWorkers {
-		p.cuts = append(p.cuts, ids[last-1])
+		p.lastIDs = append(p.lastIDs, ids[last-1])
 	}
-	p.packed = make([]packedPage, len(p.cuts)+1)
+	p.pages = make([]packedPage, len(p.lastIDs)+1)
 }
 
 // announced describes the workers of a page.
-func (p *entryPages) announced(log *entryLog, index int, now time.Time) []WorkerChange {
+func (p *entryPages) changesOf(log *entryLog, index int, now time.Time) []WorkerChange {
 	var after, last workers.ID
 	if index > 0 {
-		after = p.cuts[index-1]
+		after = p.lastIDs[index-1]
 	}
-	if index < len(p.cuts) {
-		last = p.cuts[index]
+	if index < len(p.lastIDs) {
+		last = p.lastIDs[index]
 	}
-	var list []WorkerChange
-	for id, one := range log.all {
+	var changes []WorkerChange
+	for id, change := range log.current {
 		if id > after && (last == "" || id <= last) {
-			list = append(list, one.announced(now))
+			changes = append(changes, change.withAges(now))
 		}
 	}
-	return list
+	return changes
 }
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -21,7 +21,7 @@
 )
 
 // leading is an open hub with its address.
-func leading(t *testing.T, term owner.Term) (*Hub, chan Report, string) {
+func newLeadingHub(t *testing.T, term owner.Term) (*Hub, chan Report, string) {
 	t.Helper()
 	reports := make(chan Report, 16)
 	hub := NewHub("process", reports, func() ReadState { return ReadState{Config: 7} })
@@ -34,31 +34,31 @@
 }
 
 // followed is a follower of a hub.
-type followed struct {
-	table   *keytable.Table
-	meter   *Meter
-	doubted atomic.Bool
-	known   atomic.Int64
-	deaf    atomic.Bool
+type testFollower struct {
+	table               *keytable.Table
+	meter               *Meter
+	leadershipUncertain atomic.Bool
+	configRevision      atomic.Int64
+	storeUnreachable    atomic.Bool
 	// entries is the revision up to which it knows entries; gaps counts changes that
 	// were missing before what it was told.
-	entries, gaps atomic.Int64
-	mu            sync.Mutex
-	events        []string
-	ended         chan error
+	entriesRevision, gaps atomic.Int64
+	mu                    sync.Mutex
+	events                []string
+	result                chan error
 }
 
 // hear takes what the leader says, as the router does.
-func (f *followed) hear(update Update) {
-	f.known.Store(int64(update.ReadState.Config))
-	f.deaf.Store(update.StoreUnreachable)
+func (f *testFollower) onUpdate(update Update) {
+	f.configRevision.Store(int64(update.ReadState.Config))
+	f.storeUnreachable.Store(update.StoreUnreachable)
 	if update.Entries == nil {
 		return
 	}
-	if int64(update.Entries.From) > f.entries.Load() {
+	if int64(update.Entries.From) > f.entriesRevision.Load() {
 		f.gaps.Add(1)
 	}
-	f.entries.Store(int64(update.Entries.To))
+	f.entriesRevision.Store(int64(update.Entries.To))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changes, err := update.Entries.Decode(time.Now())
@@ -71,30 +71,30 @@
 }
 
 // heard returns the keys of the entries that it was told of.
-func (f *followed) heard() []string {
+func (f *testFollower) receivedIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.events)
 }
 
-func follow(t *testing.T, address string) *followed {
+func follow(t *testing.T, address string) *testFollower {
 	t.Helper()
 	return followAs(t, address, Hello{Node: "n"})
 }
 
 // followAs follows a process that is told this.
-func followAs(t *testing.T, address string, hello Hello) *followed {
+func followAs(t *testing.T, address string, hello Hello) *testFollower {
 	t.Helper()
-	f := &followed{table: keytable.New(), meter: NewMeter(), ended: make(chan error, 1)}
+	f := &testFollower{table: keytable.New(), meter: NewMeter(), result: make(chan error, 1)}
 	follower := Follower{
 		Hello: hello, Table: f.table, TakeReport: f.meter.Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {},
 		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true },
-		EntriesRevision: func() coord.Revision { return coord.Revision(f.entries.Load()) }, ConfigRevision: func() coord.Revision { return 0 },
-		OnUpdate: f.hear, OnLeadershipUncertain: func() { f.doubted.Store(true) },
+		EntriesRevision: func() coord.Revision { return coord.Revision(f.entriesRevision.Load()) }, ConfigRevision: func() coord.Revision { return 0 },
+		OnUpdate: f.onUpdate, OnLeadershipUncertain: func() { f.leadershipUncertain.Store(true) },
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go func() { f.ended <- follower.Follow(ctx, address) }()
+	go func() { f.result <- follower.Follow(ctx, address) }()
 	return f
 }
 
@@ -108,7 +108,7 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func (f *followed) owns(key int, worker string) func() bool {
+func (f *testFollower) owns(key int, worker string) func() bool {
 	return func() bool {
 		held, known := f.table.Lookup("s", key)
 		return known && string(held.Worker) == worker
@@ -116,7 +116,7 @@
 }
 
 func TestFollowersReceiveOwnersAndChanges(t *testing.T) {
-	hub, reports, address := leading(t, 3)
+	hub, reports, address := newLeadingHub(t, 3)
 	hub.Publish("s", []owner.Owner{
 		{Keys: owner.Keys{From: 0, To: 99}, Worker: "w1", Address: "a1"},
 		{Keys: owner.Keys{From: 100, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
@@ -130,7 +130,7 @@
 	})
 	eventually(t, "a moved key", f.owns(100, "w3"))
 	assert.Assert(t, f.owns(99, "w1")() && f.owns(101, "w2")())
-	assert.Equal(t, f.known.Load(), int64(7))
+	assert.Equal(t, f.configRevision.Load(), int64(7))
 	f.meter.CountRequest("s", 5)
 	f.meter.CountRequest("s", 5)
 	report := <-reports
@@ -138,7 +138,7 @@
 }
 
 func TestNonLeaderReportsThatItDoesNotLead(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	answer, ok := QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, answer, LeadershipStatus{Leading: true, Process: "process"})
@@ -146,12 +146,12 @@
 	answer, ok = QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok && !answer.Leading)
 	f := follow(t, address)
-	assert.ErrorIs(t, <-f.ended, ErrNotLeading)
+	assert.ErrorIs(t, <-f.result, ErrNotLeading)
 }
 
 // A leader that is cut from the store kept its followers, and nobody else led.
 func TestLaterLeaderSupersedesEarlierOne(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	answer, ok := QueryLeadership(t.Context(), address, 3)
 	assert.Assert(t, ok && answer.Leading)
 	answer, ok = QueryLeadership(t.Context(), address, 4)
@@ -161,48 +161,48 @@
 }
 
 func TestFollowersAreNotifiedOfUncertainLeadership(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	f := follow(t, address)
 	hub.SetLeadershipUncertain(true)
-	eventually(t, "doubt", f.doubted.Load)
+	eventually(t, "doubt", f.leadershipUncertain.Load)
 }
 
-func change(id workers.ID, revision coord.Revision) WorkerChange {
+func drainingChange(id workers.ID, revision coord.Revision) WorkerChange {
 	return NewWorkerChange(revision, workers.Worker{ID: id, State: workers.StateDraining})
 }
 
 // One process reads the workers' entries and passes changes on, so that a change does
 // not cost a call of each of them.
 func TestFollowersReceiveEntryChanges(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	hub.SetEntries(nil, 10, time.Time{})
 	f := follow(t, address)
 	eventually(t, "that it has read nothing", func() bool { return f.gaps.Load() == 1 })
-	hub.AddEntryChanges([]WorkerChange{change("b", 12), change("c", 13)}, 14)
-	eventually(t, "changes", func() bool { return f.entries.Load() == 14 })
-	assert.DeepEqual(t, f.heard(), []string{"b", "c"})
+	hub.AddEntryChanges([]WorkerChange{drainingChange("b", 12), drainingChange("c", 13)}, 14)
+	eventually(t, "changes", func() bool { return f.entriesRevision.Load() == 14 })
+	assert.DeepEqual(t, f.receivedIDs(), []string{"b", "c"})
 	assert.Equal(t, f.gaps.Load(), int64(1))
 	hub.SetStoreUnreachable(true)
-	eventually(t, "that the leader is deaf", f.deaf.Load)
+	eventually(t, "that the leader is deaf", f.storeUnreachable.Load)
 }
 
-func ready(id workers.ID, revision coord.Revision) WorkerChange {
+func readyChange(id workers.ID, revision coord.Revision) WorkerChange {
 	return NewWorkerChange(revision, workers.Worker{ID: id, State: workers.StateReady})
 }
 
 func TestManyEntryChangesAreSentPacked(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	f := follow(t, address)
 	var changes []WorkerChange
 	var want []string
-	for index := range 10 * fewChanges {
+	for index := range 10 * maxUnpackedChanges {
 		id := fmt.Sprintf("w%d", index)
 		want = append(want, id)
-		changes = append(changes, ready(workers.ID(id), coord.Revision(1+index)))
+		changes = append(changes, readyChange(workers.ID(id), coord.Revision(1+index)))
 	}
 	hub.AddEntryChanges(changes, 90)
-	eventually(t, "changes", func() bool { return f.entries.Load() == 90 })
-	assert.DeepEqual(t, f.heard(), want)
+	eventually(t, "changes", func() bool { return f.entriesRevision.Load() == 90 })
+	assert.DeepEqual(t, f.receivedIDs(), want)
 	assert.Equal(t, f.gaps.Load(), int64(0))
 }
 
@@ -213,21 +213,21 @@
 		change WorkerChange
 		told   bool
 	}{
-		"comes":  {change: ready("b", 2)},
-		"drains": {change: change("b", 2), told: true},
+		"comes":  {change: readyChange("b", 2)},
+		"drains": {change: drainingChange("b", 2), told: true},
 		"gone":   {change: WorkerChange{ID: "b", Revision: 2, Gone: true}, told: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			hub := NewHub("process", nil, func() ReadState { return ReadState{} })
-			one := &link{}
-			hub.entries.add([]WorkerChange{ready("a", 1)}, 1, now)
-			assert.Assert(t, hub.entriesFor(one, now) != nil)
+			l := &link{}
+			hub.entries.add([]WorkerChange{readyChange("a", 1)}, 1, now)
+			assert.Assert(t, hub.entryChangesFor(l, now) != nil)
 			hub.entries.add([]WorkerChange{c.change}, 2, now)
-			assert.Equal(t, hub.entriesFor(one, now.Add(newcomersPause/2)) != nil, c.told)
+			assert.Equal(t, hub.entryChangesFor(l, now.Add(newWorkersInterval/2)) != nil, c.told)
 			if !c.told {
-				news := hub.entriesFor(one, now.Add(newcomersPause))
-				assert.Equal(t, len(news.Changes), 1)
+				changes := hub.entryChangesFor(l, now.Add(newWorkersInterval))
+				assert.Equal(t, len(changes.Changes), 1)
 			}
 		})
 	}
@@ -236,16 +236,16 @@
 func TestConfigurationIsSentToLinksThatLackIt(t *testing.T) {
 	hub := NewHub("process", nil, func() ReadState { return ReadState{} })
 	items := []coord.Item{{Key: "op/config", Value: []byte(`{"version":"1"}`), Revision: 7}}
-	behind, ahead := &link{config: 3}, &link{config: 7}
-	assert.Assert(t, hub.configFor(behind, time.Now()) == nil, "none was read")
+	behind, ahead := &link{configRevision: 3}, &link{configRevision: 7}
+	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "none was read")
 	hub.SetConfig(items, 7, time.Now())
-	told, err := hub.configFor(behind, time.Now()).Items()
+	sent, err := hub.configChangesFor(behind, time.Now()).Items()
 	assert.NilError(t, err)
-	assert.DeepEqual(t, told, items)
-	assert.Assert(t, hub.configFor(behind, time.Now()) == nil, "it was told")
-	assert.Assert(t, hub.configFor(ahead, time.Now()) == nil)
+	assert.DeepEqual(t, sent, items)
+	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "it was told")
+	assert.Assert(t, hub.configChangesFor(ahead, time.Now()) == nil)
 	hub.SetConfig(nil, 5, time.Now())
-	assert.Equal(t, hub.config.at, coord.Revision(7), "an older one changes nothing")
+	assert.Equal(t, hub.config.revision, coord.Revision(7), "an older one changes nothing")
 	_, err = ConfigChanges{Packed: []byte("no packed items")}.Items()
 	assert.Assert(t, err != nil)
 }
@@ -264,8 +264,8 @@
 		"none":                     {changes: 5, since: 105},
 		"many":                     {changes: 50, since: 100, from: 100, passed: 50},
 		"from before it began":     {changes: 5, since: 40, from: 105},
-		"from before what is kept": {changes: keptChanges + 5, since: 102, from: 100 + keptChanges + 5},
-		"many that came just now":  {changes: keptChanges + 5, quick: true, since: 102, from: 102, passed: keptChanges + 3},
+		"from before what is kept": {changes: minKeptChanges + 5, since: 102, from: 100 + minKeptChanges + 5},
+		"many that came just now":  {changes: minKeptChanges + 5, quick: true, since: 102, from: 102, passed: minKeptChanges + 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log entryLog
@@ -273,19 +273,19 @@
 			now := time.Unix(1000, 0)
 			for index := range test.changes {
 				revision := coord.Revision(101 + index)
-				log.add([]WorkerChange{change("k", revision)}, revision, now)
+				log.add([]WorkerChange{drainingChange("k", revision)}, revision, now)
 				if !test.quick {
 					now = now.Add(time.Second)
 				}
 			}
-			news := log.since(test.since, time.Now())
+			changes := log.changesSince(test.since, time.Now())
 			if test.from == 0 {
-				assert.Assert(t, news == nil)
+				assert.Assert(t, changes == nil)
 				return
 			}
-			assert.Equal(t, news.From, test.from)
-			assert.Equal(t, news.To, coord.Revision(100+test.changes))
-			assert.Equal(t, len(news.Changes), test.passed)
+			assert.Equal(t, changes.From, test.from)
+			assert.Equal(t, changes.To, coord.Revision(100+test.changes))
+			assert.Equal(t, len(changes.Changes), test.passed)
 		})
 	}
 }
@@ -295,8 +295,8 @@
 		ID: "w", Service: "s", Address: "a", Zone: "z", Slots: 3, State: workers.StateReady,
 		WarmAt: time.Now().Add(time.Hour),
 	}
-	again := NewWorkerChange(7, worker).Worker()
-	assert.Assert(t, again.WarmAt.Sub(worker.WarmAt).Abs() < time.Minute)
-	again.WarmAt = worker.WarmAt
-	assert.DeepEqual(t, again, worker)
+	decoded := NewWorkerChange(7, worker).Worker()
+	assert.Assert(t, decoded.WarmAt.Sub(worker.WarmAt).Abs() < time.Minute)
+	decoded.WarmAt = worker.WarmAt
+	assert.DeepEqual(t, decoded, worker)
 }
--- a/internal/peerlink/peers_test.go
+++ b/internal/peerlink/peers_test.go
@@ -11,12 +11,12 @@
 
 func TestPeersKeepNewestAddresses(t *testing.T) {
 	var peers Peers
-	for index := range mostPeers + 5 {
+	for index := range maxPeers + 5 {
 		peers.Add(fmt.Sprint("p", index), "")
 	}
 	peers.Add("p5", "p20")
-	some := peers.Sample(mostPeers+5, "p20")
-	assert.Equal(t, len(some), mostPeers-1)
+	some := peers.Sample(maxPeers+5, "p20")
+	assert.Equal(t, len(some), maxPeers-1)
 	assert.Assert(t, slices.Contains(some, "p5") && !slices.Contains(some, "p20") && !slices.Contains(some, "p4"))
 	assert.Equal(t, len(peers.Sample(2, "")), 2)
 	assert.Equal(t, len(new(Peers).Sample(2, "")), 0)
@@ -24,16 +24,16 @@
 
 func TestPeerAddressesAreSentPeriodically(t *testing.T) {
 	hub := NewHub("p", nil, func() ReadState { return ReadState{} })
-	one := &link{hello: Hello{Address: "one"}}
-	hub.links[one] = struct{}{}
+	l := &link{hello: Hello{Address: "one"}}
+	hub.links[l] = struct{}{}
 	now := time.Now()
-	assert.Equal(t, len(hub.peersFor(one, now)), 0, "there is no other")
+	assert.Equal(t, len(hub.peerAddressesFor(l, now)), 0, "there is no other")
 	for index := range 9 {
 		hub.links[&link{hello: Hello{Address: fmt.Sprint("p", index)}}] = struct{}{}
 	}
-	told := hub.peersFor(one, now)
-	assert.Equal(t, len(told), toldPeers)
-	assert.Assert(t, !slices.Contains(told, "one"))
-	assert.Equal(t, len(hub.peersFor(one, now.Add(toldPeersEvery-time.Millisecond))), 0)
-	assert.Equal(t, len(hub.peersFor(one, now.Add(toldPeersEvery))), toldPeers)
+	addresses := hub.peerAddressesFor(l, now)
+	assert.Equal(t, len(addresses), sentPeers)
+	assert.Assert(t, !slices.Contains(addresses, "one"))
+	assert.Equal(t, len(hub.peerAddressesFor(l, now.Add(sentPeersInterval-time.Millisecond))), 0)
+	assert.Equal(t, len(hub.peerAddressesFor(l, now.Add(sentPeersInterval))), sentPeers)
 }
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -39,17 +39,17 @@
 
 // OnPermit sets what answers other processes that ask for permits while this one leads; false: it
 // does not lead.
-func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.permit = call }
+func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.answerPermit = call }
 
 // servePermits answers one process until it is silent for long, or this one leads no longer.
 func (h *Hub) servePermits(conn net.Conn, reader *bufio.Reader) {
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(reportSilence))
-		var ask PermitRequest
-		if readLine(reader, &ask) != nil {
+		var request PermitRequest
+		if readLine(reader, &request) != nil {
 			return
 		}
-		permit, leading := h.permit(ask)
+		permit, leading := h.answerPermit(request)
 		if !leading || writeLine(conn, permit) != nil {
 			return
 		}
@@ -60,7 +60,7 @@
 func (h *Hub) FollowedLeader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.followed
+	return h.followedLeader
 }
 
 // ErrNoPermit: the leader did not answer in time.
@@ -72,16 +72,16 @@
 	// Node and Zone are those of this process.
 	Node, Zone string
 
-	mu   sync.Mutex
-	open *permitConn
+	mu      sync.Mutex
+	current *permitConn
 }
 
 // Ask asks the leader at an address, until ctx ends.
-func (l *PermitClient) Request(ctx context.Context, address string, ask PermitRequest) (Permit, error) {
+func (l *PermitClient) Request(ctx context.Context, address string, request PermitRequest) (Permit, error) {
 	conn := l.connect(address)
-	asked := clock.Now()
-	permit, err := conn.ask(ctx, ask)
-	if err != nil && !conn.heardSince(asked) { // it may be silent for good
+	start := clock.Now()
+	permit, err := conn.request(ctx, request)
+	if err != nil && !conn.answeredSince(start) { // it may be silent for good
 		conn.close()
 	}
 	return permit, err
@@ -91,17 +91,17 @@
 func (l *PermitClient) connect(address string) *permitConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open != nil && l.open.address == address && !l.open.isClosed() {
-		return l.open
+	if l.current != nil && l.current.address == address && !l.current.isClosed() {
+		return l.current
 	}
-	if l.open != nil {
-		l.open.close()
+	if l.current != nil {
+		l.current.close()
 	}
-	l.open = &permitConn{
-		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), waiting: map[uint64]chan Permit{},
+	l.current = &permitConn{
+		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan Permit{},
 	}
-	go l.open.run()
-	return l.open
+	go l.current.run()
+	return l.current
 }
 
 // permitConn is one connection to a leader.
@@ -112,12 +112,12 @@
 	opened, closed chan struct{}
 	closeOnce      sync.Once
 	// heard is when the leader last answered, a number of clock.Nanos.
-	heard atomic.Int64
+	lastAnswer atomic.Int64
 
-	mu      sync.Mutex
-	conn    net.Conn
-	next    uint64
-	waiting map[uint64]chan Permit
+	mu         sync.Mutex
+	conn       net.Conn
+	lastNumber uint64
+	pending    map[uint64]chan Permit
 }
 
 func (c *permitConn) close() { c.closeOnce.Do(func() { close(c.closed) }) }
@@ -131,7 +131,7 @@
 	}
 }
 
-func (c *permitConn) heardSince(at time.Time) bool { return c.heard.Load() >= clock.Nanos(at) }
+func (c *permitConn) answeredSince(at time.Time) bool { return c.lastAnswer.Load() >= clock.Nanos(at) }
 
 // run opens the connection and takes answers until it is closed.
 func (c *permitConn) run() {
@@ -158,23 +158,23 @@
 		if readLine(reader, &permit) != nil {
 			return
 		}
-		c.heard.Store(clock.Nanos(clock.Now()))
-		c.answered(permit)
+		c.lastAnswer.Store(clock.Nanos(clock.Now()))
+		c.deliver(permit)
 	}
 }
 
 // answered hands an answer to who asked.
-func (c *permitConn) answered(permit Permit) {
+func (c *permitConn) deliver(permit Permit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asked := c.waiting[permit.Number]; asked != nil {
-		asked <- permit
-		delete(c.waiting, permit.Number)
+	if waiter := c.pending[permit.Number]; waiter != nil {
+		waiter <- permit
+		delete(c.pending, permit.Number)
 	}
 }
 
 // ask sends a question and waits for its answer.
-func (c *permitConn) ask(ctx context.Context, ask PermitRequest) (Permit, error) {
+func (c *permitConn) request(ctx context.Context, request PermitRequest) (Permit, error) {
 	select {
 	case <-c.opened:
 	case <-c.closed:
@@ -183,7 +183,7 @@
 		return Permit{}, ErrNoPermit
 	}
 	answer := make(chan Permit, 1)
-	number, err := c.send(ask, answer)
+	number, err := c.send(request, answer)
 	if err != nil {
 		c.close()
 		return Permit{}, Error.Wrap(err)
@@ -196,16 +196,16 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, number)
+	delete(c.pending, number)
 	return Permit{}, ErrNoPermit
 }
 
 // send writes a question whose answer goes to a channel.
-func (c *permitConn) send(ask PermitRequest, answer chan Permit) (uint64, error) {
+func (c *permitConn) send(request PermitRequest, answer chan Permit) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	ask.Number = c.next
-	c.waiting[ask.Number] = answer
-	return ask.Number, writeLine(c.conn, ask)
+	c.lastNumber++
+	request.Number = c.lastNumber
+	c.pending[request.Number] = answer
+	return request.Number, writeLine(c.conn, request)
 }
--- a/internal/peerlink/relay.go
+++ b/internal/peerlink/relay.go
@@ -15,58 +15,58 @@
 // one process sends is bounded whatever the size of its zone. A relay passes on what it is told,
 // except what is for standbys only, and adds up the reports of those that follow it.
 
-// mostHops is how many processes pass a leader's word on at the most: a relay of a zone and one of
+// maxHops is how many processes pass a leader's word on at the most: a relay of a zone and one of
 // its own. More of them would let the word grow too old, and a circle of relays end nowhere.
-const mostHops = 2
+const maxHops = 2
 
 const (
-	// relaySettle is how long the first processes of a zone are linked before one on a
+	// relayChoiceDelay is how long the first processes of a zone are linked before one on a
 	// weaker machine becomes its relay, so that there is a choice among machines.
-	relaySettle = 300 * time.Millisecond
-	// relayDoubts is how many processes must have lost a relay for it to be replaced
+	relayChoiceDelay = 300 * time.Millisecond
+	// lostReportsToReplaceRelay is how many processes must have lost a relay for it to be replaced
 	// while it is linked itself.
-	relayDoubts = 3
-	// nodesMemory is for how long processes count that are just changing their link.
-	nodesMemory = 3 * time.Second
+	lostReportsToReplaceRelay = 3
+	// nodeCountHold is for how long processes count that are just changing their link.
+	nodeCountHold = 3 * time.Second
 )
 
 // upstream is what a relay knows of the leader whose words it passes on.
 type upstream struct {
 	// heard is the last message's part that is the same for all links.
-	heard Update
+	lastUpdate Update
 	// fresh is when all that the leader knew was known here.
-	fresh time.Time
+	currentAsOf time.Time
 	// lost says that the link to the leader broke.
-	lost bool
+	leaderLost bool
 	// leaveTo is the address that all others are sent to; empty: they may stay.
-	leaveTo string
+	redirectTo string
 }
 
 // head describes what a relay says in each message.
-func (u *upstream) head(update *Update, own ReadState, now time.Time) {
-	update.Relayed, update.Leaderless, update.Redirect = true, u.lost, u.leaveTo
-	update.Nodes, update.Hops = u.heard.Nodes, u.hops()
-	update.AgeMillis = max(0, now.Sub(u.fresh)).Milliseconds()
+func (u *upstream) fillHeader(update *Update, own ReadState, now time.Time) {
+	update.Relayed, update.Leaderless, update.Redirect = true, u.leaderLost, u.redirectTo
+	update.Nodes, update.Hops = u.lastUpdate.Nodes, u.hops()
+	update.AgeMillis = max(0, now.Sub(u.currentAsOf)).Milliseconds()
 	update.ReadState = ReadState{
-		Config: max(own.Config, u.heard.ReadState.Config), Workers: max(own.Workers, u.heard.ReadState.Workers),
+		Config: max(own.Config, u.lastUpdate.ReadState.Config), Workers: max(own.Workers, u.lastUpdate.ReadState.Workers),
 		SettleMillis: own.SettleMillis,
-		Settled:      !u.lost && u.heard.ReadState.Settled,
+		Settled:      !u.leaderLost && u.lastUpdate.ReadState.Settled,
 	}
 	if update.ReadState.Settled { // only the relay was cut off
 		update.ReadState.SettleMillis = 0
 	}
-	update.Strongest = max(update.Strongest, u.heard.Strongest)
+	update.Strongest = max(update.Strongest, u.lastUpdate.Strongest)
 }
 
 // hops is how many processes have passed the word on that this one tells.
-func (u *upstream) hops() int { return u.heard.Hops + 1 }
+func (u *upstream) hops() int { return u.lastUpdate.Hops + 1 }
 
 // OnReported sets what is called with the reports of processes that follow this relay.
-func (h *Hub) OnFollowerReport(call func(Report)) { h.reported = call }
+func (h *Hub) OnFollowerReport(call func(Report)) { h.onFollowerReport = call }
 
 // Relay takes what the leader says, or a relay of it: from now on other processes may follow this
 // one, unless as many pass the word on already as may.
-func (h *Hub) RelayUpdate(heard Update) {
+func (h *Hub) RelayUpdate(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.leading {
@@ -75,17 +75,17 @@
 	if h.upstream == nil {
 		h.upstream = &upstream{}
 	}
-	h.upstream.lost, h.upstream.leaveTo = heard.Leaderless, ""
-	h.upstream.heard = Update{Nodes: heard.Nodes, ReadState: heard.ReadState, Strongest: heard.Strongest, Hops: heard.Hops}
-	if !heard.StoreUnreachable {
-		h.upstream.refresh(clock.Now().Add(-heard.Age()))
+	h.upstream.leaderLost, h.upstream.redirectTo = update.Leaderless, ""
+	h.upstream.lastUpdate = Update{Nodes: update.Nodes, ReadState: update.ReadState, Strongest: update.Strongest, Hops: update.Hops}
+	if !update.StoreUnreachable {
+		h.upstream.markCurrent(clock.Now().Add(-update.Age()))
 	}
 }
 
 // refresh notes that all was known at a time.
-func (u *upstream) refresh(at time.Time) {
-	if at.After(u.fresh) {
-		u.fresh = at
+func (u *upstream) markCurrent(at time.Time) {
+	if at.After(u.currentAsOf) {
+		u.currentAsOf = at
 	}
 }
 
@@ -95,7 +95,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
-		h.upstream.refresh(at)
+		h.upstream.markCurrent(at)
 	}
 }
 
@@ -111,7 +111,7 @@
 		h.term = term
 		clear(h.owners)
 	}
-	h.publish(service, published{owners: owners, version: version, part: version == 0})
+	h.publish(service, publishedOwners{owners: owners, version: version, partial: version == 0})
 }
 
 // LeaderLost says that a relay has lost its leader. Those that follow it stay for as long
@@ -120,7 +120,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
-		h.upstream.lost = true
+		h.upstream.leaderLost = true
 		h.wakeAll()
 	}
 }
@@ -128,8 +128,8 @@
 // takesFollowers reports whether this process is a relay, and not one that has sent its
 // followers away: it may be about to lead, and would send the next ones to where it went
 // itself. The caller holds mu.
-func (h *Hub) takesFollowers() bool {
-	return h.upstream != nil && h.upstream.leaveTo == "" && h.upstream.hops() <= mostHops
+func (h *Hub) acceptsFollowers() bool {
+	return h.upstream != nil && h.upstream.redirectTo == "" && h.upstream.hops() <= maxHops
 }
 
 // LeaveTo sends all that follow this relay to another process, and takes no new ones until
@@ -138,7 +138,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstream != nil {
-		h.upstream.leaveTo = address
+		h.upstream.redirectTo = address
 		h.wakeAll()
 	}
 }
@@ -157,16 +157,16 @@
 // linkedNodes is how many processes are linked here, or follow those that are. The caller holds mu.
 func (h *Hub) linkedNodes() int {
 	count := len(h.links)
-	for one := range h.links {
-		count += one.followers
+	for l := range h.links {
+		count += l.followers
 	}
 	return count
 }
 
 // expectNodes takes a process's word on how many there are. The caller holds mu.
-func (h *Hub) expectNodes(count int, now time.Time) {
-	if count > h.mostNodes {
-		h.mostNodes, h.mostNodesAt = count, now
+func (h *Hub) noteNodeCount(count int, now time.Time) {
+	if count > h.maxNodes {
+		h.maxNodes, h.maxNodesAt = count, now
 	}
 }
 
@@ -174,21 +174,21 @@
 // a moment. The caller holds mu.
 func (h *Hub) nodes(now time.Time) int {
 	count := 1 + h.linkedNodes()
-	if count >= h.mostNodes || now.Sub(h.mostNodesAt) > nodesMemory {
-		h.mostNodes, h.mostNodesAt = count, now
+	if count >= h.maxNodes || now.Sub(h.maxNodesAt) > nodeCountHold {
+		h.maxNodes, h.maxNodesAt = count, now
 	}
-	return h.mostNodes
+	return h.maxNodes
 }
 
 // relayFor returns the address of the relay that a link's process is to follow; empty if
 // it stays with the leader. The caller holds mu.
-func (h *Hub) relayFor(one *link, now time.Time) string {
-	if h.nodes(now) <= h.DirectNodes || h.standbys.appointed[one.hello.Process] || one.hello.Address == "" {
+func (h *Hub) relayFor(l *link, now time.Time) string {
+	if h.nodes(now) <= h.DirectNodes || h.standbys.appointed[l.hello.Process] || l.hello.Address == "" {
 		return ""
 	}
-	zone := one.hello.Zone
+	zone := l.hello.Zone
 	relay := h.relays[zone]
-	if relay == nil || h.doubted(relay) {
+	if relay == nil || h.reportedLost(relay) {
 		relay = h.chooseRelay(zone, relay, now)
 		h.relays[zone] = relay
 	}
@@ -196,7 +196,7 @@
 		return ""
 	}
 	address := relay.hello.Address
-	if address == one.hello.Address || address == one.hello.Avoid {
+	if address == l.hello.Address || address == l.hello.Avoid {
 		return ""
 	}
 	return address
@@ -204,41 +204,41 @@
 
 // doubted reports whether enough processes have come here because they lost a relay. The
 // caller holds mu.
-func (h *Hub) doubted(relay *link) bool {
-	doubts := 0
-	for one := range h.links {
-		if one.hello.Avoid == relay.hello.Address {
-			doubts++
+func (h *Hub) reportedLost(relay *link) bool {
+	reports := 0
+	for l := range h.links {
+		if l.hello.Avoid == relay.hello.Address {
+			reports++
 		}
 	}
-	return doubts >= relayDoubts
+	return reports >= lostReportsToReplaceRelay
 }
 
 // chooseRelay returns the link of a zone that is its next relay: one that others follow
 // already, else the one on the strongest machine; nil if it is too early to choose. The
 // caller holds mu.
-func (h *Hub) chooseRelay(zone string, before *link, now time.Time) *link {
+func (h *Hub) chooseRelay(zone string, excluded *link, now time.Time) *link {
 	var best *link
-	first := now
-	for one := range h.links {
-		if one.hello.Zone != zone || one == before || one.hello.Address == "" {
+	earliest := now
+	for l := range h.links {
+		if l.hello.Zone != zone || l == excluded || l.hello.Address == "" {
 			continue
 		}
-		if one.since.Before(first) {
-			first = one.since
+		if l.since.Before(earliest) {
+			earliest = l.since
 		}
-		if best == nil || one.betterRelay(best) {
-			best = one
+		if best == nil || l.isBetterRelayThan(best) {
+			best = l
 		}
 	}
-	if best != nil && best.followers == 0 && best.hello.Strength < 1 && now.Sub(first) < relaySettle {
+	if best != nil && best.followers == 0 && best.hello.Strength < 1 && now.Sub(earliest) < relayChoiceDelay {
 		return nil
 	}
 	return best
 }
 
 // betterRelay compares two links of a zone.
-func (l *link) betterRelay(other *link) bool {
+func (l *link) isBetterRelayThan(other *link) bool {
 	switch {
 	case l.followers != other.followers:
 		return l.followers > other.followers
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -14,7 +14,7 @@
 )
 
 // relaying is a hub that passes on what a leader says, with its address.
-func relaying(t *testing.T) (*Hub, string) {
+func newRelayHub(t *testing.T) (*Hub, string) {
 	t.Helper()
 	hub := NewHub("relay", nil, func() ReadState { return ReadState{Config: 7} })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,38 +25,38 @@
 }
 
 func TestRelayForwardsLeaderUpdates(t *testing.T) {
-	hub, address := relaying(t)
+	hub, address := newRelayHub(t)
 	reports := make(chan Report, 4)
 	hub.OnFollowerReport(func(report Report) { reports <- report })
 	early := follow(t, address)
-	assert.ErrorIs(t, <-early.ended, ErrNotLeading, "it has heard no leader yet")
+	assert.ErrorIs(t, <-early.result, ErrNotLeading, "it has heard no leader yet")
 	hub.RelayUpdate(Update{Nodes: 50, ReadState: ReadState{Config: 9}})
-	hub.RelayOwners("s", run("a"), 3, 1)
+	hub.RelayOwners("s", singleOwner("a"), 3, 1)
 	f := follow(t, address)
 	eventually(t, "owners", f.owns(7, "a"))
-	assert.Equal(t, f.known.Load(), int64(9), "what the leader knows, not only the relay")
-	hub.AddEntryChanges([]WorkerChange{change("b", 12)}, 14)
-	eventually(t, "changed workers", func() bool { return f.entries.Load() == 14 })
+	assert.Equal(t, f.configRevision.Load(), int64(9), "what the leader knows, not only the relay")
+	hub.AddEntryChanges([]WorkerChange{drainingChange("b", 12)}, 14)
+	eventually(t, "changed workers", func() bool { return f.entriesRevision.Load() == 14 })
 	f.meter.CountRequest("s", 5)
 	report := <-reports
 	assert.DeepEqual(t, report.Keys["s"], []int{5, 1})
 	assert.Equal(t, hub.Followers(), 1)
-	hub.RelayOwners("s", run("b"), 4, 1)
+	hub.RelayOwners("s", singleOwner("b"), 4, 1)
 	eventually(t, "owners of the next leader", f.owns(7, "b"))
 	answer, ok := QueryLeadership(t.Context(), address, 0)
 	assert.Assert(t, ok && !answer.Leading, "a relay does not lead")
 	hub.RedirectFollowers("other:1")
 	var redirect *RedirectError
-	assert.Assert(t, errors.As(<-f.ended, &redirect))
+	assert.Assert(t, errors.As(<-f.result, &redirect))
 	assert.Equal(t, redirect.Address, "other:1")
 	// Found on trouble-3 of malaika-charge-grown: it went on to win an election, sent those
 	// who came to it to its former relay, that one to itself, and nobody heard of changes.
 	f = follow(t, address)
-	assert.ErrorIs(t, <-f.ended, ErrNotLeading, "who sends others away takes no new ones")
+	assert.ErrorIs(t, <-f.result, ErrNotLeading, "who sends others away takes no new ones")
 }
 
 // run is one worker that has all keys.
-func run(worker string) []owner.Owner {
+func singleOwner(worker string) []owner.Owner {
 	return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
 }
 
@@ -64,28 +64,28 @@
 	hub := NewHub("relay", nil, func() ReadState { return ReadState{} })
 	start := time.Now()
 	hub.RelayUpdate(Update{})
-	heard := func(after time.Duration) Update {
-		head, ok := hub.head(&link{}, start.Add(after))
+	headerAfter := func(after time.Duration) Update {
+		head, ok := hub.header(&link{}, start.Add(after))
 		assert.Assert(t, ok)
 		return head
 	}
-	assert.Assert(t, !heard(time.Second).Stale())
-	assert.Assert(t, heard(2*time.Second).Stale())
+	assert.Assert(t, !headerAfter(time.Second).Stale())
+	assert.Assert(t, headerAfter(2*time.Second).Stale())
 	hub.MarkLeaderLost()
-	assert.Assert(t, heard(time.Second).Leaderless)
+	assert.Assert(t, headerAfter(time.Second).Leaderless)
 	hub.MarkStoreRead(start.Add(5 * time.Second))
-	assert.Assert(t, !heard(6*time.Second).Stale(), "it has read the service itself")
-	assert.Assert(t, heard(7*time.Second).Stale())
+	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "it has read the service itself")
+	assert.Assert(t, headerAfter(7*time.Second).Stale())
 	hub.MarkStoreRead(start)
-	assert.Assert(t, !heard(6*time.Second).Stale(), "an older answer changes nothing")
+	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "an older answer changes nothing")
 	hub.RelayUpdate(Update{StoreUnreachable: true})
-	assert.Assert(t, heard(7*time.Second).Stale(), "a leader that reads nothing is no news")
-	assert.Assert(t, !heard(7*time.Second).Leaderless)
+	assert.Assert(t, headerAfter(7*time.Second).Stale(), "a leader that reads nothing is no news")
+	assert.Assert(t, !headerAfter(7*time.Second).Leaderless)
 }
 
 func TestRelayAssignment(t *testing.T) {
 	start := time.Unix(1000, 0)
-	late := start.Add(relaySettle)
+	late := start.Add(relayChoiceDelay)
 	strong := Hello{Process: "strong", Address: "strong:1", Zone: "z", Strength: 1}
 	weak := Hello{Process: "weak", Address: "weak:1", Zone: "z", Strength: 0.2}
 	for name, test := range map[string]struct {
@@ -97,9 +97,9 @@
 		want      string
 	}{
 		"few processes":                  {direct: 9, now: late, self: weak},
-		"the strongest is strong enough": {now: start.Add(relaySettle / 2), self: weak, want: "strong:1"},
+		"the strongest is strong enough": {now: start.Add(relayChoiceDelay / 2), self: weak, want: "strong:1"},
 		"too early to choose": {
-			now: start.Add(relaySettle / 2), self: Hello{Process: "weak", Address: "weak:1", Zone: "y", Strength: 0.2},
+			now: start.Add(relayChoiceDelay / 2), self: Hello{Process: "weak", Address: "weak:1", Zone: "y", Strength: 0.2},
 		},
 		"the strongest of the zone":      {now: late, self: weak, want: "strong:1"},
 		"the relay itself":               {now: late, self: strong},
@@ -107,17 +107,17 @@
 		"a standby":                      {now: late, self: weak, appointed: "weak"},
 		"at the relay's own address":     {now: late, self: Hello{Process: "its next life", Address: "strong:1", Zone: "z"}},
 		"that has lost it":               {now: late, self: Hello{Process: "weak", Address: "weak:1", Zone: "z", Avoid: "strong:1"}},
-		"one of too few that lost it":    {now: late, self: weak, doubts: relayDoubts - 1, want: "strong:1"},
-		"after enough processes lost it": {now: late, self: weak, doubts: relayDoubts, want: "d0:1"},
+		"one of too few that lost it":    {now: late, self: weak, doubts: lostReportsToReplaceRelay - 1, want: "strong:1"},
+		"after enough processes lost it": {now: late, self: weak, doubts: lostReportsToReplaceRelay, want: "d0:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
 			hub.DirectNodes = test.direct
 			hub.Open(1)
 			add := func(hello Hello) *link {
-				one := &link{hello: hello, since: start}
-				hub.links[one] = struct{}{}
-				return one
+				l := &link{hello: hello, since: start}
+				hub.links[l] = struct{}{}
+				return l
 			}
 			relay := add(strong)
 			self := relay
@@ -139,20 +139,20 @@
 
 // A process that joins a zone with a relay costs the leader one line.
 func TestNewProcessesAreRedirectedToTheRelay(t *testing.T) {
-	hub, _, address := leading(t, 3)
-	hub.Publish("s", run("a"))
+	hub, _, address := newLeadingHub(t, 3)
+	hub.Publish("s", singleOwner("a"))
 	relay := &link{hello: Hello{Process: "relay", Address: "relay:1"}, since: time.Now()}
 	hub.mu.Lock()
 	hub.links[relay], hub.relays[""] = struct{}{}, relay
 	hub.mu.Unlock()
 	f := followAs(t, address, Hello{Node: "n", Process: "n", Address: "n:1"})
 	var redirect *RedirectError
-	assert.Assert(t, errors.As(<-f.ended, &redirect))
+	assert.Assert(t, errors.As(<-f.result, &redirect))
 	assert.Equal(t, redirect.Address, "relay:1")
 	assert.Equal(t, len(hub.Peers()), 1)
-	hub.take(relay, Report{Followers: 40})
+	hub.handleReport(relay, Report{Followers: 40})
 	assert.Equal(t, hub.Nodes(), 42)
-	hub.take(relay, Report{Followers: 30})
+	hub.handleReport(relay, Report{Followers: 30})
 	assert.Equal(t, hub.Nodes(), 42, "those that change their link count on for a moment")
 }
 
@@ -160,7 +160,7 @@
 func TestNewLeaderLearnsNodeCountFromFirstHello(t *testing.T) {
 	hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
 	now := time.Unix(1000, 0)
-	hub.expectNodes(295, now)
+	hub.noteNodeCount(295, now)
 	assert.Equal(t, hub.nodes(now.Add(time.Second)), 295)
-	assert.Equal(t, hub.nodes(now.Add(2*nodesMemory)), 1, "they have not come")
+	assert.Equal(t, hub.nodes(now.Add(2*nodeCountHold)), 1, "they have not come")
 }
--- a/internal/peerlink/settled_test.go
+++ b/internal/peerlink/settled_test.go
@@ -19,11 +19,11 @@
 	}{
 		"for long":                     {hub: &Hub{openedAt: long}, steady: true},
 		"just elected":                 {hub: &Hub{openedAt: now}},
-		"reads nothing":                {hub: &Hub{openedAt: long, deaf: true}},
-		"another may lead":             {hub: &Hub{openedAt: long, doubtful: true}},
+		"reads nothing":                {hub: &Hub{openedAt: long, storeUnreachable: true}},
+		"another may lead":             {hub: &Hub{openedAt: long, leadershipUncertain: true}},
 		"entries may have lapsed only": {hub: &Hub{openedAt: long}, own: ReadState{SettleMillis: 100}},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.hub.steady(c.own, now), c.steady) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, c.hub.settled(c.own, now), c.steady) })
 	}
 }
 
@@ -35,13 +35,13 @@
 		steady   bool
 		settle   int64
 	}{
-		"steady":                {upstream: upstream{heard: Update{ReadState: ReadState{Settled: true}}, fresh: now}, steady: true},
-		"not steady":            {upstream: upstream{fresh: now}, settle: 900},
-		"the relay has lost it": {upstream: upstream{heard: Update{ReadState: ReadState{Settled: true}}, fresh: now, lost: true}, settle: 900},
+		"steady":                {upstream: upstream{lastUpdate: Update{ReadState: ReadState{Settled: true}}, currentAsOf: now}, steady: true},
+		"not steady":            {upstream: upstream{currentAsOf: now}, settle: 900},
+		"the relay has lost it": {upstream: upstream{lastUpdate: Update{ReadState: ReadState{Settled: true}}, currentAsOf: now, leaderLost: true}, settle: 900},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var update Update
-			c.upstream.head(&update, ReadState{SettleMillis: 900}, now)
+			c.upstream.fillHeader(&update, ReadState{SettleMillis: 900}, now)
 			assert.Equal(t, update.ReadState.Settled, c.steady)
 			assert.Equal(t, update.ReadState.SettleMillis, c.settle)
 		})
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -22,71 +22,73 @@
 type standbys struct {
 	// limit is when any leave ends at the latest: the leader's own renewals end then.
 	limit time.Time
-	holds map[routing.ServiceName]heldNow
+	holds map[routing.ServiceName]currentHolds
 	// given are the leaves by process; appointed those that get more.
-	given     map[string]*given
+	granted   map[string]*standbyMandate
 	appointed map[string]bool
 }
 
-// heldNow is what is held of one service.
-type heldNow struct {
+// currentHolds is what is held of one service.
+type currentHolds struct {
 	version uint64
 	holds   []owner.Hold
 }
 
 // given is the leave of one process.
-type given struct {
-	link  *link
-	until time.Time
-	heard map[routing.ServiceName]uint64
+type standbyMandate struct {
+	link         *link
+	until        time.Time
+	holdVersions map[routing.ServiceName]uint64
 	// heardAt is when it was last heard.
-	heardAt time.Time
+	lastReportAt time.Time
 	// down says that the link is lost. renewed is until when it was lost before.
-	down    bool
-	renewed time.Time
+	linkLost            bool
+	mayHaveRenewedUntil time.Time
 }
 
-// aloneAfter is how long a standby is silent until it may have lost the leader: less
+// standbySilenceLimit is how long a standby is silent until it may have lost the leader: less
 // than its own patience.
-const aloneAfter = SilenceLimit - 2*heartbeat
+const standbySilenceLimit = SilenceLimit - 2*heartbeatInterval
 
 // alone reports whether the standby may renew by itself now.
-func (g *given) alone(now time.Time) bool { return g.down || now.Sub(g.heardAt) > aloneAfter }
+func (g *standbyMandate) mayRenewAlone(now time.Time) bool {
+	return g.linkLost || now.Sub(g.lastReportAt) > standbySilenceLimit
+}
 
-// holdsPause is the pause between descriptions of all that is held: fences change with
+// holdsInterval is the pause between descriptions of all that is held: fences change with
 // each order that has no answer, and what a standby does not know it does not renew.
-const holdsPause = time.Second
+const holdsInterval = time.Second
 
-// orderTime is how long a renewal of a standby may be under way.
-const orderTime = 700 * time.Millisecond
+// renewalTimeout is how long a renewal of a standby may be under way.
+const renewalTimeout = 700 * time.Millisecond
 
 func (s *standbys) reset() {
 	*s = standbys{
-		holds: map[routing.ServiceName]heldNow{}, given: map[string]*given{}, appointed: map[string]bool{},
+		holds: map[routing.ServiceName]currentHolds{}, granted: map[string]*standbyMandate{}, appointed: map[string]bool{},
 	}
 }
 
 // mandate extends the leave of a link's process; nil if it is no standby, or has not
 // sent a stamp yet.
-func (s *standbys) mandate(one *link, now time.Time) *Mandate {
-	if !s.appointed[one.hello.Process] {
-		return s.replaced(one, now)
+func (s *standbys) extend(l *link, now time.Time) *Mandate {
+	if !s.appointed[l.hello.Process] {
+		return s.replacedMandate(l, now)
 	}
-	left := s.limit.Sub(now)
-	if left <= 0 {
+	remaining := s.limit.Sub(now)
+	if remaining <= 0 {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: left.Milliseconds()}
-	if one.stamp == 0 {
+	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: remaining.Milliseconds()}
+	if l.stamp == 0 {
 		return mandate // asks for a stamp; gives nothing
 	}
-	leave := s.given[one.hello.Process]
-	if leave == nil || leave.link != one {
-		leave = s.relink(leave, one, now)
+	granted := s.granted[l.hello.Process]
+	if granted == nil || granted.link != l {
+		granted = s.moveToLink(granted, l, now)
 	}
-	leave.until = s.limit
-	if now.Sub(one.holdsAt) >= holdsPause {
-		mandate.Services = s.news(one, now)
+	granted.until = s.limit
+	if now.Sub(l.holdsSentAt) >= holdsInterval {
+		mandate.Services = s.changedHolds(l, now)
 	}
 	return mandate
 }
@@ -95,59 +97,59 @@
 // waits for a standby that has not heard of a hold's end. Told nothing more, it kept the keys of
 // a worker that crashed from 34.3 s to 47.4 s of a run of processes, 13 s after the end of its
 // appointment.
-func (s *standbys) replaced(one *link, now time.Time) *Mandate {
-	leave := s.given[one.hello.Process]
-	if leave == nil || leave.link != one || !now.Before(leave.until) {
+func (s *standbys) replacedMandate(l *link, now time.Time) *Mandate {
+	granted := s.granted[l.hello.Process]
+	if granted == nil || granted.link != l || !now.Before(granted.until) {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: leave.until.Sub(now).Milliseconds()}
-	if now.Sub(one.holdsAt) >= holdsPause {
-		mandate.Services = s.news(one, now)
+	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: granted.until.Sub(now).Milliseconds()}
+	if now.Sub(l.holdsSentAt) >= holdsInterval {
+		mandate.Services = s.changedHolds(l, now)
 	}
 	return mandate
 }
 
 // news describes the holds that a link has not heard.
-func (s *standbys) news(one *link, now time.Time) []ServiceHolds {
-	var news []ServiceHolds
-	for service, held := range s.holds {
-		if one.holds[service] != held.version {
-			one.holds[service], one.holdsAt = held.version, now
-			news = append(news, EncodeHolds(service, held.version, held.holds))
+func (s *standbys) changedHolds(l *link, now time.Time) []ServiceHolds {
+	var changed []ServiceHolds
+	for service, current := range s.holds {
+		if l.holdVersions[service] != current.version {
+			l.holdVersions[service], l.holdsSentAt = current.version, now
+			changed = append(changed, EncodeHolds(service, current.version, current.holds))
 		}
 	}
-	return news
+	return changed
 }
 
 // relink begins a leave over a new link. What the process did alone before is kept in
 // mind.
-func (s *standbys) relink(before *given, one *link, now time.Time) *given {
-	leave := &given{link: one, heard: map[routing.ServiceName]uint64{}, heardAt: now}
-	if before != nil {
-		leave.until, leave.heard, leave.renewed = before.until, before.heard, before.renewed
-		if before.alone(now) {
-			leave.renewed = now.Add(orderTime)
+func (s *standbys) moveToLink(previous *standbyMandate, l *link, now time.Time) *standbyMandate {
+	granted := &standbyMandate{link: l, holdVersions: map[routing.ServiceName]uint64{}, lastReportAt: now}
+	if previous != nil {
+		granted.until, granted.holdVersions, granted.mayHaveRenewedUntil = previous.until, previous.holdVersions, previous.mayHaveRenewedUntil
+		if previous.mayRenewAlone(now) {
+			granted.mayHaveRenewedUntil = now.Add(renewalTimeout)
 		}
 	}
-	s.given[one.hello.Process] = leave
-	return leave
+	s.granted[l.hello.Process] = granted
+	return granted
 }
 
 // lost notes that a link is down.
-func (s *standbys) lost(one *link) {
-	if leave := s.given[one.hello.Process]; leave != nil && leave.link == one {
-		leave.down = true
+func (s *standbys) markLinkLost(l *link) {
+	if granted := s.granted[l.hello.Process]; granted != nil && granted.link == l {
+		granted.linkLost = true
 	}
 }
 
 // mandates returns what the standbys may do with a service's holds.
-func (s *standbys) mandates(service routing.ServiceName, now time.Time) []owner.Mandate {
-	list := make([]owner.Mandate, 0, len(s.given))
-	for _, leave := range s.given {
-		if leave.alone(now) {
-			leave.renewed = earlier(now, leave.until).Add(orderTime)
+func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Mandate {
+	list := make([]owner.Mandate, 0, len(s.granted))
+	for _, granted := range s.granted {
+		if granted.mayRenewAlone(now) {
+			granted.mayHaveRenewedUntil = earlier(now, granted.until).Add(renewalTimeout)
 		}
-		list = append(list, owner.Mandate{Heard: leave.heard[service], Until: leave.until, Renewed: leave.renewed})
+		list = append(list, owner.Mandate{Heard: granted.holdVersions[service], Until: granted.until, Renewed: granted.mayHaveRenewedUntil})
 	}
 	return list
 }
@@ -160,17 +162,17 @@
 }
 
 // stamped takes a standby's report.
-func (h *Hub) stamped(one *link, report Report) {
+func (h *Hub) recordStandbyReport(l *link, report Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one.stamp = report.Stamp
-	leave := h.standbys.given[one.hello.Process]
-	if leave == nil || leave.link != one {
+	l.stamp = report.Stamp
+	granted := h.standbys.granted[l.hello.Process]
+	if granted == nil || granted.link != l {
 		return
 	}
-	leave.heardAt = clock.Now()
+	granted.lastReportAt = clock.Now()
 	for service, version := range report.HoldVersions {
-		leave.heard[service] = max(leave.heard[service], version)
+		granted.holdVersions[service] = max(granted.holdVersions[service], version)
 	}
 }
 
@@ -179,10 +181,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	peers := make([]Peer, 0, len(h.links))
-	for one := range h.links {
-		if one.hello.Process != "" {
+	for l := range h.links {
+		if l.hello.Process != "" {
 			peers = append(peers, Peer{
-				Process: one.hello.Process, Address: one.hello.Address, Zone: one.hello.Zone, Strength: one.hello.Strength,
+				Process: l.hello.Process, Address: l.hello.Address, Zone: l.hello.Zone, Strength: l.hello.Strength,
 			})
 		}
 	}
@@ -204,8 +206,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.appointed = map[string]bool{}
-	for _, one := range processes {
-		h.standbys.appointed[one] = true
+	for _, process := range processes {
+		h.standbys.appointed[process] = true
 	}
 	h.wakeAll()
 }
@@ -221,11 +223,11 @@
 func (h *Hub) PublishHolds(service routing.ServiceName, version uint64, holds []owner.Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.standbys.holds[service] = heldNow{version: version, holds: holds}
-	for one := range h.links {
-		leave := h.standbys.given[one.hello.Process]
-		if h.standbys.appointed[one.hello.Process] || (leave != nil && leave.link == one) {
-			one.rouse()
+	h.standbys.holds[service] = currentHolds{version: version, holds: holds}
+	for l := range h.links {
+		granted := h.standbys.granted[l.hello.Process]
+		if h.standbys.appointed[l.hello.Process] || (granted != nil && granted.link == l) {
+			l.signal()
 		}
 	}
 }
@@ -234,13 +236,13 @@
 func (h *Hub) Mandates(service routing.ServiceName) []owner.Mandate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.standbys.mandates(service, clock.Now())
+	return h.standbys.ownerMandates(service, clock.Now())
 }
 
 // HasLeave reports whether a process may still renew, or have a renewal under way.
 func (h *Hub) HasMandate(process string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	leave := h.standbys.given[process]
-	return leave != nil && !now.After(leave.until.Add(orderTime))
+	granted := h.standbys.granted[process]
+	return granted != nil && !now.After(granted.until.Add(renewalTimeout))
 }
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestStandbyReceivesHoldsAndAcknowledgesThem(t *testing.T) {
-	hub, reports, address := leading(t, 3)
+	hub, reports, address := newLeadingHub(t, 3)
 	go func() {
 		for range reports { // nobody else takes them
 		}
@@ -27,7 +27,7 @@
 	hub.PublishHolds("s", 5, holds)
 
 	var version atomic.Uint64
-	heard := make(chan []owner.Hold, 8)
+	received := make(chan []owner.Hold, 8)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	follower := Follower{
@@ -40,11 +40,11 @@
 			if update.Mandate == nil {
 				return
 			}
-			for _, told := range update.Mandate.Services {
-				got, ok := told.Holds()
+			for _, message := range update.Mandate.Services {
+				got, ok := message.Holds()
 				assert.Check(t, ok)
-				version.Store(told.Version)
-				heard <- got
+				version.Store(message.Version)
+				received <- got
 			}
 		},
 	}
@@ -57,7 +57,7 @@
 	})
 	assert.Equal(t, len(hub.Mandates("s")), 0, "no leave before it is appointed")
 	hub.AppointStandbys([]string{"p"})
-	assert.DeepEqual(t, <-heard, holds)
+	assert.DeepEqual(t, <-received, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		given := hub.Mandates("s")
 		if len(given) == 1 && given[0].Heard == 5 && given[0].Until.Equal(limit) && given[0].Renewed.IsZero() {
@@ -86,16 +86,16 @@
 	s.reset()
 	s.limit = now.Add(time.Minute)
 	s.appointed["p"] = true
-	one := &link{hello: Hello{Process: "p"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	told := 0
+	l := &link{hello: Hello{Process: "p"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	sent := 0
 	for step := range 60 {
-		s.holds["s"] = heldNow{version: uint64(step + 1)}
+		s.holds["s"] = currentHolds{version: uint64(step + 1)}
 		at := now.Add(time.Duration(step) * 50 * time.Millisecond)
-		mandate := s.mandate(one, at)
+		mandate := s.extend(l, at)
 		assert.Assert(t, mandate.RemainingMillis > 0, "the leave goes on")
-		told += len(mandate.Services)
+		sent += len(mandate.Services)
 	}
-	assert.Equal(t, told, 3)
+	assert.Equal(t, sent, 3)
 }
 
 // Found by the soak of real processes (seed 514): two standbys were replaced by stronger ones
@@ -106,15 +106,15 @@
 	s.reset()
 	s.limit = now.Add(9 * time.Second)
 	s.appointed["p"] = true
-	one := &link{hello: Hello{Process: "p"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	s.holds["s"] = heldNow{version: 1}
-	assert.Equal(t, len(s.mandate(one, now).Services), 1)
+	l := &link{hello: Hello{Process: "p"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	s.holds["s"] = currentHolds{version: 1}
+	assert.Equal(t, len(s.extend(l, now).Services), 1)
 	s.appointed["p"] = false
-	s.holds["s"], s.limit = heldNow{version: 2}, now.Add(12*time.Second)
-	mandate := s.mandate(one, now.Add(2*time.Second))
+	s.holds["s"], s.limit = currentHolds{version: 2}, now.Add(12*time.Second)
+	mandate := s.extend(l, now.Add(2*time.Second))
 	assert.Equal(t, len(mandate.Services), 1)
 	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the leave gets no longer")
-	assert.Assert(t, s.mandate(one, now.Add(9*time.Second)) == nil)
+	assert.Assert(t, s.extend(l, now.Add(9*time.Second)) == nil)
 }
 
 // A standby that starts again under its node name and address is another process: it has no leave,
@@ -125,20 +125,20 @@
 	s.reset()
 	s.limit = now.Add(9 * time.Second)
 	s.appointed["p1"] = true
-	before := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p1"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	s.mandate(before, now)
-	s.lost(before)
-	after := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p2"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	assert.Assert(t, s.mandate(after, now.Add(time.Second)) == nil)
-	left := s.mandates("s", now.Add(time.Second))
-	assert.Equal(t, len(left), 1)
-	assert.Equal(t, left[0].Until, s.limit)
+	before := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p1"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	s.extend(before, now)
+	s.markLinkLost(before)
+	after := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p2"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	assert.Assert(t, s.extend(after, now.Add(time.Second)) == nil)
+	mandates := s.ownerMandates("s", now.Add(time.Second))
+	assert.Equal(t, len(mandates), 1)
+	assert.Equal(t, mandates[0].Until, s.limit)
 }
 
 // A worker that starts again at another address was named to followers by its first address for as
 // long as their links lasted.
 func TestChangedWorkerAddressIsSent(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	at := func(address string) []owner.Owner {
 		return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
 	}
--- a/internal/peerlink/subrelay.go
+++ b/internal/peerlink/subrelay.go
@@ -8,21 +8,21 @@
 
 // subRelayFor returns the address of the relay of this relay's own that a link's process is to
 // follow; empty if it stays. The caller holds mu.
-func (h *Hub) subRelayFor(one *link, now time.Time) string {
-	if h.linkedNodes() <= h.DirectNodes || one.subRelay || one.hello.Address == "" || h.upstream.hops() >= mostHops {
+func (h *Hub) subRelayFor(l *link, now time.Time) string {
+	if h.linkedNodes() <= h.DirectNodes || l.subRelay || l.hello.Address == "" || h.upstream.hops() >= maxHops {
 		return ""
 	}
 	h.appointSubRelays(now)
-	if one.subRelay {
+	if l.subRelay {
 		return ""
 	}
 	best, highest := "", uint64(0)
 	for other := range h.links {
 		address := other.hello.Address
-		if !other.subRelay || address == one.hello.Avoid || address == one.hello.Address {
+		if !other.subRelay || address == l.hello.Avoid || address == l.hello.Address {
 			continue
 		}
-		if rank := rendezvous(address, one.hello.Address); best == "" || rank > highest {
+		if rank := rendezvous(address, l.hello.Address); best == "" || rank > highest {
 			best, highest = address, rank
 		}
 	}
@@ -32,42 +32,42 @@
 // appointSubRelays appoints as many relays as this one needs, on the strongest machines that are
 // linked. The caller holds mu.
 func (h *Hub) appointSubRelays(now time.Time) {
-	wanted := h.subRelays()
-	for one := range h.links {
-		if one.subRelay {
+	wanted := h.wantedSubRelays()
+	for l := range h.links {
+		if l.subRelay {
 			wanted--
 		}
 	}
 	if wanted <= 0 {
 		return
 	}
-	var others []*link
-	first := now
-	for one := range h.links {
-		if !one.subRelay && one.hello.Address != "" {
-			others = append(others, one)
+	var candidates []*link
+	earliest := now
+	for l := range h.links {
+		if !l.subRelay && l.hello.Address != "" {
+			candidates = append(candidates, l)
 		}
-		if one.since.Before(first) {
-			first = one.since
+		if l.since.Before(earliest) {
+			earliest = l.since
 		}
 	}
-	slices.SortFunc(others, func(a, b *link) int {
-		if a.betterRelay(b) {
+	slices.SortFunc(candidates, func(a, b *link) int {
+		if a.isBetterRelayThan(b) {
 			return -1
 		}
 		return 1
 	})
-	settled := now.Sub(first) >= relaySettle
-	for _, one := range others[:min(wanted, len(others))] {
-		one.subRelay = settled || one.hello.Strength >= 1 || one.followers > 0
+	settled := now.Sub(earliest) >= relayChoiceDelay
+	for _, l := range candidates[:min(wanted, len(candidates))] {
+		l.subRelay = settled || l.hello.Strength >= 1 || l.followers > 0
 	}
 }
 
 // subRelays is how many relays of its own a relay needs, so that none is followed by more than
 // DirectNodes processes on average. The caller holds mu.
-func (h *Hub) subRelays() int {
-	most := max(1, h.DirectNodes)
-	return (h.linkedNodes() + most - 1) / most
+func (h *Hub) wantedSubRelays() int {
+	perRelay := max(1, h.DirectNodes)
+	return (h.linkedNodes() + perRelay - 1) / perRelay
 }
 
 // rendezvous ranks a relay for a process: each prefers another one, and keeps it when others come
@@ -77,11 +77,11 @@
 	_, _ = hash.Write([]byte(relay))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(process))
-	return mix(hash.Sum64())
+	return mixBits(hash.Sum64())
 }
 
 // mix spreads the bits of a hash whose last bytes differ little.
-func mix(bits uint64) uint64 {
+func mixBits(bits uint64) uint64 {
 	bits ^= bits >> 33
 	bits *= 0xff51afd7ed558ccd
 	bits ^= bits >> 33
--- a/internal/peerlink/subrelay_test.go
+++ b/internal/peerlink/subrelay_test.go
@@ -21,10 +21,10 @@
 		if index >= weak { // they come last
 			hello.Strength = 1
 		}
-		one := newLink(hello)
-		one.since = now
-		hub.links[one] = struct{}{}
-		links = append(links, one)
+		l := newLink(hello)
+		l.since = now
+		hub.links[l] = struct{}{}
+		links = append(links, l)
 	}
 	return hub, links
 }
@@ -41,22 +41,22 @@
 		"a zone of 200":             {strong: 10, weak: 190, relays: 7},
 		"twice as many":             {strong: 20, weak: 380, relays: 13},
 		"weak ones, at first":       {weak: 200},
-		"weak ones, after a moment": {weak: 200, after: relaySettle, relays: 7},
+		"weak ones, after a moment": {weak: 200, after: relayChoiceDelay, relays: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hub, links := zoneRelay(32, test.strong, test.weak, start)
 			followers := map[string]int{}
-			for _, one := range links {
-				if address := hub.subRelayFor(one, start.Add(test.after)); address != "" {
+			for _, l := range links {
+				if address := hub.subRelayFor(l, start.Add(test.after)); address != "" {
 					followers[address]++
 				}
 			}
 			assert.Equal(t, len(followers), test.relays)
 			relays := map[string]*link{}
-			for _, one := range links {
-				if one.subRelay {
-					relays[one.hello.Address] = one
-					assert.Equal(t, hub.subRelayFor(one, start.Add(time.Second)), "", "it stays")
+			for _, l := range links {
+				if l.subRelay {
+					relays[l.hello.Address] = l
+					assert.Equal(t, hub.subRelayFor(l, start.Add(time.Second)), "", "it stays")
 				}
 			}
 			for address, count := range followers {
@@ -86,27 +86,27 @@
 	sub, subLinks := zoneRelay(4, 8, 20, start)
 	sub.upstream = nil
 	sub.RelayUpdate(Update{Relayed: true, Hops: 1, AgeMillis: 400})
-	assert.Assert(t, sub.takesFollowers())
+	assert.Assert(t, sub.acceptsFollowers())
 	assert.Equal(t, sub.subRelayFor(subLinks[0], late), "")
-	head, ok := sub.head(subLinks[0], time.Now())
+	head, ok := sub.header(subLinks[0], time.Now())
 	assert.Assert(t, ok)
 	assert.Equal(t, head.Hops, 2)
 	assert.Assert(t, head.Age() >= 400*time.Millisecond, "the age of both")
 
 	last := NewHub("last", nil, func() ReadState { return ReadState{} })
 	last.RelayUpdate(head)
-	assert.Assert(t, !last.takesFollowers(), "so a circle of relays ends")
+	assert.Assert(t, !last.acceptsFollowers(), "so a circle of relays ends")
 	sub.RelayUpdate(Update{Relayed: true, Hops: 1, Leaderless: true})
-	head, _ = sub.head(subLinks[0], time.Now())
+	head, _ = sub.header(subLinks[0], time.Now())
 	assert.Assert(t, head.Leaderless, "the relay that it follows has lost its leader")
 }
 
 // Owners, workers and reports pass through both relays.
 func TestUpdatesAndReportsPassTwoRelays(t *testing.T) {
-	leader, reports, address := leading(t, 3)
-	leader.Publish("s", run("a"))
-	for range mostHops {
-		hub, own := relaying(t)
+	leader, reports, address := newLeadingHub(t, 3)
+	leader.Publish("s", singleOwner("a"))
+	for range maxHops {
+		hub, own := newRelayHub(t)
 		hub.OnFollowerReport(func(report Report) {
 			hub.mu.Lock()
 			defer hub.mu.Unlock()
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// suspectsPause is the pause between messages to a link that tell of suspected requests,
-	// and mostSuspects is how many of their changes one tells. A packed one takes some 100
+	// suspectsInterval is the pause between messages to a link that tell of suspected requests,
+	// and maxSuspects is how many of their changes one tells. A packed one takes some 100
 	// bytes, so a burst of crashes costs a link 13 KB a second, while all of its traffic is to
 	// take 20 KB a second at most. Told whole, 512 of them took 50 KB up to five times a second.
-	suspectsPause = 500 * time.Millisecond
-	mostSuspects  = 64
+	suspectsInterval = 500 * time.Millisecond
+	maxSuspects      = 64
 )
 
 // SuspectsNews returns what an Update tells of suspected and quarantined requests; false if it
@@ -34,18 +34,18 @@
 
 // tellSuspects adds to an update what the link has not been told of suspects. The caller holds
 // mu.
-func (h *Hub) tellSuspects(one *link, update *Update, now time.Time) {
-	if one.suspects == h.suspects.Version() || now.Sub(one.suspectsAt) < suspectsPause {
+func (h *Hub) addSuspects(l *link, update *Update, now time.Time) {
+	if l.suspectsVersion == h.suspects.Version() || now.Sub(l.suspectsSentAt) < suspectsInterval {
 		return
 	}
-	one.suspectsAt = now
-	if !one.hello.SuspectChanges {
+	l.suspectsSentAt = now
+	if !l.hello.SuspectChanges {
 		changes, upTo := h.suspects.Since(now, 0, 0)
-		update.Suspects, one.suspects = pack(changes.Fresh), upTo
+		update.Suspects, l.suspectsVersion = pack(changes.Fresh), upTo
 		return
 	}
-	changes, upTo := h.suspects.Since(now, one.suspects, mostSuspects)
-	update.SuspectChanges, one.suspects = pack(changes), upTo
+	changes, upTo := h.suspects.Since(now, l.suspectsVersion, maxSuspects)
+	update.SuspectChanges, l.suspectsVersion = pack(changes), upTo
 }
 
 // TellSuspects tells the links which requests are suspected or quarantined, as a leader knows.
@@ -68,7 +68,7 @@
 
 // OnEvidence sets what is called with what linked processes have seen of crashes, by a leader
 // and by a relay.
-func (h *Hub) OnEvidence(call func(quarantine.Evidence)) { h.evidence = call }
+func (h *Hub) OnEvidence(call func(quarantine.Evidence)) { h.onEvidence = call }
 
 // SuspectsVersion counts the changes of the suspects that are told.
 func (h *Hub) SuspectsVersion() uint64 {
--- a/internal/peerlink/suspects_test.go
+++ b/internal/peerlink/suspects_test.go
@@ -14,7 +14,7 @@
 )
 
 // suspects are requests that were under way at crashes.
-func suspects(count int) []quarantine.Record {
+func suspectRecords(count int) []quarantine.Record {
 	var records []quarantine.Record
 	for number := range count {
 		records = append(records, quarantine.Record{
@@ -32,41 +32,41 @@
 func TestSuspectUpdatesStayWithinBandwidth(t *testing.T) {
 	// A link is to carry 20 KB a second of control at most.
 	const mostBytes = 20 << 10
-	for name, takes := range map[string]bool{"changes": true, "whole lists": false} {
+	for name, acceptsChanges := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				hub := newAgeHub()
-				one := &link{hello: Hello{SuspectChanges: takes}}
-				records := suspects(512)
+				hub := newTestHub()
+				l := &link{hello: Hello{SuspectChanges: acceptsChanges}}
+				records := suspectRecords(512)
 				hub.PublishSuspects(nil)
-				told(t, hub, one)
+				sendSuspects(t, hub, l)
 				sent, second := 0, 0
 				for step := range 20 {
 					hub.PublishSuspects(records[:min(len(records), 28*(step+1))])
-					second += told(t, hub, one)
+					second += sendSuspects(t, hub, l)
 					time.Sleep(100 * time.Millisecond)
 					if step%10 == 9 {
 						sent, second = max(sent, second), 0
 					}
 				}
-				if takes {
+				if acceptsChanges {
 					assert.Assert(t, sent < mostBytes, "%d bytes in a second", sent)
 				}
 				time.Sleep(5 * time.Second)
 				for range 10 {
-					told(t, hub, one)
-					time.Sleep(suspectsPause)
+					sendSuspects(t, hub, l)
+					time.Sleep(suspectsInterval)
 				}
-				assert.Equal(t, one.suspects, hub.SuspectsVersion(), "all is told in the end")
+				assert.Equal(t, l.suspectsVersion, hub.SuspectsVersion(), "all is told in the end")
 			})
 		})
 	}
 }
 
 // told sends what is new of suspects, and returns how many bytes that took.
-func told(t *testing.T, hub *Hub, one *link) int {
+func sendSuspects(t *testing.T, hub *Hub, l *link) int {
 	var update Update
-	hub.tellSuspects(one, &update, time.Now())
+	hub.addSuspects(l, &update, time.Now())
 	if len(update.Suspects)+len(update.SuspectChanges) == 0 {
 		return 0
 	}
@@ -77,16 +77,16 @@
 
 // A relay passes on what it was told, and a process of the version before is told whole lists.
 func TestSuspectsPassThroughRelay(t *testing.T) {
-	for name, takes := range map[string]bool{"changes": true, "whole lists": false} {
+	for name, acceptsChanges := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				leader, relay, last := newAgeHub(), newAgeHub(), newAgeHub()
-				toRelay, toLast := &link{hello: Hello{SuspectChanges: true}}, &link{hello: Hello{SuspectChanges: takes}}
+				leader, relay, last := newTestHub(), newTestHub(), newTestHub()
+				toRelay, toLast := &link{hello: Hello{SuspectChanges: true}}, &link{hello: Hello{SuspectChanges: acceptsChanges}}
 				for count := range 3 {
-					leader.PublishSuspects(suspects(3 - count))
-					pass(t, leader, toRelay, relay)
-					assert.Equal(t, len(pass(t, relay, toLast, last)), 3-count)
-					time.Sleep(suspectsPause)
+					leader.PublishSuspects(suspectRecords(3 - count))
+					transferSuspects(t, leader, toRelay, relay)
+					assert.Equal(t, len(transferSuspects(t, relay, toLast, last)), 3-count)
+					time.Sleep(suspectsInterval)
 				}
 			})
 		})
@@ -94,9 +94,9 @@
 }
 
 // pass brings one message, and returns all that the receiver knows then.
-func pass(t *testing.T, from *Hub, over *link, to *Hub) []quarantine.Record {
+func transferSuspects(t *testing.T, from *Hub, over *link, to *Hub) []quarantine.Record {
 	var update Update
-	from.tellSuspects(over, &update, time.Now())
+	from.addSuspects(over, &update, time.Now())
 	changes, tells, err := update.DecodeSuspects()
 	assert.NilError(t, err)
 	assert.Assert(t, tells)
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -10,45 +10,45 @@
 )
 
 // update gathers what the link has not heard.
-func (h *Hub) update(one *link) (Update, bool) {
+func (h *Hub) update(l *link) (Update, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Now()
-	update, ok := h.head(one, now)
+	update, ok := h.header(l, now)
 	if !ok || update.Redirect != "" {
 		return update, ok
 	}
-	update.Config = h.configFor(one, now)
-	h.tellEntries(one, &update, now)
-	h.tellOwners(one, &update, now)
-	if !h.lacksPieces(one) {
-		h.bulk.leave(one)
+	update.Config = h.configChangesFor(l, now)
+	h.addEntries(l, &update, now)
+	h.addOwners(l, &update, now)
+	if !h.needsPieces(l) {
+		h.bulkTransfers.release(l)
 	}
-	h.tellSuspects(one, &update, now)
-	update.Limits = tellAll(now, factsFor(h.Limits, &one.limits, now), workerlimit.Tell)
-	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.Tell)
-	update.Quota, one.quota = one.quota, nil
-	update.Peers = h.peersFor(one, now)
+	h.addSuspects(l, &update, now)
+	update.Limits = encodeFacts(now, factsFor(h.Limits, &l.limits, now), workerlimit.Tell)
+	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.Tell)
+	update.Quota, l.pendingGrants = l.pendingGrants, nil
+	update.Peers = h.peerAddressesFor(l, now)
 	if h.leading {
-		update.Mandate = h.standbys.mandate(one, now)
+		update.Mandate = h.standbys.extend(l, now)
 	}
 	return update, true
 }
 
 // head says what stands in each message to a link; false if the link is to end. The
 // caller holds mu.
-func (h *Hub) head(one *link, now time.Time) (Update, bool) {
-	update := Update{Term: h.term, Links: len(h.links), Strongest: h.strongest()}
+func (h *Hub) header(l *link, now time.Time) (Update, bool) {
+	update := Update{Term: h.term, Links: len(h.links), Strongest: h.maxStrength()}
 	switch {
 	case h.leading:
-		update.Leading, update.ReadState = true, h.known()
-		update.ReadState.Settled = h.steady(update.ReadState, now)
-		update.Nodes, update.LeadershipUncertain, update.StoreUnreachable = h.nodes(now), h.doubtful, h.deaf
-		update.Redirect = h.relayFor(one, now)
+		update.Leading, update.ReadState = true, h.readState()
+		update.ReadState.Settled = h.settled(update.ReadState, now)
+		update.Nodes, update.LeadershipUncertain, update.StoreUnreachable = h.nodes(now), h.leadershipUncertain, h.storeUnreachable
+		update.Redirect = h.relayFor(l, now)
 	case h.upstream != nil:
-		h.upstream.head(&update, h.known(), now)
+		h.upstream.fillHeader(&update, h.readState(), now)
 		if update.Redirect == "" {
-			update.Redirect = h.subRelayFor(one, now)
+			update.Redirect = h.subRelayFor(l, now)
 		}
 	default:
 		return Update{}, false
@@ -58,6 +58,6 @@
 
 // steady reports whether this process, which leads, has reached the key-value service for
 // long enough to know which workers are gone. The caller holds mu.
-func (h *Hub) steady(own ReadState, now time.Time) bool {
-	return !h.deaf && !h.doubtful && own.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
+func (h *Hub) settled(own ReadState, now time.Time) bool {
+	return !h.storeUnreachable && !h.leadershipUncertain && own.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
 }
