--- a/internal/peerlink/bulk.go
+++ b/internal/peerlink/bulk.go
@@ -7,30 +7,30 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A process that has just linked lacks all workers and all owners of keys. Where these take more
-// than one message, it is told them in pieces, each of which is a message like any other: with
-// heartbeats and news between them, and no longer than the link takes in a moment. A few links are
-// told at a time and the others wait, so that the first ones know all early, and the pieces
-// together leave a part of the machine's bandwidth to everything else.
+// A process that has just linked lacks all workers and all owners of keys. If these take more than
+// one message, they are sent in pieces. Each piece is an ordinary message, with heartbeats and
+// changes in between, and is small enough that the link transmits it quickly. Only a few links
+// receive pieces at a time while the others wait, so that the first ones are complete early, and
+// pieces use only a part of the machine's bandwidth.
 
 const (
-	// bulkLinks is how many links are told pieces at the same time.
+	// bulkLinks is the number of links that receive pieces at the same time.
 	bulkLinks = 8
-	// bulkBandwidthShare is the part of the machine's bandwidth that pieces may take.
+	// bulkBandwidthShare is the share of the machine's bandwidth that pieces may use.
 	bulkBandwidthShare = 0.75
 )
 
-// bulk is which links are told pieces now. The hub's lock guards it; the zero value is idle.
+// bulkTransfers tracks the links that receive pieces now. It is guarded by the hub's lock; the zero
+// value is idle.
 type bulkTransfers struct {
 	active []*link
-	// waiting are the links that come next, in the order in which they asked.
+	// waiting are the links that come next, in the order in which they requested a transfer.
 	waiting []*link
-	// free is when the bandwidth takes the next piece.
+	// nextFree is when the bandwidth limit permits the next piece.
 	nextFree time.Time
 }
 
-// admits reports whether a link may be told a piece at a time. A link whose turn has not come
-// waits for it.
+// admit reports whether a link may be sent a piece now. A link whose turn has not come is queued.
 func (b *bulkTransfers) admit(l *link, now time.Time) bool {
 	if slices.Contains(b.active, l) {
 		return !now.Before(b.nextFree)
@@ -46,7 +46,7 @@
 	return false
 }
 
-// spend takes the bandwidth for a piece; a rate of zero has no bounds.
+// reserve accounts for the bandwidth of a piece. A rate of zero means no limit.
 func (b *bulkTransfers) reserve(now time.Time, bytes int, rate float64) {
 	if rate <= 0 {
 		return
@@ -57,7 +57,7 @@
 	b.nextFree = b.nextFree.Add(time.Duration(float64(bytes) / (bulkBandwidthShare * rate) * float64(time.Second)))
 }
 
-// leave ends a link's turn, or its wait for one, and lets the next one begin.
+// release ends a link's transfer, or removes it from the queue, and lets the next link start.
 func (b *bulkTransfers) release(l *link) {
 	isLink := func(other *link) bool { return other == l }
 	if !slices.Contains(b.active, l) && !slices.Contains(b.waiting, l) {
@@ -70,8 +70,8 @@
 	}
 }
 
-// nextPieceKeys returns what tells when a link may be told its next piece; nil if it lacks none, or
-// is not in turn.
+// pieceTimer returns a channel that fires when a link may be sent its next piece, or nil if the
+// link has no active transfer.
 func (h *Hub) pieceTimer(l *link) <-chan time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,13 +81,13 @@
 	return time.After(max(0, h.bulkTransfers.nextFree.Sub(clock.Now())))
 }
 
-// lacksPieces reports whether a link is to be told more pieces. The caller holds mu.
+// needsPieces reports whether a link is to be sent more pieces. The caller holds mu.
 func (h *Hub) needsPieces(l *link) bool {
 	if h.needsPagedList(l) {
 		return true
 	}
-	for service, state := range h.owners {
-		if state.needsPieces() && !l.sentOwners[service].complete() {
+	for service, published := range h.owners {
+		if published.needsPieces() && !l.sentOwners[service].complete() {
 			return true
 		}
 	}
--- a/internal/peerlink/config.go
+++ b/internal/peerlink/config.go
@@ -9,20 +9,22 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// configLog keeps what the operators have written, for links that have less of it. Its
-// zero value knows nothing.
+// configLog keeps the configuration that the operators have written, for links that have an older
+// revision. The zero value is empty.
 type configLog struct {
 	revision coord.Revision
-	// learned is since when the first process knows of it; the zero time if that can't be told.
+	// learnedAt is since when the first process has known this revision, or zero if that is
+	// unknown.
 	learnedAt time.Time
 	items     []coord.Item
 	keys      []string
-	// packed are items that were packed, by how many of the newest they are: most links
-	// lack the same.
+	// packed caches packed items by how many of the newest items they contain, as most links lack
+	// the same ones.
 	packed map[int][]byte
 }
 
-// read takes all that stands as of a revision, known since a time; false if more was known.
+// set replaces the items by those of a newer revision, which was first known at learnedAt. It
+// returns false if the revision is not newer.
 func (l *configLog) set(items []coord.Item, revision coord.Revision, learnedAt time.Time) bool {
 	if revision <= l.revision {
 		return false
@@ -37,7 +39,7 @@
 	return true
 }
 
-// since returns what has changed after a revision; nil if nothing has.
+// changesSince returns the changes after a revision, or nil if there are none.
 func (l *configLog) changesSince(revision coord.Revision, now time.Time) *ConfigChanges {
 	if revision >= l.revision {
 		return nil
@@ -55,9 +57,8 @@
 	}
 }
 
-// ConfigRead tells of all that the operators have written and that stands as of a
-// revision, unless more was known. learned is since when the first process knows of it; the
-// zero time if that can't be told.
+// SetConfig publishes the operators' configuration as of a revision, unless a newer one is known.
+// learnedAt is since when the first process has known this revision, or zero if that is unknown.
 func (h *Hub) SetConfig(items []coord.Item, revision coord.Revision, learnedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,7 +67,8 @@
 	}
 }
 
-// ConfigSince returns what has changed of it after a revision; nothing if nothing has.
+// ConfigSince returns the changes of the configuration after a revision, or the zero value if there
+// are none.
 func (h *Hub) ConfigSince(revision coord.Revision) ConfigChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +78,8 @@
 	return ConfigChanges{}
 }
 
-// configFor returns what a link's process lacks of it. The caller holds mu.
+// configChangesFor returns the configuration changes that a link's process lacks. The caller holds
+// mu.
 func (h *Hub) configChangesFor(l *link, now time.Time) *ConfigChanges {
 	changes := h.config.changesSince(l.configRevision, now)
 	if changes != nil {
--- a/internal/peerlink/entries.go
+++ b/internal/peerlink/entries.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// minKeptChanges is how many changes of workers are kept for links that lag at the least, and
-	// changesKeptFor is for how long all are, however many come when workers start or a service is
+	// minKeptChanges is how many changes of workers are kept at the least for links that lag. All
+	// changes are kept for changesKeptFor, however many arrive when workers start or a service is
 	// released.
 	minKeptChanges = 512
 	changesKeptFor = 5 * time.Second
-	// maxUnpackedChanges are told as they are; more of them are packed.
+	// maxUnpackedChanges is how many changes are sent unpacked; more of them are packed.
 	maxUnpackedChanges = 8
-	// newWorkersInterval is the pause between messages to a link that tell of nothing but
-	// workers that came, of which there are many at a start. A worker that leaves is
-	// told at once.
+	// newWorkersInterval is the pause between messages to a link that contain only new workers, of
+	// which there are many at a start. The departure of a worker is sent immediately.
 	newWorkersInterval = 400 * time.Millisecond
 )
 
-// entryLog keeps the last changes of workers. Each process keeps one, so that it has
-// them when it leads.
+// entryLog keeps the recent changes of workers. Each process keeps one, so that it has the changes
+// when it becomes the leader.
 type entryLog struct {
-	// from and to are the revisions between which all changes are kept.
+	// All changes between the revisions from and to are kept.
 	from, to coord.Revision
 	changes  []WorkerChange
-	// came is when each of them did.
+	// receivedAt is when each of the changes was received.
 	receivedAt []time.Time
-	// all are the last changes of the workers that have an entry; nil: no list was read.
+	// current holds the last change of each worker that has an entry. It is nil until a list was
+	// read.
 	current map[workers.ID]WorkerChange
 }
 
-// read takes a list of all workers as of a revision. What it tells that was not known is kept as
-// changes, so that links which knew all before are told these only, and not the list: each time
-// that the history is forgotten one process reads the list anew.
-// since is as of when all was known before.
+// setList takes a list of all workers as of a revision. Differences from the known state are kept
+// as changes, so that links which were up to date are sent only these and not the whole list:
+// whenever the service no longer has the history of changes, a process reads the list again.
+// goneSince is when the known state was last complete.
 func (l *entryLog) setList(list []WorkerChange, revision coord.Revision, goneSince, now time.Time) {
 	if l.current == nil || revision < l.to {
 		l.reset(list, revision)
@@ -48,7 +48,7 @@
 	l.add(l.changesIn(list, revision, goneSince), revision, now)
 }
 
-// reset begins anew: all up to a revision was read at once.
+// reset replaces the log by a list of all workers as of a revision.
 func (l *entryLog) reset(list []WorkerChange, revision coord.Revision) {
 	l.from, l.to, l.changes, l.receivedAt, l.current = revision, revision, nil, nil, map[workers.ID]WorkerChange{}
 	for _, change := range list {
@@ -56,9 +56,9 @@
 	}
 }
 
-// news returns what a list tells that was not known, in the order of revisions. When workers went
-// that are in it no longer is not told: their changes count as of the list, and are known since all
-// was known before.
+// changesIn returns the changes that a list contains compared with the known state, in the order of
+// revisions. For workers that are no longer listed, the time of the departure is unknown: such a
+// change gets the list's revision and is dated goneSince, when the known state was last complete.
 func (l *entryLog) changesIn(list []WorkerChange, revision coord.Revision, goneSince time.Time) []WorkerChange {
 	listed := make(map[workers.ID]bool, len(list))
 	var changes []WorkerChange
@@ -77,7 +77,7 @@
 	return changes
 }
 
-// add takes changes that lead up to a revision.
+// add appends changes that lead up to a revision.
 func (l *entryLog) add(changes []WorkerChange, revision coord.Revision, now time.Time) {
 	l.changes = append(l.changes, changes...)
 	for range changes {
@@ -85,8 +85,8 @@
 	}
 	l.to = max(l.to, revision)
 	l.updateCurrent(changes)
-	old, _ := slices.BinarySearchFunc(l.receivedAt, now.Add(-changesKeptFor), time.Time.Compare)
-	surplus := min(old, len(l.changes)-minKeptChanges)
+	expired, _ := slices.BinarySearchFunc(l.receivedAt, now.Add(-changesKeptFor), time.Time.Compare)
+	surplus := min(expired, len(l.changes)-minKeptChanges)
 	if surplus > 0 {
 		l.from = l.changes[surplus-1].Revision
 		l.changes = slices.Clone(l.changes[surplus:])
@@ -94,7 +94,7 @@
 	}
 }
 
-// know keeps what is announced, once a list was read.
+// updateCurrent applies changes to the current workers, once a list was read.
 func (l *entryLog) updateCurrent(changes []WorkerChange) {
 	if l.current == nil {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// announced describes a worker as it is told at a time.
+// withAges returns the change with its ages as of now, as it is sent.
 func (c WorkerChange) withAges(now time.Time) WorkerChange {
 	if c.Draining {
 		c.AgeMillis = ageMillis(c.LearnedAt, now)
@@ -117,7 +117,7 @@
 	return c
 }
 
-// whole announces all workers, to who knows none.
+// fullList returns all workers, for a receiver that knows none.
 func (l *entryLog) fullList(now time.Time) *EntryChanges {
 	full := &EntryChanges{From: l.to, To: l.to, Whole: true}
 	for _, change := range l.current {
@@ -126,8 +126,9 @@
 	return full
 }
 
-// since returns all changes after a revision, or all workers to who knows none; without them if
-// they are too many or no longer kept, and nil if there are none. Each says how old it is now.
+// changesSince returns all changes after a revision, each with its age as of now, or all workers if
+// the revision is zero and a list is known. The result has no changes if some of them are no longer
+// kept, and is nil if there are none.
 func (l *entryLog) changesSince(revision coord.Revision, now time.Time) *EntryChanges {
 	switch {
 	case revision >= l.to:
@@ -147,7 +148,7 @@
 	return result
 }
 
-// ageMillis is for how long something has been known; zero if that is not told.
+// ageMillis returns for how long something has been known, or zero if that is unknown.
 func ageMillis(learnedAt, now time.Time) int64 {
 	if learnedAt.IsZero() {
 		return 0
@@ -155,10 +156,10 @@
 	return max(0, now.Sub(learnedAt).Milliseconds())
 }
 
-// urgent reports whether a change says that a worker leaves.
+// urgent reports whether a worker leaves with this change.
 func urgent(change WorkerChange) bool { return change.Gone || change.Draining }
 
-// tellEntries adds to an update what a link has not heard of the workers. The caller holds mu.
+// addEntries adds the changes of workers that a link lacks to an update. The caller holds mu.
 func (h *Hub) addEntries(l *link, update *Update, now time.Time) {
 	if !h.needsPagedList(l) {
 		l.listPosition = listPosition{}
@@ -168,14 +169,15 @@
 	update.Page = h.pageFor(l, now)
 }
 
-// listsTo reports whether a link is to be told a list that takes several messages: it knows no
-// worker, or has missed more changes than are kept.
+// needsPagedList reports whether a link is to be sent a list that takes several messages: it knows
+// no worker, or has missed more changes than are kept.
 func (h *Hub) needsPagedList(l *link) bool {
 	lacks := l.entriesRevision == 0 || l.entriesRevision < h.entries.from
 	return lacks && l.entriesRevision < h.entries.to && len(h.entries.current) > pageWorkers
 }
 
-// entriesFor returns what a link has not heard of the workers. The caller holds mu.
+// entryChangesFor returns the changes of workers that a link lacks, or nil if there are none or
+// they are delayed to be batched. The caller holds mu.
 func (h *Hub) entryChangesFor(l *link, now time.Time) *EntryChanges {
 	changes := h.entries.changesSince(l.entriesRevision, now)
 	if changes == nil {
@@ -192,7 +194,7 @@
 	return changes
 }
 
-// packedEntries keeps what was packed last: links lag by the same.
+// packedEntries caches the last packed changes, as most links lag by the same ones.
 type packedEntries struct {
 	from, to coord.Revision
 	whole    bool
@@ -200,7 +202,7 @@
 	packedAt time.Time
 }
 
-// pack packs the changes of a message.
+// pack replaces the changes of a message by their packed form.
 func (p *packedEntries) pack(changes *EntryChanges, now time.Time) {
 	if p.from != changes.From || p.to != changes.To || p.whole != changes.Whole {
 		*p = packedEntries{from: changes.From, to: changes.To, whole: changes.Whole, packed: pack(changes.Changes), packedAt: now}
@@ -208,8 +210,8 @@
 	changes.Packed, changes.Changes, changes.PackedMillis = p.packed, nil, ageMillis(p.packedAt, now)
 }
 
-// EntriesRead tells which entries there are at a revision, up to which all were read at once. since
-// is as of when all was known before; the zero time: until now.
+// SetEntries publishes a complete list of the workers' entries as of a revision. goneSince is when
+// the known state was last complete; the zero time means that it was complete until now.
 func (h *Hub) SetEntries(list []WorkerChange, revision coord.Revision, goneSince time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -217,14 +219,15 @@
 	h.wakeAll()
 }
 
-// EntriesSince returns what has changed of them after a revision; nil if nothing has.
+// EntriesSince returns the changes of the workers' entries after a revision, or nil if there are
+// none.
 func (h *Hub) EntriesSince(revision coord.Revision) *EntryChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.entries.changesSince(revision, clock.Now())
 }
 
-// EntriesChanged tells of changes that lead up to a revision.
+// AddEntryChanges publishes changes of the workers' entries that lead up to a revision.
 func (h *Hub) AddEntryChanges(changes []WorkerChange, revision coord.Revision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -232,8 +235,8 @@
 	h.wakeAll()
 }
 
-// strongest returns the greatest strength of the linked machines and the own. The
-// caller holds mu.
+// maxStrength returns the greatest strength among this machine and those of the linked processes.
+// The caller holds mu.
 func (h *Hub) maxStrength() float64 {
 	strongest := h.Strength
 	for l := range h.links {
--- a/internal/peerlink/facts.go
+++ b/internal/peerlink/facts.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// factsInterval is the pause between messages to a link that tell facts of one kind, and maxFacts is
-	// how many one tells: 8 KB a second at most, of the 20 KB that a link may take.
+	// factsInterval is the pause between messages to a link that contain facts of one kind, and
+	// maxFacts is how many facts a message contains. This limits facts to 8 KB/s of the 20 KB/s
+	// that a link may use.
 	factsInterval = 500 * time.Millisecond
 	maxFacts      = 64
-	// maxFirstFacts is how many the first message to a link tells: a process that has just started
-	// is to know them before it sends anything.
+	// maxFirstFacts is how many facts the first message to a link contains: a process that has just
+	// started must know them before it sends requests.
 	maxFirstFacts = 1024
 )
 
-// factsSent is what a link was told of facts of one kind: up to which version, and when.
+// factsSent is the version up to which a link was sent facts of one kind, and when that was.
 type factsSent struct {
 	version uint64
 	at      time.Time
 }
 
-// factsFor returns what a link is to be told of a book now, and notes that it is.
+// factsFor returns the facts of a book that a link is to be sent now, and records them as sent.
 func factsFor[F facts.Fact[F]](book *facts.Book[F], sent *factsSent, now time.Time) []F {
 	if book == nil || now.Sub(sent.at) < factsInterval {
 		return nil
@@ -39,7 +40,7 @@
 	return list
 }
 
-// encodeFacts describes facts.
+// encodeFacts converts facts to their message form.
 func encodeFacts[F, T any](now time.Time, list []F, encode func(time.Time, F) T) []T {
 	var encoded []T
 	for _, fact := range list {
--- a/internal/peerlink/follow.go
+++ b/internal/peerlink/follow.go
@@ -20,10 +20,10 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("peerlink")
 
-// ErrNotLeading: the process does not lead.
+// ErrNotLeading is returned if the process does not lead, or is a relay that must not be followed.
 var ErrNotLeading = errs.New("the process does not lead")
 
-// RedirectError names the process to follow instead.
+// RedirectError is returned if another process is to be followed instead.
 type RedirectError struct {
 	Address string
 }
@@ -31,52 +31,52 @@
 // Error implements error.
 func (e *RedirectError) Error() string { return "follow " + e.Address + " instead" }
 
-// The pause between reports is reportInterval, and reportIntervalPerSibling for each process that reports
-// to the same one: with many of them that one sees as much in a longer time, and gets
-// fewer bytes.
+// Reports are sent every reportInterval plus reportIntervalPerSibling for each process that reports
+// to the same receiver. With many siblings the receiver still sees as much in the longer interval,
+// and receives fewer bytes.
 const (
 	reportInterval           = 180 * time.Millisecond
 	reportIntervalPerSibling = 3 * time.Millisecond
-	// minReportInterval is the least pause between reports.
+	// minReportInterval is the shortest pause between reports.
 	minReportInterval = 40 * time.Millisecond
-	// emptyReportInterval is the pause after which a report is sent that tells nothing: who is silent
-	// counts as lost.
+	// emptyReportInterval is the pause after which an empty report is sent, since a silent process
+	// is considered lost.
 	emptyReportInterval = reportSilence / 4
 )
 
-// Follower is the other processes' side.
+// Follower is the following side of a link: it receives updates and sends reports.
 type Follower struct {
-	// Hello is how this process introduces itself.
+	// Hello introduces this process.
 	Hello Hello
 	Table *keytable.Table
-	// Take returns what was seen since it was last called.
+	// TakeReport returns what was counted since the last call.
 	TakeReport func() Report
-	// Urgent gets a token when TakeUrgent is to be sent before the next report is due; both
-	// may be nil.
+	// Urgent receives a token when TakeUrgentReport is to be sent before the next report is due.
+	// Both may be nil.
 	Urgent           <-chan struct{}
 	TakeUrgentReport func() Report
 	// Nodes is set to the number of processes.
 	Nodes *atomic.Int32
-	// Applied is called once a change of a service's owners stands in the table.
+	// OnOwnersApplied is called after a change of a service's owners was applied to the table.
 	OnOwnersApplied func(service routing.ServiceName)
-	// Stays reports whether a process goes on following a relay that says this.
+	// KeepFollowing reports whether to continue to follow a relay that has sent this update.
 	KeepFollowing func(Update) bool
-	// Entries returns up to which revision the workers' entries were read.
+	// EntriesRevision returns the revision up to which the workers' entries were read.
 	EntriesRevision func() coord.Revision
-	// List returns the last worker of a list that was told in part, and as of which revision;
-	// nil: nothing is ever told in part.
+	// ListPosition returns the last worker of a list that was received in part, and the list's
+	// revision. It may be nil if partial lists are not supported.
 	ListPosition func() (after workers.ID, at coord.Revision)
-	// Config returns the revision of the configuration that was read.
+	// ConfigRevision returns the revision of the configuration that was read.
 	ConfigRevision func() coord.Revision
-	// Linked is called once the leader has told its owners.
+	// OnFirstUpdate is called after the first update was received and its owners were applied.
 	OnFirstUpdate func()
-	// Heard is called with all else that the leader says.
+	// OnUpdate is called with each update, before its owners are applied.
 	OnUpdate func(Update)
-	// Doubted is called when the leader says that another may lead.
+	// OnLeadershipUncertain is called when the leader reports that another process may lead.
 	OnLeadershipUncertain func()
 }
 
-// Follow follows the leader at an address until the link breaks or ctx ends.
+// Follow follows the process at an address until the link breaks or ctx ends.
 func (f *Follower) Follow(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -148,8 +148,8 @@
 }
 
 func (f *Follower) report(conn net.Conn, siblings *atomic.Int32, done <-chan struct{}) {
-	due := time.NewTimer(reportInterval)
-	defer due.Stop()
+	timer := time.NewTimer(reportInterval)
+	defer timer.Stop()
 	sent := clock.Now()
 	for {
 		var report Report
@@ -158,9 +158,9 @@
 			return
 		case <-f.Urgent:
 			report = f.TakeUrgentReport()
-		case <-due.C:
+		case <-timer.C:
 			report = f.TakeReport()
-			due.Reset(reportInterval + time.Duration(siblings.Load())*reportIntervalPerSibling)
+			timer.Reset(reportInterval + time.Duration(siblings.Load())*reportIntervalPerSibling)
 		}
 		if report.Empty() && clock.Since(sent) < emptyReportInterval {
 			continue
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -19,55 +19,58 @@
 	"github.com/shalefork/shalefork/internal/workerlimit"
 )
 
-// Times of a link.
+// Timeouts and limits of links.
 const (
-	// heartbeat is the longest that the leader stays silent.
+	// heartbeatInterval is the longest time for which the leader sends nothing.
 	heartbeatInterval = 350 * time.Millisecond
-	// SilenceLimit is the silence after which a leader counts as lost. Until then its
-	// links know nothing of changes that it does not tell.
+	// SilenceLimit is the silence after which a leader is considered lost. Until then its followers
+	// don't learn of changes that it does not send.
 	SilenceLimit = 1100 * time.Millisecond
-	// reportSilence is the same for a process that follows.
+	// reportSilence is the silence after which a follower is considered lost.
 	reportSilence = 10 * SilenceLimit
-	// helloTimeout bounds the wait for the first line.
+	// helloTimeout limits the wait for the first line.
 	helloTimeout = 2 * time.Second
-	// writeTimeout bounds the time in which a link takes nothing, and writeChunk is how many
-	// bytes are handed to it at once.
+	// writeTimeout is how long a link may accept no bytes, and writeChunk is the number of bytes
+	// that are written at once.
 	writeTimeout = time.Second
 	writeChunk   = 4 << 10
 	dialTimeout  = 500 * time.Millisecond
 	maxLine      = 4 << 20
 )
 
-// Hub is the leader's side. A process keeps one Hub and opens it while it leads.
+// Hub is the leader's and the relay's side of links. A process keeps one Hub and opens it while it
+// leads.
 type Hub struct {
-	// Strength of this process's machine.
+	// Strength is the relative strength of this process's machine.
 	Strength float64
-	// DirectNodes is up to how many processes the leader speaks with each of them.
+	// DirectNodes is the number of processes up to which the leader is linked with all of them
+	// directly, without relays.
 	DirectNodes int
-	// LinkRate is the bandwidth of this process's machine, in bytes a second; zero: not known.
+	// LinkRate is the bandwidth of this process's machine in bytes per second, or zero if unknown.
 	LinkRate float64
-	// Traffic counts what is said to processes that follow this one; nil: nobody wants to know.
+	// Traffic counts the bytes exchanged with processes that follow this one. It may be nil.
 	Traffic *traffic.Counter
-	// Limits are what this process knows of workers' limits, and tells its links; nil: nothing.
+	// Limits are the known limits of workers, which are sent to the links. It may be nil.
 	Limits *facts.Book[workerlimit.Fact]
-	// Leaving are the workers that say that they leave, as told to links; nil: none.
+	// Leaving are the workers that have announced their departure, which are sent to the links. It
+	// may be nil.
 	Leaving *facts.Book[departure.Fact]
 
 	mu      sync.Mutex
 	leading bool
-	// doubtful says that the leader's authority has ended for now.
+	// leadershipUncertain is set while the leader's authority has ended.
 	leadershipUncertain bool
-	// superseded is closed once a leader of a later term has asked.
+	// superseded is closed once a leader of a later term has sent a query.
 	superseded chan struct{}
 	term       owner.Term
 	openedAt   time.Time
 	owners     map[routing.ServiceName]publishedOwners
 	lastStamp  uint64
 	links      map[*link]struct{}
-	// relays are the leader's, by zone; upstream is set while this process is one.
+	// relays are the leader's relays by zone. upstream is set while this process is a relay.
 	relays   map[string]*link
 	upstream *upstream
-	// mostNodes is the greatest number of processes lately, as of mostNodesAt.
+	// maxNodes is the greatest recent number of processes, as of maxNodesAt.
 	maxNodes         int
 	maxNodesAt       time.Time
 	reports          chan<- Report
@@ -82,85 +85,88 @@
 	suspects         quarantine.Ledger
 	storeUnreachable bool
 	standbys         standbys
-	// asked is called with the term of a leader that asks; nil: nobody wants to know.
+	// onLeaderQuery is called with the term of a leader that sends a query. It may be nil.
 	onLeaderQuery func(term owner.Term)
-	// reported is called with the reports of processes that follow this relay.
+	// onFollowerReport is called with the reports of processes that follow this relay.
 	onFollowerReport func(Report)
-	// evidence is called with what linked processes have seen of crashes.
+	// onEvidence is called with the evidence of crashes that linked processes report.
 	onEvidence  func(quarantine.Evidence)
 	quotaRoutes quotaRoutes
-	// limitsTold and leavingTold are called with what linked processes have learned of workers, and
-	// permit answers those that ask for permits.
+	// onLimits and onLeaving are called with the limits and the departures of workers that linked
+	// processes report, and answerPermit answers their permit requests.
 	onLimits     func([]workerlimit.Told)
 	onLeaving    func([]departure.Told)
 	answerPermit func(PermitRequest) (Permit, bool)
-	// backoffs are those that owners of keys have asked for, as operators are told.
+	// backoffs are the backoffs that owners of keys have requested, for operators.
 	backoffs []BackoffShare
-	// followed is the address of the leader that this process follows; empty: none.
+	// followedLeader is the address of the leader that this process follows, or empty if there is
+	// none.
 	followedLeader string
-	// linked is called with the addresses of processes that follow this one; nil: nobody wants them.
+	// onLinked is called with the addresses of processes that follow this one. It may be nil.
 	onLinked func(addresses ...string)
 }
 
-// published are the owners of a service as they are told.
+// publishedOwners are the owners of a service as they are sent to the links.
 type publishedOwners struct {
 	owners []owner.Owner
-	// version counts the leader's changes of them, and part says that more of it is to come.
+	// version counts the leader's changes of the owners. partial is set if the rest of this version
+	// is still to come.
 	version uint64
 	partial bool
-	// stamp differs for any two owners that were published here.
+	// stamp is unique to each state of owners that was published by this hub.
 	stamp uint64
 }
 
-// NewHub returns a closed hub that passes reports on to a channel. process is
-// unique to the life of this process; known returns what it has read.
-func NewHub(process string, reports chan<- Report, known func() ReadState) *Hub {
+// NewHub returns a closed hub that forwards reports to a channel. process is unique to the run of
+// this process; known returns what the process has read from the key-value service.
+func NewHub(process string, reports chan<- Report, readState func() ReadState) *Hub {
 	h := &Hub{
 		process: process, owners: map[routing.ServiceName]publishedOwners{}, links: map[*link]struct{}{},
-		relays: map[string]*link{}, reports: reports, readState: known,
+		relays: map[string]*link{}, reports: reports, readState: readState,
 	}
 	h.standbys.reset()
 	return h
 }
 
-// link is one connected process.
+// link is the connection with one process.
 type link struct {
 	conn       net.Conn
 	wake       chan struct{}
 	sentOwners map[routing.ServiceName]sentOwners
-	// term is that of the leader whose owners were sent, and since is when the link began.
+	// term is the term of the leader whose owners were sent, and since is when the link began.
 	term  owner.Term
 	since time.Time
-	// followers is how many processes follow the link's process, and subRelay says that this
-	// process, a relay, sends others to it.
+	// followers is how many processes follow the link's process. subRelay is set if this process is
+	// a relay and redirects others to the link's process.
 	followers int
 	subRelay  bool
-	// entries is the revision up to which the link knows of workers' entries, and
-	// entriesAt is when it was told last; config is the one that it has.
+	// entriesRevision is the revision up to which the link's process knows the workers' entries,
+	// and entriesSentAt is when changes were last sent; configRevision is the revision of its
+	// configuration.
 	entriesRevision coord.Revision
 	entriesSentAt   time.Time
 	configRevision  coord.Revision
-	// list is what the link was told of a list that has several pages.
+	// listPosition is how much of a list that takes several pages was sent.
 	listPosition listPosition
-	// suspects is the version of the suspects that it was told, and suspectsAt is when.
+	// suspectsVersion is the version of the suspects that was sent, and suspectsSentAt is when.
 	suspectsVersion uint64
 	suspectsSentAt  time.Time
-	// limits and leaving are what it was told of workers' limits, and of those that leave.
+	// limits and leaving track the sent facts on workers' limits and on workers that leave.
 	limits, leaving factsSent
-	// quota waits to be sent.
+	// pendingGrants are quota grants that are to be sent.
 	pendingGrants []quota.Grant
-	// hello is how the process introduced itself.
+	// hello is the introduction of the process.
 	hello Hello
-	// stamp is the last one that it sent, and holds are the versions that it was sent,
-	// if it is a standby.
+	// For a standby, stamp is the last one that it sent, and holdVersions are the versions of the
+	// holds that it was sent.
 	stamp        int64
 	holdVersions map[routing.ServiceName]uint64
 	holdsSentAt  time.Time
-	// peersAt is when the link was last told of other processes.
+	// peersSentAt is when addresses of other processes were last sent.
 	peersSentAt time.Time
 }
 
-// Open begins to lead.
+// Open starts leading in a term.
 func (h *Hub) Open(term owner.Term) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,38 +178,38 @@
 	h.standbys.reset()
 }
 
-// OnAsked sets what is called when a leader of a term asks whether this process leads,
-// before it gets an answer.
+// OnLeaderQuery sets a function that is called when a leader queries whether this process leads,
+// before the query is answered.
 func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.onLeaderQuery = call }
 
-// Superseded is closed once a leader of a later term has asked.
+// Superseded returns a channel that is closed once a leader of a later term has sent a query.
 func (h *Hub) Superseded() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.superseded
 }
 
-// Leading reports whether this process leads and no later leader has asked.
+// Leading reports whether this process leads and no later leader has sent a query.
 func (h *Hub) Leading() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leading
 }
 
-// SetDoubtful tells the links that another process may lead.
-func (h *Hub) SetLeadershipUncertain(doubtful bool) { h.setFlag(&h.leadershipUncertain, doubtful) }
+// SetLeadershipUncertain notifies the links whether another process may lead.
+func (h *Hub) SetLeadershipUncertain(uncertain bool) { h.setFlag(&h.leadershipUncertain, uncertain) }
 
-// SetDeaf tells the links that this process does not reach the key-value service.
-func (h *Hub) SetStoreUnreachable(deaf bool) { h.setFlag(&h.storeUnreachable, deaf) }
+// SetStoreUnreachable notifies the links whether this process fails to reach the key-value service.
+func (h *Hub) SetStoreUnreachable(unreachable bool) { h.setFlag(&h.storeUnreachable, unreachable) }
 
-// Deaf reports whether this process leads, and does not reach the key-value service.
+// StoreUnreachable reports whether this process leads and does not reach the key-value service.
 func (h *Hub) StoreUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leading && h.storeUnreachable
 }
 
-// set changes what the links are told.
+// setFlag sets a flag that is part of updates, and notifies the links if it changes.
 func (h *Hub) setFlag(flag *bool, to bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +220,7 @@
 	h.wakeAll()
 }
 
-// Wake tells the links at once what this process knows.
+// Wake sends the current state to all links immediately.
 func (h *Hub) Wake() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,7 +233,7 @@
 	}
 }
 
-// rouse lets the link send what is new.
+// signal makes the link send an update without waiting for the next heartbeat.
 func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
@@ -235,7 +241,7 @@
 	}
 }
 
-// Close ends leading and drops all links.
+// Close stops leading and closes all links.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -243,7 +249,7 @@
 	h.dropAll()
 }
 
-// dropAll ends all links. The caller holds mu.
+// dropAll closes all links. The caller holds mu.
 func (h *Hub) dropAll() {
 	for l := range h.links {
 		_ = l.conn.Close()
@@ -257,7 +263,7 @@
 	h.publish(service, publishedOwners{owners: owners, version: h.owners[service].version + 1})
 }
 
-// publish sets the owners of a service as the links are to know them. The caller holds mu.
+// publish sets the owners of a service and notifies the links. The caller holds mu.
 func (h *Hub) publish(service routing.ServiceName, owners publishedOwners) {
 	h.lastStamp++
 	owners.stamp = h.lastStamp
@@ -265,7 +271,7 @@
 	h.wakeAll()
 }
 
-// Nodes returns how many processes there are, this one included.
+// Nodes returns the number of processes, including this one.
 func (h *Hub) Nodes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/leadership.go
+++ b/internal/peerlink/leadership.go
@@ -9,17 +9,17 @@
 	"github.com/shalefork/shalefork/internal/owner"
 )
 
-// Answer is what a process says when it is asked whether it leads.
+// LeadershipStatus is a process's answer to the query whether it leads.
 type LeadershipStatus struct {
 	Leading bool
-	// Process is unique to the life of the process that answered.
+	// Process is unique to the run of the process that answered.
 	Process string
-	// Leader is the address of the leader that the process follows; empty: none.
+	// Leader is the address of the leader that the process follows, or empty if there is none.
 	Leader string
 }
 
-// Ask asks the process at an address whether it leads; false if it does not
-// answer. term is that of the leader that asks, or zero.
+// QueryLeadership asks the process at an address whether it leads. It returns false if the process
+// does not answer. term is the term of the calling leader, or zero if the caller does not lead.
 func QueryLeadership(ctx context.Context, address string, term owner.Term) (LeadershipStatus, bool) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/peerlink/lines.go
+++ b/internal/peerlink/lines.go
@@ -23,8 +23,8 @@
 	return json.Unmarshal(line, into)
 }
 
-// writeLine writes a message. A link that takes nothing for writeTimeout is broken; one that is
-// slow is not, however long the message.
+// writeLine writes a message. It fails if the link accepts no bytes for writeTimeout, but not if
+// the link is merely slow, however long the message is.
 func writeLine(conn net.Conn, message any) error {
 	encoded, err := json.Marshal(message)
 	if err != nil {
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// moving reads from a connection for as long as bytes come: silence ends it, not the length of
-// what is read.
+// idleTimeoutConn limits the time between reads that return bytes, not the time that it takes to
+// read a whole message.
 type idleTimeoutConn struct {
 	net.Conn
 	timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (m idleTimeoutConn) Read(into []byte) (int, error) {
-	_ = m.SetReadDeadline(time.Now().Add(m.timeout))
-	return m.Conn.Read(into)
+func (c idleTimeoutConn) Read(into []byte) (int, error) {
+	_ = c.SetReadDeadline(time.Now().Add(c.timeout))
+	return c.Conn.Read(into)
 }
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -17,8 +17,8 @@
 	h.standbys.markLinkLost(l)
 }
 
-// receive passes the link's reports on. Reports that find no room are dropped:
-// the next ones tell as much.
+// receive handles the link's reports until the link breaks or is silent for reportSilence. Reports
+// that the receiver has no room for are dropped, as the following ones contain similar counts.
 func (h *Hub) receive(l *link, reader *bufio.Reader) {
 	defer func() { _ = l.conn.Close() }()
 	for {
@@ -34,7 +34,7 @@
 	}
 }
 
-// take passes a link's report on.
+// handleReport passes the contents of a link's report to their receivers.
 func (h *Hub) handleReport(l *link, report Report) {
 	if report.Evidence != nil && h.onEvidence != nil {
 		h.onEvidence(*report.Evidence)
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -1,10 +1,10 @@
-// Package peerlink is what the router processes say to one another: the leader
-// streams who owns which keys, the others report how often keys are asked for. Where
-// there are many processes, one relay in each zone stands between (see Hub.RelayUpdate).
+// Package peerlink implements the links between router processes: the leader streams which worker
+// owns which keys, and the other processes report how often keys are requested. With many
+// processes, one relay in each zone connects the leader with the others (see Hub.RelayUpdate).
 //
-// Each message is one line of JSON over TCP. The side that dials sends a Hello
-// and then Reports; the leader answers with Updates. A process that does not
-// lead answers a Hello with an Update that says so and closes.
+// Each message is one line of JSON over TCP. The side that dials sends a Hello and then Reports;
+// the leader answers with Updates. A process that does not lead and is no relay answers a Hello
+// with one Update, in which Leading is false, and closes the connection.
 package peerlink
 
 import (
@@ -20,133 +20,135 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Hello opens a link.
+// Hello is the first message of a link.
 type Hello struct {
-	// Node names the process that dials.
+	// Node is the name of the dialing process.
 	Node string `json:"node"`
-	// Ask says that only the answer to "do you lead?" is wanted.
+	// QueryOnly asks only whether the receiver leads; the link ends with the answer.
 	QueryOnly bool `json:"ask,omitempty"`
-	// Term of the process that asks, if it leads: a leader of an earlier term
-	// stops before it answers.
+	// Term is the term of the dialing process if it leads. A leader of an earlier term stops
+	// leading before it answers.
 	Term owner.Term `json:"term,omitempty"`
 	// Entries is the revision up to which the process has read the workers' entries.
 	Entries coord.Revision `json:"entries,omitempty"`
-	// ListAfter is the last worker of a list that the process was told in part, and ListAt is
-	// the revision as of which it was: another process goes on from there.
+	// ListAfter is the last worker of a list that the process has received in part, and ListAt is
+	// the list's revision. The receiver continues the list from there.
 	ListAfter workers.ID     `json:"list_after,omitempty"`
 	ListAt    coord.Revision `json:"list_at,omitempty"`
 	// Config is the revision of the configuration that the process has read.
 	Config coord.Revision `json:"config,omitempty"`
-	// Strength of the process's machine.
+	// Strength is the relative strength of the process's machine.
 	Strength float64 `json:"strength,omitempty"`
-	// Address at which the process answers questions, its Zone, and a name that is
-	// unique to its life.
+	// Address is where the process accepts links, Zone is its zone, and Process is a name that is
+	// unique to this run of it.
 	Address string `json:"address,omitempty"`
 	Zone    string `json:"zone,omitempty"`
 	Process string `json:"process,omitempty"`
-	// Avoid is the address of a relay that the process has lost, and Followers is how
-	// many processes follow it.
+	// Avoid is the address of a relay that the process has lost, and Followers is how many
+	// processes follow it.
 	Avoid     string `json:"avoid,omitempty"`
 	Followers int    `json:"followers,omitempty"`
-	// Changes says that the process takes changes of suspected requests.
+	// SuspectChanges is set if the process accepts changes of suspected requests instead of whole
+	// lists.
 	SuspectChanges bool `json:"changes,omitempty"`
-	// Limits says that the answer is to tell the limits that workers name, and what else they say of
-	// themselves.
+	// WorkerNotices requests the limits of workers, and what else workers announce about
+	// themselves, in the answer.
 	WorkerNotices bool `json:"limits,omitempty"`
-	// Permits says that the process asks for permits on this link, and nothing else. Ask is set
-	// too, so that a leader which knows no permits ends the link.
+	// Permits dedicates the link to permit requests. QueryOnly is set too, so that a leader that
+	// doesn't support permits ends the link.
 	Permits bool `json:"permits,omitempty"`
-	// Nodes is how many processes there were when the process heard last, so that a new
-	// leader knows before all are linked.
+	// Nodes is the last number of processes that the process has received. It lets a new leader
+	// know the number before all are linked.
 	Nodes int `json:"nodes,omitempty"`
 }
 
-// Update is what the leader says. An Update without services is a heartbeat.
+// Update is a message from the leader or a relay. An Update without services is a heartbeat.
 type Update struct {
-	// Leading is false in the answer of a process that does not lead.
+	// Leading is false if the sender does not lead.
 	Leading bool `json:"l"`
-	// Process is unique to the life of the process that answers.
+	// Process is unique to the run of the process that answers.
 	Process string     `json:"p,omitempty"`
 	Term    owner.Term `json:"t"`
-	// Relayed says that the sender is a relay, which passes on what a leader has told
-	// it, AgeMillis ago; Leaderless that it has lost that leader.
+	// Relayed is set if the sender is a relay. AgeMillis is the age of the leader's state that it
+	// forwards, and Leaderless is set if the relay has lost the leader.
 	Relayed    bool  `json:"r,omitempty"`
 	AgeMillis  int64 `json:"a,omitempty"`
 	Leaderless bool  `json:"o,omitempty"`
-	// Hops is how many processes have passed on what is said.
+	// Hops is the number of processes that have forwarded the leader's state.
 	Hops int `json:"j,omitempty"`
-	// Redirect is the address of the process to follow instead; empty: none.
+	// Redirect is the address of the process to follow instead, or empty if there is none.
 	Redirect string `json:"v,omitempty"`
-	// Followed is the address of the leader that a process follows which does not lead.
+	// FollowedLeader is the address of the leader that the sender follows, if it does not lead
+	// itself.
 	FollowedLeader string `json:"h,omitempty"`
 	// Peers are addresses of some other processes.
 	Peers []string `json:"i,omitempty"`
-	// Links is how many processes are linked to the sender.
+	// Links is the number of processes that are linked to the sender.
 	Links int `json:"m,omitempty"`
-	// Doubtful says that the leader does not reach the key-value service: another
-	// may lead.
+	// LeadershipUncertain is set while the leader does not reach the key-value service, so that
+	// another process may lead.
 	LeadershipUncertain bool `json:"d,omitempty"`
-	// Nodes is how many processes there are, the leader included.
+	// Nodes is the number of processes, including the leader.
 	Nodes int `json:"n,omitempty"`
-	// Known is what the leader has read from the key-value service, so that a
-	// process whose watch was lost sees that it lags.
+	// ReadState is what the leader has read from the key-value service. It lets a process whose
+	// watch was lost notice that it lags.
 	ReadState ReadState `json:"k"`
-	// Deaf says that the leader has not reached the key-value service lately: the
-	// others look for changes themselves.
+	// StoreUnreachable is set if the leader has not reached the key-value service recently. The
+	// other processes then look for changes themselves.
 	StoreUnreachable bool `json:"f,omitempty"`
-	// Strongest is the greatest strength of the linked processes' machines.
+	// Strongest is the greatest known strength of the processes' machines.
 	Strongest float64 `json:"b,omitempty"`
-	// Entries are changes of workers' entries, or a list of all that one message holds, and Page
-	// is a part of a list that takes several.
+	// Entries are changes of the workers' entries, or the list of all entries if it fits in one
+	// message. Page is a part of a list that takes several messages.
 	Entries *EntryChanges `json:"e,omitempty"`
 	Page    *EntryChanges `json:"g,omitempty"`
-	// Config is told when it is newer than what the process has.
+	// Config is sent if it is newer than the receiver's configuration.
 	Config   *ConfigChanges  `json:"c,omitempty"`
 	Services []ServiceOwners `json:"z,omitempty"`
-	// Mandate is for a standby only.
+	// Mandate is sent to standbys only.
 	Mandate *Mandate `json:"y,omitempty"`
-	// SuspectsChanged is what has changed of the requests that were under way at crashes,
-	// packed. Suspects are all of them instead, for processes that take no changes.
+	// SuspectChanges are the packed changes of requests that were in progress at crashes. Suspects
+	// is the packed list of all of them, for processes that don't accept changes.
 	SuspectChanges []byte `json:"x,omitempty"`
 	Suspects       []byte `json:"q,omitempty"`
-	// Quota is what processes may have run of tenants' requests, for the receiver and for
-	// those that it has told of.
+	// Quota grants shares of the tenants' limits to the receiver and to the processes whose use it
+	// has reported.
 	Quota []quota.Grant `json:"u,omitempty"`
-	// Limits are what has become known of the limits that workers name.
+	// Limits are new facts on the limits that workers announce.
 	Limits []workerlimit.Told `json:"w,omitempty"`
-	// Leaving are workers that say in their answers that they leave.
+	// Leaving are workers that announce their departure in their responses.
 	Leaving []departure.Told `json:"s,omitempty"`
-	// Backoffs are told to operators only.
+	// Backoffs are sent to operators only.
 	Backoffs []BackoffShare `json:"bo,omitempty"`
 }
 
-// Age is for how long a relay may not have heard what the leader knows.
+// Age returns how old the leader's state that a relay forwards may be.
 func (u Update) Age() time.Duration { return time.Duration(u.AgeMillis) * time.Millisecond }
 
-// Stale reports whether what a relay says is too old to rely on.
+// Stale reports whether the state that a relay forwards is too old to rely on.
 func (u Update) Stale() bool { return u.Age() > SilenceLimit }
 
-// Mandate lets a standby renew what is held, should it lose the leader.
+// Mandate permits a standby to renew holds if it loses the leader.
 type Mandate struct {
-	// Stamp is the last one of the standby's reports, and LeftMillis for how long
-	// after it the leave lasts. The standby sent the stamp before, so its leave ends
-	// no later than the leader reckons, however long this message took.
+	// Stamp is taken from the standby's last report, and RemainingMillis is how long after that
+	// stamp the mandate lasts. As the standby sent the stamp earlier, its mandate ends no later
+	// than the leader assumes, however long this message takes.
 	Stamp           int64 `json:"t"`
 	RemainingMillis int64 `json:"l"`
-	// Services whose holds have changed.
+	// Services contains the services whose holds have changed.
 	Services []ServiceHolds `json:"s,omitempty"`
 }
 
-// ServiceHolds are all that is held of a service.
+// ServiceHolds contains all holds of a service.
 type ServiceHolds struct {
 	Service routing.ServiceName `json:"s"`
 	Version uint64              `json:"v"`
 	Workers []NamedWorker       `json:"i"`
-	// Runs are packed rows of first key, last key, place of the worker, and fence.
+	// Runs are packed rows of first key, last key, index of the worker, and fence.
 	Runs []byte `json:"r"`
 }
 
-// EncodeHolds writes holds as a message.
+// EncodeHolds converts holds to their message form.
 func EncodeHolds(service routing.ServiceName, version uint64, holds []owner.Hold) ServiceHolds {
 	described := ServiceHolds{Service: service, Version: version}
 	runs := make([][4]int64, 0, len(holds))
@@ -164,8 +166,8 @@
 	return described
 }
 
-// Holds returns the holds that the message describes; false if it can't be read, or
-// names a worker that it has not introduced.
+// Holds decodes the holds. It returns false if the message is malformed or refers to a worker that
+// it does not list.
 func (h ServiceHolds) Holds() ([]owner.Hold, bool) {
 	var runs [][4]int64
 	if unpack(h.Runs, &runs) != nil {
@@ -185,15 +187,15 @@
 	return holds, true
 }
 
-// ConfigChanges tells what the operators have written, as of a revision.
+// ConfigChanges contains the changes of the operators' configuration as of a revision.
 type ConfigChanges struct {
 	Revision coord.Revision `json:"r"`
-	// AgeMillis is for how long the first process has known that, and Undated that it cannot
-	// tell since when any of it stands, since it has found it in a list.
+	// AgeMillis is for how long the first process has known this revision. AgeUnknown is set if the
+	// process has read it in a list, and can't tell since when it has been in force.
 	AgeMillis  int64 `json:"a,omitempty"`
 	AgeUnknown bool  `json:"u,omitempty"`
-	// Packed are the items that have changed since what the process has, and Keys are
-	// those of all that stand.
+	// Packed contains the items that have changed since the receiver's revision, and Keys are the
+	// keys of all items that exist.
 	Packed []byte   `json:"p"`
 	Keys   []string `json:"s"`
 }
@@ -205,8 +207,8 @@
 	return items, err
 }
 
-// Since returns since when what is told may stand, as it is heard at a time; the zero time if
-// that is not known.
+// KnownSince returns since when the configuration may have been in force, if the message was
+// received at now. It returns the zero time if that is unknown.
 func (c ConfigChanges) KnownSince(now time.Time) time.Time {
 	if c.AgeUnknown {
 		return time.Time{}
@@ -214,32 +216,34 @@
 	return now.Add(-time.Duration(max(0, c.AgeMillis)) * time.Millisecond)
 }
 
-// Known are the last changes that a process has read, by what they are of.
+// ReadState contains the last revisions that a process has read of the configuration and of the
+// workers.
 type ReadState struct {
 	Config  coord.Revision `json:"c"`
 	Workers coord.Revision `json:"w"`
-	// SettleMillis is for how long entries that vanish may have lapsed only, since the
-	// service was away.
+	// SettleMillis is for how long entries that vanish may only have lapsed, because the service
+	// was unreachable.
 	SettleMillis int64 `json:"s,omitempty"`
-	// Steady says that the leader has reached the service for long enough: what it does not
-	// know any longer is gone, also for a process that was cut off from the service itself.
+	// Settled is set once the leader has reached the service for long enough that an entry which it
+	// no longer knows is gone. This also holds for a process that was itself cut off from the
+	// service.
 	Settled bool `json:"y,omitempty"`
 }
 
-// ServiceOwners tells owners of one service.
+// ServiceOwners contains owners of the keys of one service.
 type ServiceOwners struct {
 	Service routing.ServiceName `json:"s"`
-	// Version counts the leader's changes of the service's owners, and Part says that more of
-	// that version is to come.
+	// Version counts the leader's changes of the service's owners. Part is set if the rest of that
+	// version is still to come.
 	Version uint64 `json:"v"`
 	Part    bool   `json:"m,omitempty"`
-	// Whole says that all owners of Keys are told, or of all keys if that is nil, not changes
-	// only.
+	// Whole is set if the message contains all owners of Keys, or of all keys if Keys is nil, and
+	// not only changes.
 	Whole bool        `json:"w,omitempty"`
 	Keys  *owner.Keys `json:"k,omitempty"`
-	// Workers are numbered from 0, and Runs are rows of first key, last key, worker's number,
-	// and 1 if it does not hold the keys yet, in the order of the keys. Packed are both
-	// instead, where there are many.
+	// Workers are indexed from 0. Runs are rows of first key, last key, index of the worker, and 1
+	// if the worker does not hold the keys yet, in the order of the keys. Packed replaces both if
+	// there are many.
 	Workers []NamedWorker `json:"i,omitempty"`
 	Runs    [][4]int      `json:"r,omitempty"`
 	Packed  []byte        `json:"p,omitempty"`
@@ -249,37 +253,37 @@
 type NamedWorker struct {
 	ID      workers.ID `json:"i"`
 	Address string     `json:"a"`
-	// Born is the life of the worker that is meant, where holds are told; zero if not known.
+	// Born identifies the life of the worker that holds refer to; zero if unknown.
 	Born workers.Born `json:"b,omitempty"`
 }
 
-// Report is what a process saw since its last report.
+// Report contains what a process has counted and learned since its last report.
 type Report struct {
-	// Keys are, by service, key and count in turn.
+	// Keys are the requests by service, as alternating keys and counts.
 	Keys map[routing.ServiceName][]int `json:"k,omitempty"`
-	// Times are, by worker, the number of answers and the sum of their times in
-	// milliseconds, of requests that did not wait.
+	// ResponseTimes are, by worker, the number of responses and the sum of their times in
+	// milliseconds. Requests that waited at the worker are not counted.
 	ResponseTimes map[workers.ID][2]int `json:"w,omitempty"`
-	// Backoffs are, by worker, the number of times at which it asked for a backoff, and the sum of
-	// those in milliseconds.
+	// Backoffs are, by worker, the number of backoffs that it requested and their sum in
+	// milliseconds.
 	Backoffs map[workers.ID][2]int `json:"b,omitempty"`
-	// Stamp is a standby's time, in milliseconds since its start, and Heard are the
-	// versions of the holds that it knows; both are for a standby only.
+	// Stamp is a standby's time in milliseconds since its start, and HoldVersions are the versions
+	// of the holds that it knows. Both are sent by standbys only.
 	Stamp        int64                          `json:"t,omitempty"`
 	HoldVersions map[routing.ServiceName]uint64 `json:"v,omitempty"`
-	// Followers is how many processes follow a relay, whose report adds up theirs.
+	// Followers is how many processes follow a relay, whose report contains the sum of theirs.
 	Followers int `json:"f,omitempty"`
-	// Evidence is of requests that were under way at workers that crashed.
+	// Evidence is about requests that were in progress at workers that crashed.
 	Evidence *quarantine.Evidence `json:"q,omitempty"`
-	// Quota is how much of tenants' limits is in use, at this process and at its followers.
+	// Quota is the use of the tenants' limits at this process and its followers.
 	Quota []quota.Told `json:"u,omitempty"`
-	// Limits are what this process, or one that follows it, has learned of workers' limits.
+	// Limits are the limits of workers that this process or one of its followers has learned.
 	Limits []workerlimit.Told `json:"l,omitempty"`
-	// Leaving are workers that say in their answers that they leave.
+	// Leaving are workers that announce their departure in their responses.
 	Leaving []departure.Told `json:"s,omitempty"`
 }
 
-// Empty reports whether nothing was seen and nothing is to be told.
+// Empty reports whether the report contains nothing.
 func (r Report) Empty() bool {
 	return len(r.Keys) == 0 && len(r.ResponseTimes) == 0 && r.Stamp == 0 && r.Followers == 0 && r.Evidence == nil &&
 		len(r.Quota) == 0 && len(r.Limits) == 0 && len(r.Backoffs) == 0 && len(r.Leaving) == 0
--- a/internal/peerlink/meter.go
+++ b/internal/peerlink/meter.go
@@ -9,30 +9,31 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Meter counts what a process sees, for its reports. It is safe for concurrent
+// Meter counts requests, responses and backoffs for a process's reports. It is safe for concurrent
 // use.
 type Meter struct {
 	mu            sync.Mutex
 	keyCounts     map[routing.ServiceName]map[int]int
 	responseTimes map[workers.ID][2]int
-	// backoffs are, by worker, for how many backoffs it has asked, and their sum in milliseconds.
+	// backoffs are, by worker, the number of backoffs that it requested and their sum in
+	// milliseconds.
 	backoffs map[workers.ID][2]int
-	// timesAt is when times were last taken.
+	// responseTimesTakenAt is when responseTimes were last taken.
 	responseTimesTakenAt time.Time
 }
 
-// responseTimesInterval is the pause between reports of workers' times, which change slowly;
-// bytes between zones are dear.
+// responseTimesInterval is the pause between reports of response times. They change slowly, and
+// traffic between zones is expensive.
 const responseTimesInterval = 600 * time.Millisecond
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter {
 	return &Meter{
 		keyCounts: map[routing.ServiceName]map[int]int{}, responseTimes: map[workers.ID][2]int{}, backoffs: map[workers.ID][2]int{},
 	}
 }
 
-// Asked counts a request for a key.
+// CountRequest counts a request for a key.
 func (m *Meter) CountRequest(service routing.ServiceName, key int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,28 +50,27 @@
 	counts[key] += requests
 }
 
-// Served counts an answer of a worker whose request did not wait there.
-func (m *Meter) CountResponse(worker workers.ID, took time.Duration) {
+// CountResponse counts a response of a worker to a request that did not wait there.
+func (m *Meter) CountResponse(worker workers.ID, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	addSum(m.responseTimes, worker, 1, int(took.Milliseconds()))
+	addSum(m.responseTimes, worker, 1, int(duration.Milliseconds()))
 }
 
-// BackedOff counts that a worker has asked this process to send it nothing for a time, or for so much
-// longer.
-func (m *Meter) CountBackoff(worker workers.ID, longer time.Duration) {
+// CountBackoff counts a request of a worker to send it nothing for a time, or for that much longer.
+func (m *Meter) CountBackoff(worker workers.ID, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	addSum(m.backoffs, worker, 1, int(longer.Milliseconds()))
+	addSum(m.backoffs, worker, 1, int(duration.Milliseconds()))
 }
 
-// add counts events and the sum of their times at a worker.
+// addSum adds a number of events and the sum of their times to those of a worker.
 func addSum(sums map[workers.ID][2]int, worker workers.ID, count, millis int) {
 	sum := sums[worker]
 	sums[worker] = [2]int{sum[0] + count, sum[1] + millis}
 }
 
-// Add adds what another process has counted.
+// AddReport adds the counts of another process.
 func (m *Meter) AddReport(report Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +87,8 @@
 	}
 }
 
-// Take returns what was counted and begins anew.
+// Take returns the counts and resets them. Response times are included at most every
+// responseTimesInterval.
 func (m *Meter) Take() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peerlink/notices.go
+++ b/internal/peerlink/notices.go
@@ -11,38 +11,40 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// WorkerNotices are what a leader knows that workers say of themselves in their answers. Ages are as of
-// when something was first known as it is.
+// WorkerNotices are what workers have announced about themselves in their responses, as known to
+// the leader. The age of a notice is the time since its current value was first known.
 type WorkerNotices struct {
 	Limits   []workerlimit.Told
 	Leaving  []departure.Told
 	Backoffs []BackoffShare
 }
 
-// BackoffShare is an owner of keys that has asked routers for backoffs.
+// BackoffShare is the extent to which routers back off from a worker that owns keys.
 type BackoffShare struct {
 	Worker workers.ID `json:"w"`
-	// Share of the routers that back off, and for how long the last of them does, in milliseconds.
+	// Share is the share of the routers that back off, and RemainingMillis is when the last of them
+	// stops, in milliseconds from now.
 	Share           float64 `json:"h"`
 	RemainingMillis int64   `json:"m"`
 }
 
-// OnLeaving sets what is called with what linked processes tell of workers that leave, by a leader and
-// by a relay.
+// OnLeaving sets the function that is called with the departures of workers that linked processes
+// report. Leaders and relays use it.
 func (h *Hub) OnLeaving(call func([]departure.Told)) { h.onLeaving = call }
 
-// OnLimits sets what is called with what linked processes tell of workers' limits, by a leader and
-// by a relay.
+// OnLimits sets the function that is called with the limits of workers that linked processes
+// report. Leaders and relays use it.
 func (h *Hub) OnLimits(call func([]workerlimit.Told)) { h.onLimits = call }
 
-// SetBackoffs sets which owners of keys have asked routers for backoffs, for operators.
+// SetBackoffs sets the backoffs that owners of keys have requested from routers, for operators.
 func (h *Hub) SetBackoffs(backoffs []BackoffShare) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.backoffs = backoffs
 }
 
-// QueryNotices asks the process at an address, which leads, what workers say of themselves, for operators.
+// QueryNotices returns what workers have announced about themselves, for operators. The process at
+// the address must lead; otherwise the error is ErrNotLeading.
 func QueryNotices(ctx context.Context, address string) (WorkerNotices, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -64,7 +66,8 @@
 	return WorkerNotices{Limits: update.Limits, Leaving: update.Leaving, Backoffs: update.Backoffs}, nil
 }
 
-// addNotices adds to an answer what workers say of themselves, if the question asks for it.
+// addWorkerNotices adds what workers have announced about themselves to an answer, if the query
+// requests it.
 func (h *Hub) addWorkerNotices(hello Hello, answer *Update, now time.Time) {
 	if !hello.WorkerNotices {
 		return
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// maxPieceRuns is how many owners a link is told in one piece, and maxUnpackedRuns are told as they
-	// are; more of them are packed.
+	// maxPieceRuns is how many owners are sent in one piece. Up to maxUnpackedRuns are sent
+	// unpacked.
 	maxPieceRuns    = 512
 	maxUnpackedRuns = 16
 )
 
-// sentOwners is what a link was told of the owners of a service: those of the keys before next, as
-// they stood at a stamp.
+// sentOwners tracks which owners of a service a link was sent: those of the keys before nextKey, as
+// of a stamp.
 type sentOwners struct {
 	owners []owner.Owner
 	stamp  uint64
-	// version is the last one that was told, and part that it was told in part only.
+	// version is the last version that was sent. partial is set if it was sent in part only.
 	version uint64
 	partial bool
 	nextKey int
 }
 
-// whole reports whether the link was told the owners of all keys.
+// complete reports whether the owners of all keys were sent.
 func (s sentOwners) complete() bool { return s.nextKey >= owner.KeyCount }
 
-// ownerChangesCache keeps the difference of two states of a service that was asked for last: links lag
-// by the same, and looking through all owners for each of them costs the most where there are many.
+// ownerChangesCache caches the last computed difference between two states of a service. Most links
+// lag by the same changes, and comparing all owners for each link would cost the most if there are
+// many.
 type ownerChangesCache struct {
 	from, to uint64
 	changes  []owner.Owner
 }
 
-// between returns which owners have changed from one state to another.
+// between returns the owners that have changed between two states.
 func (c *ownerChangesCache) between(sent sentOwners, current publishedOwners) []owner.Owner {
 	if c.from != sent.stamp || c.to != current.stamp {
 		*c = ownerChangesCache{from: sent.stamp, to: current.stamp, changes: keytable.Difference(sent.owners, current.owners)}
@@ -44,23 +45,23 @@
 	return c.changes
 }
 
-// tellOwners adds to an update which owners a link has not heard. The caller holds mu.
+// addOwners adds the owners that a link lacks to an update. The caller holds mu.
 func (h *Hub) addOwners(l *link, update *Update, now time.Time) {
-	if l.term != h.term { // another leader: its owners are told whole
+	if l.term != h.term { // owners of another leader are sent completely
 		l.term = h.term
 		clear(l.sentOwners)
 	}
-	for service, state := range h.owners {
-		if len(state.owners) == 0 {
+	for service, published := range h.owners {
+		if len(published.owners) == 0 {
 			continue
 		}
 		sent := l.sentOwners[service]
-		if sent.nextKey > 0 && sent.stamp != state.stamp {
-			h.addChangedOwners(update, service, state, &sent)
+		if sent.nextKey > 0 && sent.stamp != published.stamp {
+			h.addChangedOwners(update, service, published, &sent)
 		}
-		sent.owners, sent.stamp = state.owners, state.stamp
+		sent.owners, sent.stamp = published.owners, published.stamp
 		if !sent.complete() {
-			h.addOwnersPiece(l, update, service, state, &sent, now)
+			h.addOwnersPiece(l, update, service, published, &sent, now)
 		}
 		if sent.nextKey > 0 {
 			l.sentOwners[service] = sent
@@ -68,13 +69,13 @@
 	}
 }
 
-// tellChanged tells changes of those owners that the link was told of.
-func (h *Hub) addChangedOwners(update *Update, service routing.ServiceName, state publishedOwners, sent *sentOwners) {
-	changes := h.ownerChanges.between(*sent, state)
+// addChangedOwners adds changes of the owners that were already sent to the link.
+func (h *Hub) addChangedOwners(update *Update, service routing.ServiceName, published publishedOwners, sent *sentOwners) {
+	changes := h.ownerChanges.between(*sent, published)
 	if !sent.complete() {
 		changes = keytable.Within(changes, owner.Keys{To: sent.nextKey - 1})
 	}
-	message := ServiceOwners{Service: service, Version: state.version, Part: state.partial || !sent.complete()}
+	message := ServiceOwners{Service: service, Version: published.version, Part: published.partial || !sent.complete()}
 	if len(changes) == 0 && message.Version == sent.version && message.Part == sent.partial {
 		return
 	}
@@ -83,29 +84,29 @@
 	update.Services = append(update.Services, message)
 }
 
-// tellPiece tells the owners of the next keys, if the link may be told them now. Owners that one
-// piece holds are told at once.
-func (h *Hub) addOwnersPiece(l *link, update *Update, service routing.ServiceName, state publishedOwners, sent *sentOwners, now time.Time) {
-	if state.needsPieces() && !h.bulkTransfers.admit(l, now) {
+// addOwnersPiece adds the owners of the next keys if the link may be sent a piece now. Owners that
+// fit in one piece are sent immediately.
+func (h *Hub) addOwnersPiece(l *link, update *Update, service routing.ServiceName, published publishedOwners, sent *sentOwners, now time.Time) {
+	if published.needsPieces() && !h.bulkTransfers.admit(l, now) {
 		return
 	}
-	keys := nextPieceKeys(state.owners, sent.nextKey)
+	keys := nextPieceKeys(published.owners, sent.nextKey)
 	sent.nextKey = keys.To + 1
 	message := ServiceOwners{
-		Service: service, Version: state.version, Whole: true, Keys: &keys, Part: state.partial || !sent.complete(),
+		Service: service, Version: published.version, Whole: true, Keys: &keys, Part: published.partial || !sent.complete(),
 	}
-	message.encode(keytable.Within(state.owners, keys))
+	message.encode(keytable.Within(published.owners, keys))
 	sent.version, sent.partial = message.Version, message.Part
 	update.Services = append(update.Services, message)
-	if state.needsPieces() {
+	if published.needsPieces() {
 		h.bulkTransfers.reserve(now, message.approximateSize(), h.LinkRate)
 	}
 }
 
-// bulky reports whether the owners take more than one piece.
+// needsPieces reports whether the owners take more than one piece.
 func (p publishedOwners) needsPieces() bool { return len(p.owners) > maxPieceRuns }
 
-// nextPieceKeys returns the keys of the next maxPieceRuns owners from a key on.
+// nextPieceKeys returns the keys of the next maxPieceRuns owners, starting at a key.
 func nextPieceKeys(owners []owner.Owner, from int) owner.Keys {
 	runs := 0
 	for _, run := range owners {
@@ -119,15 +120,15 @@
 	return owner.Keys{From: from, To: owner.KeyCount - 1}
 }
 
-// ownerRuns are owners as they are told: rows of first key, last key, place of the worker, and 1 if
-// it does not hold the keys yet.
+// ownerRuns is the message form of owners: rows of first key, last key, index of the worker, and 1
+// if the worker does not hold the keys yet.
 type ownerRuns struct {
 	Workers []NamedWorker `json:"i"`
 	Runs    [][4]int      `json:"r"`
 }
 
-// describe writes owners into the message.
-func (n *ServiceOwners) encode(owners []owner.Owner) {
+// encode sets the owners of the message, packed if there are many.
+func (s *ServiceOwners) encode(owners []owner.Owner) {
 	var table ownerRuns
 	indexes := map[NamedWorker]int{}
 	for _, held := range owners {
@@ -145,26 +146,26 @@
 		table.Runs = append(table.Runs, [4]int{held.Keys.From, held.Keys.To, index, moving})
 	}
 	if len(table.Runs) > maxUnpackedRuns {
-		n.Packed = pack(table)
+		s.Packed = pack(table)
 		return
 	}
-	n.Workers, n.Runs = table.Workers, table.Runs
+	s.Workers, s.Runs = table.Workers, table.Runs
 }
 
-// size is about how many bytes the message takes.
-func (n *ServiceOwners) approximateSize() int { return len(n.Packed)*4/3 + 64*len(n.Runs) }
+// approximateSize estimates the size of the message in bytes.
+func (s *ServiceOwners) approximateSize() int { return len(s.Packed)*4/3 + 64*len(s.Runs) }
 
-// Owners returns what the message tells; false if it can't be read, names a worker that it has not
-// introduced, is not in the order of the keys, or is of others than it says.
-func (n *ServiceOwners) Owners() ([]owner.Owner, bool) {
-	table := ownerRuns{Workers: n.Workers, Runs: n.Runs}
-	if len(n.Packed) > 0 && unpack(n.Packed, &table) != nil {
+// Owners decodes the owners. It returns false if the message is malformed, refers to a worker that
+// it does not list, is not in the order of the keys, or contains keys outside of Keys.
+func (s *ServiceOwners) Owners() ([]owner.Owner, bool) {
+	table := ownerRuns{Workers: s.Workers, Runs: s.Runs}
+	if len(s.Packed) > 0 && unpack(s.Packed, &table) != nil {
 		return nil, false
 	}
 	owners := make([]owner.Owner, 0, len(table.Runs))
 	minKey, maxKey := 0, owner.KeyCount-1
-	if n.Keys != nil {
-		minKey, maxKey = max(minKey, n.Keys.From), min(maxKey, n.Keys.To)
+	if s.Keys != nil {
+		minKey, maxKey = max(minKey, s.Keys.From), min(maxKey, s.Keys.To)
 	}
 	for _, run := range table.Runs {
 		if run[2] < 0 || run[2] >= len(table.Workers) || run[0] < minKey || run[1] < run[0] || run[1] > maxKey {
--- a/internal/peerlink/pack.go
+++ b/internal/peerlink/pack.go
@@ -7,10 +7,10 @@
 	"io"
 )
 
-// maxUnpackedBytes bounds what a packed message may hold.
+// maxUnpackedBytes limits the size of an unpacked message.
 const maxUnpackedBytes = 16 << 20
 
-// pack writes a value as compressed JSON.
+// pack encodes a value as compressed JSON.
 func pack(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return packed.Bytes()
 }
 
-// unpack reads such a value.
+// unpack decodes a value that was encoded by pack.
 func unpack(packed []byte, into any) error {
 	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
--- a/internal/peerlink/pages.go
+++ b/internal/peerlink/pages.go
@@ -8,41 +8,43 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// pageWorkers is how many workers a page of a list announces: packed, some 20 KB.
+// pageWorkers is the number of workers in a page of a list: some 20 KB packed.
 const pageWorkers = 512
 
-// A list that takes several messages is told in pages by the order of the workers' IDs. Each is as
-// of its own revision; what changed since the least of them is told after the last page. So a
-// process that loses its link goes on with another one's pages.
+// A list that takes several messages is sent in pages, in the order of the workers' IDs. Each page
+// has its own revision; changes since the lowest of these revisions are sent after the last page. A
+// process that loses its link can therefore continue with the pages of another process.
 
-// listPosition is how far a link was told a list.
+// listPosition is how much of a list a link was sent.
 type listPosition struct {
-	// after is the last worker that was told of, and at the least revision of the pages so far.
+	// after is the last worker that was sent, and revision is the lowest revision of the pages so
+	// far.
 	after    workers.ID
 	revision coord.Revision
 }
 
-// entryPages keeps pages that were packed, for as long as what changed since is kept. The zero
-// value has none.
+// entryPages caches packed pages for as long as the changes since then are kept. The zero value is
+// empty.
 type entryPages struct {
-	// cuts are the last workers of the pages but the last one, in order.
+	// lastIDs are the last workers of all pages but the last page, in order.
 	lastIDs []workers.ID
 	pages   []packedPage
 }
 
-// packedPage is a page; its revision is zero if it is still to be packed.
+// packedPage is a page. Its revision is zero if the page is not packed yet.
 type packedPage struct {
 	revision coord.Revision
 	packed   []byte
 	packedAt time.Time
 }
 
-// pageFor returns the next page of the list for a link; nil if it has to wait. The caller holds mu.
+// pageFor returns the next page of the list for a link, or nil if the link has to wait. The caller
+// holds mu.
 func (h *Hub) pageFor(l *link, now time.Time) *EntryChanges {
 	if !h.bulkTransfers.admit(l, now) {
 		return nil
 	}
-	if l.listPosition.revision < h.entries.from { // what changed since its pages is no longer kept
+	if l.listPosition.revision < h.entries.from { // the changes since its pages are no longer kept
 		l.listPosition = listPosition{}
 	}
 	page := h.pages.next(&h.entries, l.listPosition.after, now)
@@ -58,7 +60,7 @@
 	return page
 }
 
-// next returns the page of a list that begins after a worker.
+// next returns the page of the list that starts after a worker.
 func (p *entryPages) next(log *entryLog, after workers.ID, now time.Time) *EntryChanges {
 	p.divide(log)
 	index, _ := slices.BinarySearch(p.lastIDs, after)
@@ -76,8 +78,8 @@
 	return page
 }
 
-// cut divides the workers into pages, and does so again once their number has changed by half of a
-// page for each of them.
+// divide splits the workers into pages. It does so again once the number of workers has changed by
+// half a page per page.
 func (p *entryPages) divide(log *entryLog) {
 	pages := len(p.lastIDs) + 1
 	if p.pages != nil && 2*len(log.current) >= pages*pageWorkers && 2*len(log.current) <= 3*pages*pageWorkers {
@@ -95,7 +97,7 @@
 	p.pages = make([]packedPage, len(p.lastIDs)+1)
 }
 
-// announced describes the workers of a page.
+// changesOf returns the workers of a page.
 func (p *entryPages) changesOf(log *entryLog, index int, now time.Time) []WorkerChange {
 	var after, last workers.ID
 	if index > 0 {
--- a/internal/peerlink/peers.go
+++ b/internal/peerlink/peers.go
@@ -7,28 +7,31 @@
 	"time"
 )
 
-// A process that the key-value service refuses, and whose leader is lost, asks other processes for
-// the next one: the service would have named it. It must know some of them before.
+// A process that the key-value service rejects, and whose leader is lost, asks other processes for
+// the next leader, which the service would otherwise have named. It must know the addresses of some
+// processes beforehand.
 
 const (
-	// sentPeers is how many others each process is told of. Where the service refuses a third of
-	// all, and the leader is lost, one in 81 hears from none that is not refused.
+	// sentPeers is how many addresses of other processes each process is sent. If the service
+	// rejects a third of all processes and the leader is lost, one process in 81 knows none that is
+	// not rejected.
 	sentPeers = 4
-	// sentPeersInterval is the pause between such words: a process that went is asked in vain once.
+	// sentPeersInterval is the pause between messages with addresses. A process that has ended is
+	// queried in vain once.
 	sentPeersInterval = 10 * time.Second
 	// maxPeers is how many addresses a process keeps.
 	maxPeers = 16
 )
 
-// Peers are addresses of other processes that were heard of last. It is safe for concurrent use;
-// the zero value knows none.
+// Peers contains the addresses of other processes that were received most recently. It is safe for
+// concurrent use; the zero value is empty.
 type Peers struct {
 	mu sync.Mutex
-	// known are in the order in which they were heard of, the newest at the end.
+	// known is in the order in which the addresses were received, with the newest at the end.
 	known []string
 }
 
-// Add notes addresses that were heard of now.
+// Add records addresses as the most recent ones.
 func (p *Peers) Add(addresses ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +47,7 @@
 	}
 }
 
-// Some returns up to a number of the addresses, drawn at random, without one of them.
+// Sample returns up to limit addresses, chosen at random, excluding one of them.
 func (p *Peers) Sample(limit int, exclude string) []string {
 	p.mu.Lock()
 	sample := slices.DeleteFunc(slices.Clone(p.known), func(one string) bool { return one == exclude })
@@ -53,25 +56,26 @@
 	return sample[:min(limit, len(sample))]
 }
 
-// OnLinked sets what is called with the addresses of processes that follow this one.
+// OnLinked sets the function that is called with the addresses of processes that follow this one.
 func (h *Hub) OnLinked(call func(addresses ...string)) { h.onLinked = call }
 
-// SetFollowed sets the address of the leader that this process follows; empty: none.
+// SetFollowedLeader sets the address of the leader that this process follows, or empty if there is
+// none.
 func (h *Hub) SetFollowedLeader(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.followedLeader = address
 }
 
-// peersFor returns addresses of other processes that a link is to know; nil if it was told of some
-// lately. The caller holds mu.
+// peerAddressesFor returns addresses of other processes for a link, or nil if the link was sent
+// some within sentPeersInterval. The caller holds mu.
 func (h *Hub) peerAddressesFor(l *link, now time.Time) []string {
 	if now.Sub(l.peersSentAt) < sentPeersInterval || len(h.links) < 2 {
 		return nil
 	}
 	l.peersSentAt = now
 	var addresses []string
-	for other := range h.links { // in no order
+	for other := range h.links { // map order is random
 		if address := other.hello.Address; address != "" && other != l && len(addresses) < sentPeers {
 			addresses = append(addresses, address)
 		}
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -14,34 +14,37 @@
 	"github.com/shalefork/shalefork/internal/workerlimit"
 )
 
-// PermitRequest asks the leader whether a request may leave for a worker that names a limit.
+// PermitRequest asks the leader whether a request may be sent to a worker that has announced a
+// limit.
 type PermitRequest struct {
-	// Number names the question on its connection.
+	// Number identifies the request on its connection.
 	Number uint64 `json:"n"`
-	// Limit is what the process that asks knows of the worker's limit.
+	// Limit is what the sender knows of the worker's limit.
 	Limit workerlimit.Told `json:"l"`
-	// PatienceMillis is for how long the request may wait.
+	// MaxWaitMillis is the longest time that the request may wait.
 	MaxWaitMillis int64 `json:"p,omitempty"`
 }
 
 // Permit is the leader's answer.
 type Permit struct {
 	Number uint64 `json:"n"`
-	// Granted says that the request may leave after WaitMillis. Else that is when to ask again.
+	// Granted is set if the request may be sent after WaitMillis. Otherwise, WaitMillis is when to
+	// ask again.
 	Granted    bool  `json:"g,omitempty"`
 	WaitMillis int64 `json:"w,omitempty"`
-	// Ended is told if the worker names no limit any longer.
+	// LimitEnded is set if the worker no longer announces a limit.
 	LimitEnded *workerlimit.Told `json:"e,omitempty"`
 }
 
-// Wait is how long the request waits, or is kept from asking again.
+// Wait returns how long the request waits, or how long the sender must not ask again.
 func (p Permit) Wait() time.Duration { return time.Duration(p.WaitMillis) * time.Millisecond }
 
-// OnPermit sets what answers other processes that ask for permits while this one leads; false: it
-// does not lead.
+// OnPermit sets the function that answers permit requests of other processes while this process
+// leads. It returns false if this process does not lead.
 func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.answerPermit = call }
 
-// servePermits answers one process until it is silent for long, or this one leads no longer.
+// servePermits answers the permit requests of one process until that process is silent for
+// reportSilence or this process no longer leads.
 func (h *Hub) servePermits(conn net.Conn, reader *bufio.Reader) {
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(reportSilence))
@@ -56,18 +59,19 @@
 	}
 }
 
-// Followed returns the address of the leader that this process follows; empty: none.
+// FollowedLeader returns the address of the leader that this process follows, or empty if there is
+// none.
 func (h *Hub) FollowedLeader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.followedLeader
 }
 
-// ErrNoPermit: the leader did not answer in time.
+// ErrNoPermit is returned if the leader did not answer in time.
 var ErrNoPermit = errs.New("no answer from the leader")
 
-// PermitClient asks the leader for permits, over one connection that is opened when the first is
-// asked for. It is safe for concurrent use.
+// PermitClient requests permits from the leader over one connection, which is opened by the first
+// request. It is safe for concurrent use.
 type PermitClient struct {
 	// Node and Zone are those of this process.
 	Node, Zone string
@@ -76,42 +80,43 @@
 	current *permitConn
 }
 
-// Ask asks the leader at an address, until ctx ends.
-func (l *PermitClient) Request(ctx context.Context, address string, request PermitRequest) (Permit, error) {
-	conn := l.connect(address)
+// Request sends a request to the leader at an address and waits for the answer until ctx ends.
+func (c *PermitClient) Request(ctx context.Context, address string, request PermitRequest) (Permit, error) {
+	conn := c.connect(address)
 	start := clock.Now()
 	permit, err := conn.request(ctx, request)
-	if err != nil && !conn.answeredSince(start) { // it may be silent for good
+	if err != nil && !conn.answeredSince(start) { // the connection may be broken although no error was reported
 		conn.close()
 	}
 	return permit, err
 }
 
-// connect returns the connection to an address, or begins to open one.
-func (l *PermitClient) connect(address string) *permitConn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.current != nil && l.current.address == address && !l.current.isClosed() {
-		return l.current
+// connect returns the connection to an address, or starts to open one.
+func (c *PermitClient) connect(address string) *permitConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current != nil && c.current.address == address && !c.current.isClosed() {
+		return c.current
 	}
-	if l.current != nil {
-		l.current.close()
+	if c.current != nil {
+		c.current.close()
 	}
-	l.current = &permitConn{
-		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan Permit{},
+	c.current = &permitConn{
+		address: address, hello: Hello{Node: c.Node, Zone: c.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan Permit{},
 	}
-	go l.current.run()
-	return l.current
+	go c.current.run()
+	return c.current
 }
 
-// permitConn is one connection to a leader.
+// permitConn is a connection to a leader.
 type permitConn struct {
 	address string
 	hello   Hello
-	// opened is closed once conn is there, and closed once it is not to be used any longer.
+	// opened is closed once conn is set, and closed is closed once the connection must no longer be
+	// used.
 	opened, closed chan struct{}
 	closeOnce      sync.Once
-	// heard is when the leader last answered, a number of clock.Nanos.
+	// lastAnswer is when the leader last answered, as returned by clock.Nanos.
 	lastAnswer atomic.Int64
 
 	mu         sync.Mutex
@@ -133,7 +138,7 @@
 
 func (c *permitConn) answeredSince(at time.Time) bool { return c.lastAnswer.Load() >= clock.Nanos(at) }
 
-// run opens the connection and takes answers until it is closed.
+// run opens the connection and receives answers until it is closed.
 func (c *permitConn) run() {
 	defer c.close()
 	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
@@ -163,7 +168,7 @@
 	}
 }
 
-// answered hands an answer to who asked.
+// deliver passes an answer to the caller that waits for it.
 func (c *permitConn) deliver(permit Permit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +178,7 @@
 	}
 }
 
-// ask sends a question and waits for its answer.
+// request sends a request and waits for its answer.
 func (c *permitConn) request(ctx context.Context, request PermitRequest) (Permit, error) {
 	select {
 	case <-c.opened:
@@ -200,7 +205,7 @@
 	return Permit{}, ErrNoPermit
 }
 
-// send writes a question whose answer goes to a channel.
+// send writes a request whose answer is delivered to a channel.
 func (c *permitConn) send(request PermitRequest, answer chan Permit) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peerlink/quota.go
+++ b/internal/peerlink/quota.go
@@ -6,19 +6,19 @@
 	"github.com/shalefork/shalefork/internal/quota"
 )
 
-// quotaRoutes is by which links processes tell of their tenants' use, and are told: a process is
-// reached by the way on which it was heard last. The hub's lock guards it.
+// quotaRoutes maps processes to the links over which they report their tenants' use and receive
+// grants: the link of the last report. It is guarded by the hub's lock.
 type quotaRoutes struct {
 	via map[string]*link
-	// told is called with what linked processes tell.
+	// onQuota is called with the tenants' use that linked processes report.
 	onQuota func([]quota.Told)
 }
 
-// OnQuota sets what is called with what linked processes tell of tenants' use, by a leader and
-// by a relay.
+// OnQuota sets the function that is called with the tenants' use that linked processes report.
+// Leaders and relays use it.
 func (h *Hub) OnQuota(call func([]quota.Told)) { h.quotaRoutes.onQuota = call }
 
-// takeQuota takes what came by a link.
+// handleQuota handles quota reports from a link.
 func (h *Hub) handleQuota(l *link, reports []quota.Told) {
 	if len(reports) == 0 || h.quotaRoutes.onQuota == nil {
 		return
@@ -31,7 +31,7 @@
 	h.quotaRoutes.onQuota(reports)
 }
 
-// heard notes by which link processes are reached.
+// record records the link that leads to the reporting processes.
 func (q *quotaRoutes) record(l *link, reports []quota.Told) {
 	if q.via == nil {
 		q.via = map[string]*link{}
@@ -41,13 +41,13 @@
 	}
 }
 
-// drop forgets a link.
+// drop removes a link.
 func (q *quotaRoutes) drop(l *link) {
 	maps.DeleteFunc(q.via, func(_ string, via *link) bool { return via == l })
 }
 
-// TellQuota tells processes what they may have run. Those that no link leads to are left out:
-// the leader tells them again once they are heard.
+// SendQuota sends grants to processes. Processes that no link leads to are skipped: the leader
+// sends their grants again after their next report.
 func (h *Hub) SendQuota(grants []quota.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/relay.go
+++ b/internal/peerlink/relay.go
@@ -8,48 +8,49 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// With many processes the leader speaks with one relay in each zone, and the relay with
-// the others there: what the leader sends, and the bytes between zones, then grow with
-// zones and not with processes. A relay that is followed by more processes than a leader speaks
-// with itself appoints relays of its own among them, and sends the others there, so that what
-// one process sends is bounded whatever the size of its zone. A relay passes on what it is told,
-// except what is for standbys only, and adds up the reports of those that follow it.
-
-// maxHops is how many processes pass a leader's word on at the most: a relay of a zone and one of
-// its own. More of them would let the word grow too old, and a circle of relays end nowhere.
+// With many processes, the leader is linked with one relay in each zone, and the relay with the
+// other processes there. What the leader sends, and the traffic between zones, then grow with the
+// number of zones and not with the number of processes. A relay with more followers than a leader
+// may have directly appoints sub-relays among them and redirects the others there, so that what one
+// process sends is bounded whatever the size of its zone. A relay forwards everything that it
+// receives except what is for standbys only, and adds up the reports of its followers.
+
+// maxHops is the largest number of processes that forward the leader's state: the relay of a zone
+// and a sub-relay. With more of them, the state would grow too old, and a cycle of relays would not
+// end.
 const maxHops = 2
 
 const (
-	// relayChoiceDelay is how long the first processes of a zone are linked before one on a
-	// weaker machine becomes its relay, so that there is a choice among machines.
+	// relayChoiceDelay is how long the first processes of a zone are linked before one on a weaker
+	// machine may become its relay, so that there is a choice of machines.
 	relayChoiceDelay = 300 * time.Millisecond
 	// lostReportsToReplaceRelay is how many processes must have lost a relay for it to be replaced
 	// while it is linked itself.
 	lostReportsToReplaceRelay = 3
-	// nodeCountHold is for how long processes count that are just changing their link.
+	// nodeCountHold is for how long processes are still counted that are changing their link.
 	nodeCountHold = 3 * time.Second
 )
 
-// upstream is what a relay knows of the leader whose words it passes on.
+// upstream is a relay's knowledge of the leader whose state it forwards.
 type upstream struct {
-	// heard is the last message's part that is the same for all links.
+	// lastUpdate is the part of the last update that is the same for all links.
 	lastUpdate Update
-	// fresh is when all that the leader knew was known here.
+	// currentAsOf is the time at which this process last knew everything that the leader knew.
 	currentAsOf time.Time
-	// lost says that the link to the leader broke.
+	// leaderLost is set once the link to the leader broke.
 	leaderLost bool
-	// leaveTo is the address that all others are sent to; empty: they may stay.
+	// redirectTo is the address that all followers are redirected to, or empty if they may stay.
 	redirectTo string
 }
 
-// head describes what a relay says in each message.
-func (u *upstream) fillHeader(update *Update, own ReadState, now time.Time) {
+// fillHeader sets the fields that are part of each update of a relay.
+func (u *upstream) fillHeader(update *Update, ownState ReadState, now time.Time) {
 	update.Relayed, update.Leaderless, update.Redirect = true, u.leaderLost, u.redirectTo
 	update.Nodes, update.Hops = u.lastUpdate.Nodes, u.hops()
 	update.AgeMillis = max(0, now.Sub(u.currentAsOf)).Milliseconds()
 	update.ReadState = ReadState{
-		Config: max(own.Config, u.lastUpdate.ReadState.Config), Workers: max(own.Workers, u.lastUpdate.ReadState.Workers),
-		SettleMillis: own.SettleMillis,
+		Config: max(ownState.Config, u.lastUpdate.ReadState.Config), Workers: max(ownState.Workers, u.lastUpdate.ReadState.Workers),
+		SettleMillis: ownState.SettleMillis,
 		Settled:      !u.leaderLost && u.lastUpdate.ReadState.Settled,
 	}
 	if update.ReadState.Settled { // only the relay was cut off
@@ -58,14 +59,15 @@
 	update.Strongest = max(update.Strongest, u.lastUpdate.Strongest)
 }
 
-// hops is how many processes have passed the word on that this one tells.
+// hops returns how many processes have forwarded the state once this one has.
 func (u *upstream) hops() int { return u.lastUpdate.Hops + 1 }
 
-// OnReported sets what is called with the reports of processes that follow this relay.
+// OnFollowerReport sets the function that is called with the reports of processes that follow this
+// relay.
 func (h *Hub) OnFollowerReport(call func(Report)) { h.onFollowerReport = call }
 
-// Relay takes what the leader says, or a relay of it: from now on other processes may follow this
-// one, unless as many pass the word on already as may.
+// RelayUpdate records an update of the leader or of another relay. From then on, other processes
+// may follow this one, unless the update was already forwarded by maxHops processes.
 func (h *Hub) RelayUpdate(update Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,15 +84,15 @@
 	}
 }
 
-// refresh notes that all was known at a time.
+// markCurrent records that everything was known at a time.
 func (u *upstream) markCurrent(at time.Time) {
 	if at.After(u.currentAsOf) {
 		u.currentAsOf = at
 	}
 }
 
-// Refresh notes that this process has itself read from the key-value service all that was
-// there at a time.
+// MarkStoreRead records that this process has itself read everything from the key-value service
+// that was there at a time.
 func (h *Hub) MarkStoreRead(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,8 +101,9 @@
 	}
 }
 
-// RelayOwners sets the owners of a service as a leader of a term has told them. Of a version that
-// this process was told a part of only, it has the one before.
+// RelayOwners sets the owners of a service as received from the leader of a term. While this
+// process has received a version in part only, version is the preceding one; 0 means that no
+// version was received completely yet.
 func (h *Hub) RelayOwners(service routing.ServiceName, owners []owner.Owner, term owner.Term, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,8 +117,8 @@
 	h.publish(service, publishedOwners{owners: owners, version: version, partial: version == 0})
 }
 
-// LeaderLost says that a relay has lost its leader. Those that follow it stay for as long
-// as it reads the key-value service itself.
+// MarkLeaderLost records that this relay has lost its leader. Its followers stay for as long as it
+// reads the key-value service itself.
 func (h *Hub) MarkLeaderLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,15 +128,15 @@
 	}
 }
 
-// takesFollowers reports whether this process is a relay, and not one that has sent its
-// followers away: it may be about to lead, and would send the next ones to where it went
-// itself. The caller holds mu.
+// acceptsFollowers reports whether this process is a relay that has not redirected its followers.
+// One that has may be about to lead, and would redirect new followers to the process that it
+// followed itself. The caller holds mu.
 func (h *Hub) acceptsFollowers() bool {
 	return h.upstream != nil && h.upstream.redirectTo == "" && h.upstream.hops() <= maxHops
 }
 
-// LeaveTo sends all that follow this relay to another process, and takes no new ones until
-// it follows a leader again.
+// RedirectFollowers redirects all followers of this relay to another process. New ones are rejected
+// until this process follows a leader again.
 func (h *Hub) RedirectFollowers(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,8 +146,8 @@
 	}
 }
 
-// Followers returns how many processes follow this relay, themselves or through relays of its own;
-// zero for a leader.
+// Followers returns how many processes follow this relay, directly or through sub-relays. It
+// returns zero for a leader.
 func (h *Hub) Followers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -154,7 +157,8 @@
 	return h.linkedNodes()
 }
 
-// linkedNodes is how many processes are linked here, or follow those that are. The caller holds mu.
+// linkedNodes returns how many processes are linked here or follow a linked process. The caller
+// holds mu.
 func (h *Hub) linkedNodes() int {
 	count := len(h.links)
 	for l := range h.links {
@@ -163,15 +167,15 @@
 	return count
 }
 
-// expectNodes takes a process's word on how many there are. The caller holds mu.
+// noteNodeCount records the number of processes that a new link reports. The caller holds mu.
 func (h *Hub) noteNodeCount(count int, now time.Time) {
 	if count > h.maxNodes {
 		h.maxNodes, h.maxNodesAt = count, now
 	}
 }
 
-// nodes returns how many processes there are. Those that change their link count on for
-// a moment. The caller holds mu.
+// nodes returns the number of processes. Processes that change their link are still counted for
+// nodeCountHold. The caller holds mu.
 func (h *Hub) nodes(now time.Time) int {
 	count := 1 + h.linkedNodes()
 	if count >= h.maxNodes || now.Sub(h.maxNodesAt) > nodeCountHold {
@@ -180,8 +184,8 @@
 	return h.maxNodes
 }
 
-// relayFor returns the address of the relay that a link's process is to follow; empty if
-// it stays with the leader. The caller holds mu.
+// relayFor returns the address of the relay that a link's process is to follow, or empty if it
+// stays with the leader. The caller holds mu.
 func (h *Hub) relayFor(l *link, now time.Time) string {
 	if h.nodes(now) <= h.DirectNodes || h.standbys.appointed[l.hello.Process] || l.hello.Address == "" {
 		return ""
@@ -202,7 +206,7 @@
 	return address
 }
 
-// doubted reports whether enough processes have come here because they lost a relay. The
+// reportedLost reports whether enough linked processes have lost a relay for it to be replaced. The
 // caller holds mu.
 func (h *Hub) reportedLost(relay *link) bool {
 	reports := 0
@@ -214,9 +218,9 @@
 	return reports >= lostReportsToReplaceRelay
 }
 
-// chooseRelay returns the link of a zone that is its next relay: one that others follow
-// already, else the one on the strongest machine; nil if it is too early to choose. The
-// caller holds mu.
+// chooseRelay returns the link that becomes the next relay of a zone: one that others follow
+// already, otherwise the one on the strongest machine. It returns nil if it is too early to choose.
+// The caller holds mu.
 func (h *Hub) chooseRelay(zone string, excluded *link, now time.Time) *link {
 	var best *link
 	earliest := now
@@ -237,7 +241,8 @@
 	return best
 }
 
-// betterRelay compares two links of a zone.
+// isBetterRelayThan compares two links of a zone: by followers, then by strength, then by how long
+// they have been linked.
 func (l *link) isBetterRelayThan(other *link) bool {
 	switch {
 	case l.followers != other.followers:
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Peer is a linked process, as a standby is chosen by.
+// Peer is a linked process that may be chosen as a standby.
 type Peer struct {
 	Process  string
 	Address  string
@@ -17,49 +17,50 @@
 	Strength float64
 }
 
-// standbys are the leader's view of the processes that may renew what is held. The
-// hub's lock guards it.
+// standbys is the leader's view of the processes that may renew holds. It is guarded by the hub's
+// lock.
 type standbys struct {
-	// limit is when any leave ends at the latest: the leader's own renewals end then.
+	// limit is when all mandates end at the latest, as the leader's own renewals end then.
 	limit time.Time
 	holds map[routing.ServiceName]currentHolds
-	// given are the leaves by process; appointed those that get more.
+	// granted are the mandates by process. Only those of appointed processes are extended.
 	granted   map[string]*standbyMandate
 	appointed map[string]bool
 }
 
-// currentHolds is what is held of one service.
+// currentHolds are the current holds of one service.
 type currentHolds struct {
 	version uint64
 	holds   []owner.Hold
 }
 
-// given is the leave of one process.
+// standbyMandate is the mandate of one process.
 type standbyMandate struct {
 	link         *link
 	until        time.Time
 	holdVersions map[routing.ServiceName]uint64
-	// heardAt is when it was last heard.
+	// lastReportAt is when the process's last report was received.
 	lastReportAt time.Time
-	// down says that the link is lost. renewed is until when it was lost before.
+	// linkLost is set once the link is lost. mayHaveRenewedUntil is the time up to which renewals
+	// by the standby alone may have been in progress.
 	linkLost            bool
 	mayHaveRenewedUntil time.Time
 }
 
-// standbySilenceLimit is how long a standby is silent until it may have lost the leader: less
-// than its own patience.
+// standbySilenceLimit is the silence after which a standby may have lost the leader. It is shorter
+// than the silence after which the standby itself considers the leader lost.
 const standbySilenceLimit = SilenceLimit - 2*heartbeatInterval
 
-// alone reports whether the standby may renew by itself now.
-func (g *standbyMandate) mayRenewAlone(now time.Time) bool {
-	return g.linkLost || now.Sub(g.lastReportAt) > standbySilenceLimit
+// mayRenewAlone reports whether the standby may renew without the leader now.
+func (m *standbyMandate) mayRenewAlone(now time.Time) bool {
+	return m.linkLost || now.Sub(m.lastReportAt) > standbySilenceLimit
 }
 
-// holdsInterval is the pause between descriptions of all that is held: fences change with
-// each order that has no answer, and what a standby does not know it does not renew.
+// holdsInterval is the pause between messages that contain all holds. Fences change with each order
+// that is not answered, and a standby does not renew what it does not know.
 const holdsInterval = time.Second
 
-// renewalTimeout is how long a renewal of a standby may be under way.
+// renewalTimeout is how long a renewal of a standby may be in progress.
 const renewalTimeout = 700 * time.Millisecond
 
 func (s *standbys) reset() {
@@ -68,8 +69,8 @@
 	}
 }
 
-// mandate extends the leave of a link's process; nil if it is no standby, or has not
-// sent a stamp yet.
+// extend extends the mandate of a link's process. It returns nil if the process is no standby and
+// has no mandate left. The mandate grants nothing until the process has sent a stamp.
 func (s *standbys) extend(l *link, now time.Time) *Mandate {
 	if !s.appointed[l.hello.Process] {
 		return s.replacedMandate(l, now)
@@ -80,7 +81,7 @@
 	}
 	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: remaining.Milliseconds()}
 	if l.stamp == 0 {
-		return mandate // asks for a stamp; gives nothing
+		return mandate // requests a stamp; grants nothing
 	}
 	granted := s.granted[l.hello.Process]
 	if granted == nil || granted.link != l {
@@ -93,10 +94,10 @@
 	return mandate
 }
 
-// replaced tells a standby whose leave runs out what is held, nil if it has none: the leader
-// waits for a standby that has not heard of a hold's end. Told nothing more, it kept the keys of
-// a worker that crashed from 34.3 s to 47.4 s of a run of processes, 13 s after the end of its
-// appointment.
+// replacedMandate returns the remaining mandate of a standby that is no longer appointed, or nil if
+// it has none. It still contains changed holds, because the leader waits for a standby that does
+// not know that a hold has ended. Without them, a standby kept the keys of a crashed worker from
+// 34.3 s to 47.4 s of a run, for 13 s after its appointment had ended.
 func (s *standbys) replacedMandate(l *link, now time.Time) *Mandate {
 	granted := s.granted[l.hello.Process]
 	if granted == nil || granted.link != l || !now.Before(granted.until) {
@@ -109,7 +110,7 @@
 	return mandate
 }
 
-// news describes the holds that a link has not heard.
+// changedHolds returns the holds that a link was not sent yet.
 func (s *standbys) changedHolds(l *link, now time.Time) []ServiceHolds {
 	var changed []ServiceHolds
 	for service, current := range s.holds {
@@ -121,8 +122,8 @@
 	return changed
 }
 
-// relink begins a leave over a new link. What the process did alone before is kept in
-// mind.
+// moveToLink moves a mandate to a new link. Renewals that the process may have made alone before
+// are taken into account.
 func (s *standbys) moveToLink(previous *standbyMandate, l *link, now time.Time) *standbyMandate {
 	granted := &standbyMandate{link: l, holdVersions: map[routing.ServiceName]uint64{}, lastReportAt: now}
 	if previous != nil {
@@ -135,14 +136,14 @@
 	return granted
 }
 
-// lost notes that a link is down.
+// markLinkLost records that a link is lost.
 func (s *standbys) markLinkLost(l *link) {
 	if granted := s.granted[l.hello.Process]; granted != nil && granted.link == l {
 		granted.linkLost = true
 	}
 }
 
-// mandates returns what the standbys may do with a service's holds.
+// ownerMandates returns the mandates of the standbys for a service's holds.
 func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Mandate {
 	list := make([]owner.Mandate, 0, len(s.granted))
 	for _, granted := range s.granted {
@@ -161,7 +162,7 @@
 	return b
 }
 
-// stamped takes a standby's report.
+// recordStandbyReport records the stamp and the hold versions of a report.
 func (h *Hub) recordStandbyReport(l *link, report Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +177,7 @@
 	}
 }
 
-// Peers lists the linked processes, the strongest first.
+// Peers returns the linked processes, the strongest first.
 func (h *Hub) Peers() []Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,8 +201,7 @@
 	return peers
 }
 
-// Appoint names the processes that are standbys from now on. Leaves that were given to
-// others run out.
+// AppointStandbys replaces the set of standbys. Mandates of other processes are no longer extended.
 func (h *Hub) AppointStandbys(processes []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -212,14 +212,14 @@
 	h.wakeAll()
 }
 
-// SetLimit sets when leaves end at the latest.
+// SetMandateLimit sets when all mandates end at the latest.
 func (h *Hub) SetMandateLimit(limit time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.limit = limit
 }
 
-// PublishHolds tells the standbys what is held of a service.
+// PublishHolds sets the holds of a service and sends them to the standbys.
 func (h *Hub) PublishHolds(service routing.ServiceName, version uint64, holds []owner.Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -232,14 +232,14 @@
 	}
 }
 
-// Mandates returns what the standbys may do with a service's holds.
+// Mandates returns the mandates of the standbys for a service's holds.
 func (h *Hub) Mandates(service routing.ServiceName) []owner.Mandate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standbys.ownerMandates(service, clock.Now())
 }
 
-// HasLeave reports whether a process may still renew, or have a renewal under way.
+// HasMandate reports whether a process may still renew holds, or may have a renewal in progress.
 func (h *Hub) HasMandate(process string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/subrelay.go
+++ b/internal/peerlink/subrelay.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// subRelayFor returns the address of the relay of this relay's own that a link's process is to
-// follow; empty if it stays. The caller holds mu.
+// subRelayFor returns the address of the sub-relay that a link's process is to follow, or empty if
+// the process stays. The caller holds mu.
 func (h *Hub) subRelayFor(l *link, now time.Time) string {
 	if h.linkedNodes() <= h.DirectNodes || l.subRelay || l.hello.Address == "" || h.upstream.hops() >= maxHops {
 		return ""
@@ -29,8 +29,8 @@
 	return best
 }
 
-// appointSubRelays appoints as many relays as this one needs, on the strongest machines that are
-// linked. The caller holds mu.
+// appointSubRelays appoints as many sub-relays as this relay needs, on the strongest linked
+// machines. The caller holds mu.
 func (h *Hub) appointSubRelays(now time.Time) {
 	wanted := h.wantedSubRelays()
 	for l := range h.links {
@@ -63,15 +63,15 @@
 	}
 }
 
-// subRelays is how many relays of its own a relay needs, so that none is followed by more than
-// DirectNodes processes on average. The caller holds mu.
+// wantedSubRelays returns how many sub-relays this relay needs, so that each has at most
+// DirectNodes followers on average. The caller holds mu.
 func (h *Hub) wantedSubRelays() int {
 	perRelay := max(1, h.DirectNodes)
 	return (h.linkedNodes() + perRelay - 1) / perRelay
 }
 
-// rendezvous ranks a relay for a process: each prefers another one, and keeps it when others come
-// or go.
+// rendezvous ranks a relay for a process (rendezvous hashing): processes prefer different relays,
+// and keep theirs when others come or go.
 func rendezvous(relay, process string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(relay))
@@ -80,7 +80,8 @@
 	return mixBits(hash.Sum64())
 }
 
-// mix spreads the bits of a hash whose last bytes differ little.
+// mixBits spreads the bits of a hash, as hashes of inputs that differ only in their last bytes are
+// similar.
 func mixBits(bits uint64) uint64 {
 	bits ^= bits >> 33
 	bits *= 0xff51afd7ed558ccd
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// suspectsInterval is the pause between messages to a link that tell of suspected requests,
-	// and maxSuspects is how many of their changes one tells. A packed one takes some 100
-	// bytes, so a burst of crashes costs a link 13 KB a second, while all of its traffic is to
-	// take 20 KB a second at most. Told whole, 512 of them took 50 KB up to five times a second.
+	// suspectsInterval is the pause between messages to a link that contain suspected requests, and
+	// maxSuspects is how many of their changes a message contains. A packed change takes some 100
+	// bytes, so a burst of crashes uses 13 KB/s of a link, whose total traffic is limited to 20
+	// KB/s. Whole lists of 512 suspects took 50 KB up to five times a second.
 	suspectsInterval = 500 * time.Millisecond
 	maxSuspects      = 64
 )
 
-// SuspectsNews returns what an Update tells of suspected and quarantined requests; false if it
-// tells nothing.
+// DecodeSuspects returns the changes of suspected and quarantined requests in an Update, and false
+// if there are none.
 func (u Update) DecodeSuspects() (quarantine.Changes, bool, error) {
 	var changes quarantine.Changes
 	switch {
@@ -32,8 +32,8 @@
 	return changes, false, nil
 }
 
-// tellSuspects adds to an update what the link has not been told of suspects. The caller holds
-// mu.
+// addSuspects adds the changes of suspects that the link was not sent yet to an update. The caller
+// holds mu.
 func (h *Hub) addSuspects(l *link, update *Update, now time.Time) {
 	if l.suspectsVersion == h.suspects.Version() || now.Sub(l.suspectsSentAt) < suspectsInterval {
 		return
@@ -48,7 +48,8 @@
 	update.SuspectChanges, l.suspectsVersion = pack(changes), upTo
 }
 
-// TellSuspects tells the links which requests are suspected or quarantined, as a leader knows.
+// PublishSuspects sets the requests that the leader knows to be suspected or quarantined, and
+// notifies the links.
 func (h *Hub) PublishSuspects(records []quarantine.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,8 +57,8 @@
 	h.wakeAll()
 }
 
-// HearSuspects takes what a leader or a relay tells of them, lets the links hear it, and returns
-// all that were told.
+// ApplySuspects applies changes from a leader or a relay, forwards them to the links, and returns
+// all current records.
 func (h *Hub) ApplySuspects(changes quarantine.Changes) []quarantine.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,11 +67,11 @@
 	return h.suspects.Records()
 }
 
-// OnEvidence sets what is called with what linked processes have seen of crashes, by a leader
-// and by a relay.
+// OnEvidence sets the function that is called with the evidence of crashes that linked processes
+// report. Leaders and relays use it.
 func (h *Hub) OnEvidence(call func(quarantine.Evidence)) { h.onEvidence = call }
 
-// SuspectsVersion counts the changes of the suspects that are told.
+// SuspectsVersion returns the version of the suspects, which counts their changes.
 func (h *Hub) SuspectsVersion() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// update gathers what the link has not heard.
+// update returns what the link's process lacks. It returns false if the link is to end.
 func (h *Hub) update(l *link) (Update, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,8 +35,8 @@
 	return update, true
 }
 
-// head says what stands in each message to a link; false if the link is to end. The
-// caller holds mu.
+// header returns the fields that are part of each update to a link. It returns false if the link is
+// to end. The caller holds mu.
 func (h *Hub) header(l *link, now time.Time) (Update, bool) {
 	update := Update{Term: h.term, Links: len(h.links), Strongest: h.maxStrength()}
 	switch {
@@ -56,8 +56,8 @@
 	return update, true
 }
 
-// steady reports whether this process, which leads, has reached the key-value service for
-// long enough to know which workers are gone. The caller holds mu.
-func (h *Hub) settled(own ReadState, now time.Time) bool {
-	return !h.storeUnreachable && !h.leadershipUncertain && own.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
+// settled reports whether this process, which must lead, has reached the key-value service for long
+// enough to know which workers are gone. The caller holds mu.
+func (h *Hub) settled(state ReadState, now time.Time) bool {
+	return !h.storeUnreachable && !h.leadershipUncertain && state.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
 }
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -9,26 +9,28 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Entries passes changes of workers on: all between two revisions. Where From is To and
-// they are not whole, there are too many to pass on: they are to be read from the service.
+// EntryChanges contains all changes of workers' entries between two revisions. If From equals To
+// and Whole is false, there are too many changes to send, and the receiver has to read the entries
+// from the service.
 type EntryChanges struct {
 	From coord.Revision `json:"f"`
 	To   coord.Revision `json:"t"`
-	// Whole says that the changes announce all workers that there are at To. If there are too
-	// many for one message, it announces those whose IDs come after After, up to and including
-	// Last, and More says that others follow.
+	// Whole is set if the changes contain all workers as of To. If these take several messages,
+	// this one contains the workers whose IDs come after After, up to and including Last, and More
+	// is set if others follow.
 	Whole   bool           `json:"w,omitempty"`
 	After   workers.ID     `json:"n,omitempty"`
 	Last    workers.ID     `json:"l,omitempty"`
 	More    bool           `json:"m,omitempty"`
 	Changes []WorkerChange `json:"e,omitempty"`
-	// Packed are the changes instead, where there are many, and PackedMillis is how long
-	// before the message they were packed.
+	// Packed replaces Changes if there are many. PackedMillis is how long before the message they
+	// were packed.
 	Packed       []byte `json:"p,omitempty"`
 	PackedMillis int64  `json:"a,omitempty"`
 }
 
-// All returns the changes, packed or not, as they are heard at a time.
+// Decode returns the changes, unpacked if necessary, with their times relative to now, when the
+// message was received.
 func (e EntryChanges) Decode(now time.Time) ([]WorkerChange, error) {
 	changes := e.Changes
 	if len(e.Packed) > 0 {
@@ -44,13 +46,13 @@
 	return changes, nil
 }
 
-// WorkerChange is one change of a worker's entry.
+// WorkerChange is a change of a worker's entry.
 type WorkerChange struct {
 	Revision coord.Revision `json:"r"`
 	ID       workers.ID     `json:"i"`
 	Gone     bool           `json:"g,omitempty"`
-	// Unreadable says why the entry names no worker any more, where it stands but was written
-	// by somebody else. Gone is set, too.
+	// Unreadable is why the entry, which still exists, no longer names a worker: it was overwritten
+	// by something other than a worker. Gone is set, too.
 	Unreadable *workers.EntryError `json:"u,omitempty"`
 	Service    routing.ServiceName `json:"s,omitempty"`
 	Address    string              `json:"a,omitempty"`
@@ -59,17 +61,17 @@
 	Draining   bool                `json:"d,omitempty"`
 	// WarmMillis is how much longer the worker is slow.
 	WarmMillis int64 `json:"w,omitempty"`
-	// Born is when the announced life of the worker began, as it says itself.
+	// Born is when this run of the worker began, as it has announced itself.
 	Born workers.Born `json:"b,omitempty"`
-	// Learned is since when the first process knows of the change, and AgeMillis for how long,
-	// as the message tells it.
+	// LearnedAt is since when the first process has known the change, and AgeMillis is for how long
+	// at the time of the message.
 	LearnedAt time.Time `json:"-"`
 	AgeMillis int64     `json:"o,omitempty"`
-	// warmAt is when the worker stops being slow, by this process's clock.
+	// warmAt is when the worker is no longer slow, by this process's clock.
 	warmAt time.Time
 }
 
-// Changed describes a worker as it is announced now.
+// NewWorkerChange returns a change with the current state of a worker.
 func NewWorkerChange(revision coord.Revision, worker workers.Worker) WorkerChange {
 	return WorkerChange{
 		Revision: revision, ID: worker.ID, Service: worker.Service, Address: worker.Address, Zone: worker.Zone,
@@ -78,7 +80,7 @@
 	}
 }
 
-// Worker returns the worker that a change announces.
+// Worker returns the worker as described by the change.
 func (c WorkerChange) Worker() workers.Worker {
 	state := workers.StateReady
 	if c.Draining {
