--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -19,34 +19,35 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// fleet returns workers, and owners of equal runs of keys, with names that pack no better than real
-// ones.
-func testFleet(count, keyed int) ([]WorkerChange, []owner.Owner) {
+// testFleet returns workers, and owners of equal runs of keys, with names that compress no better
+// than real ones.
+func testFleet(workerCount, ownerCount int) ([]WorkerChange, []owner.Owner) {
 	source := rand.New(rand.NewSource(1))
-	var list []WorkerChange
+	var changes []WorkerChange
 	var owners []owner.Owner
-	for index := range count {
+	for index := range workerCount {
 		id := workers.ID(fmt.Sprintf("i-%010x", source.Uint64()>>24))
 		address := fmt.Sprintf("10.%d.%d.%d:%d", source.Intn(256), source.Intn(256), source.Intn(256), 1024+source.Intn(60000))
-		list = append(list, NewWorkerChange(coord.Revision(1000+index), workers.Worker{
+		changes = append(changes, NewWorkerChange(coord.Revision(1000+index), workers.Worker{
 			ID: id, Service: "s", Address: address, Zone: "zone-a", Slots: 2, State: workers.StateReady, Born: workers.Born(1764739000000 + index),
 		}))
-		if index < keyed {
-			keys := owner.Keys{From: owner.KeyCount * index / keyed, To: owner.KeyCount*(index+1)/keyed - 1}
+		if index < ownerCount {
+			keys := owner.Keys{From: owner.KeyCount * index / ownerCount, To: owner.KeyCount*(index+1)/ownerCount - 1}
 			owners = append(owners, owner.Owner{Keys: keys, Worker: id, Address: address})
 		}
 	}
-	return list, owners
+	return changes, owners
 }
 
-// collector is a follower that puts pages together as a router does.
+// collector is a follower that assembles pages as a router does.
 type collector struct {
 	table    *keytable.Table
 	mu       sync.Mutex
 	known    map[workers.ID]bool
 	after    workers.ID
 	revision coord.Revision
-	// entries is the revision up to which all is known, and whole counts the lists that were told.
+	// entriesRevision is the revision up to which all changes are known, and lists counts the
+	// messages that were the last of a list or of changes.
 	entriesRevision coord.Revision
 	lists           int
 	brokenLinks     atomic.Int32
@@ -59,27 +60,27 @@
 func (c *collector) onUpdate(update Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, news := range []*EntryChanges{update.Page, update.Entries} {
-		if news == nil {
+	for _, message := range []*EntryChanges{update.Page, update.Entries} {
+		if message == nil {
 			continue
 		}
-		if news.Whole && news.After == "" {
+		if message.Whole && message.After == "" {
 			clear(c.known)
 		}
-		changes, _ := news.Decode(time.Now())
+		changes, _ := message.Decode(time.Now())
 		for _, change := range changes {
 			c.known[change.ID] = true
 		}
-		c.after, c.revision = news.Last, news.To
-		if !news.More {
-			c.entriesRevision = news.To
+		c.after, c.revision = message.Last, message.To
+		if !message.More {
+			c.entriesRevision = message.To
 			c.after, c.revision = "", 0
 			c.lists++
 		}
 	}
 }
 
-// follow follows a process, again and again, until ctx ends.
+// follow follows a process, and reconnects when the link breaks, until ctx ends.
 func (c *collector) follow(ctx context.Context, address string) {
 	follower := Follower{
 		Hello: Hello{Node: "n"}, Table: c.table, TakeReport: NewMeter().Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
@@ -104,9 +105,9 @@
 	return c.lists > 0 && len(c.known) == count && version == 1
 }
 
-// A whole zone that starts at once is told all workers and owners over a link that takes several
-// times the longest silence for it. Told in one message each, no follower ever knew any: each link
-// broke before its message was through, and began with all of it again.
+// A zone that starts at once receives all workers and owners over a slow link, which takes several
+// times SilenceLimit. When all were sent in one message, no follower ever received it: each link
+// broke before its message was complete, and started again from the beginning.
 func TestManyFollowersSyncOverASlowLink(t *testing.T) {
 	const followers, workerCount, bytesPerSecond = 40, 3000, 4e6
 	hub, _, address := newLeadingHub(t, 3)
@@ -127,17 +128,18 @@
 	}
 	ends := int32(0)
 	for _, collector := range all {
-		eventually(t, "that all are told", func() bool { return collector.complete(workerCount) })
+		eventually(t, "all followers to be complete", func() bool { return collector.complete(workerCount) })
 		ends += collector.brokenLinks.Load()
 	}
-	assert.Equal(t, ends, int32(0), "links that broke")
-	for _, collector := range owners {
-		held, _ := all[0].table.Lookup("s", collector.Keys.From)
-		assert.Equal(t, held.Worker, collector.Worker)
+	assert.Equal(t, ends, int32(0), "no link breaks")
+	for _, want := range owners {
+		held, _ := all[0].table.Lookup("s", want.Keys.From)
+		assert.Equal(t, held.Worker, want.Worker)
 	}
 }
 
-// A link has to wait while others are told, and is told once one of them knows all or has gone.
+// A link waits while others receive pieces, and has its turn once one of them is complete or
+// closed.
 func TestBulkTransfersAreLimitedToAFewLinks(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var transfers bulkTransfers
@@ -148,18 +150,18 @@
 	}
 	next, last := links[bulkLinks], links[bulkLinks+1]
 	transfers.release(links[3])
-	assert.Equal(t, len(next.wake), 1, "the first that waits is told so")
-	assert.Assert(t, !transfers.admit(last, now), "it does not overtake")
+	assert.Equal(t, len(next.wake), 1, "the first waiting link is notified")
+	assert.Assert(t, !transfers.admit(last, now), "it waits for its turn")
 	assert.Assert(t, transfers.admit(next, now))
-	transfers.release(last) // gone while it waited
+	transfers.release(last) // closed while it waited
 	transfers.release(links[0])
-	assert.Assert(t, transfers.admit(links[0], now), "nobody waits")
+	assert.Assert(t, transfers.admit(links[0], now), "no link waits")
 	transfers.reserve(now, 3_000_000, 1_000_000)
-	assert.Assert(t, !transfers.admit(next, now.Add(3900*time.Millisecond)), "pieces keep to their part of the bandwidth")
+	assert.Assert(t, !transfers.admit(next, now.Add(3900*time.Millisecond)), "pieces use only their share of the bandwidth")
 	assert.Assert(t, transfers.admit(next, now.Add(4*time.Second)))
 }
 
-// tell sends a link its next message as if the bandwidth had no bounds.
+// nextUpdate returns a link's next update, regardless of bandwidth if the hub has no LinkRate.
 func nextUpdate(h *Hub, l *link) Update {
 	update, _ := h.update(l)
 	return update
@@ -172,8 +174,8 @@
 	}
 }
 
-// A process that was told a part of the list by one goes on at another, and misses nothing that has
-// changed since the first page: neither workers that came nor those that went.
+// A process that has received a part of the list from one process continues at another, and misses
+// no change since the first page: neither new workers nor those that left.
 func TestPagedListResumesAtAnotherProcess(t *testing.T) {
 	list, _ := testFleet(3*pageWorkers, 0)
 	first, second := newTestHub(), newTestHub()
@@ -195,14 +197,14 @@
 		c.onUpdate(update)
 	}
 	assert.Equal(t, len(c.known), 3*pageWorkers+1)
-	assert.Equal(t, c.entriesRevision, coord.Revision(10_000), "what is known of all of them")
+	assert.Equal(t, c.entriesRevision, coord.Revision(10_000), "the lowest revision of all pages")
 	update = nextUpdate(second, l)
 	assert.Equal(t, update.Entries.From, coord.Revision(10_000))
 	assert.Equal(t, len(update.Entries.Changes), 2)
 	assert.Assert(t, update.Entries.Changes[0].Gone && update.Entries.Changes[0].ID == gone)
 }
 
-// What changed since the pages that a process has may no longer be kept where it goes on.
+// The process where the list continues may no longer keep the changes since the received pages.
 func TestPagedListRestartsAfterTooManyChanges(t *testing.T) {
 	list, _ := testFleet(3*pageWorkers, 0)
 	hub := newTestHub()
@@ -210,13 +212,13 @@
 	hub.SetEntries(list, 10_000, time.Time{})
 	update := nextUpdate(hub, newLink(Hello{ListAfter: list[0].ID, ListAt: 9_999}))
 	assert.Equal(t, update.Page.After, workers.ID(""))
-	// The same for one that knew all, long ago.
+	// The same holds for a process that was up to date long ago.
 	update = nextUpdate(hub, newLink(Hello{Entries: 9_999}))
 	assert.Assert(t, update.Page.Whole && update.Page.More && update.Entries == nil)
 }
 
-// Owners change while they are told: what a link was told already changes with them, the rest is
-// told as it stands then.
+// If owners change during the transfer, the owners that were already sent change with them, and the
+// rest is sent in its current state.
 func TestOwnersChangeDuringTransfer(t *testing.T) {
 	_, owners := testFleet(4*maxPieceRuns, 4*maxPieceRuns)
 	hub := newTestHub()
@@ -248,19 +250,19 @@
 	}
 	_, _, version := table.Owners("s")
 	assert.Equal(t, version, uint64(5))
-	assert.Equal(t, len(nextUpdate(hub, l).Services), 0, "all is told")
+	assert.Equal(t, len(nextUpdate(hub, l).Services), 0, "everything was sent")
 }
 
 func TestInvalidServiceOwnersAreRejected(t *testing.T) {
 	worker := []NamedWorker{{ID: "w", Address: "a"}}
 	for name, message := range map[string]ServiceOwners{
-		"an unknown worker": {Workers: worker, Runs: [][4]int{{0, 9, 1, 0}}},
-		"out of order":      {Workers: worker, Runs: [][4]int{{5, 9, 0, 0}, {0, 4, 0, 0}}},
-		"twice":             {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
-		"backwards":         {Workers: worker, Runs: [][4]int{{8, -3, 0, 0}}},
-		"beyond all keys":   {Workers: worker, Runs: [][4]int{{0, owner.KeyCount, 0, 0}}},
-		"of other keys":     {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Whole: true, Keys: &owner.Keys{From: 5, To: 9}},
-		"not packed":        {Packed: []byte("x")},
+		"unknown worker":   {Workers: worker, Runs: [][4]int{{0, 9, 1, 0}}},
+		"out of order":     {Workers: worker, Runs: [][4]int{{5, 9, 0, 0}, {0, 4, 0, 0}}},
+		"twice":            {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
+		"backwards":        {Workers: worker, Runs: [][4]int{{8, -3, 0, 0}}},
+		"key out of range": {Workers: worker, Runs: [][4]int{{0, owner.KeyCount, 0, 0}}},
+		"outside of Keys":  {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Whole: true, Keys: &owner.Keys{From: 5, To: 9}},
+		"not packed":       {Packed: []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, ok := message.Owners()
@@ -269,15 +271,15 @@
 	}
 }
 
-// A leader that reads the list anew, since the service has forgotten its history, told all of it to
-// each of hundreds of processes, which had missed a few changes of ten thousand workers.
+// A leader that read the list again, because the service no longer had the history, sent the whole
+// list to each of hundreds of processes, which lacked only a few changes of ten thousand workers.
 func TestListReadAgainIsSentAsChanges(t *testing.T) {
 	list, _ := testFleet(3*pageWorkers, 0)
 	hub := newTestHub()
 	hub.Open(1)
 	hub.SetEntries(list, 10_000, time.Time{})
 	item := newLink(Hello{Entries: 10_000})
-	reread := append([]WorkerChange(nil), list[5:]...) // five went
+	reread := append([]WorkerChange(nil), list[5:]...) // five workers left
 	reread = append(reread, readyChange("i-new", 10_007), drainingChange("i-leaves", 10_006))
 	hub.SetEntries(reread, 10_020, time.Time{})
 	update := nextUpdate(hub, item)
@@ -295,8 +297,8 @@
 		}
 	}
 	assert.Equal(t, gone, 5)
-	assert.Assert(t, changes[0].Draining && changes[0].ID == "i-leaves", "in the order of revisions")
-	// Who knows nothing is told the list as it is now.
+	assert.Assert(t, changes[0].Draining && changes[0].ID == "i-leaves", "changes are in the order of revisions")
+	// A process that knows nothing receives the current list.
 	c := newCollector()
 	for link := newLink(Hello{}); c.entriesRevision == 0; {
 		c.onUpdate(nextUpdate(hub, link))
--- a/internal/peerlink/follow.go
+++ b/internal/peerlink/follow.go
@@ -125,7 +125,7 @@
 		}
 		for _, owners := range update.Services {
 			if !f.apply(update.Term, owners) {
-				return Error.New("what the leader tells of the owners of %s can't be read", owners.Service)
+				return Error.New("invalid owners of service %s received; closing the link", owners.Service)
 			}
 		}
 		if first {
--- a/internal/peerlink/lines_test.go
+++ b/internal/peerlink/lines_test.go
@@ -42,8 +42,8 @@
 	assert.Equal(t, len(got), maxLine/2)
 }
 
-// A process that saw nothing, as all do before requests come, was taken for lost after a while: its
-// link ended, with those of all that followed it.
+// A process without requests, as all are at first, was considered lost because it sent no reports:
+// its link was closed, and with it the links of its followers.
 func TestIdleFollowerSendsEmptyReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -61,7 +61,7 @@
 	})
 }
 
-// FuzzReadLine shows that no input makes the reader of lines panic.
+// FuzzReadLine checks that no input makes readLine panic.
 func FuzzReadLine(f *testing.F) {
 	f.Add([]byte(`{"l":true,"t":3,"s":[{"s":"tables","r":[[0,9,0,1]]}]}` + "\n"))
 	f.Add([]byte(`{"l":`))
@@ -77,8 +77,8 @@
 	})
 }
 
-// FuzzFollow shows that whatever a leader or relay says, its followers go on: one bad line would
-// else end each of them.
+// FuzzFollow checks that followers don't panic on any input from a leader or a relay, as one
+// invalid line would otherwise end all of them.
 func FuzzFollow(f *testing.F) {
 	f.Add([]byte(`{"l":true,"t":3,"s":[{"s":"tables","w":true,"i":[{"i":"w1","a":"x"}],"r":[[0,9,0,1],[8,-3,0,0]]}]}` + "\n"))
 	f.Add([]byte(`{"l":true,"t":3,"z":[{"s":"tables","w":true,"k":{"from":0,"to":9},"i":[{"i":"w1","a":"x"}],"r":[[0,9,0,1]]}]}` + "\n"))
@@ -98,17 +98,17 @@
 			Table: table, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {}, OnOwnersApplied: func(routing.ServiceName) {},
 			KeepFollowing: func(Update) bool { return true },
 			OnUpdate: func(update Update) {
-				for _, news := range []*EntryChanges{update.Entries, update.Page} {
-					if news != nil {
-						_, _ = news.Decode(time.Unix(1000, 0))
+				for _, entries := range []*EntryChanges{update.Entries, update.Page} {
+					if entries != nil {
+						_, _ = entries.Decode(time.Unix(1000, 0))
 					}
 				}
 				if update.Config != nil {
 					_, _ = update.Config.Items()
 				}
 				if update.Mandate != nil {
-					for _, one := range update.Mandate.Services {
-						_, _ = one.Holds()
+					for _, holds := range update.Mandate.Services {
+						_, _ = holds.Holds()
 					}
 				}
 				if changes, tells, _ := update.DecodeSuspects(); tells {
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -19,12 +19,12 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// limited is a fact on a worker's limit.
+// limitFact returns a fact on a worker's limit.
 func limitFact(id workers.ID, perSecond float64) workerlimit.Fact {
 	return workerlimit.Fact{Worker: workers.Life{ID: id}, Rate: perSecond, At: time.Now()}
 }
 
-// dialLink opens a link as a process that follows.
+// dialLink opens a link as a following process does.
 func dialLink(t *testing.T, address string, hello Hello) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -51,9 +51,9 @@
 			return poll.Error(err)
 		}
 		if len(update.Limits) == 0 {
-			return poll.Continue("no news")
+			return poll.Continue("no limits yet")
 		}
-		assert.Equal(t, len(update.Limits), 1, "changes alone are told")
+		assert.Equal(t, len(update.Limits), 1, "only changes are sent")
 		assert.Equal(t, update.Limits[0].PerSecond, 9.0)
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second))
@@ -116,7 +116,7 @@
 	assert.NilError(t, err)
 	_ = closed.Close()
 	for name, address := range map[string]string{
-		"silent": silent.Addr().String(), "does not lead": other, "not there": closed.Addr().String(),
+		"silent": silent.Addr().String(), "does not lead": other, "not listening": closed.Addr().String(),
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client PermitClient
@@ -130,7 +130,7 @@
 	conn := <-accepted
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err = io.Copy(io.Discard, conn)
-	assert.NilError(t, err, "a connection that is silent is given up")
+	assert.NilError(t, err, "a silent connection is closed")
 }
 
 func TestPermitClientReconnectsToNewLeader(t *testing.T) {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -20,7 +20,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// leading is an open hub with its address.
+// newLeadingHub returns an open hub, its reports, and its address.
 func newLeadingHub(t *testing.T, term owner.Term) (*Hub, chan Report, string) {
 	t.Helper()
 	reports := make(chan Report, 16)
@@ -33,22 +33,22 @@
 	return hub, reports, listener.Addr().String()
 }
 
-// followed is a follower of a hub.
+// testFollower follows a hub.
 type testFollower struct {
 	table               *keytable.Table
 	meter               *Meter
 	leadershipUncertain atomic.Bool
 	configRevision      atomic.Int64
 	storeUnreachable    atomic.Bool
-	// entries is the revision up to which it knows entries; gaps counts changes that
-	// were missing before what it was told.
+	// entriesRevision is the revision up to which entries are known; gaps counts updates that could
+	// not be decoded or that don't continue from that revision.
 	entriesRevision, gaps atomic.Int64
 	mu                    sync.Mutex
 	events                []string
 	result                chan error
 }
 
-// hear takes what the leader says, as the router does.
+// onUpdate handles an update as the router does.
 func (f *testFollower) onUpdate(update Update) {
 	f.configRevision.Store(int64(update.ReadState.Config))
 	f.storeUnreachable.Store(update.StoreUnreachable)
@@ -70,7 +70,7 @@
 	}
 }
 
-// heard returns the keys of the entries that it was told of.
+// receivedIDs returns the IDs of the workers whose changes were received.
 func (f *testFollower) receivedIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return followAs(t, address, Hello{Node: "n"})
 }
 
-// followAs follows a process that is told this.
+// followAs follows a process and introduces itself with hello.
 func followAs(t *testing.T, address string, hello Hello) *testFollower {
 	t.Helper()
 	f := &testFollower{table: keytable.New(), meter: NewMeter(), result: make(chan error, 1)}
@@ -128,7 +128,7 @@
 		{Keys: owner.Keys{From: 100, To: 100}, Worker: "w3", Address: "a3"},
 		{Keys: owner.Keys{From: 101, To: owner.KeyCount - 1}, Worker: "w2", Address: "a2"},
 	})
-	eventually(t, "a moved key", f.owns(100, "w3"))
+	eventually(t, "moved key", f.owns(100, "w3"))
 	assert.Assert(t, f.owns(99, "w1")() && f.owns(101, "w2")())
 	assert.Equal(t, f.configRevision.Load(), int64(7))
 	f.meter.CountRequest("s", 5)
@@ -149,7 +149,7 @@
 	assert.ErrorIs(t, <-f.result, ErrNotLeading)
 }
 
-// A leader that is cut from the store kept its followers, and nobody else led.
+// A leader that was cut off from the store kept its followers, so that no process led them.
 func TestLaterLeaderSupersedesEarlierOne(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
 	answer, ok := QueryLeadership(t.Context(), address, 3)
@@ -171,19 +171,19 @@
 	return NewWorkerChange(revision, workers.Worker{ID: id, State: workers.StateDraining})
 }
 
-// One process reads the workers' entries and passes changes on, so that a change does
-// not cost a call of each of them.
+// One process reads the workers' entries and forwards the changes, so that a change does not cost a
+// call from each process.
 func TestFollowersReceiveEntryChanges(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
 	hub.SetEntries(nil, 10, time.Time{})
 	f := follow(t, address)
-	eventually(t, "that it has read nothing", func() bool { return f.gaps.Load() == 1 })
+	eventually(t, "gap, as nothing was read", func() bool { return f.gaps.Load() == 1 })
 	hub.AddEntryChanges([]WorkerChange{drainingChange("b", 12), drainingChange("c", 13)}, 14)
 	eventually(t, "changes", func() bool { return f.entriesRevision.Load() == 14 })
 	assert.DeepEqual(t, f.receivedIDs(), []string{"b", "c"})
 	assert.Equal(t, f.gaps.Load(), int64(1))
 	hub.SetStoreUnreachable(true)
-	eventually(t, "that the leader is deaf", f.storeUnreachable.Load)
+	eventually(t, "store unreachable at the leader", f.storeUnreachable.Load)
 }
 
 func readyChange(id workers.ID, revision coord.Revision) WorkerChange {
@@ -206,16 +206,16 @@
 	assert.Equal(t, f.gaps.Load(), int64(0))
 }
 
-// Workers that come are told of now and then, so that many of them cost few messages;
-// one that leaves is told of at once, with all before it.
+// New workers are sent in batches, so that many of them take few messages. The departure of a
+// worker is sent immediately, together with all changes before it.
 func TestNewWorkersAreBatched(t *testing.T) {
 	for name, c := range map[string]struct {
-		change WorkerChange
-		told   bool
+		change  WorkerChange
+		sentNow bool
 	}{
 		"comes":  {change: readyChange("b", 2)},
-		"drains": {change: drainingChange("b", 2), told: true},
-		"gone":   {change: WorkerChange{ID: "b", Revision: 2, Gone: true}, told: true},
+		"drains": {change: drainingChange("b", 2), sentNow: true},
+		"gone":   {change: WorkerChange{ID: "b", Revision: 2, Gone: true}, sentNow: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -224,8 +224,8 @@
 			hub.entries.add([]WorkerChange{readyChange("a", 1)}, 1, now)
 			assert.Assert(t, hub.entryChangesFor(l, now) != nil)
 			hub.entries.add([]WorkerChange{c.change}, 2, now)
-			assert.Equal(t, hub.entryChangesFor(l, now.Add(newWorkersInterval/2)) != nil, c.told)
-			if !c.told {
+			assert.Equal(t, hub.entryChangesFor(l, now.Add(newWorkersInterval/2)) != nil, c.sentNow)
+			if !c.sentNow {
 				changes := hub.entryChangesFor(l, now.Add(newWorkersInterval))
 				assert.Equal(t, len(changes.Changes), 1)
 			}
@@ -237,15 +237,15 @@
 	hub := NewHub("process", nil, func() ReadState { return ReadState{} })
 	items := []coord.Item{{Key: "op/config", Value: []byte(`{"version":"1"}`), Revision: 7}}
 	behind, ahead := &link{configRevision: 3}, &link{configRevision: 7}
-	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "none was read")
+	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "no configuration was read")
 	hub.SetConfig(items, 7, time.Now())
 	sent, err := hub.configChangesFor(behind, time.Now()).Items()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, sent, items)
-	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "it was told")
+	assert.Assert(t, hub.configChangesFor(behind, time.Now()) == nil, "it was already sent")
 	assert.Assert(t, hub.configChangesFor(ahead, time.Now()) == nil)
 	hub.SetConfig(nil, 5, time.Now())
-	assert.Equal(t, hub.config.revision, coord.Revision(7), "an older one changes nothing")
+	assert.Equal(t, hub.config.revision, coord.Revision(7), "an older revision is ignored")
 	_, err = ConfigChanges{Packed: []byte("no packed items")}.Items()
 	assert.Assert(t, err != nil)
 }
@@ -253,19 +253,19 @@
 func TestEntryLog(t *testing.T) {
 	for name, test := range map[string]struct {
 		changes int
-		// quick says that all come at once, and not a second apart.
-		quick  bool
-		since  coord.Revision
-		from   coord.Revision
-		passed int
+		// quick is set if all changes arrive at once, and not a second apart.
+		quick       bool
+		since       coord.Revision
+		from        coord.Revision
+		wantChanges int
 	}{
-		"all":                      {changes: 5, since: 100, from: 100, passed: 5},
-		"some":                     {changes: 50, since: 147, from: 147, passed: 3},
-		"none":                     {changes: 5, since: 105},
-		"many":                     {changes: 50, since: 100, from: 100, passed: 50},
-		"from before it began":     {changes: 5, since: 40, from: 105},
-		"from before what is kept": {changes: minKeptChanges + 5, since: 102, from: 100 + minKeptChanges + 5},
-		"many that came just now":  {changes: minKeptChanges + 5, quick: true, since: 102, from: 102, passed: minKeptChanges + 3},
+		"all":                     {changes: 5, since: 100, from: 100, wantChanges: 5},
+		"some":                    {changes: 50, since: 147, from: 147, wantChanges: 3},
+		"none":                    {changes: 5, since: 105},
+		"many":                    {changes: 50, since: 100, from: 100, wantChanges: 50},
+		"before the log began":    {changes: 5, since: 40, from: 105},
+		"before the kept changes": {changes: minKeptChanges + 5, since: 102, from: 100 + minKeptChanges + 5},
+		"many recent changes":     {changes: minKeptChanges + 5, quick: true, since: 102, from: 102, wantChanges: minKeptChanges + 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log entryLog
@@ -285,7 +285,7 @@
 			}
 			assert.Equal(t, changes.From, test.from)
 			assert.Equal(t, changes.To, coord.Revision(100+test.changes))
-			assert.Equal(t, len(changes.Changes), test.passed)
+			assert.Equal(t, len(changes.Changes), test.wantChanges)
 		})
 	}
 }
--- a/internal/peerlink/peers.go
+++ b/internal/peerlink/peers.go
@@ -39,7 +39,7 @@
 		if address == "" {
 			continue
 		}
-		p.known = slices.DeleteFunc(p.known, func(one string) bool { return one == address })
+		p.known = slices.DeleteFunc(p.known, func(known string) bool { return known == address })
 		p.known = append(p.known, address)
 	}
 	if surplus := len(p.known) - maxPeers; surplus > 0 {
@@ -50,7 +50,7 @@
 // Sample returns up to limit addresses, chosen at random, excluding one of them.
 func (p *Peers) Sample(limit int, exclude string) []string {
 	p.mu.Lock()
-	sample := slices.DeleteFunc(slices.Clone(p.known), func(one string) bool { return one == exclude })
+	sample := slices.DeleteFunc(slices.Clone(p.known), func(known string) bool { return known == exclude })
 	p.mu.Unlock()
 	rand.Shuffle(len(sample), func(i, j int) { sample[i], sample[j] = sample[j], sample[i] })
 	return sample[:min(limit, len(sample))]
--- a/internal/peerlink/peers_test.go
+++ b/internal/peerlink/peers_test.go
@@ -27,7 +27,7 @@
 	l := &link{hello: Hello{Address: "one"}}
 	hub.links[l] = struct{}{}
 	now := time.Now()
-	assert.Equal(t, len(hub.peerAddressesFor(l, now)), 0, "there is no other")
+	assert.Equal(t, len(hub.peerAddressesFor(l, now)), 0, "there is no other process")
 	for index := range 9 {
 		hub.links[&link{hello: Hello{Address: fmt.Sprint("p", index)}}] = struct{}{}
 	}
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// relaying is a hub that passes on what a leader says, with its address.
+// newRelayHub returns a hub that can forward a leader's updates, and its address.
 func newRelayHub(t *testing.T) (*Hub, string) {
 	t.Helper()
 	hub := NewHub("relay", nil, func() ReadState { return ReadState{Config: 7} })
@@ -28,13 +28,13 @@
 	hub, address := newRelayHub(t)
 	reports := make(chan Report, 4)
 	hub.OnFollowerReport(func(report Report) { reports <- report })
-	early := follow(t, address)
-	assert.ErrorIs(t, <-early.result, ErrNotLeading, "it has heard no leader yet")
+	rejected := follow(t, address)
+	assert.ErrorIs(t, <-rejected.result, ErrNotLeading, "it has received no update yet")
 	hub.RelayUpdate(Update{Nodes: 50, ReadState: ReadState{Config: 9}})
 	hub.RelayOwners("s", singleOwner("a"), 3, 1)
 	f := follow(t, address)
 	eventually(t, "owners", f.owns(7, "a"))
-	assert.Equal(t, f.configRevision.Load(), int64(9), "what the leader knows, not only the relay")
+	assert.Equal(t, f.configRevision.Load(), int64(9), "the newer of the revisions of leader and relay")
 	hub.AddEntryChanges([]WorkerChange{drainingChange("b", 12)}, 14)
 	eventually(t, "changed workers", func() bool { return f.entriesRevision.Load() == 14 })
 	f.meter.CountRequest("s", 5)
@@ -49,13 +49,13 @@
 	var redirect *RedirectError
 	assert.Assert(t, errors.As(<-f.result, &redirect))
 	assert.Equal(t, redirect.Address, "other:1")
-	// Found on trouble-3 of malaika-charge-grown: it went on to win an election, sent those
-	// who came to it to its former relay, that one to itself, and nobody heard of changes.
+	// Seen in trouble-3 of malaika-charge-grown: such a relay won an election, redirected new
+	// followers to its former relay, and that relay to itself, so that no process received changes.
 	f = follow(t, address)
-	assert.ErrorIs(t, <-f.result, ErrNotLeading, "who sends others away takes no new ones")
+	assert.ErrorIs(t, <-f.result, ErrNotLeading, "a relay that redirects its followers accepts no new ones")
 }
 
-// run is one worker that has all keys.
+// singleOwner returns one worker that owns all keys.
 func singleOwner(worker string) []owner.Owner {
 	return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
 }
@@ -74,12 +74,12 @@
 	hub.MarkLeaderLost()
 	assert.Assert(t, headerAfter(time.Second).Leaderless)
 	hub.MarkStoreRead(start.Add(5 * time.Second))
-	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "it has read the service itself")
+	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "the relay has read the service itself")
 	assert.Assert(t, headerAfter(7*time.Second).Stale())
 	hub.MarkStoreRead(start)
-	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "an older answer changes nothing")
+	assert.Assert(t, !headerAfter(6*time.Second).Stale(), "an older time is ignored")
 	hub.RelayUpdate(Update{StoreUnreachable: true})
-	assert.Assert(t, headerAfter(7*time.Second).Stale(), "a leader that reads nothing is no news")
+	assert.Assert(t, headerAfter(7*time.Second).Stale(), "an update of a leader that does not reach the service does not refresh the state")
 	assert.Assert(t, !headerAfter(7*time.Second).Leaderless)
 }
 
@@ -93,22 +93,22 @@
 		now       time.Time
 		self      Hello
 		appointed string
-		doubts    int
+		lostBy    int
 		want      string
 	}{
-		"few processes":                  {direct: 9, now: late, self: weak},
-		"the strongest is strong enough": {now: start.Add(relayChoiceDelay / 2), self: weak, want: "strong:1"},
+		"few processes":                      {direct: 9, now: late, self: weak},
+		"strong machine, chosen immediately": {now: start.Add(relayChoiceDelay / 2), self: weak, want: "strong:1"},
 		"too early to choose": {
 			now: start.Add(relayChoiceDelay / 2), self: Hello{Process: "weak", Address: "weak:1", Zone: "y", Strength: 0.2},
 		},
-		"the strongest of the zone":      {now: late, self: weak, want: "strong:1"},
-		"the relay itself":               {now: late, self: strong},
-		"of a zone of its own":           {now: late, self: Hello{Process: "x", Address: "x:1", Zone: "y"}},
-		"a standby":                      {now: late, self: weak, appointed: "weak"},
-		"at the relay's own address":     {now: late, self: Hello{Process: "its next life", Address: "strong:1", Zone: "z"}},
-		"that has lost it":               {now: late, self: Hello{Process: "weak", Address: "weak:1", Zone: "z", Avoid: "strong:1"}},
-		"one of too few that lost it":    {now: late, self: weak, doubts: lostReportsToReplaceRelay - 1, want: "strong:1"},
-		"after enough processes lost it": {now: late, self: weak, doubts: lostReportsToReplaceRelay, want: "d0:1"},
+		"strongest machine of the zone":   {now: late, self: weak, want: "strong:1"},
+		"relay itself":                    {now: late, self: strong},
+		"only process of its zone":        {now: late, self: Hello{Process: "x", Address: "x:1", Zone: "y"}},
+		"appointed standby":               {now: late, self: weak, appointed: "weak"},
+		"same address as the relay":       {now: late, self: Hello{Process: "restarted relay", Address: "strong:1", Zone: "z"}},
+		"has lost the relay":              {now: late, self: Hello{Process: "weak", Address: "weak:1", Zone: "z", Avoid: "strong:1"}},
+		"relay lost by too few processes": {now: late, self: weak, lostBy: lostReportsToReplaceRelay - 1, want: "strong:1"},
+		"relay lost by enough processes":  {now: late, self: weak, lostBy: lostReportsToReplaceRelay, want: "d0:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
@@ -124,10 +124,10 @@
 			if test.self.Process != strong.Process {
 				self = add(test.self)
 			}
-			if test.doubts > 0 {
+			if test.lostBy > 0 {
 				hub.relays["z"] = relay
 			}
-			for index := range test.doubts {
+			for index := range test.lostBy {
 				name := fmt.Sprintf("d%d", index)
 				add(Hello{Process: name, Address: name + ":1", Zone: "z", Strength: 0.9 - float64(index)/10, Avoid: "strong:1"})
 			}
@@ -137,7 +137,7 @@
 	}
 }
 
-// A process that joins a zone with a relay costs the leader one line.
+// A process that joins a zone with a relay costs the leader only one message.
 func TestNewProcessesAreRedirectedToTheRelay(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
 	hub.Publish("s", singleOwner("a"))
@@ -153,14 +153,14 @@
 	hub.handleReport(relay, Report{Followers: 40})
 	assert.Equal(t, hub.Nodes(), 42)
 	hub.handleReport(relay, Report{Followers: 30})
-	assert.Equal(t, hub.Nodes(), 42, "those that change their link count on for a moment")
+	assert.Equal(t, hub.Nodes(), 42, "processes that change their link are still counted")
 }
 
-// A new leader hears from the first process that there are many.
+// A new leader learns from the first process that there are many.
 func TestNewLeaderLearnsNodeCountFromFirstHello(t *testing.T) {
 	hub := NewHub("leader", nil, func() ReadState { return ReadState{} })
 	now := time.Unix(1000, 0)
 	hub.noteNodeCount(295, now)
 	assert.Equal(t, hub.nodes(now.Add(time.Second)), 295)
-	assert.Equal(t, hub.nodes(now.Add(2*nodeCountHold)), 1, "they have not come")
+	assert.Equal(t, hub.nodes(now.Add(2*nodeCountHold)), 1, "the other processes did not link")
 }
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// extend extends the mandate of a link's process. It returns nil if the process is no standby and
-// has no mandate left. The mandate grants nothing until the process has sent a stamp.
+// extend extends the mandate of a link's process. It returns nil if the limit has passed, or if the
+// process is no longer a standby and has no mandate left. The mandate grants nothing until the
+// process has sent a stamp.
 func (s *standbys) extend(l *link, now time.Time) *Mandate {
 	if !s.appointed[l.hello.Process] {
 		return s.replacedMandate(l, now)
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -18,7 +18,7 @@
 func TestStandbyReceivesHoldsAndAcknowledgesThem(t *testing.T) {
 	hub, reports, address := newLeadingHub(t, 3)
 	go func() {
-		for range reports { // nobody else takes them
+		for range reports { // the reports are not used
 		}
 	}()
 	limit := time.Now().Add(time.Minute)
@@ -55,31 +55,31 @@
 		}
 		return poll.Success()
 	})
-	assert.Equal(t, len(hub.Mandates("s")), 0, "no leave before it is appointed")
+	assert.Equal(t, len(hub.Mandates("s")), 0, "no mandate before the appointment")
 	hub.AppointStandbys([]string{"p"})
 	assert.DeepEqual(t, <-received, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		given := hub.Mandates("s")
-		if len(given) == 1 && given[0].Heard == 5 && given[0].Until.Equal(limit) && given[0].Renewed.IsZero() {
+		mandates := hub.Mandates("s")
+		if len(mandates) == 1 && mandates[0].Heard == 5 && mandates[0].Until.Equal(limit) && mandates[0].Renewed.IsZero() {
 			return poll.Success()
 		}
-		return poll.Continue("%+v", given)
+		return poll.Continue("%+v", mandates)
 	})
 	assert.Assert(t, hub.HasMandate("p", time.Now()))
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if given := hub.Mandates("s"); given[0].Renewed.IsZero() {
-			return poll.Continue("it is not known to be alone")
+		if mandates := hub.Mandates("s"); mandates[0].Renewed.IsZero() {
+			return poll.Continue("the link is not lost yet")
 		}
 		return poll.Success()
 	})
 	hub.PublishHolds("s", 6, nil)
-	assert.Equal(t, hub.Mandates("s")[0].Heard, uint64(5), "it can't have heard that nothing is held now")
+	assert.Equal(t, hub.Mandates("s")[0].Heard, uint64(5), "it can't have received the empty holds")
 }
 
-// All that is held is told now and then only: fences may change at each of the leader's
-// steps, and on the grown sites that cost 40 MB a day.
+// All holds are sent only at intervals: fences may change at each step of the leader, and sending
+// them each time cost 40 MB a day on the grown sites.
 func TestHoldUpdatesAreRateLimited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
@@ -92,14 +92,15 @@
 		s.holds["s"] = currentHolds{version: uint64(step + 1)}
 		at := now.Add(time.Duration(step) * 50 * time.Millisecond)
 		mandate := s.extend(l, at)
-		assert.Assert(t, mandate.RemainingMillis > 0, "the leave goes on")
+		assert.Assert(t, mandate.RemainingMillis > 0, "the mandate is extended")
 		sent += len(mandate.Services)
 	}
 	assert.Equal(t, sent, 3)
 }
 
-// Found by the soak of real processes (seed 514): two standbys were replaced by stronger ones
-// while they had a leave of 9 s and stayed linked; they heard of no hold's end from then on.
+// Found by the soak test with real processes (seed 514): two standbys were replaced by stronger
+// ones while they had a mandate for 9 s and stayed linked. From then on, they did not learn of
+// holds that ended.
 func TestReplacedStandbyReceivesHoldsUntilItsMandateEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
@@ -113,12 +114,12 @@
 	s.holds["s"], s.limit = currentHolds{version: 2}, now.Add(12*time.Second)
 	mandate := s.extend(l, now.Add(2*time.Second))
 	assert.Equal(t, len(mandate.Services), 1)
-	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the leave gets no longer")
+	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the mandate is not extended")
 	assert.Assert(t, s.extend(l, now.Add(9*time.Second)) == nil)
 }
 
-// A standby that starts again under its node name and address is another process: it has no leave,
-// and that of the process before is still waited for.
+// A standby that restarts with the same node name and address is another process: it has no
+// mandate, and the leader still waits for the mandate of the previous process.
 func TestRestartedRouterIsADifferentStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
@@ -135,7 +136,7 @@
 	assert.Equal(t, mandates[0].Until, s.limit)
 }
 
-// A worker that starts again at another address was named to followers by its first address for as
+// A worker that restarted at another address was sent to followers with its first address for as
 // long as their links lasted.
 func TestChangedWorkerAddressIsSent(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
--- a/internal/peerlink/subrelay_test.go
+++ b/internal/peerlink/subrelay_test.go
@@ -10,15 +10,15 @@
 	"github.com/shalefork/shalefork/internal/owner"
 )
 
-// zoneRelay is a relay that follows a leader, with links to processes of its zone.
-func zoneRelay(direct, strong, weak int, now time.Time) (*Hub, []*link) {
+// newZoneRelay returns a relay that follows a leader, and its links to processes of its zone.
+func newZoneRelay(directNodes, strong, weak int, now time.Time) (*Hub, []*link) {
 	hub := NewHub("relay", nil, func() ReadState { return ReadState{} })
-	hub.DirectNodes = direct
+	hub.DirectNodes = directNodes
 	hub.RelayUpdate(Update{Leading: true, Nodes: 900})
 	var links []*link
 	for index := range strong + weak {
 		hello := Hello{Process: fmt.Sprint("p", index), Address: fmt.Sprintf("10.0.0.%d:7600", index), Zone: "z", Strength: 0.2}
-		if index >= weak { // they come last
+		if index >= weak { // the strong ones are linked last
 			hello.Strength = 1
 		}
 		l := newLink(hello)
@@ -29,7 +29,8 @@
 	return hub, links
 }
 
-// What a relay sends must not grow with its zone: of 200 or 400 processes it speaks with some ten.
+// What a relay sends must not grow with its zone: of 200 or 400 processes, only some ten follow it
+// directly.
 func TestLargeRelayAppointsSubRelays(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for name, test := range map[string]struct {
@@ -37,14 +38,14 @@
 		after        time.Duration
 		relays       int
 	}{
-		"few":                       {strong: 2, weak: 20, after: time.Second},
-		"a zone of 200":             {strong: 10, weak: 190, relays: 7},
-		"twice as many":             {strong: 20, weak: 380, relays: 13},
-		"weak ones, at first":       {weak: 200},
-		"weak ones, after a moment": {weak: 200, after: relayChoiceDelay, relays: 7},
+		"few":                                   {strong: 2, weak: 20, after: time.Second},
+		"zone of 200":                           {strong: 10, weak: 190, relays: 7},
+		"zone of 400":                           {strong: 20, weak: 380, relays: 13},
+		"weak machines, initially":              {weak: 200},
+		"weak machines, after relayChoiceDelay": {weak: 200, after: relayChoiceDelay, relays: 7},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hub, links := zoneRelay(32, test.strong, test.weak, start)
+			hub, links := newZoneRelay(32, test.strong, test.weak, start)
 			followers := map[string]int{}
 			for _, l := range links {
 				if address := hub.subRelayFor(l, start.Add(test.after)); address != "" {
@@ -56,12 +57,12 @@
 			for _, l := range links {
 				if l.subRelay {
 					relays[l.hello.Address] = l
-					assert.Equal(t, hub.subRelayFor(l, start.Add(time.Second)), "", "it stays")
+					assert.Equal(t, hub.subRelayFor(l, start.Add(time.Second)), "", "a sub-relay stays")
 				}
 			}
 			for address, count := range followers {
 				assert.Assert(t, relays[address] != nil)
-				assert.Assert(t, count <= 2*32, "%d follow one", count)
+				assert.Assert(t, count <= 2*32, "%d followers of one sub-relay", count)
 				if test.strong >= test.relays {
 					assert.Equal(t, relays[address].hello.Strength, 1.0)
 				}
@@ -72,18 +73,19 @@
 
 func TestSubRelay(t *testing.T) {
 	start := time.Unix(1000, 0)
-	hub, links := zoneRelay(4, 8, 20, start)
+	hub, links := newZoneRelay(4, 8, 20, start)
 	late := start.Add(time.Second)
 	weak := links[0]
 	first := hub.subRelayFor(weak, late)
 	assert.Assert(t, first != "")
-	assert.Equal(t, hub.subRelayFor(weak, late), first, "the same again")
+	assert.Equal(t, hub.subRelayFor(weak, late), first, "the choice is stable")
 	weak.hello.Avoid = first
 	second := hub.subRelayFor(weak, late)
-	assert.Assert(t, second != "" && second != first, "not the one that was lost")
+	assert.Assert(t, second != "" && second != first, "the lost relay is avoided")
 
-	// It takes followers, and appoints none itself: its own word is passed on twice already.
-	sub, subLinks := zoneRelay(4, 8, 20, start)
+	// The sub-relay accepts followers but appoints no sub-relays, as its state is already forwarded
+	// twice.
+	sub, subLinks := newZoneRelay(4, 8, 20, start)
 	sub.upstream = nil
 	sub.RelayUpdate(Update{Relayed: true, Hops: 1, AgeMillis: 400})
 	assert.Assert(t, sub.acceptsFollowers())
@@ -91,14 +93,14 @@
 	head, ok := sub.header(subLinks[0], time.Now())
 	assert.Assert(t, ok)
 	assert.Equal(t, head.Hops, 2)
-	assert.Assert(t, head.Age() >= 400*time.Millisecond, "the age of both")
+	assert.Assert(t, head.Age() >= 400*time.Millisecond, "the ages are added")
 
 	last := NewHub("last", nil, func() ReadState { return ReadState{} })
 	last.RelayUpdate(head)
-	assert.Assert(t, !last.acceptsFollowers(), "so a circle of relays ends")
+	assert.Assert(t, !last.acceptsFollowers(), "a cycle of relays ends")
 	sub.RelayUpdate(Update{Relayed: true, Hops: 1, Leaderless: true})
 	head, _ = sub.header(subLinks[0], time.Now())
-	assert.Assert(t, head.Leaderless, "the relay that it follows has lost its leader")
+	assert.Assert(t, head.Leaderless, "the relay that it follows has lost the leader")
 }
 
 // Owners, workers and reports pass through both relays.
@@ -106,7 +108,7 @@
 	leader, reports, address := newLeadingHub(t, 3)
 	leader.Publish("s", singleOwner("a"))
 	for range maxHops {
-		hub, own := newRelayHub(t)
+		hub, relayAddress := newRelayHub(t)
 		hub.OnFollowerReport(func(report Report) {
 			hub.mu.Lock()
 			defer hub.mu.Unlock()
@@ -117,7 +119,7 @@
 		owners, term, version := f.table.Owners("s")
 		hub.RelayUpdate(Update{Leading: true, Nodes: 50})
 		hub.RelayOwners("s", owners, term, version)
-		address = own
+		address = relayAddress
 	}
 	f := follow(t, address)
 	eventually(t, "owners", f.owns(7, "a"))
--- a/internal/peerlink/suspects_test.go
+++ b/internal/peerlink/suspects_test.go
@@ -13,7 +13,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// suspects are requests that were under way at crashes.
+// suspectRecords returns records of requests that were in progress at crashes.
 func suspectRecords(count int) []quarantine.Record {
 	var records []quarantine.Record
 	for number := range count {
@@ -27,10 +27,10 @@
 	return records
 }
 
-// Many crashes within a second must not fill a link: told whole at each change, the list took
-// 0.3 MB a second on each link while 512 requests became suspects.
+// Many crashes within a second must not fill a link. When the whole list was sent at each change,
+// it took 0.3 MB/s on each link while 512 requests became suspects.
 func TestSuspectUpdatesStayWithinBandwidth(t *testing.T) {
-	// A link is to carry 20 KB a second of control at most.
+	// A link may carry at most 20 KB/s of control traffic.
 	const mostBytes = 20 << 10
 	for name, acceptsChanges := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
@@ -57,13 +57,13 @@
 					sendSuspects(t, hub, l)
 					time.Sleep(suspectsInterval)
 				}
-				assert.Equal(t, l.suspectsVersion, hub.SuspectsVersion(), "all is told in the end")
+				assert.Equal(t, l.suspectsVersion, hub.SuspectsVersion(), "everything was sent in the end")
 			})
 		})
 	}
 }
 
-// told sends what is new of suspects, and returns how many bytes that took.
+// sendSuspects sends the changes of suspects, and returns the size of the message in bytes.
 func sendSuspects(t *testing.T, hub *Hub, l *link) int {
 	var update Update
 	hub.addSuspects(l, &update, time.Now())
@@ -75,7 +75,8 @@
 	return len(line)
 }
 
-// A relay passes on what it was told, and a process of the version before is told whole lists.
+// A relay forwards the changes that it receives. A process of the previous version receives whole
+// lists.
 func TestSuspectsPassThroughRelay(t *testing.T) {
 	for name, acceptsChanges := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +94,7 @@
 	}
 }
 
-// pass brings one message, and returns all that the receiver knows then.
+// transferSuspects sends one message, and returns all records that the receiver knows afterwards.
 func transferSuspects(t *testing.T, from *Hub, over *link, to *Hub) []quarantine.Record {
 	var update Update
 	from.addSuspects(over, &update, time.Now())
