--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -85,7 +85,7 @@
 	conn := c.connect(address)
 	start := clock.Now()
 	permit, err := conn.request(ctx, request)
-	if err != nil && !conn.answeredSince(start) { // the connection may be broken although no error was reported
+	if err != nil && !conn.answeredSince(start) { // the connection may be broken without an error
 		conn.close()
 	}
 	return permit, err
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -49,8 +49,9 @@
 	var redirect *RedirectError
 	assert.Assert(t, errors.As(<-f.result, &redirect))
 	assert.Equal(t, redirect.Address, "other:1")
-	// Seen in trouble-3 of malaika-charge-grown: such a relay won an election, redirected new
-	// followers to its former relay, and that relay to itself, so that no process received changes.
+	// Seen in trouble-3 of malaika-charge-grown: a relay that had redirected its followers still
+	// accepted new ones and won an election. It redirected new followers to its former relay, and
+	// that relay to itself, so that no process received changes.
 	f = follow(t, address)
 	assert.ErrorIs(t, <-f.result, ErrNotLeading, "a relay that redirects its followers accepts no new ones")
 }
