--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -54,8 +54,8 @@
 	{
 		name: "suspect-sent-to-several",
 		file: "internal/proxy/crash.go",
-		old:  "	return c.arrivedAs == quarantine.Free && c.closed.Load() < mostClosed",
-		new:  "	return c.closed.Load() < mostClosed",
+		old:  "	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed",
+		new:  "	return c.closedConnections.Load() < mostClosed",
 		pkg:  "./internal/proxy", test: "TestASuspectGoesToOneWorkerOnly",
 	},
 	{
@@ -100,8 +100,8 @@
 	{
 		name: "suspended-router-relies-on-what-it-was-told",
 		file: "internal/router/suspension.go",
-		old:  "	r.told.end()\n	r.entries.again()",
-		new:  "	_ = r.told",
-		pkg:  "./internal/router", test: "TestASuspendedRouterReadsAnewWhenItWakes",
+		old:  "	r.updates.invalidate()\n	r.entries.requestResync()",
+		new:  "	_ = r.updates",
+		pkg:  "./internal/router", test: "TestResumedRouterResyncs",
 	},
 }
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -158,7 +158,7 @@
 		if !known {
 			index = len(described.Workers)
 			indexes[hold.Target.ID] = index
-			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Born: hold.Target.Born})
+			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Born: hold.Target.Incarnation})
 		}
 		runs = append(runs, [4]int64{int64(hold.Keys.From), int64(hold.Keys.To), int64(index), int64(hold.Fence)})
 	}
@@ -180,7 +180,7 @@
 		}
 		worker := h.Workers[run[2]]
 		holds = append(holds, owner.Hold{
-			Keys: owner.Keys{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Born: worker.Born},
+			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Incarnation: worker.Born},
 			Fence: owner.Fence(run[3]),
 		})
 	}
@@ -239,8 +239,8 @@
 	Part    bool   `json:"m,omitempty"`
 	// Whole is set if the message contains all owners of Keys, or of all keys if Keys is nil, and
 	// not only changes.
-	Whole bool        `json:"w,omitempty"`
-	Keys  *owner.Keys `json:"k,omitempty"`
+	Whole bool            `json:"w,omitempty"`
+	Keys  *owner.KeyRange `json:"k,omitempty"`
 	// Workers are indexed from 0. Runs are rows of first key, last key, index of the worker, and 1
 	// if the worker does not hold the keys yet, in the order of the keys. Packed replaces both if
 	// there are many.
@@ -276,7 +276,7 @@
 	// Evidence is about requests that were in progress at workers that crashed.
 	Evidence *quarantine.Evidence `json:"q,omitempty"`
 	// Quota is the use of the tenants' limits at this process and its followers.
-	Quota []quota.Told `json:"u,omitempty"`
+	Quota []quota.Report `json:"u,omitempty"`
 	// Limits are the limits of workers that this process or one of its followers has learned.
 	Limits []workerlimit.Told `json:"l,omitempty"`
 	// Leaving are workers that announce their departure in their responses.
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -73,7 +73,7 @@
 func (h *Hub) addChangedOwners(update *Update, service routing.ServiceName, published publishedOwners, sent *sentOwners) {
 	changes := h.ownerChanges.between(*sent, published)
 	if !sent.complete() {
-		changes = keytable.Within(changes, owner.Keys{To: sent.nextKey - 1})
+		changes = keytable.Within(changes, owner.KeyRange{To: sent.nextKey - 1})
 	}
 	message := ServiceOwners{Service: service, Version: published.version, Part: published.partial || !sent.complete()}
 	if len(changes) == 0 && message.Version == sent.version && message.Part == sent.partial {
@@ -107,17 +107,17 @@
 func (p publishedOwners) needsPieces() bool { return len(p.owners) > maxPieceRuns }
 
 // nextPieceKeys returns the keys of the next maxPieceRuns owners, starting at a key.
-func nextPieceKeys(owners []owner.Owner, from int) owner.Keys {
+func nextPieceKeys(owners []owner.Owner, from int) owner.KeyRange {
 	runs := 0
 	for _, run := range owners {
 		if run.Keys.To < from {
 			continue
 		}
 		if runs++; runs == maxPieceRuns {
-			return owner.Keys{From: from, To: run.Keys.To}
+			return owner.KeyRange{From: from, To: run.Keys.To}
 		}
 	}
-	return owner.Keys{From: from, To: owner.KeyCount - 1}
+	return owner.KeyRange{From: from, To: owner.KeyCount - 1}
 }
 
 // ownerRuns is the message form of owners: rows of first key, last key, index of the worker, and 1
@@ -174,7 +174,7 @@
 		minKey = run[1] + 1
 		worker := table.Workers[run[2]]
 		owners = append(owners, owner.Owner{
-			Keys: owner.Keys{From: run[0], To: run[1]}, Worker: worker.ID, Address: worker.Address, Moving: run[3] == 1,
+			Keys: owner.KeyRange{From: run[0], To: run[1]}, Worker: worker.ID, Address: worker.Address, Moving: run[3] == 1,
 		})
 	}
 	return owners, true
--- a/internal/peerlink/quota.go
+++ b/internal/peerlink/quota.go
@@ -11,15 +11,15 @@
 type quotaRoutes struct {
 	via map[string]*link
 	// onQuota is called with the tenants' use that linked processes report.
-	onQuota func([]quota.Told)
+	onQuota func([]quota.Report)
 }
 
 // OnQuota sets the function that is called with the tenants' use that linked processes report.
 // Leaders and relays use it.
-func (h *Hub) OnQuota(call func([]quota.Told)) { h.quotaRoutes.onQuota = call }
+func (h *Hub) OnQuota(call func([]quota.Report)) { h.quotaRoutes.onQuota = call }
 
 // handleQuota handles quota reports from a link.
-func (h *Hub) handleQuota(l *link, reports []quota.Told) {
+func (h *Hub) handleQuota(l *link, reports []quota.Report) {
 	if len(reports) == 0 || h.quotaRoutes.onQuota == nil {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // record records the link that leads to the reporting processes.
-func (q *quotaRoutes) record(l *link, reports []quota.Told) {
+func (q *quotaRoutes) record(l *link, reports []quota.Report) {
 	if q.via == nil {
 		q.via = map[string]*link{}
 	}
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -58,7 +58,7 @@
 
 // singleOwner returns one worker that owns all keys.
 func singleOwner(worker string) []owner.Owner {
-	return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
+	return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: workers.ID(worker), Address: "a"}}
 }
 
 func TestRelayedStateBecomesStale(t *testing.T) {
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -145,13 +145,13 @@
 }
 
 // ownerMandates returns the mandates of the standbys for a service's holds.
-func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Mandate {
-	list := make([]owner.Mandate, 0, len(s.granted))
+func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Delegation {
+	list := make([]owner.Delegation, 0, len(s.granted))
 	for _, granted := range s.granted {
 		if granted.mayRenewAlone(now) {
 			granted.mayHaveRenewedUntil = earlier(now, granted.until).Add(renewalTimeout)
 		}
-		list = append(list, owner.Mandate{Heard: granted.holdVersions[service], Until: granted.until, Renewed: granted.mayHaveRenewedUntil})
+		list = append(list, owner.Delegation{KnownVersion: granted.holdVersions[service], Until: granted.until, LastRenewal: granted.mayHaveRenewedUntil})
 	}
 	return list
 }
@@ -234,7 +234,7 @@
 }
 
 // Mandates returns the mandates of the standbys for a service's holds.
-func (h *Hub) Mandates(service routing.ServiceName) []owner.Mandate {
+func (h *Hub) Mandates(service routing.ServiceName) []owner.Delegation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.standbys.ownerMandates(service, clock.Now())
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -23,7 +23,7 @@
 	}()
 	limit := time.Now().Add(time.Minute)
 	hub.SetMandateLimit(limit)
-	holds := []owner.Hold{{Keys: owner.Keys{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
+	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
 	hub.PublishHolds("s", 5, holds)
 
 	var version atomic.Uint64
@@ -60,7 +60,7 @@
 	assert.DeepEqual(t, <-received, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		mandates := hub.Mandates("s")
-		if len(mandates) == 1 && mandates[0].Heard == 5 && mandates[0].Until.Equal(limit) && mandates[0].Renewed.IsZero() {
+		if len(mandates) == 1 && mandates[0].KnownVersion == 5 && mandates[0].Until.Equal(limit) && mandates[0].LastRenewal.IsZero() {
 			return poll.Success()
 		}
 		return poll.Continue("%+v", mandates)
@@ -69,13 +69,13 @@
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if mandates := hub.Mandates("s"); mandates[0].Renewed.IsZero() {
+		if mandates := hub.Mandates("s"); mandates[0].LastRenewal.IsZero() {
 			return poll.Continue("the link is not lost yet")
 		}
 		return poll.Success()
 	})
 	hub.PublishHolds("s", 6, nil)
-	assert.Equal(t, hub.Mandates("s")[0].Heard, uint64(5), "it can't have received the empty holds")
+	assert.Equal(t, hub.Mandates("s")[0].KnownVersion, uint64(5), "it can't have received the empty holds")
 }
 
 // All holds are sent only at intervals: fences may change at each step of the leader, and sending
@@ -141,7 +141,7 @@
 func TestChangedWorkerAddressIsSent(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
 	at := func(address string) []owner.Owner {
-		return []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
+		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
 	}
 	f := follow(t, address)
 	for _, where := range []string{"a:1", "b:1", "a:1"} {
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -55,10 +55,10 @@
 
 // Downloads whose owner is far go to the route's pool, and the pool's to near owners.
 func TestDownloadsStayInTheRegion(t *testing.T) {
-	near, far, pool := newWorker(t, "w1", answers("n")), newWorker(t, "w2", answers("f")), newWorker(t, "w3", answers("p"))
+	near, far, pool := newFakeWorker(t, "w1", alwaysAnswer("n")), newFakeWorker(t, "w2", alwaysAnswer("f")), newFakeWorker(t, "w3", alwaysAnswer("p"))
 	abroad := far.entry("keyed")
 	abroad.Zone = "far"
-	f := newFront(t, near.entry("keyed"), abroad, pool.entry("pool"))
+	f := newTestProxy(t, near.entry("keyed"), abroad, pool.entry("pool"))
 	f.proxy.Locate(twoRegions)
 	config := testConfig(t, 2)
 	route := config.Match("app.example", "/safe/")
@@ -67,8 +67,8 @@
 	assert.Assert(t, f.proxy.Use(config))
 	half := owner.KeyCount / 2
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{
-		{Keys: owner.Keys{From: 0, To: half - 1}, Worker: "w1", Address: near.listener.Addr().String()},
-		{Keys: owner.Keys{From: half, To: owner.KeyCount - 1}, Worker: "w2", Address: far.listener.Addr().String()},
+		{Keys: owner.KeyRange{From: 0, To: half - 1}, Worker: "w1", Address: near.listener.Addr().String()},
+		{Keys: owner.KeyRange{From: half, To: owner.KeyCount - 1}, Worker: "w2", Address: far.listener.Addr().String()},
 	})
 	for range 10 {
 		for _, key := range []string{"65000", "65000", "7", "7"} {
@@ -76,8 +76,8 @@
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 		}
 	}
-	assert.Equal(t, far.arrivals(), 0)
-	assert.Assert(t, near.arrivals() >= 18 && pool.arrivals() >= 18, "%d and %d", near.arrivals(), pool.arrivals())
+	assert.Equal(t, far.receivedCount(), 0)
+	assert.Assert(t, near.receivedCount() >= 18 && pool.receivedCount() >= 18, "%d and %d", near.receivedCount(), pool.receivedCount())
 }
 
 // A request is exchanged only for one that the other part can serve in the region: one without a
@@ -127,8 +127,8 @@
 		"owner is gone": {key: "7", owner: "w9"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			near, pool := newWorker(t, "w1", answers("n")), newWorker(t, "w3", answers("p"))
-			f := newFront(t, near.entry("keyed"), pool.entry("pool"))
+			near, pool := newFakeWorker(t, "w1", alwaysAnswer("n")), newFakeWorker(t, "w3", alwaysAnswer("p"))
+			f := newTestProxy(t, near.entry("keyed"), pool.entry("pool"))
 			f.proxy.Locate(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
@@ -136,7 +136,7 @@
 			route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
 			assert.Assert(t, f.proxy.Use(config))
 			if test.owner != "" {
-				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.Keys{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
+				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
 			}
 			c := &call{proxy: f.proxy, config: config, route: route, request: httptest.NewRequest("GET", "/safe/", nil)}
 			if test.key != "" {
