--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -117,8 +117,9 @@
 	stamp uint64
 }
 
-// NewHub returns a closed hub that forwards reports to a channel. process is unique to the run of
-// this process; known returns what the process has read from the key-value service.
+// NewHub returns a closed hub that forwards reports to a channel. process is unique to this
+// incarnation of the process; readState returns what the process has read from the key-value
+// service.
 func NewHub(process string, reports chan<- Report, readState func() ReadState) *Hub {
 	h := &Hub{
 		process: process, owners: map[routing.ServiceName]publishedOwners{}, links: map[*link]struct{}{},
--- a/internal/peerlink/leadership.go
+++ b/internal/peerlink/leadership.go
@@ -12,7 +12,7 @@
 // LeadershipStatus is a process's answer to the query whether it leads.
 type LeadershipStatus struct {
 	Leading bool
-	// Process is unique to the run of the process that answered.
+	// Process is unique to the incarnation of the process that answered.
 	Process string
 	// Leader is the address of the leader that the process follows, or empty if there is none.
 	Leader string
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -40,7 +40,7 @@
 	// Strength is the relative strength of the process's machine.
 	Strength float64 `json:"strength,omitempty"`
 	// Address is where the process accepts links, Zone is its zone, and Process is a name that is
-	// unique to this run of it.
+	// unique to its incarnation.
 	Address string `json:"address,omitempty"`
 	Zone    string `json:"zone,omitempty"`
 	Process string `json:"process,omitempty"`
@@ -66,7 +66,7 @@
 type Update struct {
 	// Leading is false if the sender does not lead.
 	Leading bool `json:"l"`
-	// Process is unique to the run of the process that answers.
+	// Process is unique to the incarnation of the process that answers.
 	Process string     `json:"p,omitempty"`
 	Term    owner.Term `json:"t"`
 	// Relayed is set if the sender is a relay. AgeMillis is the age of the leader's state that it
@@ -158,7 +158,7 @@
 		if !known {
 			index = len(described.Workers)
 			indexes[hold.Target.ID] = index
-			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Born: hold.Target.Incarnation})
+			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Incarnation: hold.Target.Incarnation})
 		}
 		runs = append(runs, [4]int64{int64(hold.Keys.From), int64(hold.Keys.To), int64(index), int64(hold.Fence)})
 	}
@@ -180,7 +180,7 @@
 		}
 		worker := h.Workers[run[2]]
 		holds = append(holds, owner.Hold{
-			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Incarnation: worker.Born},
+			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Incarnation: worker.Incarnation},
 			Fence: owner.Fence(run[3]),
 		})
 	}
@@ -253,8 +253,8 @@
 type NamedWorker struct {
 	ID      workers.ID `json:"i"`
 	Address string     `json:"a"`
-	// Born identifies the life of the worker that holds refer to; zero if unknown.
-	Born workers.Born `json:"b,omitempty"`
+	// Incarnation is that of the worker that holds refer to; zero if unknown.
+	Incarnation workers.Born `json:"b,omitempty"`
 }
 
 // Report contains what a process has counted and learned since its last report.
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -61,7 +61,7 @@
 	Draining   bool                `json:"d,omitempty"`
 	// WarmMillis is how much longer the worker is slow.
 	WarmMillis int64 `json:"w,omitempty"`
-	// Born is when this run of the worker began, as it has announced itself.
+	// Born is when this incarnation of the worker began, as it has announced itself.
 	Born workers.Born `json:"b,omitempty"`
 	// LearnedAt is since when the first process has known the change, and AgeMillis is for how long
 	// at the time of the message.
