--- a/internal/peerlink/bulk.go
+++ b/internal/peerlink/bulk.go
@@ -7,87 +7,87 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A process that has just linked lacks all workers and all owners of keys. Where these take more
-// than one message, it is told them in pieces, each of which is a message like any other: with
-// heartbeats and news between them, and no longer than the link takes in a moment. A few links are
-// told at a time and the others wait, so that the first ones know all early, and the pieces
-// together leave a part of the machine's bandwidth to everything else.
+// A process that has just linked lacks all workers and all owners of keys. If these take more than
+// one message, they are sent in pieces. Each piece is an ordinary message, with heartbeats and
+// changes in between, and is small enough that the link transmits it quickly. Only a few links
+// receive pieces at a time while the others wait, so that the first ones are complete early, and
+// pieces use only a part of the machine's bandwidth.
 
 const (
-	// bulkLinks is how many links are told pieces at the same time.
+	// bulkLinks is the number of links that receive pieces at the same time.
 	bulkLinks = 8
-	// bulkShare is the part of the machine's bandwidth that pieces may take.
-	bulkShare = 0.75
+	// bulkBandwidthShare is the share of the machine's bandwidth that pieces may use.
+	bulkBandwidthShare = 0.75
 )
 
-// bulk is which links are told pieces now. The hub's lock guards it; the zero value is idle.
-type bulk struct {
-	told []*link
-	// waiting are the links that come next, in the order in which they asked.
+// bulkTransfers tracks the links that receive pieces now. It is guarded by the hub's lock; the zero
+// value is idle.
+type bulkTransfers struct {
+	active []*link
+	// waiting are the links that come next, in the order in which they requested a transfer.
 	waiting []*link
-	// free is when the bandwidth takes the next piece.
-	free time.Time
+	// nextFree is when the bandwidth limit permits the next piece.
+	nextFree time.Time
 }
 
-// admits reports whether a link may be told a piece at a time. A link whose turn has not come
-// waits for it.
-func (b *bulk) admits(one *link, now time.Time) bool {
-	if slices.Contains(b.told, one) {
-		return !now.Before(b.free)
+// admit reports whether a link may be sent a piece now. A link whose turn has not come is queued.
+func (b *bulkTransfers) admit(l *link, now time.Time) bool {
+	if slices.Contains(b.active, l) {
+		return !now.Before(b.nextFree)
 	}
-	if len(b.told) < bulkLinks && (len(b.waiting) == 0 || b.waiting[0] == one) {
-		b.waiting = slices.DeleteFunc(b.waiting, func(other *link) bool { return other == one })
-		b.told = append(b.told, one)
-		return !now.Before(b.free)
+	if len(b.active) < bulkLinks && (len(b.waiting) == 0 || b.waiting[0] == l) {
+		b.waiting = slices.DeleteFunc(b.waiting, func(other *link) bool { return other == l })
+		b.active = append(b.active, l)
+		return !now.Before(b.nextFree)
 	}
-	if !slices.Contains(b.waiting, one) {
-		b.waiting = append(b.waiting, one)
+	if !slices.Contains(b.waiting, l) {
+		b.waiting = append(b.waiting, l)
 	}
 	return false
 }
 
-// spend takes the bandwidth for a piece; a rate of zero has no bounds.
-func (b *bulk) spend(now time.Time, bytes int, rate float64) {
+// reserve accounts for the bandwidth of a piece. A rate of zero means no limit.
+func (b *bulkTransfers) reserve(now time.Time, bytes int, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	if b.free.Before(now) {
-		b.free = now
+	if b.nextFree.Before(now) {
+		b.nextFree = now
 	}
-	b.free = b.free.Add(time.Duration(float64(bytes) / (bulkShare * rate) * float64(time.Second)))
+	b.nextFree = b.nextFree.Add(time.Duration(float64(bytes) / (bulkBandwidthShare * rate) * float64(time.Second)))
 }
 
-// leave ends a link's turn, or its wait for one, and lets the next one begin.
-func (b *bulk) leave(one *link) {
-	is := func(other *link) bool { return other == one }
-	if !slices.Contains(b.told, one) && !slices.Contains(b.waiting, one) {
+// release ends a link's transfer, or removes it from the queue, and lets the next link start.
+func (b *bulkTransfers) release(l *link) {
+	isLink := func(other *link) bool { return other == l }
+	if !slices.Contains(b.active, l) && !slices.Contains(b.waiting, l) {
 		return
 	}
-	b.told = slices.DeleteFunc(b.told, is)
-	b.waiting = slices.DeleteFunc(b.waiting, is)
-	if len(b.told) < bulkLinks && len(b.waiting) > 0 {
-		b.waiting[0].rouse()
+	b.active = slices.DeleteFunc(b.active, isLink)
+	b.waiting = slices.DeleteFunc(b.waiting, isLink)
+	if len(b.active) < bulkLinks && len(b.waiting) > 0 {
+		b.waiting[0].signal()
 	}
 }
 
-// nextPiece returns what tells when a link may be told its next piece; nil if it lacks none, or
-// is not in turn.
-func (h *Hub) nextPiece(one *link) <-chan time.Time {
+// pieceTimer returns a channel that fires when a link may be sent its next piece, or nil if the
+// link has no active transfer.
+func (h *Hub) pieceTimer(l *link) <-chan time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !slices.Contains(h.bulk.told, one) {
+	if !slices.Contains(h.bulkTransfers.active, l) {
 		return nil
 	}
-	return time.After(max(0, h.bulk.free.Sub(clock.Now())))
+	return time.After(max(0, h.bulkTransfers.nextFree.Sub(clock.Now())))
 }
 
-// lacksPieces reports whether a link is to be told more pieces. The caller holds mu.
-func (h *Hub) lacksPieces(one *link) bool {
-	if h.listsTo(one) {
+// needsPieces reports whether a link is to be sent more pieces. The caller holds mu.
+func (h *Hub) needsPieces(l *link) bool {
+	if h.needsPagedList(l) {
 		return true
 	}
-	for service, state := range h.owners {
-		if state.bulky() && !one.sent[service].whole() {
+	for service, published := range h.owners {
+		if published.needsPieces() && !l.sentOwners[service].complete() {
 			return true
 		}
 	}
--- a/internal/peerlink/config.go
+++ b/internal/peerlink/config.go
@@ -9,25 +9,27 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// configLog keeps what the operators have written, for links that have less of it. Its
-// zero value knows nothing.
+// configLog keeps the configuration that the operators have written, for links that have an older
+// revision. The zero value is empty.
 type configLog struct {
-	at coord.Revision
-	// learned is since when the first process knows of it; the zero time if that can't be told.
-	learned time.Time
-	items   []coord.Item
-	keys    []string
-	// packed are items that were packed, by how many of the newest they are: most links
-	// lack the same.
+	revision coord.Revision
+	// learnedAt is since when the first process has known this revision, or zero if that is
+	// unknown.
+	learnedAt time.Time
+	items     []coord.Item
+	keys      []string
+	// packed caches packed items by how many of the newest items they contain, as most links lack
+	// the same ones.
 	packed map[int][]byte
 }
 
-// read takes all that stands as of a revision, known since a time; false if more was known.
-func (l *configLog) read(items []coord.Item, at coord.Revision, learned time.Time) bool {
-	if at <= l.at {
+// set replaces the items by those of a newer revision, which was first known at learnedAt. It
+// returns false if the revision is not newer.
+func (l *configLog) set(items []coord.Item, revision coord.Revision, learnedAt time.Time) bool {
+	if revision <= l.revision {
 		return false
 	}
-	l.at, l.learned, l.items, l.packed = at, learned, slices.Clone(items), map[int][]byte{}
+	l.revision, l.learnedAt, l.items, l.packed = revision, learnedAt, slices.Clone(items), map[int][]byte{}
 	slices.SortFunc(l.items, func(a, b coord.Item) int { return int(b.Revision - a.Revision) })
 	l.keys = make([]string, 0, len(items))
 	for _, item := range items {
@@ -37,9 +39,9 @@
 	return true
 }
 
-// since returns what has changed after a revision; nil if nothing has.
-func (l *configLog) since(revision coord.Revision, now time.Time) *ConfigChanges {
-	if revision >= l.at {
+// changesSince returns the changes after a revision, or nil if there are none.
+func (l *configLog) changesSince(revision coord.Revision, now time.Time) *ConfigChanges {
+	if revision >= l.revision {
 		return nil
 	}
 	newer := 0
@@ -50,37 +52,38 @@
 		l.packed[newer] = pack(l.items[:newer])
 	}
 	return &ConfigChanges{
-		Revision: l.at, Packed: l.packed[newer], Keys: l.keys,
-		AgeMillis: ageMillis(l.learned, now), AgeUnknown: l.learned.IsZero(),
+		Revision: l.revision, Packed: l.packed[newer], Keys: l.keys,
+		AgeMillis: ageMillis(l.learnedAt, now), AgeUnknown: l.learnedAt.IsZero(),
 	}
 }
 
-// ConfigRead tells of all that the operators have written and that stands as of a
-// revision, unless more was known. learned is since when the first process knows of it; the
-// zero time if that can't be told.
-func (h *Hub) SetConfig(items []coord.Item, at coord.Revision, learned time.Time) {
+// SetConfig publishes the operators' configuration as of a revision, unless a newer one is known.
+// learnedAt is since when the first process has known this revision, or zero if that is unknown.
+func (h *Hub) SetConfig(items []coord.Item, revision coord.Revision, learnedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.config.read(items, at, learned) {
+	if h.config.set(items, revision, learnedAt) {
 		h.wakeAll()
 	}
 }
 
-// ConfigSince returns what has changed of it after a revision; nothing if nothing has.
+// ConfigSince returns the changes of the configuration after a revision, or the zero value if there
+// are none.
 func (h *Hub) ConfigSince(revision coord.Revision) ConfigChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if news := h.config.since(revision, clock.Now()); news != nil {
-		return *news
+	if changes := h.config.changesSince(revision, clock.Now()); changes != nil {
+		return *changes
 	}
 	return ConfigChanges{}
 }
 
-// configFor returns what a link's process lacks of it. The caller holds mu.
-func (h *Hub) configFor(one *link, now time.Time) *ConfigChanges {
-	news := h.config.since(one.config, now)
-	if news != nil {
-		one.config = news.Revision
+// configChangesFor returns the configuration changes that a link's process lacks. The caller holds
+// mu.
+func (h *Hub) configChangesFor(l *link, now time.Time) *ConfigChanges {
+	changes := h.config.changesSince(l.configRevision, now)
+	if changes != nil {
+		l.configRevision = changes.Revision
 	}
-	return news
+	return changes
 }
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Peer is a linked process, as a standby is chosen by.
+// Peer is a linked process that may be chosen as a standby.
 type Peer struct {
 	Process  string
 	Address  string
@@ -17,137 +17,141 @@
 	Strength float64
 }
 
-// standbys are the leader's view of the processes that may renew what is held. The
-// hub's lock guards it.
+// standbys is the leader's view of the processes that may renew holds. It is guarded by the hub's
+// lock.
 type standbys struct {
-	// limit is when any leave ends at the latest: the leader's own renewals end then.
+	// limit is when all mandates end at the latest, as the leader's own renewals end then.
 	limit time.Time
-	holds map[routing.ServiceName]heldNow
-	// given are the leaves by process; appointed those that get more.
-	given     map[string]*given
+	holds map[routing.ServiceName]currentHolds
+	// granted are the mandates by process. Only those of appointed processes are extended.
+	granted   map[string]*standbyMandate
 	appointed map[string]bool
 }
 
-// heldNow is what is held of one service.
-type heldNow struct {
+// currentHolds are the current holds of one service.
+type currentHolds struct {
 	version uint64
 	holds   []owner.Hold
 }
 
-// given is the leave of one process.
-type given struct {
-	link  *link
-	until time.Time
-	heard map[routing.ServiceName]uint64
-	// heardAt is when it was last heard.
-	heardAt time.Time
-	// down says that the link is lost. renewed is until when it was lost before.
-	down    bool
-	renewed time.Time
+// standbyMandate is the mandate of one process.
+type standbyMandate struct {
+	link         *link
+	until        time.Time
+	holdVersions map[routing.ServiceName]uint64
+	// lastReportAt is when the process's last report was received.
+	lastReportAt time.Time
+	// linkLost is set once the link is lost. mayHaveRenewedUntil is the time up to which renewals
+	// by the standby alone may have been in progress.
+	linkLost            bool
+	mayHaveRenewedUntil time.Time
 }
 
-// aloneAfter is how long a standby is silent until it may have lost the leader: less
-// than its own patience.
-const aloneAfter = SilenceLimit - 2*heartbeat
+// standbySilenceLimit is the silence after which a standby may have lost the leader. It is shorter
+// than the silence after which the standby itself considers the leader lost.
+const standbySilenceLimit = SilenceLimit - 2*heartbeatInterval
 
-// alone reports whether the standby may renew by itself now.
-func (g *given) alone(now time.Time) bool { return g.down || now.Sub(g.heardAt) > aloneAfter }
+// mayRenewAlone reports whether the standby may renew without the leader now.
+func (m *standbyMandate) mayRenewAlone(now time.Time) bool {
+	return m.linkLost || now.Sub(m.lastReportAt) > standbySilenceLimit
+}
 
-// holdsPause is the pause between descriptions of all that is held: fences change with
-// each order that has no answer, and what a standby does not know it does not renew.
-const holdsPause = time.Second
+// holdsInterval is the pause between messages that contain all holds. Fences change with each order
+// that is not answered, and a standby does not renew what it does not know.
+const holdsInterval = time.Second
 
-// orderTime is how long a renewal of a standby may be under way.
-const orderTime = 700 * time.Millisecond
+// renewalTimeout is how long a renewal of a standby may be in progress.
+const renewalTimeout = 700 * time.Millisecond
 
 func (s *standbys) reset() {
 	*s = standbys{
-		holds: map[routing.ServiceName]heldNow{}, given: map[string]*given{}, appointed: map[string]bool{},
+		holds: map[routing.ServiceName]currentHolds{}, granted: map[string]*standbyMandate{}, appointed: map[string]bool{},
 	}
 }
 
-// mandate extends the leave of a link's process; nil if it is no standby, or has not
-// sent a stamp yet.
-func (s *standbys) mandate(one *link, now time.Time) *Mandate {
-	if !s.appointed[one.hello.Process] {
-		return s.replaced(one, now)
+// extend extends the mandate of a link's process. It returns nil if the limit has passed, or if the
+// process is no longer a standby and has no mandate left. The mandate grants nothing until the
+// process has sent a stamp.
+func (s *standbys) extend(l *link, now time.Time) *Mandate {
+	if !s.appointed[l.hello.Process] {
+		return s.replacedMandate(l, now)
 	}
-	left := s.limit.Sub(now)
-	if left <= 0 {
+	remaining := s.limit.Sub(now)
+	if remaining <= 0 {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: left.Milliseconds()}
-	if one.stamp == 0 {
-		return mandate // asks for a stamp; gives nothing
+	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: remaining.Milliseconds()}
+	if l.stamp == 0 {
+		return mandate // requests a stamp; grants nothing
 	}
-	leave := s.given[one.hello.Process]
-	if leave == nil || leave.link != one {
-		leave = s.relink(leave, one, now)
+	granted := s.granted[l.hello.Process]
+	if granted == nil || granted.link != l {
+		granted = s.moveToLink(granted, l, now)
 	}
-	leave.until = s.limit
-	if now.Sub(one.holdsAt) >= holdsPause {
-		mandate.Services = s.news(one, now)
+	granted.until = s.limit
+	if now.Sub(l.holdsSentAt) >= holdsInterval {
+		mandate.Services = s.changedHolds(l, now)
 	}
 	return mandate
 }
 
-// replaced tells a standby whose leave runs out what is held, nil if it has none: the leader
-// waits for a standby that has not heard of a hold's end. Told nothing more, it kept the keys of
-// a worker that crashed from 34.3 s to 47.4 s of a run of processes, 13 s after the end of its
-// appointment.
-func (s *standbys) replaced(one *link, now time.Time) *Mandate {
-	leave := s.given[one.hello.Process]
-	if leave == nil || leave.link != one || !now.Before(leave.until) {
+// replacedMandate returns the remaining mandate of a standby that is no longer appointed, or nil if
+// it has none. It still contains changed holds, because the leader waits for a standby that does
+// not know that a hold has ended. Without them, a standby kept the keys of a crashed worker from
+// 34.3 s to 47.4 s of a run, for 13 s after its appointment had ended.
+func (s *standbys) replacedMandate(l *link, now time.Time) *Mandate {
+	granted := s.granted[l.hello.Process]
+	if granted == nil || granted.link != l || !now.Before(granted.until) {
 		return nil
 	}
-	mandate := &Mandate{Stamp: one.stamp, RemainingMillis: leave.until.Sub(now).Milliseconds()}
-	if now.Sub(one.holdsAt) >= holdsPause {
-		mandate.Services = s.news(one, now)
+	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: granted.until.Sub(now).Milliseconds()}
+	if now.Sub(l.holdsSentAt) >= holdsInterval {
+		mandate.Services = s.changedHolds(l, now)
 	}
 	return mandate
 }
 
-// news describes the holds that a link has not heard.
-func (s *standbys) news(one *link, now time.Time) []ServiceHolds {
-	var news []ServiceHolds
-	for service, held := range s.holds {
-		if one.holds[service] != held.version {
-			one.holds[service], one.holdsAt = held.version, now
-			news = append(news, EncodeHolds(service, held.version, held.holds))
+// changedHolds returns the holds that a link was not sent yet.
+func (s *standbys) changedHolds(l *link, now time.Time) []ServiceHolds {
+	var changed []ServiceHolds
+	for service, current := range s.holds {
+		if l.holdVersions[service] != current.version {
+			l.holdVersions[service], l.holdsSentAt = current.version, now
+			changed = append(changed, EncodeHolds(service, current.version, current.holds))
 		}
 	}
-	return news
+	return changed
 }
 
-// relink begins a leave over a new link. What the process did alone before is kept in
-// mind.
-func (s *standbys) relink(before *given, one *link, now time.Time) *given {
-	leave := &given{link: one, heard: map[routing.ServiceName]uint64{}, heardAt: now}
-	if before != nil {
-		leave.until, leave.heard, leave.renewed = before.until, before.heard, before.renewed
-		if before.alone(now) {
-			leave.renewed = now.Add(orderTime)
+// moveToLink moves a mandate to a new link. Renewals that the process may have made alone before
+// are taken into account.
+func (s *standbys) moveToLink(previous *standbyMandate, l *link, now time.Time) *standbyMandate {
+	granted := &standbyMandate{link: l, holdVersions: map[routing.ServiceName]uint64{}, lastReportAt: now}
+	if previous != nil {
+		granted.until, granted.holdVersions, granted.mayHaveRenewedUntil = previous.until, previous.holdVersions, previous.mayHaveRenewedUntil
+		if previous.mayRenewAlone(now) {
+			granted.mayHaveRenewedUntil = now.Add(renewalTimeout)
 		}
 	}
-	s.given[one.hello.Process] = leave
-	return leave
+	s.granted[l.hello.Process] = granted
+	return granted
 }
 
-// lost notes that a link is down.
-func (s *standbys) lost(one *link) {
-	if leave := s.given[one.hello.Process]; leave != nil && leave.link == one {
-		leave.down = true
+// markLinkLost records that a link is lost.
+func (s *standbys) markLinkLost(l *link) {
+	if granted := s.granted[l.hello.Process]; granted != nil && granted.link == l {
+		granted.linkLost = true
 	}
 }
 
-// mandates returns what the standbys may do with a service's holds.
-func (s *standbys) mandates(service routing.ServiceName, now time.Time) []owner.Delegation {
-	list := make([]owner.Delegation, 0, len(s.given))
-	for _, leave := range s.given {
-		if leave.alone(now) {
-			leave.renewed = earlier(now, leave.until).Add(orderTime)
+// ownerMandates returns the mandates of the standbys for a service's holds.
+func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Delegation {
+	list := make([]owner.Delegation, 0, len(s.granted))
+	for _, granted := range s.granted {
+		if granted.mayRenewAlone(now) {
+			granted.mayHaveRenewedUntil = earlier(now, granted.until).Add(renewalTimeout)
 		}
-		list = append(list, owner.Delegation{KnownVersion: leave.heard[service], Until: leave.until, LastRenewal: leave.renewed})
+		list = append(list, owner.Delegation{KnownVersion: granted.holdVersions[service], Until: granted.until, LastRenewal: granted.mayHaveRenewedUntil})
 	}
 	return list
 }
@@ -159,30 +163,30 @@
 	return b
 }
 
-// stamped takes a standby's report.
-func (h *Hub) stamped(one *link, report Report) {
+// recordStandbyReport records the stamp and the hold versions of a report.
+func (h *Hub) recordStandbyReport(l *link, report Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	one.stamp = report.Stamp
-	leave := h.standbys.given[one.hello.Process]
-	if leave == nil || leave.link != one {
+	l.stamp = report.Stamp
+	granted := h.standbys.granted[l.hello.Process]
+	if granted == nil || granted.link != l {
 		return
 	}
-	leave.heardAt = clock.Now()
+	granted.lastReportAt = clock.Now()
 	for service, version := range report.HoldVersions {
-		leave.heard[service] = max(leave.heard[service], version)
+		granted.holdVersions[service] = max(granted.holdVersions[service], version)
 	}
 }
 
-// Peers lists the linked processes, the strongest first.
+// Peers returns the linked processes, the strongest first.
 func (h *Hub) Peers() []Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	peers := make([]Peer, 0, len(h.links))
-	for one := range h.links {
-		if one.hello.Process != "" {
+	for l := range h.links {
+		if l.hello.Process != "" {
 			peers = append(peers, Peer{
-				Process: one.hello.Process, Address: one.hello.Address, Zone: one.hello.Zone, Strength: one.hello.Strength,
+				Process: l.hello.Process, Address: l.hello.Address, Zone: l.hello.Zone, Strength: l.hello.Strength,
 			})
 		}
 	}
@@ -198,49 +202,48 @@
 	return peers
 }
 
-// Appoint names the processes that are standbys from now on. Leaves that were given to
-// others run out.
+// AppointStandbys replaces the set of standbys. Mandates of other processes are no longer extended.
 func (h *Hub) AppointStandbys(processes []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.appointed = map[string]bool{}
-	for _, one := range processes {
-		h.standbys.appointed[one] = true
+	for _, process := range processes {
+		h.standbys.appointed[process] = true
 	}
 	h.wakeAll()
 }
 
-// SetLimit sets when leaves end at the latest.
+// SetMandateLimit sets when all mandates end at the latest.
 func (h *Hub) SetMandateLimit(limit time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.limit = limit
 }
 
-// PublishHolds tells the standbys what is held of a service.
+// PublishHolds sets the holds of a service and sends them to the standbys.
 func (h *Hub) PublishHolds(service routing.ServiceName, version uint64, holds []owner.Hold) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.standbys.holds[service] = heldNow{version: version, holds: holds}
-	for one := range h.links {
-		leave := h.standbys.given[one.hello.Process]
-		if h.standbys.appointed[one.hello.Process] || (leave != nil && leave.link == one) {
-			one.rouse()
+	h.standbys.holds[service] = currentHolds{version: version, holds: holds}
+	for l := range h.links {
+		granted := h.standbys.granted[l.hello.Process]
+		if h.standbys.appointed[l.hello.Process] || (granted != nil && granted.link == l) {
+			l.signal()
 		}
 	}
 }
 
-// Mandates returns what the standbys may do with a service's holds.
+// Mandates returns the mandates of the standbys for a service's holds.
 func (h *Hub) Mandates(service routing.ServiceName) []owner.Delegation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.standbys.mandates(service, clock.Now())
+	return h.standbys.ownerMandates(service, clock.Now())
 }
 
-// HasLeave reports whether a process may still renew, or have a renewal under way.
+// HasMandate reports whether a process may still renew holds, or may have a renewal in progress.
 func (h *Hub) HasMandate(process string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	leave := h.standbys.given[process]
-	return leave != nil && !now.After(leave.until.Add(orderTime))
+	granted := h.standbys.granted[process]
+	return granted != nil && !now.After(granted.until.Add(renewalTimeout))
 }
