--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -177,7 +177,7 @@
 	renewOnly := now.After(authority)
 	t.Hub.SetLeadershipUncertain(renewOnly)
 	t.Hub.SetStoreUnreachable(t.deaf(now))
-	t.Hub.SetMandateLimit(authority.Add(t.Times.RenewalGrace))
+	t.Hub.SetDelegationLimit(authority.Add(t.Times.RenewalGrace))
 	if !renewOnly {
 		t.ensure()
 		t.appoint(now)
@@ -191,7 +191,7 @@
 			t.plan(now, of)
 			t.store(of)
 		}
-		of.book.SetDelegations(t.Hub.Mandates(of.name))
+		of.book.SetDelegations(t.Hub.Delegations(of.name))
 		for _, order := range of.book.Due(now, renewOnly) {
 			go t.send(of, order)
 		}
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -60,7 +60,7 @@
 	}
 	// Those that had a leave keep their place until it has ended.
 	for _, one := range t.standbys.stored {
-		if t.Hub.HasMandate(one.Process, now) && !slices.Contains(list, one) {
+		if t.Hub.HasDelegation(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
 		}
 	}
--- a/internal/peerlink/lines_test.go
+++ b/internal/peerlink/lines_test.go
@@ -106,8 +106,8 @@
 				if update.Config != nil {
 					_, _ = update.Config.Items()
 				}
-				if update.Mandate != nil {
-					for _, holds := range update.Mandate.Services {
+				if update.Delegation != nil {
+					for _, holds := range update.Delegation.Services {
 						_, _ = holds.Holds()
 					}
 				}
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -105,8 +105,8 @@
 	// Config is sent if it is newer than the receiver's configuration.
 	Config   *ConfigChanges  `json:"c,omitempty"`
 	Services []ServiceOwners `json:"z,omitempty"`
-	// Mandate is sent to standbys only.
-	Mandate *Mandate `json:"y,omitempty"`
+	// Delegation is sent to standbys only.
+	Delegation *Delegation `json:"y,omitempty"`
 	// SuspectChanges are the packed changes of requests that were in progress at crashes. Suspects
 	// is the packed list of all of them, for processes that don't accept changes.
 	SuspectChanges []byte `json:"x,omitempty"`
@@ -128,11 +128,11 @@
 // Stale reports whether the state that a relay forwards is too old to rely on.
 func (u Update) Stale() bool { return u.Age() > SilenceLimit }
 
-// Mandate permits a standby to renew holds if it loses the leader.
-type Mandate struct {
+// Delegation permits a standby to renew holds if it loses the leader.
+type Delegation struct {
 	// Stamp is taken from the standby's last report, and RemainingMillis is how long after that
-	// stamp the mandate lasts. As the standby sent the stamp earlier, its mandate ends no later
-	// than the leader assumes, however long this message takes.
+	// stamp the delegation lasts. As the standby sent the stamp earlier, its delegation ends no
+	// later than the leader assumes, however long this message takes.
 	Stamp           int64 `json:"t"`
 	RemainingMillis int64 `json:"l"`
 	// Services contains the services whose holds have changed.
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -20,11 +20,11 @@
 // standbys is the leader's view of the processes that may renew holds. It is guarded by the hub's
 // lock.
 type standbys struct {
-	// limit is when all mandates end at the latest, as the leader's own renewals end then.
+	// limit is when all delegations end at the latest, as the leader's own renewals end then.
 	limit time.Time
 	holds map[routing.ServiceName]currentHolds
-	// granted are the mandates by process. Only those of appointed processes are extended.
-	granted   map[string]*standbyMandate
+	// granted are the delegations by process. Only those of appointed processes are extended.
+	granted   map[string]*standbyDelegation
 	appointed map[string]bool
 }
 
@@ -34,8 +34,8 @@
 	holds   []owner.Hold
 }
 
-// standbyMandate is the mandate of one process.
-type standbyMandate struct {
+// standbyDelegation is the delegation of one process.
+type standbyDelegation struct {
 	link         *link
 	until        time.Time
 	holdVersions map[routing.ServiceName]uint64
@@ -52,7 +52,7 @@
 const standbySilenceLimit = SilenceLimit - 2*heartbeatInterval
 
 // mayRenewAlone reports whether the standby may renew without the leader now.
-func (m *standbyMandate) mayRenewAlone(now time.Time) bool {
+func (m *standbyDelegation) mayRenewAlone(now time.Time) bool {
 	return m.linkLost || now.Sub(m.lastReportAt) > standbySilenceLimit
 }
 
@@ -65,24 +65,24 @@
 
 func (s *standbys) reset() {
 	*s = standbys{
-		holds: map[routing.ServiceName]currentHolds{}, granted: map[string]*standbyMandate{}, appointed: map[string]bool{},
+		holds: map[routing.ServiceName]currentHolds{}, granted: map[string]*standbyDelegation{}, appointed: map[string]bool{},
 	}
 }
 
-// extend extends the mandate of a link's process. It returns nil if the limit has passed, or if the
-// process is no longer a standby and has no mandate left. The mandate grants nothing until the
-// process has sent a stamp.
-func (s *standbys) extend(l *link, now time.Time) *Mandate {
+// extend extends the delegation of a link's process. It returns nil if the limit has passed, or if
+// the process is no longer a standby and has no delegation left. The delegation grants nothing
+// until the process has sent a stamp.
+func (s *standbys) extend(l *link, now time.Time) *Delegation {
 	if !s.appointed[l.hello.Process] {
-		return s.replacedMandate(l, now)
+		return s.replacedDelegation(l, now)
 	}
 	remaining := s.limit.Sub(now)
 	if remaining <= 0 {
 		return nil
 	}
-	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: remaining.Milliseconds()}
+	delegation := &Delegation{Stamp: l.stamp, RemainingMillis: remaining.Milliseconds()}
 	if l.stamp == 0 {
-		return mandate // requests a stamp; grants nothing
+		return delegation // requests a stamp; grants nothing
 	}
 	granted := s.granted[l.hello.Process]
 	if granted == nil || granted.link != l {
@@ -90,25 +90,25 @@
 	}
 	granted.until = s.limit
 	if now.Sub(l.holdsSentAt) >= holdsInterval {
-		mandate.Services = s.changedHolds(l, now)
+		delegation.Services = s.changedHolds(l, now)
 	}
-	return mandate
+	return delegation
 }
 
-// replacedMandate returns the remaining mandate of a standby that is no longer appointed, or nil if
-// it has none. It still contains changed holds, because the leader waits for a standby that does
-// not know that a hold has ended. Without them, a standby kept the keys of a crashed worker from
-// 34.3 s to 47.4 s of a run, for 13 s after its appointment had ended.
-func (s *standbys) replacedMandate(l *link, now time.Time) *Mandate {
+// replacedDelegation returns the remaining delegation of a standby that is no longer appointed, or
+// nil if it has none. It still contains changed holds, because the leader waits for a standby that
+// does not know that a hold has ended. Without them, a standby kept the keys of a crashed worker
+// from 34.3 s to 47.4 s of a run, for 13 s after its appointment had ended.
+func (s *standbys) replacedDelegation(l *link, now time.Time) *Delegation {
 	granted := s.granted[l.hello.Process]
 	if granted == nil || granted.link != l || !now.Before(granted.until) {
 		return nil
 	}
-	mandate := &Mandate{Stamp: l.stamp, RemainingMillis: granted.until.Sub(now).Milliseconds()}
+	delegation := &Delegation{Stamp: l.stamp, RemainingMillis: granted.until.Sub(now).Milliseconds()}
 	if now.Sub(l.holdsSentAt) >= holdsInterval {
-		mandate.Services = s.changedHolds(l, now)
+		delegation.Services = s.changedHolds(l, now)
 	}
-	return mandate
+	return delegation
 }
 
 // changedHolds returns the holds that a link was not sent yet.
@@ -123,10 +123,10 @@
 	return changed
 }
 
-// moveToLink moves a mandate to a new link. Renewals that the process may have made alone before
+// moveToLink moves a delegation to a new link. Renewals that the process may have made alone before
 // are taken into account.
-func (s *standbys) moveToLink(previous *standbyMandate, l *link, now time.Time) *standbyMandate {
-	granted := &standbyMandate{link: l, holdVersions: map[routing.ServiceName]uint64{}, lastReportAt: now}
+func (s *standbys) moveToLink(previous *standbyDelegation, l *link, now time.Time) *standbyDelegation {
+	granted := &standbyDelegation{link: l, holdVersions: map[routing.ServiceName]uint64{}, lastReportAt: now}
 	if previous != nil {
 		granted.until, granted.holdVersions, granted.mayHaveRenewedUntil = previous.until, previous.holdVersions, previous.mayHaveRenewedUntil
 		if previous.mayRenewAlone(now) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// ownerMandates returns the mandates of the standbys for a service's holds.
-func (s *standbys) ownerMandates(service routing.ServiceName, now time.Time) []owner.Delegation {
+// ownerDelegations returns the delegations of the standbys for a service's holds.
+func (s *standbys) ownerDelegations(service routing.ServiceName, now time.Time) []owner.Delegation {
 	list := make([]owner.Delegation, 0, len(s.granted))
 	for _, granted := range s.granted {
 		if granted.mayRenewAlone(now) {
@@ -202,7 +202,8 @@
 	return peers
 }
 
-// AppointStandbys replaces the set of standbys. Mandates of other processes are no longer extended.
+// AppointStandbys replaces the set of standbys. Delegations of other processes are no longer
+// extended.
 func (h *Hub) AppointStandbys(processes []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -213,8 +214,8 @@
 	h.wakeAll()
 }
 
-// SetMandateLimit sets when all mandates end at the latest.
-func (h *Hub) SetMandateLimit(limit time.Time) {
+// SetDelegationLimit sets when all delegations end at the latest.
+func (h *Hub) SetDelegationLimit(limit time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.standbys.limit = limit
@@ -233,15 +234,15 @@
 	}
 }
 
-// Mandates returns the mandates of the standbys for a service's holds.
-func (h *Hub) Mandates(service routing.ServiceName) []owner.Delegation {
+// Delegations returns the delegations of the standbys for a service's holds.
+func (h *Hub) Delegations(service routing.ServiceName) []owner.Delegation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.standbys.ownerMandates(service, clock.Now())
+	return h.standbys.ownerDelegations(service, clock.Now())
 }
 
-// HasMandate reports whether a process may still renew holds, or may have a renewal in progress.
-func (h *Hub) HasMandate(process string, now time.Time) bool {
+// HasDelegation reports whether a process may still renew holds, or may have a renewal in progress.
+func (h *Hub) HasDelegation(process string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	granted := h.standbys.granted[process]
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -22,7 +22,7 @@
 		}
 	}()
 	limit := time.Now().Add(time.Minute)
-	hub.SetMandateLimit(limit)
+	hub.SetDelegationLimit(limit)
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
 	hub.PublishHolds("s", 5, holds)
 
@@ -37,10 +37,10 @@
 			return Report{Stamp: 1, HoldVersions: map[routing.ServiceName]uint64{"s": version.Load()}}
 		},
 		OnUpdate: func(update Update) {
-			if update.Mandate == nil {
+			if update.Delegation == nil {
 				return
 			}
-			for _, message := range update.Mandate.Services {
+			for _, message := range update.Delegation.Services {
 				got, ok := message.Holds()
 				assert.Check(t, ok)
 				version.Store(message.Version)
@@ -55,27 +55,27 @@
 		}
 		return poll.Success()
 	})
-	assert.Equal(t, len(hub.Mandates("s")), 0, "no mandate before the appointment")
+	assert.Equal(t, len(hub.Delegations("s")), 0, "no delegation before the appointment")
 	hub.AppointStandbys([]string{"p"})
 	assert.DeepEqual(t, <-received, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		mandates := hub.Mandates("s")
-		if len(mandates) == 1 && mandates[0].KnownVersion == 5 && mandates[0].Until.Equal(limit) && mandates[0].LastRenewal.IsZero() {
+		delegations := hub.Delegations("s")
+		if len(delegations) == 1 && delegations[0].KnownVersion == 5 && delegations[0].Until.Equal(limit) && delegations[0].LastRenewal.IsZero() {
 			return poll.Success()
 		}
-		return poll.Continue("%+v", mandates)
+		return poll.Continue("%+v", delegations)
 	})
-	assert.Assert(t, hub.HasMandate("p", time.Now()))
+	assert.Assert(t, hub.HasDelegation("p", time.Now()))
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if mandates := hub.Mandates("s"); mandates[0].LastRenewal.IsZero() {
+		if delegations := hub.Delegations("s"); delegations[0].LastRenewal.IsZero() {
 			return poll.Continue("the link is not lost yet")
 		}
 		return poll.Success()
 	})
 	hub.PublishHolds("s", 6, nil)
-	assert.Equal(t, hub.Mandates("s")[0].KnownVersion, uint64(5), "it can't have received the empty holds")
+	assert.Equal(t, hub.Delegations("s")[0].KnownVersion, uint64(5), "it can't have received the empty holds")
 }
 
 // All holds are sent only at intervals: fences may change at each step of the leader, and sending
@@ -91,17 +91,17 @@
 	for step := range 60 {
 		s.holds["s"] = currentHolds{version: uint64(step + 1)}
 		at := now.Add(time.Duration(step) * 50 * time.Millisecond)
-		mandate := s.extend(l, at)
-		assert.Assert(t, mandate.RemainingMillis > 0, "the mandate is extended")
-		sent += len(mandate.Services)
+		delegation := s.extend(l, at)
+		assert.Assert(t, delegation.RemainingMillis > 0, "the delegation is extended")
+		sent += len(delegation.Services)
 	}
 	assert.Equal(t, sent, 3)
 }
 
 // Found by the soak test with real processes (seed 514): two standbys were replaced by stronger
-// ones while they had a mandate for 9 s and stayed linked. From then on, they did not learn of
+// ones while they had a delegation for 9 s and stayed linked. From then on, they did not learn of
 // holds that ended.
-func TestReplacedStandbyReceivesHoldsUntilItsMandateEnds(t *testing.T) {
+func TestReplacedStandbyReceivesHoldsUntilItsDelegationEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
@@ -112,14 +112,14 @@
 	assert.Equal(t, len(s.extend(l, now).Services), 1)
 	s.appointed["p"] = false
 	s.holds["s"], s.limit = currentHolds{version: 2}, now.Add(12*time.Second)
-	mandate := s.extend(l, now.Add(2*time.Second))
-	assert.Equal(t, len(mandate.Services), 1)
-	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the mandate is not extended")
+	delegation := s.extend(l, now.Add(2*time.Second))
+	assert.Equal(t, len(delegation.Services), 1)
+	assert.Equal(t, delegation.RemainingMillis, int64(7000), "the delegation is not extended")
 	assert.Assert(t, s.extend(l, now.Add(9*time.Second)) == nil)
 }
 
 // A standby that restarts with the same node name and address is another process: it has no
-// mandate, and the leader still waits for the mandate of the previous process.
+// delegation, and the leader still waits for the delegation of the previous process.
 func TestRestartedRouterIsADifferentStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
@@ -131,9 +131,9 @@
 	s.markLinkLost(before)
 	after := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p2"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
 	assert.Assert(t, s.extend(after, now.Add(time.Second)) == nil)
-	mandates := s.ownerMandates("s", now.Add(time.Second))
-	assert.Equal(t, len(mandates), 1)
-	assert.Equal(t, mandates[0].Until, s.limit)
+	delegations := s.ownerDelegations("s", now.Add(time.Second))
+	assert.Equal(t, len(delegations), 1)
+	assert.Equal(t, delegations[0].Until, s.limit)
 }
 
 // A worker that restarted at another address was sent to followers with its first address for as
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -30,7 +30,7 @@
 	update.Quota, l.pendingGrants = l.pendingGrants, nil
 	update.Peers = h.peerAddressesFor(l, now)
 	if h.leading {
-		update.Mandate = h.standbys.extend(l, now)
+		update.Delegation = h.standbys.extend(l, now)
 	}
 	return update, true
 }
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -295,7 +295,7 @@
 func (r *Router) handleUpdate(update peerlink.Update) {
 	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())
 	if !update.Leaderless {
-		r.standby.Heard(update.Term, update.Mandate)
+		r.standby.Heard(update.Term, update.Delegation)
 	}
 	r.leaderStoreUnreachable.Store(update.StoreUnreachable)
 	r.strongest.Store(math.Float64bits(update.Strongest))
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -57,7 +57,7 @@
 }
 
 // Heard takes what the leader of a term says; mandate is nil for all but standbys.
-func (s *Standby) Heard(term owner.Term, mandate *peerlink.Mandate) {
+func (s *Standby) Heard(term owner.Term, mandate *peerlink.Delegation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = mandate != nil
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -31,9 +31,9 @@
 }
 
 // leave lets the standby renew one run of keys for some time after a stamp of its own.
-func leave(stamp, left time.Duration) *peerlink.Mandate {
+func leave(stamp, left time.Duration) *peerlink.Delegation {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
-	return &peerlink.Mandate{
+	return &peerlink.Delegation{
 		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
 		Services: []peerlink.ServiceHolds{peerlink.EncodeHolds("s", 5, holds)},
 	}
@@ -41,7 +41,7 @@
 
 func TestAStandbyRenewsWithinItsLeave(t *testing.T) {
 	for name, c := range map[string]struct {
-		mandate *peerlink.Mandate
+		mandate *peerlink.Delegation
 		then    func(s *Standby)
 		least   int32
 		most    int32
