--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -175,9 +175,9 @@
 		return false
 	}
 	renewOnly := now.After(authority)
-	t.Hub.SetDoubtful(renewOnly)
-	t.Hub.SetDeaf(t.deaf(now))
-	t.Hub.SetLimit(authority.Add(t.Times.RenewalGrace))
+	t.Hub.SetLeadershipUncertain(renewOnly)
+	t.Hub.SetStoreUnreachable(t.deaf(now))
+	t.Hub.SetDelegationLimit(authority.Add(t.Times.RenewalGrace))
 	if !renewOnly {
 		t.ensure()
 		t.appoint(now)
@@ -191,7 +191,7 @@
 			t.plan(now, of)
 			t.store(of)
 		}
-		of.book.SetDelegations(t.Hub.Mandates(of.name))
+		of.book.SetDelegations(t.Hub.Delegations(of.name))
 		for _, order := range of.book.Due(now, renewOnly) {
 			go t.send(of, order)
 		}
@@ -297,7 +297,7 @@
 		}
 		of.loads.Add(now, counts)
 	}
-	for id, sum := range report.Times {
+	for id, sum := range report.ResponseTimes {
 		if worker, known := t.Workers.Get(id); known && t.services[worker.Service] != nil && sum[0] > 0 {
 			t.services[worker.Service].measured(now, worker, sum[0], time.Duration(sum[1])*time.Millisecond)
 		}
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -13,22 +13,23 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Times of keyed requests.
+// Waiting and retry times of keyed requests.
 const (
-	// moveShare is the share of the target for which a request waits while its
-	// key moves.
-	moveShare = 0.8
-	// ownerShare is the share for which it waits where no owner is known.
-	ownerShare = 0.22
-	// noOwnerReturn is when a caller may come back that has found no owner, and stayReturn when its key
-	// can't move for now.
-	noOwnerReturn = 200 * time.Millisecond
-	stayReturn    = time.Second
-	// ownerPause is the pause before an owner that refused is asked again.
-	ownerPause = 25 * time.Millisecond
+	// movingKeyWaitShare is the fraction of the target latency for which a request waits while its
+	// key is moving to another owner.
+	movingKeyWaitShare = 0.8
+	// missingOwnerWaitShare is the fraction for which it waits if there is no usable owner, or for
+	// the owner's rate limit.
+	missingOwnerWaitShare = 0.22
+	// noOwnerRetryAfter is the Retry-After delay if the key has no usable owner, and
+	// stuckKeyRetryAfter the one if the key also can't be moved for now.
+	noOwnerRetryAfter  = 200 * time.Millisecond
+	stuckKeyRetryAfter = time.Second
+	// ownerRetryPause is the pause before the request is sent to its owner again.
+	ownerRetryPause = 25 * time.Millisecond
 )
 
-// serveKeyed sends the request to the worker that holds its key.
+// serveKeyed sends the request to the worker that owns its key.
 func (c *call) serveKeyed() {
 	key, found := c.readKey(c.service)
 	if !found {
@@ -36,7 +37,7 @@
 		return
 	}
 	c.key = key
-	c.proxy.Meter.Asked(c.service.Name, key)
+	c.proxy.Meter.CountRequest(c.service.Name, key)
 	for {
 		to := c.awaitOwner()
 		if to == nil {
@@ -45,33 +46,34 @@
 		if c.quarantined() {
 			return
 		}
-		if !c.spend() {
-			c.giveUp(reasonBudget, c.returnSoon(100*time.Millisecond))
+		if !c.spendRetryBudget() {
+			c.giveUp(reasonBudget, c.retryAfterRejection(100*time.Millisecond))
 			return
 		}
-		got := c.sendTo(to, c.deadline.Add(-answerMargin))
-		if c.finish(got) {
+		result := c.sendTo(to, c.deadline.Add(-answerMargin))
+		if c.finish(result) {
 			return
 		}
-		if got.Outcome == upstream.TurnedAway { // no other may run it, and this one has no room
-			c.giveUp(reasonBusy, c.returnAfter())
+		if result.Outcome == upstream.TurnedAway { // no other worker may run it, and the owner has no capacity
+			c.giveUp(reasonBusy, c.jitteredRetryAfter())
 			return
 		}
-		if !c.allowed.left() {
-			c.giveUp(reasonRefused, c.returnSoon(150*time.Millisecond))
+		if !c.sends.maySend() {
+			c.giveUp(reasonRefused, c.retryAfterRejection(150*time.Millisecond))
 			return
 		}
 		if to.backoffLeft(clock.Now()) > 0 {
-			continue // it is refused, unless its key has moved
+			continue // awaitOwner refuses the request unless its key has moved
 		}
-		c.tellAgain(got)
-		if !c.pause(ownerPause) {
+		c.logResend(result)
+		if !c.pause(ownerRetryPause) {
 			return
 		}
 	}
 }
 
-// readKey returns the number of the request's key at a service; false if it has none.
+// readKey returns the number of the request's key at a service, or false if the request has no
+// valid key.
 func (c *call) readKey(service *routing.Service) (int, bool) {
 	if service.Key != nil {
 		return service.Key(c.request)
@@ -80,92 +82,95 @@
 	return key, err == nil && key >= 0 && key < owner.KeyCount
 }
 
-// awaitOwner returns the worker that holds the key, nil after it has answered.
+// awaitOwner waits for the worker that owns the key and returns it. It returns nil if it has already
+// answered the request.
 func (c *call) awaitOwner() *backend {
 	for {
 		changed := c.proxy.Table.Changed()
 		to, reason := c.findOwner()
 		if to != nil {
-			return c.unlessBusy(to)
+			return c.admitToOwner(to)
 		}
 		if reason == reasonRegion {
 			c.giveUp(reason, regionReturn)
 			return nil
 		}
-		patience := c.ownerPatience(reason)
-		limit := c.began.Add(time.Duration(patience * float64(c.route.Target)))
-		wait := min(clock.Until(limit), c.left()-answerMargin)
+		share := c.ownerWaitShare(reason)
+		limit := c.began.Add(time.Duration(share * float64(c.route.Target)))
+		wait := min(clock.Until(limit), c.timeLeft()-answerMargin)
 		if wait <= 0 {
-			c.giveUp(reason, c.ownerReturn(reason))
+			c.giveUp(reason, c.ownerRetryAfter(reason))
 			return nil
 		}
-		if !c.awaitTable(changed, wait) {
+		if !c.awaitTableChange(changed, wait) {
 			return nil
 		}
 	}
 }
 
-// ownerPatience is the share of the target for which a request waits for an owner, by why there is none:
-// none where it would wait in vain.
-func (c *call) ownerPatience(reason string) float64 {
+// ownerWaitShare returns the fraction of the target for which a request waits for a usable owner,
+// given the reason why there is none. It is 0 if waiting can't help.
+func (c *call) ownerWaitShare(reason string) float64 {
 	switch {
 	case reason == reasonMoving:
-		return moveShare
-	case c.keyStays(reason):
+		return movingKeyWaitShare
+	case c.cannotReassignKey(reason):
 		return 0
 	}
-	return ownerShare
+	return missingOwnerWaitShare
 }
 
-// keyStays reports whether the key has lost its owner and can't get another one now.
-func (c *call) keyStays(reason string) bool {
+// cannotReassignKey reports whether the key has lost its owner and can't get another one for now.
+func (c *call) cannotReassignKey(reason string) bool {
 	return reason == reasonOwnerGone && c.proxy.KeysStay != nil && c.proxy.KeysStay()
 }
 
-// ownerReturn is when a caller may come back for whose key there is no owner. While the key can't move
-// each router refuses it, and the later a caller tries the better.
-func (c *call) ownerReturn(reason string) time.Duration {
-	if c.keyStays(reason) {
-		return stayReturn
+// ownerRetryAfter returns the Retry-After delay of a request whose key has no usable owner. While
+// the key can't be moved every router refuses the request, so that the longer delay is better.
+func (c *call) ownerRetryAfter(reason string) time.Duration {
+	if c.cannotReassignKey(reason) {
+		return stuckKeyRetryAfter
 	}
-	return noOwnerReturn
+	return noOwnerRetryAfter
 }
 
-// findOwner returns the worker that may be sent the key's requests now, or why
-// there is none.
+// findOwner returns the worker to which the key's requests may be sent now, or the reason why there
+// is none.
 func (c *call) findOwner() (*backend, string) {
-	held, known := c.proxy.Table.Lookup(c.service.Name, c.key)
+	assigned, known := c.proxy.Table.Lookup(c.service.Name, c.key)
 	switch {
 	case !known:
 		return nil, reasonNoOwner
-	case held.Moving:
+	case assigned.Moving:
 		return nil, reasonMoving
 	}
-	to := c.holder(held)
+	to := c.ownerBackend(assigned)
 	switch {
 	case to == nil:
 		return nil, reasonOwnerGone
-	case c.bound() && !c.servedIn(c.proxy.fleet.regionOf(to.described())):
+	case c.bound() && !c.servedIn(c.proxy.fleet.regionOf(to.info())):
 		return nil, reasonRegion
-	case c.proxy.fleet.directory.EvacuatedFor(to.described().Zone) > c.evacuationGrace():
+	case c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():
 		return nil, reasonEvacuated
-	case !to.usableOwner(clock.Now()):
+	case !to.usableAsOwner(clock.Now()):
 		return nil, reasonOwnerDown
 	}
 	return to, ""
 }
 
-// lookAgain is the longest wait before the owner is looked up again.
-const lookAgain = 20 * time.Millisecond
+// ownerLookupInterval is the longest wait before the owner is looked up again. A table change ends
+// the wait earlier.
+const ownerLookupInterval = 20 * time.Millisecond
 
-// awaitTable waits for a change of owners; false if the request has ended.
-func (c *call) awaitTable(changed <-chan struct{}, wait time.Duration) bool {
-	if !c.state.enter(c.service.Queue) {
+// awaitTableChange waits for a change of the key table, but no longer than wait or
+// ownerLookupInterval. It returns false if it has already ended the request.
+func (c *call) awaitTableChange(changed <-chan struct{}, wait time.Duration) bool {
+	if !c.state.enqueue(c.service.Queue) {
 		c.giveUp(reasonQueue, 100*time.Millisecond)
 		return false
 	}
-	defer c.state.leave()
-	timer := time.NewTimer(min(wait, lookAgain))
+	defer c.state.dequeue()
+	timer := time.NewTimer(min(wait, ownerLookupInterval))
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -177,35 +182,36 @@
 	return true
 }
 
-// Where an owner turns requests away, a client is told to come back after between these
-// shares of the target, so that not all are back at once.
+// If an owner rejects requests, the Retry-After delay is between these fractions of the target, so
+// that clients do not all retry at the same time.
 const (
-	soonestReturn = 0.25
-	latestReturn  = 0.75
+	minRetryAfterShare = 0.25
+	maxRetryAfterShare = 0.75
 )
 
-// unlessBusy refuses a request that the owner could not answer in time, or would
-// probably turn away.
-func (c *call) unlessBusy(to *backend) *backend {
+// admitToOwner returns the owner if the request may be sent to it now, after any wait that the
+// owner's rate limit requires. It refuses the request and returns nil if the owner is in a backoff,
+// could not answer in time, would probably reject the request, or gets no more for now.
+func (c *call) admitToOwner(to *backend) *backend {
 	now := clock.Now()
 	if wait := to.backoffLeft(now); wait > 0 {
-		c.giveUp(reasonBackoff, c.returnElsewhere(wait))
+		c.giveUp(reasonBackoff, c.backoffRetryAfter(wait))
 		return nil
 	}
 	if reason := c.turnedBack(now, to); reason != "" {
-		c.giveUp(reason, c.returnAfter())
+		c.giveUp(reason, c.jitteredRetryAfter())
 		return nil
 	}
-	estimated := to.estimateAged(now, usualTime)
-	if estimated > c.left() {
-		c.giveUp(reasonBusy, min(estimated-c.left(), 300*time.Millisecond))
+	estimated := to.estimateDecayed(now, defaultLatency)
+	if estimated > c.timeLeft() {
+		c.giveUp(reasonBusy, min(estimated-c.timeLeft(), 300*time.Millisecond))
 		return nil
 	}
 	if !to.admit(now, c.service.ColdRate, int(c.proxy.Nodes.Load())) {
-		c.giveUp(reasonCold, c.returnAfter())
+		c.giveUp(reasonCold, c.jitteredRetryAfter())
 		return nil
 	}
-	wait, ok := c.permitted(to, c.limitPatience())
+	wait, ok := c.permitted(to, c.maxLimitWait())
 	if !ok {
 		c.giveUp(reasonLimited, returnWhenLet(wait))
 		return nil
@@ -216,25 +222,27 @@
 	return to
 }
 
-// limitPatience is for how long a request waits for its turn at an owner that names a limit.
-func (c *call) limitPatience() time.Duration {
-	return min(time.Duration(ownerShare*float64(c.route.Target)), max(0, c.left()-answerMargin))
+// maxLimitWait returns for how long a request may wait for the rate limit of its owner.
+func (c *call) maxLimitWait() time.Duration {
+	return min(time.Duration(missingOwnerWaitShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
 }
 
-// returnAfter is when a client may come back whose owner takes no more now.
-func (c *call) returnAfter() time.Duration {
-	share := soonestReturn + (latestReturn-soonestReturn)*rand.Float64()
+// jitteredRetryAfter returns a random Retry-After delay, as a fraction of the target, for a request
+// that can't be accepted now.
+func (c *call) jitteredRetryAfter() time.Duration {
+	share := minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*rand.Float64()
 	return time.Duration(share * float64(c.route.Target))
 }
 
-// holder returns the backend that the table names; nil if it must not get work.
-func (c *call) holder(held owner.Owner) *backend {
-	worker, announced := c.proxy.fleet.directory.Get(held.Worker)
+// ownerBackend returns the backend of the key's assigned worker, or nil if that worker must not
+// receive requests.
+func (c *call) ownerBackend(assigned owner.Owner) *backend {
+	worker, announced := c.proxy.fleet.directory.Get(assigned.Worker)
 	if !announced {
-		if c.proxy.fleet.directory.GoneFor(held.Worker) > c.leavingGrace() {
+		if c.proxy.fleet.directory.GoneFor(assigned.Worker) > c.leavingGrace() {
 			return nil
 		}
-		worker = workers.Worker{ID: held.Worker, Address: held.Address, Service: c.service.Name, Slots: 1, State: workers.StateReady}
+		worker = workers.Worker{ID: assigned.Worker, Address: assigned.Address, Service: c.service.Name, Slots: 1, State: workers.StateReady}
 	}
 	if (!announced || worker.State == workers.StateDraining) && c.drainedFor(worker.ID) > c.leavingGrace() {
 		return nil
@@ -242,31 +250,31 @@
 	return c.proxy.fleet.get(worker)
 }
 
-// noticeShare of the time for which a worker that leaves may get requests is kept for
-// hearing of it late: a leader's silence counts for 1.1 s, and what it did not tell is
-// read after that.
-const noticeShare = 0.5
+// detectionShare is the fraction of the drain and evacuation periods that is reserved for late
+// detection: a leader is considered lost only after 1.1 s of silence, and updates that it did not
+// send are read after that.
+const detectionShare = 0.5
 
-// leavingGrace is for how long a worker that leaves still gets requests for the keys
-// that it holds, once this process has heard of it.
+// leavingGrace returns for how long a worker still gets requests for its keys after it is known to be
+// draining or is no longer announced.
 func (c *call) leavingGrace() time.Duration {
-	return time.Duration((1 - noticeShare) * float64(c.proxy.Drain))
+	return time.Duration((1 - detectionShare) * float64(c.proxy.Drain))
 }
 
-// evacuationGrace is for how long owners of keys in an evacuated zone still get requests,
-// once this process has heard of it: their keys move meanwhile.
+// evacuationGrace returns for how long owners in an evacuated zone still get requests after this
+// process has learned of the evacuation. Their keys move to other workers during that time.
 func (c *call) evacuationGrace() time.Duration {
-	return time.Duration((1 - noticeShare) * float64(c.proxy.Evacuate))
+	return time.Duration((1 - detectionShare) * float64(c.proxy.Evacuate))
 }
 
-// drainedFor returns how long a worker has been draining.
+// drainedFor returns for how long a worker has been draining.
 func (c *call) drainedFor(id workers.ID) time.Duration {
 	return c.proxy.fleet.directory.DrainingFor(id)
 }
 
-// pause waits; false if the request ended meanwhile.
+// pause waits, at most until the deadline. It returns false if the request was canceled meanwhile.
 func (c *call) pause(wait time.Duration) bool {
-	timer := time.NewTimer(min(wait, max(0, c.left())))
+	timer := time.NewTimer(min(wait, max(0, c.timeLeft())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- /dev/null
+++ b/internal/proxy/malformed_test.go
@@ -0,0 +1,66 @@
+package proxy
+
+import (
+	"net"
+	"net/http"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// A caller's request may be retried at every router, so that one that crashes a router could crash
+// all of them.
+func TestMalformedRequestsDoNotCrashRouter(t *testing.T) {
+	tests := map[string]struct {
+		path    string
+		headers []string
+	}{
+		"deadline is not a number":   {path: "/safe/", headers: []string{"X-Deadline", "NaN"}},
+		"infinite deadline":          {path: "/safe/", headers: []string{"X-Deadline", "Inf"}},
+		"very long deadline":         {path: "/safe/", headers: []string{"X-Deadline", "1e300"}},
+		"deadline of zero":           {path: "/safe/", headers: []string{"X-Deadline", "0"}},
+		"negative key":               {path: "/keyed/", headers: []string{"X-Key", "-1"}},
+		"key too large":              {path: "/keyed/", headers: []string{"X-Key", "99999999999999999999"}},
+		"no id":                      {path: "/safe/", headers: []string{"X-Id", ""}},
+		"path with escapes":          {path: "/safe/%00%ff%2f..%2f"},
+		"query with separators only": {path: "/safe/?&&=;%%"},
+		"two body lengths":           {path: "/unsafe/", headers: []string{"Content-Length", "7"}},
+		"worker headers from caller": {path: "/safe/", headers: []string{"X-Load", "1,2,0", "X-Not-Run", "1", "X-Target", "other"}},
+	}
+	odd := []string{"X-Load: -1,99999999999,0", "Keep-Alive: timeout=99999999999999999", "Retry-After: -1"}
+	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+		answer(connection, request, http.StatusOK, "x", odd...)
+		return true
+	})
+	entry := w.entry("pool")
+	f := newTestProxy(t, entry)
+	f.assignAllKeys(entry)
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			response, err := http.DefaultClient.Do(f.request(t, "GET", test.path, "", test.headers...))
+			if err == nil {
+				_ = response.Body.Close()
+			}
+			after, body := f.get(t, "GET", "/safe/", "")
+			assert.Equal(t, after.StatusCode, http.StatusOK)
+			assert.Equal(t, body, "x")
+		})
+	}
+}
+
+// A copy of a request runs in another goroutine than the handler. A panic there must reach the
+// handler, where it aborts the caller's connection but does not terminate the process.
+func TestPanicInCopyAbortsOnlyItsRequest(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
+	f := newTestProxy(t, w.entry("pool"))
+	f.get(t, "GET", "/safe/", "")
+	list, _ := f.directory.Usable("pool")
+	broken := f.proxy.fleet.get(list[0])
+	working := broken.pool
+	broken.pool = nil
+	_, err := http.DefaultClient.Do(f.request(t, "GET", "/safe/", ""))
+	assert.Assert(t, err != nil, "the connection is aborted")
+	broken.pool = working
+	response, _ := f.get(t, "GET", "/safe/", "")
+	assert.Equal(t, response.StatusCode, http.StatusOK)
+}
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -9,77 +9,79 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Constants of picking.
+// Parameters of picking workers.
 const (
-	// jitter keeps processes that know the same from picking the same worker.
-	jitter = 0.12
-	// fullCrowd is the number of requests at a worker, as a multiple of its
-	// slots, above which no more are sent.
-	fullCrowd = 3.5
-	// usualEvery is the pause between averages over a service's workers.
-	usualEvery = 200 * time.Millisecond
+	// estimateJitter is the largest relative increase of an estimate at random. It keeps processes
+	// with the same information from picking the same worker.
+	estimateJitter = 0.12
+	// maxLoadRatio is the number of requests at a worker, as a multiple of its slots, from which
+	// on no more are sent.
+	maxLoadRatio = 3.5
+	// meanLatencyInterval is how often the mean latency over a service's workers is recomputed.
+	meanLatencyInterval = 200 * time.Millisecond
 )
 
-// choice is a worker and how long a request sent to it now would take.
+// choice is a worker with the estimated duration of a request sent to it now.
 type choice struct {
-	to       *backend
+	backend  *backend
 	estimate time.Duration
-	// free says that the request would probably not wait there.
-	free bool
+	// hasFreeSlot reports that the request would probably not wait at the worker.
+	hasFreeSlot bool
 }
 
-// sooner returns the choice that answers sooner.
-func (c choice) sooner(other choice) choice {
-	if c.to == nil || (other.to != nil && other.estimate < c.estimate) {
+// faster returns the choice with the shorter estimate. A choice without a backend never wins over one
+// with a backend.
+func (c choice) faster(other choice) choice {
+	if c.backend == nil || (other.backend != nil && other.estimate < c.estimate) {
 		return other
 	}
 	return c
 }
 
-// member is a worker of a service that new work may go to.
+// member is a worker of a service that may receive new requests.
 type member struct {
 	id      workers.ID
 	backend *backend
 	region  topology.Region
-	// distance from this process; preferred workers are those of the own zone that it sends
-	// to first.
+	// distance is that from this process. preferred reports that the worker belongs to the subset
+	// of the local zone that this process sends to first.
 	distance  topology.Distance
 	preferred bool
 }
 
-// members are a service's workers as picking needs them. They are made anew only when the
-// list of workers or the number of processes changes: a pick among 98 workers took 27 µs
-// when it looked each of them up, and 11 µs since (BenchmarkPick), which counts where
-// requests that wait pick again every 5 ms on a sixth of a core.
-type members struct {
+// memberCache caches a service's workers for picking. It is rebuilt only when the list of workers
+// or the number of processes changes: picking one of 98 workers takes 11 µs with the cache and
+// 27 µs if each worker is looked up (BenchmarkPick). That matters because waiting requests pick
+// again every 5 ms, with a sixth of a core available.
+type memberCache struct {
 	list    []member
 	version uint64
 	nodes   int
-	known   bool
-	// usual is the mean time over the workers that were measured, as of usualAt.
-	usual   time.Duration
-	usualAt time.Time
+	valid   bool
+	// meanLatency is the mean over the workers with measurements, as of meanLatencyAt.
+	meanLatency   time.Duration
+	meanLatencyAt time.Time
 }
 
-// membersOf returns a service's workers, and the mean time of work at them.
-func (f *fleet) membersOf(now time.Time, service *serviceState, name routing.ServiceName, nodes int) ([]member, time.Duration) {
-	service.membersMu.Lock()
-	defer service.membersMu.Unlock()
-	m := &service.members
+// members returns a service's workers and their mean latency.
+func (f *fleet) members(now time.Time, state *serviceState, name routing.ServiceName, nodes int) ([]member, time.Duration) {
+	state.membersMu.Lock()
+	defer state.membersMu.Unlock()
+	m := &state.members
 	announced, version := f.directory.Usable(name)
-	if !m.known || m.version != version || m.nodes != nodes {
-		m.list, m.version, m.nodes, m.known = f.list(service, announced, version, nodes), version, nodes, true
-		m.usualAt = time.Time{}
+	if !m.valid || m.version != version || m.nodes != nodes {
+		m.list, m.version, m.nodes, m.valid = f.buildMembers(state, announced, version, nodes), version, nodes, true
+		m.meanLatencyAt = time.Time{}
 	}
-	if now.Sub(m.usualAt) >= usualEvery {
-		m.usual, m.usualAt = usualOf(m.list), now
+	if now.Sub(m.meanLatencyAt) >= meanLatencyInterval {
+		m.meanLatency, m.meanLatencyAt = meanLatencyOf(m.list), now
 	}
-	return m.list, m.usual
+	return m.list, m.meanLatency
 }
 
-// list looks workers up.
-func (f *fleet) list(service *serviceState, announced []workers.Worker, version uint64, nodes int) []member {
-	preferred := f.preferred(service, announced, version, nodes)
+// buildMembers looks up the workers that this process considers for a service.
+func (f *fleet) buildMembers(state *serviceState, announced []workers.Worker, version uint64, nodes int) []member {
+	preferred := f.preferred(state, announced, version, nodes)
 	considered := f.considered(announced, len(preferred))
 	list := make([]member, 0, len(considered))
 	for _, worker := range considered {
@@ -91,69 +93,70 @@
 	return list
 }
 
-// preferred returns the workers of the own zone that this process sends to first.
-func (f *fleet) preferred(service *serviceState, list []workers.Worker, version uint64, nodes int) map[workers.ID]bool {
+// preferred returns the workers of the local zone that this process sends to first.
+func (f *fleet) preferred(state *serviceState, list []workers.Worker, version uint64, nodes int) map[workers.ID]bool {
 	zones := map[string]bool{}
-	var near []workers.ID
+	var sameZone []workers.ID
 	for _, worker := range list {
 		zones[worker.Zone] = true
 		if worker.Zone == f.zone {
-			near = append(near, worker.ID)
+			sameZone = append(sameZone, worker.ID)
 		}
 	}
-	return service.subset.of(f.seed, near, version, subsetSize(len(near), nodes/max(1, len(zones))))
+	return state.subset.of(f.seed, sameZone, version, subsetSize(len(sameZone), nodes/max(1, len(zones))))
 }
 
-// usualOf is the mean time over the workers that were measured.
-func usualOf(list []member) time.Duration {
+// meanLatencyOf returns the mean latency over the workers with measurements, or defaultLatency if
+// there are none.
+func meanLatencyOf(list []member) time.Duration {
 	total, count := time.Duration(0), 0
 	for _, one := range list {
-		if mean, measured := one.backend.mean(usualTime); measured {
+		if mean, measured := one.backend.meanLatency(defaultLatency); measured {
 			total += mean
 			count++
 		}
 	}
 	if count == 0 {
-		return usualTime
+		return defaultLatency
 	}
 	return total / time.Duration(count)
 }
 
-// pick chooses a worker of a pool; none may be sent to now if it has no backend. nodes is
-// how many processes there are.
-func (f *fleet) pick(now time.Time, service *serviceState, of *routing.Service, asks need, tried map[workers.ID]bool, nodes int) choice {
+// pick chooses a worker of a pool. The choice has no backend if no worker may be sent to now. nodes
+// is the number of router processes.
+func (f *fleet) pick(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
 	for {
-		picked := f.soonest(now, service, of, asks, tried, nodes)
-		if picked.to == nil || picked.to.admit(now, of.ColdRate, nodes) {
+		picked := f.fastest(now, state, service, required, tried, nodes)
+		if picked.backend == nil || picked.backend.admit(now, service.ColdRate, nodes) {
 			return picked
 		}
 	}
 }
 
-// soonest returns the worker that a request is best sent to.
-func (f *fleet) soonest(now time.Time, service *serviceState, of *routing.Service, asks need, tried map[workers.ID]bool, nodes int) choice {
-	list, usual := f.membersOf(now, service, of.Name, nodes)
-	var first choice
-	var by nearest
+// fastest returns the worker that should receive the request, by estimated latency and distance.
+func (f *fleet) fastest(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
+	list, meanLatency := f.members(now, state, service.Name, nodes)
+	var preferred choice
+	var byDistance nearest
 	for _, one := range list {
-		if tried[one.id] || asks.serves != nil && !asks.serves(one.region) || f.keptAway(now, one.backend) {
+		if tried[one.id] || required.serves != nil && !required.serves(one.region) || f.keptAway(now, one.backend) {
 			continue
 		}
-		candidate, ok := one.backend.assess(now, usual, of.ColdRate, nodes)
-		if !ok || asks.free && !candidate.free {
+		candidate, ok := one.backend.assess(now, meanLatency, service.ColdRate, nodes)
+		if !ok || required.free && !candidate.hasFreeSlot {
 			continue
 		}
-		candidate.estimate = time.Duration(float64(candidate.estimate) * (1 + jitter*rand.Float64()))
+		candidate.estimate = time.Duration(float64(candidate.estimate) * (1 + estimateJitter*rand.Float64()))
 		if one.preferred {
-			first = first.sooner(candidate)
+			preferred = preferred.faster(candidate)
 		} else {
-			by[one.distance] = by[one.distance].sooner(candidate)
+			byDistance[one.distance] = byDistance[one.distance].faster(candidate)
 		}
 	}
-	if first.to == nil || !first.free {
-		first = by[topology.SameZone].sooner(first)
+	if preferred.backend == nil || !preferred.hasFreeSlot {
+		preferred = byDistance[topology.SameZone].faster(preferred)
 	}
-	by[topology.SameZone] = first
-	late := func(mean time.Duration) float64 { return service.late(mean, asks.target) }
-	return f.policy.choose(by, asks, late, func() bool { return f.bulk.take(now, asks.bytes, nodes) })
+	byDistance[topology.SameZone] = preferred
+	lateShare := func(mean time.Duration) float64 { return state.lateShare(mean, required.target) }
+	return f.policy.choose(byDistance, required, lateShare, func() bool { return f.bulk.take(now, required.bytes, nodes) })
 }
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -25,33 +25,33 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// testHeaders are the names of headers in these tests.
+// testHeaders are the header names that the tests use.
 var testHeaders = upstream.Headers{
 	RequestID: "X-Id", DeadlineMillis: "X-Deadline", Signature: "X-Signature", Target: "X-Target",
 	Worker: "X-Worker", NotRun: "X-Not-Run", Load: "X-Load", Key: "X-Key", Tenant: "X-Tenant",
 }
 
-// script answers the requests of one connection; it may write anything. It
-// returns false to close the connection.
+// script handles one request that a fakeWorker has received, and may write any bytes to the connection.
+// It returns false to close the connection.
 type script func(connection net.Conn, request *http.Request) bool
 
-// worker is a stand-in whose every byte is scripted.
-type worker struct {
-	id       workers.ID
-	listener net.Listener
-	mu       sync.Mutex
-	arrived  []*http.Request
-	bodies   []string
-	opened   int
-	closed   int
+// fakeWorker is a worker whose answers are written byte by byte by a script.
+type fakeWorker struct {
+	id          workers.ID
+	listener    net.Listener
+	mu          sync.Mutex
+	received    []*http.Request
+	bodies      []string
+	openedCount int
+	closedCount int
 }
 
-func newWorker(t *testing.T, id workers.ID, run script) *worker {
+func newFakeWorker(t *testing.T, id workers.ID, handle script) *fakeWorker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	w := &worker{id: id, listener: listener}
+	w := &fakeWorker{id: id, listener: listener}
 	go func() {
 		for {
 			connection, err := listener.Accept()
@@ -59,19 +59,19 @@
 				return
 			}
 			w.mu.Lock()
-			w.opened++
+			w.openedCount++
 			w.mu.Unlock()
-			go w.serve(connection, run)
+			go w.serve(connection, handle)
 		}
 	}()
 	return w
 }
 
-func (w *worker) serve(connection net.Conn, run script) {
+func (w *fakeWorker) serve(connection net.Conn, handle script) {
 	defer func() {
 		_ = connection.Close()
 		w.mu.Lock()
-		w.closed++
+		w.closedCount++
 		w.mu.Unlock()
 	}()
 	reader := bufio.NewReader(connection)
@@ -85,41 +85,41 @@
 			return
 		}
 		w.mu.Lock()
-		w.arrived = append(w.arrived, request)
+		w.received = append(w.received, request)
 		w.bodies = append(w.bodies, string(body))
 		w.mu.Unlock()
-		if !run(connection, request) {
+		if !handle(connection, request) {
 			return
 		}
 	}
 }
 
-func (w *worker) arrivals() int {
+func (w *fakeWorker) receivedCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.arrived)
+	return len(w.received)
 }
 
-func (w *worker) connections() int {
+func (w *fakeWorker) openedConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.opened
+	return w.openedCount
 }
 
-func (w *worker) ends() int {
+func (w *fakeWorker) closedConnections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.closed
+	return w.closedCount
 }
 
-func (w *worker) entry(service string) workers.Worker {
+func (w *fakeWorker) entry(service string) workers.Worker {
 	return workers.Worker{
 		ID: w.id, Service: routing.ServiceName(service), Address: w.listener.Addr().String(),
 		Zone: "z", Slots: 4, State: workers.StateReady,
 	}
 }
 
-// answer writes a whole answer with a body.
+// answer writes a complete answer with a body and additional header lines.
 func answer(connection net.Conn, request *http.Request, status int, body string, extra ...string) {
 	head := fmt.Sprintf("HTTP/1.1 %d x\r\nX-Id: %s\r\nX-Signature: s\r\nContent-Length: %d\r\n",
 		status, request.Header.Get("X-Id"), len(body))
@@ -129,7 +129,8 @@
 	_, _ = io.WriteString(connection, head+"\r\n"+body)
 }
 
-func answers(body string) script {
+// alwaysAnswer returns a script that answers each request with status 200 and the body.
+func alwaysAnswer(body string) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, body)
 		return true
@@ -142,45 +143,46 @@
 	_ = connection.Close()
 }
 
-// reset breaks the connection off with a reset.
+// reset is a script that resets the connection without an answer.
 func reset(connection net.Conn, _ *http.Request) bool {
 	abort(connection)
 	return false
 }
 
-// refuses says that it did not run the request.
-func refuses(connection net.Conn, request *http.Request) bool {
+// refuse is a script that answers that it did not run the request.
+func refuse(connection net.Conn, request *http.Request) bool {
 	answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1")
 	return true
 }
 
-// refusesOnce refuses the first request, over all workers that have the same script, and answers
-// the others.
-func refusesOnce() script {
+// refuseOnce returns a script that refuses the first request over all workers that share it, and
+// answers the others.
+func refuseOnce() script {
 	var first atomic.Bool
 	return func(connection net.Conn, request *http.Request) bool {
 		if first.CompareAndSwap(false, true) {
-			return refuses(connection, request)
+			return refuse(connection, request)
 		}
 		answer(connection, request, http.StatusOK, "done")
 		return true
 	}
 }
 
-// front is a proxy under test with its clients' address.
-type front struct {
+// testProxy is a proxy under test with an HTTP server for its clients.
+type testProxy struct {
 	proxy     *Proxy
 	directory *workers.Directory
 	server    *httptest.Server
 	calls     int
 }
 
-// testDrain is how long workers that leave may get requests.
+// testDrain is the drain period of the proxy under test.
 const testDrain = 2 * time.Second
 
-// newFront serves "/safe/", "/unsafe/" and "/single/", which may run on one worker only,
-// at service "pool", "/keyed/" and "/keyed-once/" at service "keyed".
-func newFront(t *testing.T, list ...workers.Worker) *front {
+// newTestProxy starts a proxy with the given workers. It routes "/safe/", "/unsafe/", "/up/", "/down/"
+// and "/single/", which may run on one worker only, to service "pool", and "/keyed/" and
+// "/keyed-once/" to service "keyed".
+func newTestProxy(t *testing.T, list ...workers.Worker) *testProxy {
 	t.Helper()
 	directory := workers.NewDirectory()
 	directory.Replace(list, nil, time.Now())
@@ -189,12 +191,12 @@
 	proxy.Drain = testDrain
 	proxy.Log, proxy.Metrics = decision.NewTo(io.Discard, "test"), NewMetrics(prometheus.NewRegistry())
 	proxy.Use(testConfig(t, 1))
-	f := &front{proxy: proxy, directory: directory, server: httptest.NewServer(proxy)}
+	f := &testProxy{proxy: proxy, directory: directory, server: httptest.NewServer(proxy)}
 	t.Cleanup(f.server.Close)
 	return f
 }
 
-// testConfig returns the configuration of newFront, with further routes.
+// testConfig returns the configuration of newTestProxy with additional routes.
 func testConfig(t testing.TB, version routing.Version, more ...*routing.Route) *routing.Config {
 	t.Helper()
 	route := func(prefix, service string, repeatable bool) *routing.Route {
@@ -220,15 +222,15 @@
 	return config
 }
 
-// owns makes a worker the owner of all keys.
-func (f *front) owns(w workers.Worker) {
+// assignAllKeys makes a worker the owner of all keys.
+func (f *testProxy) assignAllKeys(w workers.Worker) {
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{{
 		Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: w.ID, Address: w.Address,
 	}})
 }
 
-// request builds a client's request.
-func (f *front) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+// request builds a client request. headers are pairs of names and values.
+func (f *testProxy) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	f.calls++
 	request, err := http.NewRequestWithContext(t.Context(), method, f.server.URL+path, strings.NewReader(body))
@@ -242,8 +244,8 @@
 	return request
 }
 
-// get does a request and returns its answer's status and body.
-func (f *front) get(t *testing.T, method, path, body string, headers ...string) (*http.Response, string) {
+// get sends a request and returns the response and its body.
+func (f *testProxy) get(t *testing.T, method, path, body string, headers ...string) (*http.Response, string) {
 	t.Helper()
 	response, err := http.DefaultClient.Do(f.request(t, method, path, body, headers...))
 	assert.NilError(t, err)
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -10,102 +10,102 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// In no window do more requests run than the limit allows, whatever becomes of routers, leaders
-// and messages: at each request the window that ends there is counted.
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+// No window may contain more requests than the limit allows, whatever happens to routers, leaders
+// and messages. After each step, the requests in the window that ends there are counted.
+func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenant := &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-		w := newWorldOf(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
-		limit := w.bound.Allowed(tenant)
-		// lowered is when all routers knew of the last lower limit.
+		s := newSimulationWith(t, rapid.IntRange(1, 6).Draw(t, "routers"), tenant, rapid.Bool().Draw(t, "unrecorded"))
+		limit := s.bound.Allowed(tenant)
+		// lowered is when the limit was last lowered; all routers know of it at once.
 		var lowered time.Time
 		delay := func() time.Duration {
 			return time.Duration(rapid.IntRange(0, 800).Draw(t, "delay")) * time.Millisecond
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
-			r := rapid.SampledFrom(w.routers).Draw(t, "router")
-			switch rapid.SampledFrom(worldEvents).Draw(t, "event") {
-			case "cut":
-				r.cut = !r.cut
+			r := rapid.SampledFrom(s.routers).Draw(t, "router")
+			switch rapid.SampledFrom(simulationEvents).Draw(t, "event") {
+			case "cut": // partition a router, or end its partition
+				r.partitioned = !r.partitioned
 			case "restart":
-				w.start(r)
-			case "freeze":
-				r.frozen = w.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
+				s.startRouter(r)
+			case "freeze": // suspend a router
+				r.frozenUntil = s.now.Add(time.Duration(rapid.IntRange(1, 12).Draw(t, "frozen")) * time.Second)
 			case "kill leader":
-				w.leader().killed = true
-			case "partition leader":
-				w.leader().lost = true
-			case "freeze leader":
-				w.leader().frozen = w.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
+				s.leader().killed = true
+			case "partition leader": // its authority is no longer renewed
+				s.leader().authorityLost = true
+			case "freeze leader": // suspend the leader
+				s.leader().frozenUntil = s.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "frozen")) * time.Second)
 			case "elect":
-				w.elect()
-			case "follow":
-				r.leader = len(w.leaders) - 1
-			case "follow any":
-				r.leader = rapid.IntRange(0, len(w.leaders)-1).Draw(t, "leader")
+				s.elect()
+			case "follow": // a router follows the current leader
+				r.leader = len(s.leaders) - 1
+			case "follow any": // a router follows the current leader or an earlier one
+				r.leader = rapid.IntRange(0, len(s.leaders)-1).Draw(t, "leader")
 			case "add":
-				if len(w.routers) < 9 {
-					w.add()
+				if len(s.routers) < 9 {
+					s.addRouter()
 				}
-			case "store":
-				w.away = !w.away
+			case "store": // the store fails, or recovers
+				s.storeDown = !s.storeDown
 			case "restart all":
-				w.leader().killed = true
-				for _, one := range w.routers {
-					w.start(one)
+				s.leader().killed = true
+				for _, one := range s.routers {
+					s.startRouter(one)
 				}
 			case "limit":
-				w.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
-				if w.leader().coordinator.Use(w.now, tenants(w.tenant)) {
-					w.leftover, w.reserved = Leftovers{All: 1}, w.now.Add(w.bound.Unknown())
+				s.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
+				if s.leader().coordinator.SetTenants(s.now, tenants(s.tenant)) {
+					s.unreported, s.claimExpiry = UnreportedShares{All: 1}, s.now.Add(s.bound.TakeoverDelay())
 				}
-				for _, one := range w.routers {
-					one.tenant = w.tenant
-					one.holder.Use(tenants(w.tenant))
+				for _, one := range s.routers {
+					one.tenant = s.tenant
+					one.holder.SetTenants(tenants(s.tenant))
 				}
-				if units := w.bound.Allowed(w.tenant); units >= limit {
+				if units := s.bound.Allowed(s.tenant); units >= limit {
 					limit = units
 				} else {
-					lowered = w.now
+					lowered = s.now
 				}
 			case "return":
-				w.giveBack(t)
+				s.returnOne(t)
 			case "flood":
 				for range 2 * limit {
-					w.ask(r)
+					s.request(r)
 				}
 			case "flood all":
-				for _, one := range w.routers {
+				for _, one := range s.routers {
 					for range limit {
-						w.ask(one)
+						s.request(one)
 					}
 				}
-			default:
-				w.ask(r)
+			default: // "ask" and "calm" send one request
+				s.request(r)
 			}
-			if !lowered.IsZero() && w.now.Sub(lowered) >= worldWindow {
-				limit, lowered = w.bound.Allowed(w.tenant), time.Time{}
+			if !lowered.IsZero() && s.now.Sub(lowered) >= testWindow {
+				limit, lowered = s.bound.Allowed(s.tenant), time.Time{}
 			}
-			if found := w.inWindow(); found > limit {
-				t.Fatalf("%d requests within a window, %d are allowed", found, limit)
+			if granted := s.grantedInWindow(); granted > limit {
+				t.Fatalf("%d requests within a window, limit %d", granted, limit)
 			}
-			w.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
+			s.step(time.Duration(rapid.IntRange(10, 1500).Draw(t, "pause"))*time.Millisecond, delay)
 		}
 	})
 }
 
-// worldEvents name what may happen, the frequent ones several times.
-var worldEvents = []string{
+// simulationEvents are the events that may occur; frequent ones are listed several times.
+var simulationEvents = []string{
 	"ask", "flood", "flood", "flood all", "flood all", "flood all", "cut", "restart", "freeze", "freeze", "kill leader",
 	"partition leader", "freeze leader", "elect", "elect", "elect", "follow", "follow", "follow any", "restart all", "return", "limit", "calm", "calm", "store", "add",
 }
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	asked := false
-	flag.Visit(func(f *flag.Flag) { asked = asked || f.Name == "rapid.checks" })
-	if !asked {
-		_ = flag.Set("rapid.checks", leastWorlds)
+	checksSet := false
+	flag.Visit(func(f *flag.Flag) { checksSet = checksSet || f.Name == "rapid.checks" })
+	if !checksSet {
+		_ = flag.Set("rapid.checks", defaultChecks)
 	}
 	m.Run()
 }
--- a/internal/quota/change.go
+++ b/internal/quota/change.go
@@ -6,46 +6,49 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Change says that a tenant asks for more than there is, or does so no longer.
+// Change records that a tenant's demand began to exceed its limit, or no longer does.
 type Change struct {
 	Tenant routing.TenantName
 	Over   bool
-	// Limit is in units, of which Dealt are given to routers at most; Used of them are in use as routers told last, Booked may be in use
-	// at most. Withheld are those that a new leader must not give yet.
-	Limit, Dealt, Used, Booked, Withheld int
-	// Missing is how many units routers asked for and did not get.
+	// Limit is in units. Allocatable is how many of them may be granted to routers, Used how many
+	// routers last reported as in use, and Outstanding how many may be in use. Withheld are those
+	// that a new leader must not grant yet.
+	Limit, Allocatable, Used, Outstanding, Withheld int
+	// Missing is how many units routers needed and did not get.
 	Missing int
-	// Age is that of the oldest message that Used counts.
+	// Age is the time since the oldest report that Used includes was received.
 	Age time.Duration
 }
 
-// calmFor is for how long no unit must be missing until a tenant is within its limit again.
-const calmFor = 5 * time.Second
+// withinLimitAfter is how long no unit must have been missing before a tenant counts as within its
+// limit again.
+const withinLimitAfter = 5 * time.Second
 
-// Changes returns what has changed since it was called last.
+// Changes returns the changes since the last call.
 func (c *Coordinator) Changes() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// judge notes whether a tenant asks for more than there is.
-func (c *Coordinator) judge(now time.Time, name routing.TenantName, p *pool, missing int) {
+// updateOverLimit updates whether a tenant's demand exceeds its limit, given how many units are
+// missing, and records a change.
+func (c *Coordinator) updateOverLimit(now time.Time, name routing.TenantName, p *pool, missing int) {
 	if missing > 0 {
-		p.missed = now
+		p.missingAt = now
 	}
-	over := missing > 0 || p.over && now.Sub(p.missed) < calmFor
-	if over == p.over {
+	over := missing > 0 || p.overLimit && now.Sub(p.missingAt) < withinLimitAfter
+	if over == p.overLimit {
 		return
 	}
-	p.over = over
+	p.overLimit = over
 	change := Change{
-		Tenant: name, Over: over, Limit: p.limit, Dealt: p.dealt, Booked: p.booked, Withheld: p.dealt - c.most(now, p), Missing: missing,
+		Tenant: name, Over: over, Limit: p.limit, Allocatable: p.allocatable, Outstanding: p.outstanding, Withheld: p.allocatable - c.maxOutstanding(now, p), Missing: missing,
 	}
 	for _, m := range c.members {
-		if h := m.holds[name]; h != nil {
+		if h := m.holdings[name]; h != nil {
 			change.Used += h.used
-			change.Age = max(change.Age, now.Sub(m.stampAt))
+			change.Age = max(change.Age, now.Sub(m.stampReceivedAt))
 		}
 	}
 	c.changes = append(c.changes, change)
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -8,129 +8,137 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Holder is the router's side. It is safe for concurrent use.
+// Holder is the router's side: it holds credits and spends their units. It is safe for concurrent
+// use.
 type Holder struct {
-	node  string
-	life  int64
-	bound Bound
-	// epoch is the zero of all times here.
+	node        string
+	incarnation int64
+	bound       Bound
+	// epoch is the origin of all durations that stand for times here.
 	epoch time.Time
-	// urgent gets a token when something is to be told soon.
-	urgent chan struct{}
+	// reportTrigger receives a value when a report should be sent soon.
+	reportTrigger chan struct{}
 
 	mu       sync.Mutex
 	accounts map[routing.TenantName]*account
 	term     owner.Term
-	// applied is the newest grant that was taken, and acked the newest that was told of.
+	// applied is the sequence number of the newest applied grant, and acked that of the newest one
+	// that was acknowledged.
 	applied, acked uint64
-	number         uint64
-	tellAll        bool
-	// lease and floorLease are when they end, and toldAt is when a stamp was sent last.
-	lease, floorLease, toldAt time.Duration
-	// withheld is until when a leader that began lately withholds units.
-	withheld time.Duration
+	sequence       uint64
+	fullReportDue  bool
+	// leaseEnd and floorLeaseEnd are when the leases end, and reportedAt is when the last report
+	// was sent.
+	leaseEnd, floorLeaseEnd, reportedAt time.Duration
+	// withheldUntil is the time until which a leader that has taken over recently withholds units.
+	withheldUntil time.Duration
 }
 
 // account is what a router holds of one tenant.
 type account struct {
 	tenant *routing.Tenant
-	// limit is how many units are allowed by the configuration in force here.
-	limit int
-	given Credit
-	spent spent
-	// told is the use that was told last. mustTell says that the use must be told with the
-	// next message, since the credit was changed and the leader frees what it need not book.
-	told     int
-	toldAt   time.Duration
-	mustTell bool
-	// refused counts requests beyond the credit, and short those since the last message.
+	// limit is the number of units that the configuration in force here allows.
+	limit         int
+	grantedCredit Credit
+	window        windowCounter
+	// reportedUse is the use in the last report. mustReport is true if the use must be in the next
+	// report, since the credit was changed: the leader then releases units that need not stay
+	// outstanding.
+	reportedUse int
+	reportedAt  time.Duration
+	mustReport  bool
+	// refused counts requests that were refused, granted those that were admitted, and shortfall
+	// the attempts that found no unit since the last report.
 	refused, granted uint64
-	short            int
-	// knownShort says that the last message told of refused requests: the next report is soon
-	// enough then.
-	knownShort bool
-	// raised is closed once there is more credit; nil if nobody waits for it. Until overUntil
-	// nobody is to.
+	shortfall        int
+	// shortfallReported is true if the last report included a shortfall, so that the next one need
+	// not be triggered.
+	shortfallReported bool
+	// raised is closed once the credit is raised; nil if no caller waits for that. Until overUntil
+	// no caller may wait.
 	raised    chan struct{}
 	overUntil time.Duration
 }
 
-// NewHolder returns the side of a router that holds nothing yet.
-func NewHolder(now time.Time, node string, life int64, bound Bound) *Holder {
+// NewHolder returns the holder of a router that holds nothing yet.
+func NewHolder(now time.Time, node string, incarnation int64, bound Bound) *Holder {
 	h := &Holder{
-		node: node, life: life, bound: bound, epoch: now, urgent: make(chan struct{}, 1),
-		accounts: map[routing.TenantName]*account{}, tellAll: true,
+		node: node, incarnation: incarnation, bound: bound, epoch: now, reportTrigger: make(chan struct{}, 1),
+		accounts: map[routing.TenantName]*account{}, fullReportDue: true,
 	}
 	h.Linked()
 	return h
 }
 
-// Linked lets the next message go at once: whoever hears it may not know of this router.
+// Linked triggers a report at once after a new link is established: the process at its other end
+// may not know of this router.
 func (h *Holder) Linked() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.toldAt = -renewEvery
-	h.Hurry()
+	h.reportedAt = -renewInterval
+	h.TriggerReport()
 }
 
-// Urgent gets a token when something is to be told before the next report is due.
-func (h *Holder) Urgent() <-chan struct{} { return h.urgent }
+// ReportTriggered returns a channel that receives a value when a report should be sent before the
+// next regular one is due.
+func (h *Holder) ReportTriggered() <-chan struct{} { return h.reportTrigger }
 
-// Hurry asks for the next report soon.
-func (h *Holder) Hurry() {
+// TriggerReport requests an early report.
+func (h *Holder) TriggerReport() {
 	select {
-	case h.urgent <- struct{}{}:
+	case h.reportTrigger <- struct{}{}:
 	default:
 	}
 }
 
-// Take spends a unit for a request of a tenant. If there is none, wait is until one is in use
-// again here.
+// Take spends a unit for a request of a tenant. If there is none, wait is the time until one is
+// likely to be free here.
 func (h *Holder) Take(now time.Time, tenant *routing.Tenant) (granted bool, wait time.Duration) {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(tenant)
-	a.spent.advance(at)
+	a.window.advance(at)
 	credit := h.credit(a, at)
-	if a.spent.used >= credit {
-		if a.short++; !a.knownShort {
-			h.Hurry()
+	if a.window.used >= credit {
+		if a.shortfall++; !a.shortfallReported {
+			h.TriggerReport()
 		}
 		return false, h.wait(a, at, credit)
 	}
-	a.spent.add()
+	a.window.add()
 	a.granted++
-	if a.spent.used == credit && a.told != credit && !a.knownShort {
-		h.Hurry()
+	if a.window.used == credit && a.reportedUse != credit && !a.shortfallReported {
+		h.TriggerReport()
 	}
 	return true, 0
 }
 
-// firstCredit is what a caller waits for where the router holds no credit: the way to the
-// leader and back.
-const firstCredit = 500 * time.Millisecond
+// firstCreditWait is how long callers are asked to wait if the router holds no credit: the round
+// trip to the leader.
+const firstCreditWait = 500 * time.Millisecond
 
-// wait is until a unit of a tenant is likely to be free. Where there is none since a leader began
-// lately, callers come back once it gives what it withholds, and not to be refused once more: all
-// at once they would ask for more than a window has, so that they are spread over a quarter of one. The caller
-// holds mu.
+// wait returns the time until a unit of a tenant is likely to be free. If there is no credit
+// because a leader that has taken over recently withholds units, callers should retry once it
+// grants them, so that they are not refused a second time. If all of them retried at once they
+// would exceed what a window allows, so the retries are spread over a quarter of a window. h.mu
+// must be held.
 func (h *Holder) wait(a *account, at time.Duration, credit int) time.Duration {
 	switch {
 	case credit > 0:
-		return a.spent.free(at)
-	case at < h.withheld:
+		return a.window.untilFree(at)
+	case at < h.withheldUntil:
 		spread := time.Duration(a.refused%spreadSteps) * h.bound.Window / spreadSteps / 4
-		return h.withheld - at + firstCredit + spread
+		return h.withheldUntil - at + firstCreditWait + spread
 	}
-	return firstCredit
+	return firstCreditWait
 }
 
-// spreadSteps is among how many moments callers are spread.
+// spreadSteps is the number of distinct retry times.
 const spreadSteps = 16
 
-// Await returns what is closed once a tenant gets more units here; nil while its callers are not
-// to wait for that, since units were missing lately.
+// Await returns a channel that is closed once a tenant's credit is raised here; nil while its
+// callers must not wait for that, since units were missing recently.
 func (h *Holder) Await(now time.Time, tenant *routing.Tenant) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,31 +152,32 @@
 	return a.raised
 }
 
-// Refused counts a request that was refused. Its tenant is taken to be over its limit for a
-// while, in which its callers wait for nothing.
+// Refused counts a refused request. Its tenant counts as over its limit for overLimitFor, during
+// which its callers don't wait for units.
 func (h *Holder) Refused(now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(tenant)
 	a.refused++
-	a.overUntil = max(a.overUntil, now.Sub(h.epoch)+overFor)
+	a.overUntil = max(a.overUntil, now.Sub(h.epoch)+overLimitFor)
 }
 
-// overFor is how long a tenant counts as over its limit at a router after a refusal. Callers
-// wait for units in vain once in that time at most.
-const overFor = time.Second
+// overLimitFor is how long a tenant counts as over its limit at a router after a refusal. Callers
+// wait in vain for units at most once in that time.
+const overLimitFor = time.Second
 
-// Return gives back what was taken at a time for a request that no worker has run or will run.
+// Return gives back a unit that was taken at a time for a request that no worker has run or will
+// run.
 func (h *Holder) Return(taken time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a := h.accounts[tenant.Name]; a != nil && a.spent.giveBack(taken.Sub(h.epoch)) {
+	if a := h.accounts[tenant.Name]; a != nil && a.window.remove(taken.Sub(h.epoch)) {
 		a.granted--
 	}
 }
 
-// Sent says that a request for which a unit was taken leaves for a worker only now: the unit
-// rests from now on.
+// Sent records that a request for which a unit was taken is sent to a worker only now: the unit
+// counts as spent now.
 func (h *Holder) Sent(taken, now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,16 +185,16 @@
 	if a == nil {
 		return
 	}
-	a.spent.giveBack(taken.Sub(h.epoch))
-	a.spent.advance(now.Sub(h.epoch))
-	a.spent.add()
+	a.window.remove(taken.Sub(h.epoch))
+	a.window.advance(now.Sub(h.epoch))
+	a.window.add()
 }
 
-// account returns a tenant's account. The caller holds mu.
+// account returns a tenant's account, which it creates if needed. h.mu must be held.
 func (h *Holder) account(tenant *routing.Tenant) *account {
 	a := h.accounts[tenant.Name]
 	if a == nil {
-		a = &account{spent: newSpent(h.bound.slots())}
+		a = &account{window: newWindowCounter(h.bound.slots())}
 		h.accounts[tenant.Name] = a
 	}
 	if a.tenant != tenant {
@@ -194,24 +203,24 @@
 	return a
 }
 
-// credit is how many units of a tenant may be in use here. Where the limit was lowered since
-// the credit was given, it is lowered alike. The caller holds mu.
+// credit returns how many units of a tenant may be in use here. If the limit was lowered since the
+// credit was granted, the credit is lowered in proportion. h.mu must be held.
 func (h *Holder) credit(a *account, at time.Duration) int {
-	units := a.given.units()
+	units := a.grantedCredit.units()
 	switch {
-	case at >= h.floorLease:
+	case at >= h.floorLeaseEnd:
 		return 0
-	case at >= h.lease:
-		units = min(units, a.given.floor())
+	case at >= h.leaseEnd:
+		units = min(units, a.grantedCredit.floor())
 	}
-	if limit := a.given.limit(); a.limit < limit {
+	if limit := a.grantedCredit.limit(); a.limit < limit {
 		units = units * a.limit / limit
 	}
 	return units
 }
 
-// Use takes the tenants of the configuration that is in force here.
-func (h *Holder) Use(tenants map[routing.TenantName]*routing.Tenant) {
+// SetTenants sets the tenants of the configuration that is in force here.
+func (h *Holder) SetTenants(tenants map[routing.TenantName]*routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, tenant := range tenants {
@@ -222,64 +231,65 @@
 	for name := range h.accounts {
 		if tenant := tenants[name]; tenant == nil || !tenant.Limited() {
 			delete(h.accounts, name)
-			h.tellAll = true // the leader books units that are gone
+			h.fullReportDue = true // units of removed accounts are outstanding at the leader
 		}
 	}
 }
 
-// Granted takes a message of the leader's.
-func (h *Holder) Granted(now time.Time, grant Grant) {
+// ApplyGrant applies a grant from the leader. Grants of earlier terms, and those to another node or
+// incarnation, are ignored.
+func (h *Holder) ApplyGrant(now time.Time, grant Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if grant.Term < h.term || grant.Node != h.node || grant.Life != h.life {
+	if grant.Term < h.term || grant.Node != h.node || grant.Incarnation != h.incarnation {
 		return
 	}
 	if grant.Term > h.term {
 		h.term, h.applied, h.acked = grant.Term, 0, 0
-		if !grant.All { // that leader was told that nothing is held here
-			h.drop()
+		if !grant.FullReport { // that leader has a report that nothing is held here
+			h.dropCredits()
 		}
 	}
-	if grant.All {
-		h.tellAll = true
-		h.Hurry()
+	if grant.FullReport {
+		h.fullReportDue = true
+		h.TriggerReport()
 	}
 	if grant.Stamp > 0 {
 		stamp := time.Duration(grant.Stamp) * time.Millisecond
-		h.lease = max(h.lease, stamp+Lease-leaseGuard)
-		h.floorLease = max(h.floorLease, stamp+FloorLease-leaseGuard)
+		h.leaseEnd = max(h.leaseEnd, stamp+Lease-leaseMargin)
+		h.floorLeaseEnd = max(h.floorLeaseEnd, stamp+FloorLease-leaseMargin)
 	}
-	h.withheld = now.Sub(h.epoch) + time.Duration(grant.WithheldMillis)*time.Millisecond
-	if grant.Number <= h.applied {
+	h.withheldUntil = now.Sub(h.epoch) + time.Duration(grant.WithheldMillis)*time.Millisecond
+	if grant.Sequence <= h.applied {
 		return
 	}
-	h.applied = grant.Number
+	h.applied = grant.Sequence
 	for name, credit := range grant.Credits {
-		h.give(name, credit)
+		h.setCredit(name, credit)
 	}
 }
 
-// drop gives all credits up. The caller holds mu.
-func (h *Holder) drop() {
+// dropCredits sets all credits to zero. h.mu must be held.
+func (h *Holder) dropCredits() {
 	for _, a := range h.accounts {
-		a.given = Credit{}
+		a.grantedCredit = Credit{}
 	}
 }
 
-// give sets the credit of a tenant. The caller holds mu.
-func (h *Holder) give(name routing.TenantName, credit Credit) {
+// setCredit sets the credit of a tenant. h.mu must be held.
+func (h *Holder) setCredit(name routing.TenantName, credit Credit) {
 	a := h.accounts[name]
 	if a == nil {
-		a = &account{tenant: nil, limit: credit.limit(), spent: newSpent(h.bound.slots())}
+		a = &account{tenant: nil, limit: credit.limit(), window: newWindowCounter(h.bound.slots())}
 		h.accounts[name] = a
 	}
-	a.mustTell = true
-	if credit.units() < a.given.units() {
-		h.Hurry()
+	a.mustReport = true
+	if credit.units() < a.grantedCredit.units() {
+		h.TriggerReport()
 	}
-	if credit.units() > a.given.units() && a.raised != nil {
+	if credit.units() > a.grantedCredit.units() && a.raised != nil {
 		close(a.raised)
 		a.raised = nil
 	}
-	a.given = credit
+	a.grantedCredit = credit
 }
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -9,19 +9,20 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// newHeld is a holder of 50 units, 5 of them its floor, whose lease counts from its epoch.
-func newHeld(tenant *routing.Tenant) (*Holder, time.Time) {
+// newTestHolder returns a holder with a credit of 50 units and a floor of 5, and the time from
+// which its lease counts.
+func newTestHolder(tenant *routing.Tenant) (*Holder, time.Time) {
 	began := time.Unix(1000, 0)
 	h := NewHolder(began, "n", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
-	h.Use(tenants(tenant))
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 1, Number: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
+	h.SetTenants(tenants(tenant))
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
 		tenant.Name: {50, h.bound.Allowed(tenant), 5},
 	}})
 	return h, began
 }
 
-// taken counts how many requests a holder grants at one moment.
-func takes(h *Holder, at time.Time, tenant *routing.Tenant) int {
+// takeAll counts how many requests a holder grants at one moment.
+func takeAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
 	count := 0
 	for granted, _ := h.Take(at, tenant); granted; granted, _ = h.Take(at, tenant) {
 		count++
@@ -29,102 +30,105 @@
 	return count
 }
 
-func TestACreditEndsWithItsLease(t *testing.T) {
+func TestCreditEndsWithLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   time.Duration
 		granted int
 	}{
 		"held":              {0, 50},
 		"lease ended":       {Lease, 5},
-		"floor's has ended": {FloorLease, 0},
+		"floor lease ended": {FloorLease, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-			h, began := newHeld(tenant)
-			assert.Equal(t, takes(h, began.Add(test.after), tenant), test.granted)
+			h, began := newTestHolder(tenant)
+			assert.Equal(t, takeAll(h, began.Add(test.after), tenant), test.granted)
 		})
 	}
 }
 
-// What a router told after its lease had ended is all that the leader books.
-func TestARenewedLeaseBringsNothingBack(t *testing.T) {
+// What a router reports after the end of its lease is all that stays outstanding at the leader.
+func TestRenewedLeaseRestoresNoExpiredCredit(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, All: true})
+	h, began := newTestHolder(tenant)
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, FullReport: true})
 	at := began.Add(2 * Lease)
-	told := h.Tell(at)
-	assert.Assert(t, told.All)
-	assert.Equal(t, told.Tenants["t"].credit(), 5)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, Stamp: told.Stamp})
-	assert.Equal(t, takes(h, at, tenant), 5)
+	report := h.Report(at)
+	assert.Assert(t, report.Full)
+	assert.Equal(t, report.Tenants["t"].credit(), 5)
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: report.Stamp})
+	assert.Equal(t, takeAll(h, at, tenant), 5)
 }
 
-// A request that reaches its worker late counts from then, and one that did not run is not counted.
-func TestAUnitRestsFromWhenItsRequestWasSent(t *testing.T) {
+// A request that is sent to its worker late counts from then on, and one that did not run is not
+// counted.
+func TestUnitIsInUseFromSendTime(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
-	assert.Equal(t, takes(h, began, tenant), 50)
+	h, began := newTestHolder(tenant)
+	assert.Equal(t, takeAll(h, began, tenant), 50)
 	h.Sent(began, began.Add(3*time.Second), tenant)
 	h.Return(began, tenant)
-	assert.Equal(t, takes(h, began.Add(3*time.Second), tenant), 1)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 1, Stamp: 5000})
-	assert.Equal(t, takes(h, began.Add(h.bound.rest()), tenant), 48)
+	assert.Equal(t, takeAll(h, began.Add(3*time.Second), tenant), 1)
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Stamp: 5000})
+	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
 }
 
-// A router that starts needs one message each way: requests come to it at once.
-func TestARouterThatStartsGetsUnitsAtOnce(t *testing.T) {
+// A router that starts gets units with one message each way, since it receives requests at once.
+func TestNewRouterGetsUnitsAtOnce(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 7, true, bound)
-	c.Use(now, tenants(tenant))
+	c.SetTenants(now, tenants(tenant))
 	h := NewHolder(now, "n", 1, bound)
-	h.Use(tenants(tenant))
-	<-h.Urgent()
-	c.Hear(now, *h.Tell(now))
+	h.SetTenants(tenants(tenant))
+	<-h.ReportTriggered()
+	c.HandleReport(now, *h.Report(now))
 	for _, grant := range c.Tick(now, true, 1) {
-		h.Granted(now, grant)
+		h.ApplyGrant(now, grant)
 	}
 	granted, _ := h.Take(now, tenant)
 	assert.Assert(t, granted)
 }
 
-// Nothing is left of an earlier leader's credits where a later one was told that there are none.
-func TestALaterLeaderBooksAllThatIsHeld(t *testing.T) {
+// Credits of an earlier leader are dropped when a later leader, which has a report that there are
+// none, sends a grant.
+func TestLaterLeaderReplacesEarlierCredits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
-	h, began := newHeld(tenant)
-	h.Granted(began, Grant{Node: "n", Life: 1, Term: 2, Number: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
-	assert.Equal(t, takes(h, began, tenant), 0)
+	h, began := newTestHolder(tenant)
+	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
+	assert.Equal(t, takeAll(h, began, tenant), 0)
 }
 
-// Where a new leader withholds units, callers are told to come back after that, not to be refused again.
-func TestCallersComeBackOnceUnitsAreGiven(t *testing.T) {
+// While a new leader withholds units, callers are asked to retry after that, so that they are not
+// refused again.
+func TestRetryWaitCoversWithheldUnits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 7, false, bound)
-	c.Use(now, tenants(tenant))
+	c.SetTenants(now, tenants(tenant))
 	h := NewHolder(now, "n", 1, bound)
-	h.Use(tenants(tenant))
-	c.Hear(now, *h.Tell(now))
+	h.SetTenants(tenants(tenant))
+	c.HandleReport(now, *h.Report(now))
 	for _, grant := range c.Tick(now, true, 1) {
-		h.Granted(now, grant)
+		h.ApplyGrant(now, grant)
 	}
 	granted, wait := h.Take(now, tenant)
 	assert.Assert(t, !granted)
-	assert.Assert(t, wait > bound.Unknown() && wait < bound.Unknown()+bound.Window, wait)
-	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "it is told once")
+	assert.Assert(t, wait > bound.TakeoverDelay() && wait < bound.TakeoverDelay()+bound.Window, wait)
+	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "the withheld time is sent once")
 }
 
-// A router tells less than it was given, since its lease had ended, while the same grant is on its way
-// to it once more: what that brings back stays booked.
-func TestWhatAResentGrantBringsBackIsBooked(t *testing.T) {
+// A router whose lease has ended reports less than it was granted, while the same grant is on its
+// way to it a second time. What that grant restores must stay outstanding.
+func TestResentGrantStaysOutstanding(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	now := time.Unix(1000, 0)
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 1, true, bound)
-	c.Use(now, tenants(tenant))
-	c.Hear(now, Told{Node: "n", Life: 1, Number: 1, Stamp: 1, All: true})
+	c.SetTenants(now, tenants(tenant))
+	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Stamp: 1, Full: true})
 	first := c.Tick(now, true, 1)
 	assert.Equal(t, len(first), 1)
 	now = now.Add(resendAfter)
@@ -132,6 +136,6 @@
 	assert.Equal(t, len(again), 1)
 	given := again[0].Credits["t"].units()
 	assert.Assert(t, given > 0)
-	c.Hear(now, Told{Node: "n", Life: 1, Term: 1, Number: 2, Ack: first[0].Number, Stamp: 2, All: true, Tenants: map[routing.TenantName]Use{"t": {0, 0, 1, 1}}})
-	assert.Assert(t, c.pools["t"].booked >= given)
+	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
+	assert.Assert(t, c.pools["t"].outstanding >= given)
 }
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -12,12 +12,12 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// configView follows what the platform's operators write: the configuration, and the
-// zones that are evacuated.
+// configView follows what the platform's operators write: the configuration, and the evacuated
+// zones.
 type configView struct {
 	r  *Router
 	mu sync.Mutex
-	// items are all that stand, by key, as of the revision at.
+	// items holds all existing items by key, as of revision at.
 	items map[string]coord.Item
 	at    coord.Revision
 }
@@ -31,18 +31,18 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if at < v.at {
-		return // the leader has told more meanwhile
+		return // newer changes were received from the leader
 	}
 	v.items = map[string]coord.Item{}
-	items = v.sealed(items)
+	items = v.hashAllKeys(items)
 	newest := coord.Revision(0)
 	for _, item := range items {
 		newest = max(newest, item.Revision)
 		v.items[item.Key] = item
 	}
-	// How long ago a zone was evacuated is not told by a list.
+	// A list does not show since when a zone is evacuated.
 	v.apply(items, at, time.Time{})
-	v.r.config.read(newest)
+	v.r.config.noteRead(newest)
 }
 
 // Changed implements coord.View.
@@ -54,91 +54,91 @@
 	for _, event := range events {
 		newest = max(newest, event.Revision)
 		switch {
-		case event.Revision <= v.at: // known from the leader
+		case event.Revision <= v.at: // already received from the leader
 		case event.Deleted:
 			delete(v.items, event.Key)
 		default:
-			item := v.seal(event.Item)
+			item := v.hashKeys(event.Item)
 			v.items[event.Key] = item
-			fresh = append([]coord.Item{item}, fresh...) // the newest first
+			fresh = append([]coord.Item{item}, fresh...) // newest first
 		}
 	}
-	v.apply(fresh, at, v.r.learnedByWatch(v.r.config))
-	v.r.config.read(newest) // told to others after the change itself: they would read it at once
+	v.apply(fresh, at, v.r.earliestWatchChange(v.r.config))
+	v.r.config.noteRead(newest) // announced to others after the change itself: they would otherwise read the service at once
 }
 
-// sealed returns items without API keys.
-func (v *configView) sealed(items []coord.Item) []coord.Item {
+// hashAllKeys returns items with their API keys hashed.
+func (v *configView) hashAllKeys(items []coord.Item) []coord.Item {
 	list := make([]coord.Item, 0, len(items))
 	for _, item := range items {
-		list = append(list, v.seal(item))
+		list = append(list, v.hashKeys(item))
 	}
 	return list
 }
 
-// seal returns an item without API keys: they stand in no memory of this process and in no
-// message to another.
-func (v *configView) seal(item coord.Item) coord.Item {
-	if v.r.adapter.SealConfig == nil {
+// hashKeys returns an item with its API keys hashed: this process keeps no plain API key in memory
+// and sends none to another.
+func (v *configView) hashKeys(item coord.Item) coord.Item {
+	if v.r.adapter.HashAPIKeys == nil {
 		return item
 	}
-	sealed, err := v.r.adapter.SealConfig(item)
+	hashed, err := v.r.adapter.HashAPIKeys(item)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid configuration; the previous one stays in force")
 	}
-	return sealed
+	return hashed
 }
 
-// told takes what the leader has read; false if something is missing here.
-func (v *configView) told(news peerlink.ConfigNews) bool {
-	items, err := news.Items()
+// applyRelayed applies configuration changes from the leader; false if items are missing here.
+func (v *configView) applyRelayed(changes peerlink.ConfigChanges) bool {
+	items, err := changes.Items()
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(news.Revision)).Err(err).Msg("told by the leader")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(changes.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
 		return false
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if news.Revision <= v.at {
+	if changes.Revision <= v.at {
 		return true
 	}
-	stand := map[string]coord.Item{}
-	items = v.sealed(items)
+	current := map[string]coord.Item{}
+	items = v.hashAllKeys(items)
 	for _, item := range items {
-		stand[item.Key] = item
+		current[item.Key] = item
 	}
-	for _, key := range news.Keys {
-		if _, fresh := stand[key]; fresh {
+	for _, key := range changes.Keys {
+		if _, fresh := current[key]; fresh {
 			continue
 		}
 		item, known := v.items[key]
 		if !known {
 			return false
 		}
-		stand[key] = item
+		current[key] = item
 	}
-	v.items = stand
-	v.apply(items, news.Revision, news.Since(clock.Now()))
-	v.r.config.read(news.Revision)
+	v.items = current
+	v.apply(items, changes.Revision, changes.KnownSince(clock.Now()))
+	v.r.config.noteRead(changes.Revision)
 	return true
 }
 
-// configTold takes what the leader has read, and reads it from the service if that is
-// not enough.
-func (r *Router) configTold(news peerlink.ConfigNews) {
-	if !r.configView.told(news) {
-		r.config.again()
+// handleConfigChanges applies configuration changes from the leader, and reads the service if that
+// fails.
+func (r *Router) handleConfigChanges(changes peerlink.ConfigChanges) {
+	if !r.configView.applyRelayed(changes) {
+		r.config.requestResync()
 	}
 }
 
-// apply puts all that stands as of a revision into force, and lets a leader or relay pass
-// it on. fresh are the items that may be new, and since is since when they may stand, such as
-// zones that were not known to be evacuated. The caller holds mu.
+// apply puts the items as of a revision into force, and relays them if this process is the leader
+// or a relay. fresh holds the items that may be new. since is the earliest time at which they may
+// have been written, such as zones that were not known to be evacuated. The caller holds mu.
 func (v *configView) apply(fresh []coord.Item, at coord.Revision, since time.Time) {
 	v.at = max(v.at, at)
-	v.r.config.cover(v.at)
+	v.r.config.noteCovered(v.at)
 	items := slices.Collect(maps.Values(v.items))
 	if len(items) > 0 {
-		v.r.hub.ConfigRead(items, v.at, since)
+		v.r.hub.SetConfig(items, v.at, since)
 	}
 	v.useConfig(fresh)
 	v.evacuate(items, since)
@@ -147,9 +147,9 @@
 
 // useConfig puts the configuration into force if it is newer.
 func (v *configView) useConfig(items []coord.Item) {
-	config, err := v.r.adapter.ReadConfig(items)
+	config, err := v.r.adapter.ParseConfig(items)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("the one before stays in force")
+		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("invalid configuration; the previous one stays in force")
 		return
 	}
 	if config == nil || !v.r.proxy.Use(config) {
@@ -163,14 +163,14 @@
 	line.Msg("in force")
 }
 
-// evacuate puts into force which zones are evacuated.
+// evacuate applies the list of evacuated zones.
 func (v *configView) evacuate(items []coord.Item, since time.Time) {
-	if v.r.adapter.ReadEvacuation == nil {
+	if v.r.adapter.ParseEvacuationKey == nil {
 		return
 	}
 	zones := []string{}
 	for _, item := range items {
-		if zone, evacuates := v.r.adapter.ReadEvacuation(item.Key); evacuates {
+		if zone, evacuates := v.r.adapter.ParseEvacuationKey(item.Key); evacuates {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -13,57 +13,57 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// stale is an age at which a relay's word is not relied on.
-const stale = peerlink.SilenceLimit + 50*time.Millisecond
+// staleAge is an age at which a relay's updates are not trusted.
+const staleAge = peerlink.SilenceLimit + 50*time.Millisecond
 
-func TestAStaleRelayIsNotReliedOn(t *testing.T) {
+func TestStaleRelayIsNotTrusted(t *testing.T) {
 	r := newTestRouter(t)
-	r.heard(peerlink.Update{Relayed: true, AgeMillis: 900})
-	assert.Assert(t, r.told.now())
-	r.heard(peerlink.Update{Relayed: true, AgeMillis: stale.Milliseconds()})
-	assert.Assert(t, !r.told.now())
+	r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: 900})
+	assert.Assert(t, r.updates.live())
+	r.handleUpdate(peerlink.Update{Relayed: true, AgeMillis: staleAge.Milliseconds()})
+	assert.Assert(t, !r.updates.live())
 }
 
-func TestARelayWithoutALeaderIsLeft(t *testing.T) {
+func TestLeaderlessRelayIsAbandoned(t *testing.T) {
 	for name, test := range map[string]struct {
-		update peerlink.Update
-		orphan time.Duration
-		// read says that this process has read all from the service itself, and ahead for
-		// how long it does so while the relay does not.
+		update        peerlink.Update
+		leaderlessFor time.Duration
+		// read is whether this process has itself read everything from the service; ahead is for
+		// how long it has done so while the relay has not.
 		read  bool
 		ahead time.Duration
 		stays bool
 	}{
-		"has a leader":                      {update: peerlink.Update{Relayed: true}, orphan: time.Hour, stays: true},
-		"lost it just now":                  {update: peerlink.Update{Leaderless: true}, stays: true},
-		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, orphan: 3 * time.Second, stays: true},
-		"for too long":                      {update: peerlink.Update{Leaderless: true}, orphan: orphanPatience},
-		"nobody reaches the service":        {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, orphan: time.Second, stays: true},
-		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, read: true, stays: true},
-		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, read: true, ahead: aheadPatience},
-		"neither reaches it any more":       {update: peerlink.Update{Leaderless: true, AgeMillis: stale.Milliseconds()}, ahead: aheadPatience, stays: true},
+		"has a leader":                      {update: peerlink.Update{Relayed: true}, leaderlessFor: time.Hour, stays: true},
+		"just lost its leader":              {update: peerlink.Update{Leaderless: true}, stays: true},
+		"reads the service itself":          {update: peerlink.Update{Leaderless: true}, leaderlessFor: 3 * time.Second, stays: true},
+		"leaderless for too long":           {update: peerlink.Update{Leaderless: true}, leaderlessFor: leaderlessTimeout},
+		"no process reaches the service":    {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, leaderlessFor: time.Second, stays: true},
+		"both will reach it soon":           {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, stays: true},
+		"only this one reaches the service": {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, read: true, ahead: aheadTimeout},
+		"neither reaches the service":       {update: peerlink.Update{Leaderless: true, AgeMillis: staleAge.Milliseconds()}, ahead: aheadTimeout, stays: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
-			f := &following{r: r}
-			if test.orphan > 0 {
-				f.orphanSince = time.Now().Add(-test.orphan)
+			f := &followSession{r: r}
+			if test.leaderlessFor > 0 {
+				f.leaderlessSince = time.Now().Add(-test.leaderlessFor)
 			}
 			if test.ahead > 0 {
 				f.aheadSince = time.Now().Add(-test.ahead)
 			}
 			if test.read {
-				r.storeReached(r.entries, time.Now())
-				r.storeReached(r.config, time.Now())
+				r.noteStoreSynced(r.entries, time.Now())
+				r.noteStoreSynced(r.config, time.Now())
 			}
-			assert.Equal(t, f.stays(test.update), test.stays)
+			assert.Equal(t, f.keepsRelay(test.update), test.stays)
 		})
 	}
 }
 
-// Found on trouble-3 of malaika-charge-grown: a relay was sent to itself for ever, and
-// believed all the while that it was told of changes.
-func TestRedirectsEnd(t *testing.T) {
+// Guards against endless redirects: on trouble-3 of malaika-charge-grown, a relay was redirected to
+// itself without end, while it kept trusting the updates it had received.
+func TestRedirectsAreBounded(t *testing.T) {
 	for name, own := range map[string]bool{"to itself": true, "in a circle": false} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,38 +86,38 @@
 			if own {
 				r.settings.PeerListen = address
 			}
-			f := &following{r: r, leader: election.Leader{Address: address}, address: address, stop: func() {}}
+			f := &followSession{r: r, leader: election.Leader{Address: address}, address: address, stop: func() {}}
 			assert.ErrorContains(t, f.run(t.Context()), "instead")
-			assert.Assert(t, asked.Load() <= mostRedirects+1, "%d", asked.Load())
+			assert.Assert(t, asked.Load() <= maxRedirects+1, "%d", asked.Load())
 		})
 	}
 }
 
-// While a relay was sent to itself for ever nothing ended its belief that it was told of
-// changes: the belief has to lapse by itself.
-func TestWhatIsToldLapses(t *testing.T) {
+// Guards against trust that never expires: while a relay was redirected to itself without end,
+// nothing invalidated its trust in earlier updates. Trust must expire by itself.
+func TestUpdateSourceExpires(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
-		heard  []time.Duration
-		ended  bool
-		at     time.Duration
-		stands bool
+		updates     []time.Duration
+		invalidated bool
+		at          time.Duration
+		live        bool
 	}{
-		"nothing was heard":   {at: 0},
-		"a moment ago":        {heard: []time.Duration{0}, at: peerlink.SilenceLimit - 1, stands: true},
-		"silent for too long": {heard: []time.Duration{0}, at: peerlink.SilenceLimit},
-		"heard again":         {heard: []time.Duration{0, time.Second}, at: 2 * time.Second, stands: true},
-		"the link broke":      {heard: []time.Duration{0}, ended: true, at: time.Millisecond},
+		"no update":           {at: 0},
+		"recent update":       {updates: []time.Duration{0}, at: peerlink.SilenceLimit - 1, live: true},
+		"silent for too long": {updates: []time.Duration{0}, at: peerlink.SilenceLimit},
+		"updated again":       {updates: []time.Duration{0, time.Second}, at: 2 * time.Second, live: true},
+		"the link failed":     {updates: []time.Duration{0}, invalidated: true, at: time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var word told
-			for _, after := range test.heard {
-				word.heard(start.Add(after), 0, true)
+			var source updateSource
+			for _, after := range test.updates {
+				source.received(start.Add(after), 0, true)
 			}
-			if test.ended {
-				word.end()
+			if test.invalidated {
+				source.invalidate()
 			}
-			assert.Equal(t, word.holds(start.Add(test.at)), test.stands)
+			assert.Equal(t, source.liveAt(start.Add(test.at)), test.live)
 		})
 	}
 }
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// leavingTick is the pause between looks for workers that are gone.
-	leavingTick = 10 * time.Second
-	// leavingMemory is for how long it stays known that a worker leaves whose entry is gone: the entry
-	// may be back while the worker serves on.
-	leavingMemory = 2 * time.Minute
-	// mostLeavingTold is how many workers one report tells of.
-	mostLeavingTold = 64
+	// leavingCleanupInterval is how often removed workers are cleaned up.
+	leavingCleanupInterval = 10 * time.Second
+	// leavingRetention is how long a leaving worker is remembered after its entry is removed: the
+	// entry may come back while the worker still serves.
+	leavingRetention = 2 * time.Minute
+	// maxLeavingPerReport is how many workers one report contains.
+	maxLeavingPerReport = 64
 )
 
-// leavingWorkers are those that say in their answers that they leave. They count as draining here,
-// and others are told.
+// leavingWorkers tracks the workers that announce in their responses that they leave. They are
+// treated as draining here, and reported to other processes.
 type leavingWorkers struct {
 	r      *Router
 	member *facts.Member[departure.Fact]
@@ -32,28 +32,28 @@
 	return &leavingWorkers{r: r, member: facts.NewMember[departure.Fact]()}
 }
 
-// answered notes that a worker has said to this process, in answer to a request or an order, that it
-// leaves.
-func (l *leavingWorkers) answered(worker workers.Life) {
-	l.take(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenHere)
+// noteLeaving records that a worker has announced to this process, in response to a request or an
+// order, that it leaves.
+func (l *leavingWorkers) noteLeaving(worker workers.Life) {
+	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenBySelf)
 }
 
-// heard takes what processes that follow this one have learned.
-func (l *leavingWorkers) heard(told []departure.Told) { l.takeAll(told, l.member.Learn) }
+// handleReports records facts reported by followers of this process.
+func (l *leavingWorkers) handleReports(reports []departure.Told) { l.addAll(reports, l.member.Learn) }
 
-// told takes what the leader, or a relay, tells.
-func (l *leavingWorkers) told(told []departure.Told) { l.takeAll(told, l.member.Hear) }
+// handleUpdate applies facts received from the leader or a relay.
+func (l *leavingWorkers) handleUpdate(reports []departure.Told) { l.addAll(reports, l.member.Hear) }
 
-func (l *leavingWorkers) takeAll(told []departure.Told, add func(departure.Fact) bool) {
+func (l *leavingWorkers) addAll(reports []departure.Told, record func(departure.Fact) bool) {
 	now := clock.Now()
-	for _, one := range told {
-		l.take(one.Fact(now), add, seenByOthers)
+	for _, one := range reports {
+		l.add(one.Fact(now), record, seenByPeer)
 	}
 }
 
-// take adds a fact, and lets the worker drain if that is news.
-func (l *leavingWorkers) take(fact departure.Fact, add func(departure.Fact) bool, seenBy string) {
-	if !add(fact) {
+// add records a fact, and marks the worker as draining if the fact is new.
+func (l *leavingWorkers) add(fact departure.Fact, record func(departure.Fact) bool, seenBy string) {
+	if !record(fact) {
 		return
 	}
 	l.r.workers.Leaves(fact.Worker, fact.Since)
@@ -61,22 +61,22 @@
 		Float64("for", clock.Since(fact.Since).Seconds()).Msg("")
 }
 
-// tell returns what the leader is to know.
-func (l *leavingWorkers) tell() []departure.Told {
-	var told []departure.Told
+// report returns the facts to report to the leader.
+func (l *leavingWorkers) report() []departure.Told {
+	var reports []departure.Told
 	now := clock.Now()
-	for _, fact := range l.member.Tell(mostLeavingTold) {
-		told = append(told, departure.Tell(now, fact))
+	for _, fact := range l.member.Tell(maxLeavingPerReport) {
+		reports = append(reports, departure.Tell(now, fact))
 	}
-	return told
+	return reports
 }
 
-// run forgets workers that are gone, until ctx ends.
+// run forgets removed workers, until ctx ends.
 func (l *leavingWorkers) run(ctx context.Context) {
-	for clock.Sleep(ctx, leavingTick) {
+	for clock.Sleep(ctx, leavingCleanupInterval) {
 		l.member.Book().Forget(func(fact departure.Fact) bool {
 			_, announced := l.r.workers.Get(fact.Worker.ID)
-			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingMemory
+			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingRetention
 		})
 	}
 }
--- /dev/null
+++ b/internal/router/peerdiscovery.go
@@ -0,0 +1,65 @@
+package router
+
+import (
+	"context"
+
+	"github.com/shalefork/shalefork/internal/clock"
+	"github.com/shalefork/shalefork/internal/election"
+	"github.com/shalefork/shalefork/internal/peerlink"
+)
+
+// maxPeersAsked is how many processes are queried for the leader at once. If the service refuses a
+// third of the processes, it refuses all of four drawn at random in one case of 81.
+const maxPeersAsked = 4
+
+// askPeersForLeader queries other processes for the leader, since the service does not name it;
+// false if none of them knows one. excluded is an address that is known not to lead.
+func (r *Router) askPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
+	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	defer cancel()
+	asked := r.peers.Sample(maxPeersAsked, r.settings.PeerListen)
+	found := make(chan string, maxPeersAsked)
+	for _, address := range asked {
+		go func() { found <- r.askPeerForLeader(bounded, address, excluded) }()
+	}
+	for range asked {
+		if leader := <-found; leader != "" {
+			return election.Leader{Address: leader}, true
+		}
+	}
+	return election.Leader{}, false
+}
+
+// askPeerForLeader returns the leader's address if the process at the given address leads or
+// follows a leader; empty otherwise.
+func (r *Router) askPeerForLeader(ctx context.Context, address, excluded string) string {
+	answer, ok := peerlink.QueryLeadership(ctx, address, 0)
+	switch {
+	case !ok:
+		return ""
+	case answer.Leading && address != excluded:
+		return address
+	case answer.Leader == "" || answer.Leader == excluded || answer.Leader == r.settings.PeerListen:
+		return ""
+	}
+	r.peers.Add(answer.Leader)
+	if leader, ok := peerlink.QueryLeadership(ctx, answer.Leader, 0); !ok || !leader.Leading {
+		return ""
+	}
+	return answer.Leader
+}
+
+// awaitOtherLeader waits until peers name another leader than the lost one. It queries them only
+// while this process can't reach the service, which otherwise names the next leader.
+func (r *Router) awaitOtherLeader(ctx context.Context, lost election.Leader) {
+	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
+	for ctx.Err() == nil {
+		backoff.Sleep(ctx)
+		if !r.config.storeUnreachable(clock.Now()) {
+			continue
+		}
+		if _, found := r.askPeersForLeader(ctx, lost.Address); found {
+			return
+		}
+	}
+}
--- a/internal/router/quotamarks_test.go
+++ b/internal/router/quotamarks_test.go
@@ -16,25 +16,25 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// A tenant that asks for nearly all that is dealt of a calm one gets all that it may have, once
-// that is stored; the next leader knows it from there.
-func TestBusyTenantsAreMarkedBeforeMoreIsDealt(t *testing.T) {
+// A tenant that requests nearly all that is allocated to an unmarked tenant gets its whole limit
+// once the mark is stored, where the next leader reads it.
+func TestBusyTenantsAreMarkedBeforeMoreIsAllocated(t *testing.T) {
 	for name, test := range map[string]struct {
-		// deposed says that another leader was elected, and stored is what stands in the store.
+		// deposed is whether another leader was elected; stored is what the store contains.
 		deposed bool
 		stored  string
 		marked  []routing.TenantName
 	}{
-		"the store answers":       {marked: []routing.TenantName{"a"}},
-		"another leader leads":    {deposed: true},
-		"another is marked":       {stored: `{"tenants":["b","gone"]}`, marked: []routing.TenantName{"a", "b"}},
-		"the list can't be read":  {stored: "?", marked: []routing.TenantName{"a", "b"}},
-		"it was marked before us": {stored: `{"tenants":["a"]}`, marked: []routing.TenantName{"a"}},
+		"the store answers":          {marked: []routing.TenantName{"a"}},
+		"another leader was elected": {deposed: true},
+		"another tenant is marked":   {stored: `{"tenants":["b","gone"]}`, marked: []routing.TenantName{"a", "b"}},
+		"the list is invalid":        {stored: "?", marked: []routing.TenantName{"a", "b"}},
+		"it is already marked":       {stored: `{"tenants":["a"]}`, marked: []routing.TenantName{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, store := newCutOffRouter(t)
-				r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20} // 75 are allowed, 45 dealt
+				r.quotas.bound = quota.Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20} // 75 are allowed, 45 allocated
 				config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{
 					"a": {Name: "a", Rate: 10}, "b": {Name: "b", Rate: 10},
 				})
@@ -42,7 +42,7 @@
 				config.Version = 1
 				assert.Assert(t, r.proxy.Use(config))
 				if test.stored != "" {
-					_, err = store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{{Key: KeyPrefix + busyKey, Value: []byte(test.stored)}}})
+					_, err = store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{{Key: KeyPrefix + busyTenantsKey, Value: []byte(test.stored)}}})
 					assert.NilError(t, err)
 				}
 				r.election = election.New(store, KeyPrefix, "a:1", "process", rand.Text)
@@ -51,16 +51,16 @@
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				coordinator := quota.NewCoordinator(clock.Now(), 2, false, r.quotas.bound)
-				coordinator.Use(clock.Now(), config.Tenants)
+				coordinator.SetTenants(clock.Now(), config.Tenants)
 				if test.deposed {
 					tenure.Leader.Revision++
 				}
 				go r.quotas.keepMarks(ctx, tenure, coordinator)
 				time.Sleep(50 * time.Millisecond)
 				wantAll(r, coordinator)
-				time.Sleep(3 * marksLook)
+				time.Sleep(3 * marksInterval)
 				r.quotas.mu.Lock()
-				assert.Equal(t, len(coordinator.Wanted()) == 0, !test.deposed)
+				assert.Equal(t, len(coordinator.TenantsToMark()) == 0, !test.deposed)
 				r.quotas.mu.Unlock()
 				if test.deposed {
 					return
@@ -78,6 +78,6 @@
 	r.quotas.mu.Lock()
 	defer r.quotas.mu.Unlock()
 	now := clock.Now()
-	coordinator.Hear(now, quota.Told{Node: "n", Life: 1, Number: 1, All: true, Stamp: 1, Tenants: map[routing.TenantName]quota.Use{"a": {44, 0, 45}}})
+	coordinator.HandleReport(now, quota.Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Stamp: 1, Tenants: map[routing.TenantName]quota.TenantReport{"a": {44, 0, 45}}})
 	coordinator.Tick(now, true, 1)
 }
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -8,29 +8,29 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// hello introduces this process to a leader.
+// hello returns this process's introduction to a leader.
 func (r *Router) hello() peerlink.Hello {
 	return peerlink.Hello{
 		Node: r.settings.Node, Strength: r.hub.Strength, Address: r.settings.PeerListen, Zone: r.settings.Zone, Process: r.process,
-		Changes: true,
+		SuspectChanges: true,
 	}
 }
 
-// report is what the leader is told.
+// report returns the report to the leader.
 func (r *Router) report() peerlink.Report {
 	report := r.meter.Take()
 	report.Followers = r.hub.Followers()
 	r.standby.Tell(&report)
 	report.Evidence = r.proxy.Suspects.Tell(clock.Now())
-	report.Quota = r.quotas.tell()
-	report.Limits = r.limits.tell()
-	report.Leaving = r.leaving.tell()
+	report.Quota = r.quotas.collectReports()
+	report.Limits = r.limits.report()
+	report.Leaving = r.leaving.report()
 	return report
 }
 
-// reportToSelf gives the leader what its own process sees.
+// reportToSelf passes this process's own measurements to it as the leader.
 func (r *Router) reportToSelf(ctx context.Context) {
-	ticker := time.NewTicker(ownReportEvery)
+	ticker := time.NewTicker(selfReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -31,17 +31,17 @@
 }
 
 // leave lets the standby renew one run of keys for some time after a stamp of its own.
-func leave(stamp, left time.Duration) *peerlink.Mandate {
+func leave(stamp, left time.Duration) *peerlink.Delegation {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
-	return &peerlink.Mandate{
-		Stamp: stamp.Milliseconds(), LeftMillis: left.Milliseconds(),
-		Services: []peerlink.ServiceHolds{peerlink.DescribeHolds("s", 5, holds)},
+	return &peerlink.Delegation{
+		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
+		Services: []peerlink.ServiceHolds{peerlink.EncodeHolds("s", 5, holds)},
 	}
 }
 
 func TestAStandbyRenewsWithinItsLeave(t *testing.T) {
 	for name, c := range map[string]struct {
-		mandate *peerlink.Mandate
+		mandate *peerlink.Delegation
 		then    func(s *Standby)
 		least   int32
 		most    int32
@@ -89,6 +89,6 @@
 		s.Heard(3, leave(time.Second, time.Second))
 		s.Tell(&report)
 		assert.Equal(t, report.Stamp, int64(1000))
-		assert.Equal(t, report.Heard["s"], uint64(5))
+		assert.Equal(t, report.HoldVersions["s"], uint64(5))
 	})
 }
