--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -8,7 +8,7 @@
 		file: "internal/proxy/body.go",
 		old:  "length < 0 && most > 0 {",
 		new:  "false && most > 0 {",
-		pkg:  "./internal/proxy", test: "TestABodyBeyondTheLimitIsRefused",
+		pkg:  "./internal/proxy", test: "TestBodyBeyondLimitIsRefused",
 	},
 	{
 		name: "waits-of-the-router-count-against-callers",
@@ -22,7 +22,7 @@
 		file: "internal/proxy/call.go",
 		old:  "\tif c.message.Spent() {",
 		new:  "\tif false {",
-		pkg:  "./internal/proxy", test: "TestABodyThatWasPartlyPassedOnIsNotSentAgain",
+		pkg:  "./internal/proxy", test: "TestPartlyStreamedBodyIsNotResent",
 	},
 	{
 		name: "early-answer-keeps-its-connection",
@@ -50,14 +50,14 @@
 		file: "internal/upstream/exchange.go",
 		old:  "Outcome: e.judge(response)}",
 		new:  "Outcome: Answered}",
-		pkg:  "./internal/proxy", test: "TestALongAnswerNeedsItsSignatureToo",
+		pkg:  "./internal/proxy", test: "TestLongAnswerWithoutSignatureIsRejected",
 	},
 	{
 		name: "cut-answer-looks-whole",
 		file: "internal/proxy/answer.go",
 		old:  "\t\tc.abortConnection()\n",
 		new:  "",
-		pkg:  "./internal/proxy", test: "TestADownloadThatBreaksLaterIsCutForItsCaller",
+		pkg:  "./internal/proxy", test: "TestDownloadTruncatedLateIsTruncatedForCaller",
 	},
 	{
 		name: "large-bodies-without-a-bound",
@@ -78,6 +78,6 @@
 		file: "internal/proxy/answer.go",
 		old:  "\tc.detach()\n",
 		new:  "",
-		pkg:  "./internal/proxy", test: "TestAPlannedStopEndsNoDownload",
+		pkg:  "./internal/proxy", test: "TestShutdownDoesNotInterruptDownload",
 	},
 }
--- a/internal/lab/mutate/mutations_fair.go
+++ b/internal/lab/mutate/mutations_fair.go
@@ -49,13 +49,13 @@
 		file: "internal/proxy/fairness.go",
 		old:  "	if !short {",
 		new:  "	if false && !short {",
-		pkg:  "./internal/proxy", test: "TestAnOwnerWithRoomTurnsNobodyBack",
+		pkg:  "./internal/proxy", test: "TestOwnerWithCapacityRefusesNoRequests",
 	},
 	{
 		name: "yielding-request-waits-at-a-worker",
 		file: "internal/proxy/pick.go",
-		old:  "!ok || required.free && !candidate.hasFreeSlot",
+		old:  "!ok || required.freeSlotOnly && !candidate.hasFreeSlot",
 		new:  "!ok",
-		pkg:  "./internal/proxy", test: "TestATenantBeyondItsShareTakesFreeWorkersOnly",
+		pkg:  "./internal/proxy", test: "TestTenantBeyondItsShareUsesFreeWorkersOnly",
 	},
 }
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -54,30 +54,30 @@
 	{
 		name: "suspect-sent-to-several",
 		file: "internal/proxy/crash.go",
-		old:  "	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed",
-		new:  "	return c.closedConnections.Load() < mostClosed",
-		pkg:  "./internal/proxy", test: "TestASuspectGoesToOneWorkerOnly",
+		old:  "	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < maxClosedConnections",
+		new:  "	return c.closedConnections.Load() < maxClosedConnections",
+		pkg:  "./internal/proxy", test: "TestSuspectIsSentToOneWorkerOnly",
 	},
 	{
 		name: "crash-goes-with-the-entry",
 		file: "internal/proxy/crash.go",
 		old:  "announced || !served {",
 		new:  "true || announced {",
-		pkg:  "./internal/proxy", test: "TestWhatEndedAfterItsEntryChanged",
+		pkg:  "./internal/proxy", test: "TestCrashClassificationAfterEntryChange",
 	},
 	{
 		name: "leaving-worker-crashes",
 		file: "internal/proxy/crash.go",
 		old:  "	return announced && worker.State == workers.StateReady",
 		new:  "	return announced && worker.State != workers.State(\"\")",
-		pkg:  "./internal/proxy", test: "TestOnlyACrashMakesSuspects",
+		pkg:  "./internal/proxy", test: "TestOnlyCrashesCreateSuspects",
 	},
 	{
 		name: "starting-router-serves-without-the-list",
 		file: "internal/proxy/handler.go",
 		old:  "	if used == nil || p.Starting.Load() {",
 		new:  "	if used == nil {",
-		pkg:  "./internal/proxy", test: "TestARouterThatStartsKnowsTheListFirst",
+		pkg:  "./internal/proxy", test: "TestStartingRouterSendsNothingBeforeQuarantineIsKnown",
 	},
 }
 
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -19,7 +19,7 @@
 	{
 		name: "crash-missed-where-a-worker-is-back-at-once",
 		file: "internal/proxy/fleet.go",
-		old:  "\t\tif f.ended != nil {",
+		old:  "\t\tif f.onIncarnationEnd != nil {",
 		new:  "\t\tif false {",
 		pkg:  "./internal/proxy", test: "TestImmediateRestartCountsAsCrash",
 	},
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -8,14 +8,14 @@
 		file: "internal/workers/workers.go",
 		old:  "!evacuated && worker.State == StateReady",
 		new:  "(evacuated || !evacuated) && worker.State == StateReady",
-		pkg:  "./internal/proxy", test: "TestNoWorkGoesToAnEvacuatedZone",
+		pkg:  "./internal/proxy", test: "TestEvacuatedZoneReceivesNoRequests",
 	},
 	{
 		name: "owner-in-an-evacuated-zone-used",
 		file: "internal/proxy/keyed.go",
 		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():",
 		new:  "\tcase false:",
-		pkg:  "./internal/proxy", test: "TestOwnersInAnEvacuatedZoneGetWorkForAWhile",
+		pkg:  "./internal/proxy", test: "TestOwnersInEvacuatedZoneReceiveRequestsBriefly",
 	},
 	{
 		name: "keys-stay-in-an-evacuated-zone",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -32,10 +32,10 @@
 	},
 	{
 		name: "cold-worker-gets-any-number",
-		file: "internal/proxy/coldgate.go",
+		file: "internal/proxy/coldlimiter.go",
 		old:  "\treturn g.tokens >= 1",
 		new:  "\treturn true",
-		pkg:  "./internal/proxy", test: "TestAColdWorkerGetsWhatItBearsFromAllTogether",
+		pkg:  "./internal/proxy", test: "TestColdWorkerRateHoldsOverAllProcesses",
 	},
 	{
 		name: "written-to-a-connection-that-is-reset",
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -18,7 +18,7 @@
 func (c *call) forwardAnswer(result *upstream.Result) {
 	c.detach()
 	if c.bodyUnread {
-		c.leaveUnread()
+		c.answerBeforeBodyEnd()
 	}
 	header := c.writer.Header()
 	connectionHeader := header.Get("Connection")
@@ -95,11 +95,11 @@
 func (c *call) truncationReason(result *upstream.Result, err error) string {
 	switch {
 	case result.Stream != nil && result.Stream.Err() != nil && c.timeLeft() <= answerMargin:
-		return reasonCutLate
+		return reasonCutAtDeadline
 	case result.Stream != nil && result.Stream.Err() != nil && c.request.Context().Err() == nil:
 		return reasonCutByWorker
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return reasonSlow
+		return reasonCallerSlow
 	}
 	return reasonCutByClient
 }
@@ -115,10 +115,10 @@
 		header.Set(c.proxy.Headers.RequestID, c.message.ID)
 	}
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	text := shownReason(reason) + "\n"
+	text := publicReason(reason) + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	if c.bodyUnread {
-		c.leaveUnread()
+		c.answerBeforeBodyEnd()
 	}
 	c.writer.WriteHeader(status)
 	_, _ = io.WriteString(c.writer, text)
@@ -136,9 +136,9 @@
 	if c.service != nil {
 		service = string(c.service.Name)
 	}
-	c.proxy.Metrics.ended(service, status, reason, took)
+	c.proxy.Metrics.recordEnd(service, status, reason, took)
 	if c.tenant != nil {
-		c.proxy.Metrics.tenants.ended(c.tenant.Name, status)
+		c.proxy.Metrics.tenants.recordEnd(c.tenant.Name, status)
 	}
 	expected := reason == "" && status < http.StatusInternalServerError && c.sends.mayHaveArrived() <= 1 &&
 		(c.route == nil || took <= time.Duration(slowLogShare*float64(c.route.Target)))
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -64,8 +64,8 @@
 	// failed connection attempt.
 	unreachableUntil time.Time
 	// gone reports that another worker answered at the address.
-	gone bool
-	cold coldGate
+	gone        bool
+	coldLimiter coldLimiter
 	// witness holds what was observed of the worker's end. probeAt is the start time of the last
 	// probe of its address, which may be in the future.
 	witness quarantine.Witness
@@ -131,7 +131,7 @@
 	switch {
 	case b.gone || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
 		return choice{}, false
-	case load >= maxLoadRatio*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
+	case load >= maxLoadRatio*slots || !b.coldLimiter.ready(now, b.worker.WarmAt, coldRate, nodes):
 		return choice{}, false
 	}
 	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: load+1 <= slots}, true
@@ -190,7 +190,7 @@
 func (b *backend) admit(now time.Time, coldRate float64, nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cold.take(now, b.worker.WarmAt, coldRate, nodes)
+	return b.coldLimiter.take(now, b.worker.WarmAt, coldRate, nodes)
 }
 
 // meanLatency returns the mean time of work on a request, and false if there are no measurements.
@@ -229,7 +229,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
-	b.count(now, result)
+	b.recordThrottleResult(now, result)
 	if result.Loaded {
 		b.recordLoad(now, result.Load)
 	}
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -41,7 +41,7 @@
 func (c *call) recordBackoff(to *backend, result *upstream.Result) {
 	switch result.Backoff.Asking {
 	case upstream.BackoffAsked:
-		c.proxy.Metrics.noticed(c.service.Name, noticeBackoff)
+		c.proxy.Metrics.recordNotice(c.service.Name, noticeBackoff)
 		extension, started := to.startBackoff(clock.Now(), result.Backoff.For)
 		if c.service.Keyed && extension > 0 {
 			c.proxy.Meter.CountBackoff(to.id(), extension)
@@ -51,7 +51,7 @@
 				Float64("for", result.Backoff.For.Seconds()).Msg("")
 		}
 	case upstream.UnreadableBackoff:
-		c.proxy.Metrics.noticed(c.service.Name, noticeUnreadableBackoff)
+		c.proxy.Metrics.recordNotice(c.service.Name, noticeUnreadableBackoff)
 		c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
 			Strs("unreadable", result.Header.Values("Retry-After")).Msg("")
 	}
--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -127,7 +127,7 @@
 	f.proxy.fleet.get(asking.entry("pool")).startBackoff(clock.Now(), 3*time.Second)
 	service := f.proxy.Config().Services["pool"]
 	for range 50 {
-		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(service), service, need{target: time.Second}, nil, 1)
+		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(service), service, requirements{target: time.Second}, nil, 1)
 		assert.Equal(t, picked.backend.id(), other.entry("pool").ID)
 	}
 }
@@ -187,7 +187,7 @@
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f := newTestProxy(t, w.entry("keyed"))
 			f.assignAllKeys(w.entry("keyed"))
-			f.proxy.KeysStay = func() bool { return test.stay }
+			f.proxy.KeyMovesBlocked = func() bool { return test.stay }
 			f.directory.Leaves(w.entry("keyed").Life(), clock.Now().Add(-testDrain))
 			began := time.Now()
 			response, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -14,46 +14,46 @@
 
 // Bounds of bodies.
 const (
-	// keptBody is the most of a request's body that is read before a worker is asked, in
+	// maxBufferedBody is the most of a request's body that is read before a worker is asked, in
 	// bytes: a photo or a report. What is longer is passed on as it comes, sent once, and
 	// takes the worker's time while its caller sends.
-	keptBody = 512 << 10
-	// keptAnswer is the largest answer, in bytes, that is read whole before it is passed on,
+	maxBufferedBody = 512 << 10
+	// maxBufferedAnswer is the largest answer, in bytes, that is read whole before it is passed on,
 	// where answers are small: a broken one can be asked for again.
-	keptAnswer = 256 << 10
-	// keptDownload is the same where answers are large, and the most that is held of an answer
+	maxBufferedAnswer = 256 << 10
+	// maxBufferedDownload is the same where answers are large, and the most that is held of an answer
 	// whose caller reads slowly.
-	keptDownload = 1 << 20
-	// holdShare of the target is the longest that a large answer is kept back until it is
+	maxBufferedDownload = 1 << 20
+	// downloadBufferShare of the target is the longest that a large answer is kept back until it is
 	// whole: so much later may its end come.
-	holdShare = 0.125
-	// roomShare of the target is how long a large body waits for memory; a refusal should come
+	downloadBufferShare = 0.125
+	// bodyMemoryWaitShare of the target is how long a large body waits for memory; a refusal should come
 	// early in the time that its caller has.
-	roomShare = 0.1
-	// restWait bounds the wait for what a caller still sends after its answer, in which it can
+	bodyMemoryWaitShare = 0.1
+	// unreadBodyTimeout bounds the wait for what a caller still sends after its answer, in which it can
 	// read the answer: a connection that is closed with unread bytes may lose it.
-	restWait = time.Second
+	unreadBodyTimeout = time.Second
 )
 
 // holding is what a request holds of the memory for bodies. A second copy of the request may
 // end after it.
-type holding struct {
-	mu    sync.Mutex
-	free  []func()
-	ended bool
+type cleanupList struct {
+	mu      sync.Mutex
+	pending []func()
+	ended   bool
 	// few is where the first of them stand, so that a small request allocates nothing more.
-	few [3]func()
+	inline [3]func()
 }
 
 // add notes what is to be freed at the end.
-func (h *holding) add(free func()) {
+func (h *cleanupList) add(free func()) {
 	h.mu.Lock()
 	ended := h.ended
 	if !ended {
-		if h.free == nil {
-			h.free = h.few[:0]
+		if h.pending == nil {
+			h.pending = h.inline[:0]
 		}
-		h.free = append(h.free, free)
+		h.pending = append(h.pending, free)
 	}
 	h.mu.Unlock()
 	if ended {
@@ -62,10 +62,10 @@
 }
 
 // end frees all.
-func (h *holding) end() {
+func (h *cleanupList) run() {
 	h.mu.Lock()
-	free := h.free
-	h.free, h.ended = nil, true
+	free := h.pending
+	h.pending, h.ended = nil, true
 	h.mu.Unlock()
 	for _, one := range free {
 		one()
@@ -73,11 +73,11 @@
 }
 
 // keepBack says how much of an answer is kept back until it is whole, and for how long.
-func (c *call) keepBack() (most int64, hold time.Duration) {
+func (c *call) answerBuffering() (most int64, hold time.Duration) {
 	if c.route.Class == routing.BulkDown {
-		return keptDownload, time.Duration(holdShare * float64(c.route.Target))
+		return maxBufferedDownload, time.Duration(downloadBufferShare * float64(c.route.Target))
 	}
-	return keptAnswer, 0
+	return maxBufferedAnswer, 0
 }
 
 // readBody reads the body, or the beginning of a long one, before any worker is asked; false if
@@ -96,24 +96,24 @@
 	small := length <= bodies.Small // or not known yet
 	spool := bodies.NewSpool(c.proxy.Room, small)
 	c.cleanups.add(spool.Free)
-	if !small && !c.awaitRoom(spool) {
+	if !small && !c.awaitBodyMemory(spool) {
 		return false
 	}
 	controller := http.NewResponseController(c.writer)
-	reader := c.limited(bodies.NewReader(body, c.deadline.Add(-answerMargin), controller), length)
+	reader := c.limitBody(bodies.NewReader(body, c.deadline.Add(-answerMargin), controller), length)
 	whole, err := spool.Fill(reader, length, bodies.Small)
 	if err == nil && !whole {
-		if small && !c.awaitRoom(spool) {
+		if small && !c.awaitBodyMemory(spool) {
 			return false
 		}
-		whole, err = spool.Fill(reader, length, keptBody)
+		whole, err = spool.Fill(reader, length, maxBufferedBody)
 	}
 	switch {
 	case small && errors.Is(err, bodies.ErrNoRoom):
-		c.giveUp(reasonRoom, c.jitteredRetryAfter())
+		c.giveUp(reasonBodiesFull, c.jitteredRetryAfter())
 		return false
 	case err != nil && !errors.Is(err, bodies.ErrNoRoom):
-		c.bodyBroke(err)
+		c.refuseBodyError(err)
 		return false
 	}
 	c.message.Body, c.message.Length = spool, spool.Length()
@@ -128,18 +128,18 @@
 }
 
 // awaitRoom takes memory for a large body; false if the request was answered.
-func (c *call) awaitRoom(spool *bodies.Spool) bool {
-	if spool.Await(c.request.Context(), time.Duration(roomShare*float64(c.route.Target))) {
+func (c *call) awaitBodyMemory(spool *bodies.Spool) bool {
+	if spool.Await(c.request.Context(), time.Duration(bodyMemoryWaitShare*float64(c.route.Target))) {
 		c.proxy.uploads.Add(1)
 		c.cleanups.add(func() { c.proxy.uploads.Add(-1) })
 		return true
 	}
-	c.giveUp(reasonRoom, c.jitteredRetryAfter())
+	c.giveUp(reasonBodiesFull, c.jitteredRetryAfter())
 	return false
 }
 
 // bodyBroke answers a request whose body could not be read. No worker has been asked.
-func (c *call) bodyBroke(err error) {
+func (c *call) refuseBodyError(err error) {
 	switch {
 	case errors.Is(err, errTooLong):
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
@@ -148,7 +148,7 @@
 	case c.timeLeft() <= answerMargin:
 		c.giveUpWithoutRetry(reasonDeadline)
 	default:
-		c.refuse(http.StatusRequestTimeout, reasonSlow, 0)
+		c.refuse(http.StatusRequestTimeout, reasonCallerSlow, 0)
 	}
 }
 
@@ -163,23 +163,23 @@
 var errTooLong = errors.New("the body is longer than it may be")
 
 // limited bounds a body whose length is not known before it is read.
-func (c *call) limited(body io.Reader, length int64) io.Reader {
+func (c *call) limitBody(body io.Reader, length int64) io.Reader {
 	if most := c.bodyLimit(); length < 0 && most > 0 {
-		return &limitedReader{from: body, left: most}
+		return &limitedReader{reader: body, left: most}
 	}
 	return body
 }
 
 // limitedReader fails beyond its limit, so that what was read is never taken for whole.
 type limitedReader struct {
-	from io.Reader
+	reader io.Reader
 	// left is how many bytes may still come.
 	left int64
 }
 
 // Read implements io.Reader.
 func (r *limitedReader) Read(into []byte) (int, error) {
-	count, err := r.from.Read(into)
+	count, err := r.reader.Read(into)
 	r.left -= int64(count)
 	if r.left < 0 {
 		return 0, errTooLong
@@ -189,9 +189,9 @@
 
 // leaveUnread lets an answer go out before the rest of the caller's body is in, which would
 // else be read first.
-func (c *call) leaveUnread() {
+func (c *call) answerBeforeBodyEnd() {
 	controller := http.NewResponseController(c.writer)
 	_ = controller.EnableFullDuplex()
-	_ = controller.SetReadDeadline(time.Now().Add(restWait))
+	_ = controller.SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	c.writer.Header().Set("Connection", "close")
 }
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -29,7 +29,7 @@
 type unsized struct{ io.Reader }
 
 // emptied waits until all memory for bodies is given back.
-func (f *testProxy) emptied(t *testing.T) {
+func (f *testProxy) awaitNoBodies(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.proxy.Room.Used() == 0 && f.proxy.uploads.Load() == 0 && f.proxy.downloads.Load() == 0 {
@@ -63,18 +63,18 @@
 // A body that was too long to be kept was sent again after a worker had refused it: the second
 // worker got its beginning and what the first had not read, in chunks as a whole body. Found by
 // reading.
-func TestABodyThatWasPartlyPassedOnIsNotSentAgain(t *testing.T) {
+func TestPartlyStreamedBodyIsNotResent(t *testing.T) {
 	once := refuseOnce()
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
-	response, _ := f.upload(t, "/up/", unsized{strings.NewReader(strings.Repeat("b", keptBody*3/2))}, -1)
+	response, _ := f.upload(t, "/up/", unsized{strings.NewReader(strings.Repeat("b", maxBufferedBody*3/2))}, -1)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable, "it did not run")
 	assert.Equal(t, one.receivedCount()+two.receivedCount(), 1)
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
 
 // One that is kept can be.
-func TestALargeBodyThatDidNotRunGoesToAnother(t *testing.T) {
+func TestRejectedBufferedBodyIsResentToAnotherWorker(t *testing.T) {
 	once := refuseOnce()
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
@@ -84,11 +84,11 @@
 	for _, w := range []*fakeWorker{one, two} {
 		assert.Equal(t, len(w.bodies[0]), length)
 	}
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
 
 // A worker that is asked while its caller still sends has one slot less for others.
-func TestNoWorkerWaitsForASlowCaller(t *testing.T) {
+func TestSlowUploadIsBufferedBeforeSending(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
 	const length = 300_000
@@ -102,11 +102,11 @@
 	response, _ := f.upload(t, "/up/", reader, length)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, len(w.bodies[0]), length)
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
 
-func TestConnectionsOfLargeBodiesAreKept(t *testing.T) {
-	for name, length := range map[string]int64{"kept": 300_000, "passed on": keptBody * 3 / 2} {
+func TestConnectionsAreReusedAfterLargeBodies(t *testing.T) {
+	for name, length := range map[string]int64{"kept": 300_000, "passed on": maxBufferedBody * 3 / 2} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f := newTestProxy(t, w.entry("pool"))
@@ -115,14 +115,14 @@
 				assert.Equal(t, response.StatusCode, http.StatusOK)
 			}
 			assert.Equal(t, w.openedConnections(), 1)
-			f.emptied(t)
+			f.awaitNoBodies(t)
 		})
 	}
 }
 
 // A body that its caller cut runs nowhere, whether it was kept or passed on.
-func TestABodyThatItsCallerCutRunsNowhere(t *testing.T) {
-	for name, sent := range map[string]int{"kept": 100_000, "passed on": keptBody * 5 / 4} {
+func TestTruncatedUploadDoesNotRun(t *testing.T) {
+	for name, sent := range map[string]int{"kept": 100_000, "passed on": maxBufferedBody * 5 / 4} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f := newTestProxy(t, w.entry("pool"))
@@ -134,7 +134,7 @@
 			assert.NilError(t, err)
 			time.Sleep(100 * time.Millisecond)
 			abort(connection)
-			f.emptied(t)
+			f.awaitNoBodies(t)
 			assert.Equal(t, w.receivedCount(), 0)
 		})
 	}
@@ -142,7 +142,7 @@
 
 // Where the memory for bodies is used up, a large body is refused soon and with a promise, and
 // small ones go on.
-func TestLargeBodiesBeyondTheRoomAreRefused(t *testing.T) {
+func TestLargeBodiesBeyondMemoryLimitAreRefused(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.Room = bodies.NewRoom(100_000)
@@ -151,7 +151,7 @@
 		began := time.Now()
 		response, reason := f.upload(t, "/up/", unsized{bytes.NewReader(make([]byte, testDownload))}, length)
 		assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable, name)
-		assert.Equal(t, reason, reasonRoom+"\n")
+		assert.Equal(t, reason, reasonBodiesFull+"\n")
 		assert.Assert(t, response.Header.Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) < 400*time.Millisecond, "%s: %s", name, time.Since(began))
 	}
@@ -161,11 +161,11 @@
 	f.proxy.Room.Give(87_000)
 	response, _ = f.upload(t, "/up/", bytes.NewReader(make([]byte, testDownload)), testDownload)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
 
 // A long answer was passed on without a look at its head. Found by reading.
-func TestALongAnswerNeedsItsSignatureToo(t *testing.T) {
+func TestLongAnswerWithoutSignatureIsRejected(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+"\r\nContent-Length: 2000000\r\n\r\n")
 		_, _ = connection.Write(make([]byte, 2_000_000))
@@ -177,7 +177,7 @@
 }
 
 // download begins an answer, and waits before its second half.
-func download(pause time.Duration, whole bool) script {
+func slowDownload(pause time.Duration, whole bool) script {
 	return func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+
 			"\r\nX-Signature: s\r\nContent-Length: 90000\r\n\r\n"+strings.Repeat("a", testDownload/2))
@@ -189,10 +189,10 @@
 	}
 }
 
-func TestADownloadThatBreaksSoonIsAskedForAgain(t *testing.T) {
+func TestDownloadTruncatedEarlyIsRetried(t *testing.T) {
 	var first atomic.Bool
 	once := func(connection net.Conn, request *http.Request) bool {
-		return download(0, !first.CompareAndSwap(false, true))(connection, request)
+		return slowDownload(0, !first.CompareAndSwap(false, true))(connection, request)
 	}
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
@@ -200,11 +200,11 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, len(body), testDownload)
 	assert.Equal(t, one.receivedCount()+two.receivedCount(), 2)
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
 
 // Once a part of it has reached the caller it is not asked for again, and doesn't look whole.
-func TestADownloadThatBreaksLaterIsCutForItsCaller(t *testing.T) {
+func TestDownloadTruncatedLateIsTruncatedForCaller(t *testing.T) {
 	for name, framing := range map[string]string{
 		"of known length": "Content-Length: 90000\r\n\r\n", "in chunks": "Transfer-Encoding: chunked\r\n\r\n15f90\r\n",
 	} {
@@ -226,7 +226,7 @@
 			assert.Assert(t, err != nil, "it looks whole")
 			assert.Equal(t, len(body), testDownload/2)
 			assert.Equal(t, w.receivedCount()+other.receivedCount(), 1)
-			f.emptied(t)
+			f.awaitNoBodies(t)
 			f.server.Close()
 			f.proxy.Log.Flush()
 			lines, err := os.ReadFile(log.Name())
@@ -237,7 +237,7 @@
 }
 
 // A caller of HTTP/1.0 takes the end of the connection for that of an answer without a length.
-func TestADownloadThatBreaksIsCutForOldCallersToo(t *testing.T) {
+func TestTruncatedDownloadResetsHTTP10Connection(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+
 			"\r\nX-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n15f90\r\n"+strings.Repeat("a", testDownload/2))
@@ -254,15 +254,15 @@
 }
 
 // A download that has begun goes on when the process is about to end.
-func TestAPlannedStopEndsNoDownload(t *testing.T) {
-	w := newFakeWorker(t, "w1", download(400*time.Millisecond, true))
+func TestShutdownDoesNotInterruptDownload(t *testing.T) {
+	w := newFakeWorker(t, "w1", slowDownload(400*time.Millisecond, true))
 	f := newTestProxy(t, w.entry("pool"))
 	response, err := http.DefaultClient.Do(f.request(t, "GET", "/down/", ""))
 	assert.NilError(t, err)
 	list, _ := f.directory.Usable("pool")
 	assert.Equal(t, f.inFlight(list[0]), 1, "the worker still sends")
-	f.proxy.Stop()
-	f.proxy.End()
+	f.proxy.BeginShutdown()
+	f.proxy.CancelRequests()
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, len(body), testDownload)
@@ -275,8 +275,8 @@
 }
 
 // A caller who does not read holds no worker: the same connection serves the next request.
-func TestACallerWhoDoesNotReadHoldsNoWorker(t *testing.T) {
-	w := newFakeWorker(t, "w1", alwaysAnswer(strings.Repeat("a", keptDownload-bodies.Small)))
+func TestCallerThatDoesNotReadOccupiesNoWorker(t *testing.T) {
+	w := newFakeWorker(t, "w1", alwaysAnswer(strings.Repeat("a", maxBufferedDownload-bodies.Small)))
 	f := newTestProxy(t, w.entry("pool"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
@@ -295,5 +295,5 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, w.openedConnections(), 1)
 	abort(connection)
-	f.emptied(t)
+	f.awaitNoBodies(t)
 }
--- a/internal/proxy/bodylimit_test.go
+++ b/internal/proxy/bodylimit_test.go
@@ -9,7 +9,7 @@
 )
 
 // A body in chunks passed the limit: only a length that the head told was compared with it.
-func TestABodyBeyondTheLimitIsRefused(t *testing.T) {
+func TestBodyBeyondLimitIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		limit, length int64
 		unsized       bool
@@ -19,9 +19,9 @@
 		"in chunks":                         {limit: 100_000, length: 100_001, unsized: true, status: http.StatusRequestEntityTooLarge},
 		"in chunks, small":                  {limit: 1000, length: 1001, unsized: true, status: http.StatusRequestEntityTooLarge},
 		"in chunks, at the limit":           {limit: 100_000, length: 100_000, unsized: true, status: http.StatusOK},
-		"in chunks, after a part went on":   {limit: 2 * keptBody, length: 2*keptBody + 1, unsized: true, status: http.StatusBadGateway},
-		"in chunks, passed on, within it":   {limit: 2 * keptBody, length: 2 * keptBody, unsized: true, status: http.StatusOK},
-		"told, passed on, within the limit": {limit: 2 * keptBody, length: 2 * keptBody, status: http.StatusOK},
+		"in chunks, after a part went on":   {limit: 2 * maxBufferedBody, length: 2*maxBufferedBody + 1, unsized: true, status: http.StatusBadGateway},
+		"in chunks, passed on, within it":   {limit: 2 * maxBufferedBody, length: 2 * maxBufferedBody, unsized: true, status: http.StatusOK},
+		"told, passed on, within the limit": {limit: 2 * maxBufferedBody, length: 2 * maxBufferedBody, status: http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
@@ -38,7 +38,7 @@
 			if test.status != http.StatusOK {
 				assert.Equal(t, w.receivedCount(), 0, "no worker has it whole")
 			}
-			f.emptied(t)
+			f.awaitNoBodies(t)
 		})
 	}
 }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -52,7 +52,7 @@
 	lastResult *upstream.Result
 	lastWorker workers.ID
 	// cleanups release the request's body memory and other resources when it ends.
-	cleanups holding
+	cleanups cleanupList
 	// bodyUnread reports that the caller's body has not been read to its end.
 	bodyUnread bool
 	// detach keeps the request from being canceled when the process shuts down.
@@ -82,7 +82,7 @@
 	}
 	c.message.Once = !c.route.Repeatable
 	c.message.Room, c.message.Turns = c.proxy.Room, c.proxy.Turns
-	c.message.Kept, c.message.Held = c.keepBack()
+	c.message.Kept, c.message.Held = c.answerBuffering()
 	if c.message.ID == "" {
 		c.refuse(http.StatusBadRequest, reasonMalformed, 0)
 		return false
@@ -100,7 +100,7 @@
 // is permitted.
 func (c *call) sendTo(to *backend, until time.Time) *upstream.Result {
 	c.sends.begin()
-	c.countSend()
+	c.recordQuotaSend()
 	worker, result := c.exchange(c.request.Context(), to, until)
 	c.recordResult(worker, &result)
 	return &result
@@ -126,16 +126,16 @@
 		p.Meter.CountResponse(worker.ID, result.Took)
 	}
 	if result.Outcome == upstream.Answered {
-		c.weigh(&worker, &result)
+		c.recordSize(&worker, &result)
 		if measured {
 			c.state.recordLatency(result.Took, mean)
 		}
 	}
-	p.Metrics.sent(c.service.Name, result.Outcome)
-	c.watchLimit(&worker, &result)
+	p.Metrics.recordSend(c.service.Name, result.Outcome)
+	c.recordLimit(&worker, &result)
 	c.recordNotice(to, &result)
-	c.watchEnd(to, &result)
-	c.cleared(&result)
+	c.recordWorkerEnd(to, &result)
+	c.clearSuspect(&result)
 	return worker.ID, result
 }
 
@@ -170,7 +170,7 @@
 		if c.mayResend() {
 			return false
 		}
-		c.refuse(http.StatusBadGateway, reasonBroken, 0)
+		c.refuse(http.StatusBadGateway, reasonAnswerLost, 0)
 		return true
 	case upstream.Late:
 		if c.mayResend() && c.timeLeft() > answerMargin {
@@ -202,13 +202,13 @@
 
 // mayResend reports whether a request that may have run can be sent again.
 func (c *call) mayResend() bool {
-	return c.repeatable() && c.sends.maySend() && c.maySpread()
+	return c.repeatable() && c.sends.maySend() && c.mayRunOnSeveralWorkers()
 }
 
 // giveUp refuses a request that no worker answered. The status is 503 with a Retry-After header of
 // at least minRetryAfter if the request did not run or is repeatable, and 502 otherwise.
 func (c *call) giveUp(reason string, retryAfter time.Duration) {
-	c.countLost(reason)
+	c.recordUnserved(reason)
 	c.giveUpWith(reason, max(retryAfter, minRetryAfter))
 }
 
--- a/internal/proxy/coldgate.go
+++ b/internal/proxy/coldlimiter.go
@@ -11,23 +11,23 @@
 // may be cold at once.
 const coldShare = 0.75
 
-// coldGate shares out among all processes how many requests a second a cold worker bears.
+// coldLimiter shares out among all processes how many requests a second a cold worker bears.
 // No process sees what the others send. So each sends its part of that rate, and begins
 // each spell at a random point between two of its sends: what all send together then
 // varies as a Poisson process does. Workers that came back cold together got 15 and 16
 // requests in a second without it, and bear 4.2 (74 processes).
 //
 // Its zero value is that of a worker that was never cold.
-type coldGate struct {
-	tokens float64
-	at     time.Time
+type coldLimiter struct {
+	tokens     float64
+	refilledAt time.Time
 	// until is when the spell ends that the tokens are for.
-	until time.Time
+	periodEnd time.Time
 }
 
 // ready reports whether a request may be sent now to a worker that is cold until a time,
 // at a rate over all processes, of which there are nodes; 0: not known.
-func (g *coldGate) ready(now, until time.Time, rate float64, nodes int) bool {
+func (g *coldLimiter) ready(now, until time.Time, rate float64, nodes int) bool {
 	if !now.Before(until) || rate <= 0 {
 		return true
 	}
@@ -39,7 +39,7 @@
 }
 
 // take counts a request that is about to be sent; false if it may not.
-func (g *coldGate) take(now, until time.Time, rate float64, nodes int) bool {
+func (g *coldLimiter) take(now, until time.Time, rate float64, nodes int) bool {
 	if !g.ready(now, until, rate, nodes) {
 		return false
 	}
@@ -50,11 +50,11 @@
 }
 
 // refill adds what has come since the last look, up to one request.
-func (g *coldGate) refill(now, until time.Time, rate float64) {
-	if now.After(g.until) {
-		g.tokens, g.at = rand.Float64(), now
+func (g *coldLimiter) refill(now, until time.Time, rate float64) {
+	if now.After(g.periodEnd) {
+		g.tokens, g.refilledAt = rand.Float64(), now
 	}
-	g.until = until
-	g.tokens = min(1, g.tokens+now.Sub(g.at).Seconds()*rate)
-	g.at = now
+	g.periodEnd = until
+	g.tokens = min(1, g.tokens+now.Sub(g.refilledAt).Seconds()*rate)
+	g.refilledAt = now
 }
--- a/internal/proxy/coldgate_test.go
+++ b/internal/proxy/coldlimiter_test.go
@@ -9,18 +9,18 @@
 )
 
 // All processes try to send as much as they can to workers that came back together.
-func TestAColdWorkerGetsWhatItBearsFromAllTogether(t *testing.T) {
+func TestColdWorkerRateHoldsOverAllProcesses(t *testing.T) {
 	const rate, most = 4.2, 14 // a second, of the users' platform
 	for name, nodes := range map[string]int{"few": 3, "some": 11, "many": 74, "very many": 295} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(3, 4))
 			sent, windows, worst := 0, 0, 0
 			for range 100 { // workers
-				gates := make([]coldGate, nodes)
+				gates := make([]coldLimiter, nodes)
 				start := time.Unix(1000, 0)
 				until := start.Add(3 * time.Second)
 				for index := range gates { // as a spell begins
-					gates[index] = coldGate{tokens: random.Float64(), at: start, until: until}
+					gates[index] = coldLimiter{tokens: random.Float64(), refilledAt: start, periodEnd: until}
 				}
 				var sends []time.Time
 				for now := start; now.Before(until); now = now.Add(10 * time.Millisecond) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestColdGate(t *testing.T) {
+func TestColdLimiterReady(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
 		until time.Time
@@ -62,16 +62,16 @@
 		"never cold, nothing is told": {rate: 4, ready: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var gate coldGate
+			var gate coldLimiter
 			assert.Equal(t, gate.ready(now, c.until, c.rate, c.nodes), c.ready)
 		})
 	}
 }
 
 // What gathered in an earlier spell does not count in the next.
-func TestEachColdSpellBeginsAnew(t *testing.T) {
+func TestTokensDoNotCarryOverToNextWarmUp(t *testing.T) {
 	start := time.Unix(1000, 0)
-	var gate coldGate
+	var gate coldLimiter
 	gate.ready(start, start.Add(time.Second), 1, 1)
 	assert.Assert(t, gate.ready(start.Add(time.Second/2), start.Add(10*time.Second), 4, 1), "the spell lasts longer")
 	again := start.Add(time.Minute)
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -21,11 +21,11 @@
 	// probeTimeout bounds the look whether anybody listens at a worker's address. A port at
 	// which nobody listens refuses within a round trip; silence shows nothing.
 	probeTimeout = 300 * time.Millisecond
-	// probePause is the least pause between two looks at one worker. A full one closes many
+	// probeInterval is the least pause between two looks at one worker. A full one closes many
 	// connections, and each look is one more; a crash may be seen that much later.
-	probePause = 250 * time.Millisecond
-	// namedBody is how much of a body makes a request's fingerprint, in bytes.
-	namedBody = 128 << 10
+	probeInterval = 250 * time.Millisecond
+	// maxFingerprintedBody is how much of a body makes a request's fingerprint, in bytes.
+	maxFingerprintedBody = 128 << 10
 )
 
 // fingerprint names the request over all its attempts.
@@ -35,19 +35,19 @@
 	}
 	named := quarantine.Request{
 		Method: c.message.Method, Host: c.message.Host, URI: c.message.URI,
-		Body: c.message.Body.Start(namedBody), Length: c.message.Length,
+		Body: c.message.Body.Start(maxFingerprintedBody), Length: c.message.Length,
 	}.Fingerprint()
 	c.fingerprintCache.Store(&named)
 	return named
 }
 
 // run returns whose request this is.
-func (c *call) run() quarantine.Run {
-	return quarantine.Run{Request: c.fingerprint(), Caller: caller(c.request.RemoteAddr)}
+func (c *call) quarantineRun() quarantine.Run {
+	return quarantine.Run{Request: c.fingerprint(), Caller: callerAddress(c.request.RemoteAddr)}
 }
 
 // caller returns the address that a request came from; the zero one if there is none.
-func caller(remote string) netip.Addr {
+func callerAddress(remote string) netip.Addr {
 	address, err := netip.ParseAddrPort(remote)
 	if err != nil { // not a request from a network
 		return netip.Addr{}
@@ -55,8 +55,8 @@
 	return address.Addr()
 }
 
-// endsOf tells what the end of a send shows of its worker's end.
-func endsOf(r *upstream.Result) (cutOff, closed, ended bool) {
+// endEvidence tells what the end of a send shows of its worker's end.
+func endEvidence(r *upstream.Result) (cutOff, closed, ended bool) {
 	closed = r.Outcome == upstream.Broken && closedByPeer(r.Err)
 	cutOff = closed || (r.Written && (r.Outcome == upstream.Late || r.Outcome == upstream.Gone || r.Outcome == upstream.BodyCut))
 	ended = r.Outcome == upstream.Misdirected || (r.Outcome == upstream.NotSent && errors.Is(r.Err, syscall.ECONNREFUSED))
@@ -75,22 +75,22 @@
 
 // watchEnd learns from the end of a send whether its worker crashed, and which requests were
 // under way there. What a send that was given up ran may end the worker too.
-func (c *call) watchEnd(to *backend, got *upstream.Result) {
-	cutOff, closed, ended := endsOf(got)
+func (c *call) recordWorkerEnd(to *backend, got *upstream.Result) {
+	cutOff, closed, ended := endEvidence(got)
 	if ended {
 		c.proxy.workerEnded(to, false)
 	}
 	if !cutOff {
 		return
 	}
-	if to.cutOff(clock.Now(), c.attempt()) {
-		c.proxy.suspect(to, c.attempt())
+	if to.recordCutOff(clock.Now(), c.attempt()) {
+		c.proxy.recordSuspect(to, c.attempt())
 	}
 	if !closed {
 		return
 	}
 	c.closedConnections.Add(1)
-	if wait, due := to.nextProbe(clock.Now()); due {
+	if wait, due := to.scheduleProbe(clock.Now()); due {
 		served := c.proxy.wasServing(to)
 		time.AfterFunc(wait, func() { c.proxy.probe(to, served) })
 	}
@@ -98,7 +98,7 @@
 
 // cutOff notes a request that was sent and got no whole answer; true if the worker's end,
 // which is known, cut it off.
-func (b *backend) cutOff(now time.Time, attempt quarantine.Attempt) bool {
+func (b *backend) recordCutOff(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.witness.CutOff(now, attempt)
@@ -106,7 +106,7 @@
 
 // hasEnded notes that the worker has ended; first is false if that was known. It returns the
 // requests that its end cut off.
-func (b *backend) hasEnded(now time.Time) (attempts []quarantine.Attempt, first bool) {
+func (b *backend) recordEnd(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.witness.Ended(now)
@@ -114,13 +114,13 @@
 
 // nextProbe says after which time the worker's address is to be looked at; due is false if a
 // look is to begin already.
-func (b *backend) nextProbe(now time.Time) (wait time.Duration, due bool) {
+func (b *backend) scheduleProbe(now time.Time) (wait time.Duration, due bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.probeAt.After(now) {
 		return 0, false
 	}
-	if next := b.probeAt.Add(probePause); next.After(now) {
+	if next := b.probeAt.Add(probeInterval); next.After(now) {
 		wait = next.Sub(now)
 	}
 	b.probeAt = now.Add(wait)
@@ -153,15 +153,15 @@
 	if !served {
 		return
 	}
-	attempts, first := to.hasEnded(clock.Now())
+	attempts, first := to.recordEnd(clock.Now())
 	if !first {
 		return
 	}
-	p.Metrics.crashed(to.info().Service)
+	p.Metrics.recordCrash(to.info().Service)
 	p.Log.Line(decision.KindWorkerCrashed).Str("worker", string(to.id())).
 		Str("service", string(to.info().Service)).Int("requests", len(attempts)).Msg("")
 	for _, attempt := range attempts {
-		p.suspect(to, attempt)
+		p.recordSuspect(to, attempt)
 	}
 }
 
@@ -178,18 +178,18 @@
 }
 
 // suspect notes that a request was under way at a worker that crashed.
-func (p *Proxy) suspect(to *backend, attempt quarantine.Attempt) {
+func (p *Proxy) recordSuspect(to *backend, attempt quarantine.Attempt) {
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 	life := to.info().Life()
 	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
-		TellQuarantined(p.Log, held)
+		LogQuarantined(p.Log, held)
 	}
 }
 
-// TellQuarantined logs that a request is sent no longer.
-func TellQuarantined(log *decision.Log, attempt quarantine.Attempt) {
+// LogQuarantined logs that a request is sent no longer.
+func LogQuarantined(log *decision.Log, attempt quarantine.Attempt) {
 	log.Line(decision.KindQuarantined).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 }
@@ -197,7 +197,7 @@
 // attempt describes this attempt of the request.
 func (c *call) attempt() quarantine.Attempt {
 	return quarantine.Attempt{
-		Request: c.fingerprint(), ID: c.message.ID, Route: c.route.Name, Caller: caller(c.request.RemoteAddr),
+		Request: c.fingerprint(), ID: c.message.ID, Route: c.route.Name, Caller: callerAddress(c.request.RemoteAddr),
 	}
 }
 
@@ -206,12 +206,12 @@
 	if !c.proxy.Suspects.Watching() {
 		return quarantine.Free
 	}
-	return c.proxy.Suspects.Standing(c.run())
+	return c.proxy.Suspects.Standing(c.quarantineRun())
 }
 
 // quarantined refuses a request that may not be sent; false if it may. No time to come back is
 // told: it would be refused again.
-func (c *call) quarantined() bool {
+func (c *call) refuseIfQuarantined() bool {
 	if c.standing() != quarantine.Quarantined {
 		return false
 	}
@@ -220,19 +220,19 @@
 }
 
 // cleared tells that a suspected request ran to a good end.
-func (c *call) cleared(got *upstream.Result) {
+func (c *call) clearSuspect(got *upstream.Result) {
 	if got.Outcome == upstream.Answered && got.Status < http.StatusInternalServerError && c.standing() != quarantine.Free {
-		c.proxy.Suspects.Finished(clock.Now(), c.run())
+		c.proxy.Suspects.Finished(clock.Now(), c.quarantineRun())
 	}
 }
 
-// mostClosed is how many workers may close the connection of one attempt in mid-run. One is
+// maxClosedConnections is how many workers may close the connection of one attempt in mid-run. One is
 // often a worker's own fault, and another may well answer; a second one speaks against the
 // request.
-const mostClosed = 2
+const maxClosedConnections = 2
 
 // maySpread reports whether the request may be sent to a second worker while it may run, or
 // have run, at a first: a request that crashes its workers would crash that one too.
-func (c *call) maySpread() bool {
-	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed && c.standing() != quarantine.Quarantined
+func (c *call) mayRunOnSeveralWorkers() bool {
+	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < maxClosedConnections && c.standing() != quarantine.Quarantined
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -20,25 +20,25 @@
 )
 
 // lines keeps what a proxy logs. It is safe for concurrent use.
-type lines struct {
+type logCounter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logCounter) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *lines) count(kind decision.Kind) int {
+func (l *logCounter) count(kind decision.Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), `"kind":"`+string(kind)+`"`)
 }
 
 // crashes ends the worker that runs a request: nobody listens at its address from then on.
-func crashes(of **fakeWorker) script {
+func crashWorker(of **fakeWorker) script {
 	return func(net.Conn, *http.Request) bool {
 		_ = (*of).listener.Close()
 		return false
@@ -46,16 +46,16 @@
 }
 
 // A crash is told from all else that ends a connection with a request under way.
-func TestOnlyACrashMakesSuspects(t *testing.T) {
+func TestOnlyCrashesCreateSuspects(t *testing.T) {
 	tests := map[string]struct {
 		run     func(of **fakeWorker) script
 		state   workers.State
 		crashed int
 	}{
-		"crash":                       {run: crashes, state: workers.StateReady, crashed: 1},
+		"crash":                       {run: crashWorker, state: workers.StateReady, crashed: 1},
 		"answer lost":                 {run: func(**fakeWorker) script { return reset }, state: workers.StateReady},
 		"refused for want of room":    {run: func(**fakeWorker) script { return refuse }, state: workers.StateReady},
-		"end of one that was leaving": {run: crashes, state: workers.StateDraining},
+		"end of one that was leaving": {run: crashWorker, state: workers.StateDraining},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			entry.State = test.state
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
 			f.assignAllKeys(entry)
-			logged := &lines{}
+			logged := &logCounter{}
 			f.proxy.Log = decision.NewTo(logged, "test")
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			assert.Assert(t, w.receivedCount() > 0, "it was sent")
@@ -91,18 +91,18 @@
 // A look at a worker's address may come after its entry went: it waits for its turn and, on a
 // machine that is short of processor time, for a while longer. The crash was then missed, and one
 // worker more was sent the request that crashes them.
-func TestACrashIsSeenWhoseEntryWentBeforeTheLook(t *testing.T) {
+func TestCrashIsDetectedAfterEntryRemoval(t *testing.T) {
 	var w *fakeWorker
 	w = newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		if w.receivedCount() == 1 {
 			return reset(connection, request) // the next look waits for its turn
 		}
-		return crashes(&w)(connection, request)
+		return crashWorker(&w)(connection, request)
 	})
 	entry := w.entry("keyed")
 	f := newTestProxy(t, entry)
 	f.assignAllKeys(entry)
-	logged := &lines{}
+	logged := &logCounter{}
 	f.proxy.Log = decision.NewTo(logged, "test")
 	for w.receivedCount() < 2 {
 		f.get(t, "GET", "/keyed/", "", "X-Key", "7")
@@ -117,7 +117,7 @@
 }
 
 // What a worker was when it closed the connection counts only while its entry tells nothing else.
-func TestWhatEndedAfterItsEntryChanged(t *testing.T) {
+func TestCrashClassificationAfterEntryChange(t *testing.T) {
 	ready := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady, Born: 1}
 	draining, again := ready, ready
 	draining.State = workers.StateDraining
@@ -145,23 +145,23 @@
 				f.directory.Update(nil, []workers.ID{ready.ID}, nil)
 			}
 			f.proxy.workerEnded(to, test.served)
-			_, first := to.hasEnded(time.Now())
+			_, first := to.recordEnd(time.Now())
 			assert.Equal(t, !first, test.crashed)
 		})
 	}
 }
 
 // A send that a crash cut off may be seen to end only once the worker's entry is gone.
-func TestASendThatACrashCutOffIsSuspectThoughTheEntryWent(t *testing.T) {
+func TestLateSendToCrashedWorkerIsSuspectAfterEntryRemoval(t *testing.T) {
 	entry := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady}
 	f := newTestProxy(t, entry)
-	logged := &lines{}
+	logged := &logCounter{}
 	f.proxy.Log = decision.NewTo(logged, "test")
 	to := f.proxy.fleet.get(entry)
 	f.proxy.workerEnded(to, false)
 	f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 	c := &call{proxy: f.proxy, request: httptest.NewRequest("GET", "/keyed/", nil), route: &routing.Route{Name: "keyed"}}
-	c.watchEnd(to, &upstream.Result{Outcome: upstream.Late, Written: true})
+	c.recordWorkerEnd(to, &upstream.Result{Outcome: upstream.Late, Written: true})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if logged.count(decision.KindSuspect) > 0 {
 			return poll.Success()
@@ -171,7 +171,7 @@
 }
 
 // A worker that closes many connections is looked at now and then only.
-func TestProbesAreFew(t *testing.T) {
+func TestProbesAreRateLimited(t *testing.T) {
 	b := newBackend(workers.Worker{}, &reportedMeans{})
 	began := time.Unix(1000, 0)
 	tests := []struct {
@@ -179,13 +179,13 @@
 		due         bool
 	}{
 		{after: 0, due: true},
-		{after: 10 * time.Millisecond, wait: probePause - 10*time.Millisecond, due: true},
+		{after: 10 * time.Millisecond, wait: probeInterval - 10*time.Millisecond, due: true},
 		{after: 20 * time.Millisecond},
-		{after: probePause + time.Millisecond, wait: probePause - time.Millisecond, due: true},
-		{after: 3 * probePause, due: true},
+		{after: probeInterval + time.Millisecond, wait: probeInterval - time.Millisecond, due: true},
+		{after: 3 * probeInterval, due: true},
 	}
 	for _, test := range tests {
-		wait, due := b.nextProbe(began.Add(test.after))
+		wait, due := b.scheduleProbe(began.Add(test.after))
 		assert.Equal(t, due, test.due, "%s", test.after)
 		assert.Equal(t, wait, test.wait, "%s", test.after)
 	}
--- a/internal/proxy/crossing.go
+++ b/internal/proxy/crossing.go
@@ -9,46 +9,46 @@
 
 // crossing says what a request must gain to leave its zone, and its region. Gains are
 // shares of requests that are answered in time.
-type crossing struct {
+type crossingPolicy struct {
 	// zone is for another zone of the region, and region for another region.
-	zone, region float64
+	minZoneGain, minRegionGain float64
 	// perKilobyte is what each kilobyte of request and answer must gain beyond that to cross
 	// the link between regions.
-	perKilobyte float64
-	// bulkLate is the share of answers that would be late in the own region from which
+	minGainPerKilobyte float64
+	// defaultBulkLateShare is the share of answers that would be late in the own region from which
 	// large bodies may cross.
-	bulkLate float64
+	bulkLateShare float64
 }
 
 // Bounds of leaving a zone or region.
 const (
-	// remoteGain is the share of requests that must be answered in time beyond what a
+	// defaultZoneGain is the share of requests that must be answered in time beyond what a
 	// worker of the own zone can do for another zone's to be taken: bytes between zones
 	// have their price.
-	remoteGain = 0.07
-	// regionGain is that for another region: each request that crosses delays others there
+	defaultZoneGain = 0.07
+	// defaultRegionGain is that for another region: each request that crosses delays others there
 	// whose callers are near.
-	regionGain = 0.1
-	// kilobyteGain is that for each kilobyte: a link that hundreds of routers share carries
+	defaultRegionGain = 0.1
+	// defaultKilobyteGain is that for each kilobyte: a link that hundreds of routers share carries
 	// about thirty small requests in the time that one answer of 100 kB takes, and these must
 	// then gain more than all callers can.
-	kilobyteGain = 0.03
-	// bulkLate: where fewer answers than one in five come in time, callers are better off
+	defaultKilobyteGain = 0.03
+	// defaultBulkLateShare: where fewer answers than one in five come in time, callers are better off
 	// with a worker beyond the link.
-	bulkLate = 0.8
-	// bulkBytes is the size from which bodies count as large whatever their route says: eight
+	defaultBulkLateShare = 0.8
+	// minBulkBytes is the size from which bodies count as large whatever their route says: eight
 	// times what a request and its answer usually have.
-	bulkBytes = 32 << 10
+	minBulkBytes = 32 << 10
 )
 
 // zoned knows zones only: the next region is as near as the next zone.
-var zoned = crossing{zone: remoteGain, region: remoteGain, bulkLate: 0}
+var singleRegionPolicy = crossingPolicy{minZoneGain: defaultZoneGain, minRegionGain: defaultZoneGain, bulkLateShare: 0}
 
 // regional weighs the link between regions.
-var regional = crossing{zone: remoteGain, region: regionGain, perKilobyte: kilobyteGain, bulkLate: bulkLate}
+var multiRegionPolicy = crossingPolicy{minZoneGain: defaultZoneGain, minRegionGain: defaultRegionGain, minGainPerKilobyte: defaultKilobyteGain, bulkLateShare: defaultBulkLateShare}
 
 // need is what a request asks of the worker that it is sent to.
-type need struct {
+type requirements struct {
 	// target is the time within which an answer is worth most.
 	target time.Duration
 	// bytes is the expected size of the request and its answer, and bulk says that it is
@@ -56,49 +56,49 @@
 	bytes float64
 	bulk  bool
 	// stay says that the request must not leave its region.
-	stay bool
+	sameRegionOnly bool
 	// spare says that a second copy looks for a worker: one that is short of room is none.
-	spare bool
+	forHedge bool
 	// free says that only a worker will do at which the request need not wait.
-	free bool
+	freeSlotOnly bool
 	// serves reports whether a region may serve the request; nil: any may.
-	serves func(topology.Region) bool
+	regionAllowed func(topology.Region) bool
 }
 
 // bulky reports whether bodies of a class and expected size are large.
-func bulky(class routing.BodyClass, bytes float64) bool {
-	return class != routing.Small || bytes >= bulkBytes
+func isBulk(class routing.BodyClass, bytes float64) bool {
+	return class != routing.Small || bytes >= minBulkBytes
 }
 
 // nearest are the best workers at each distance; those without a backend can't be sent to.
-type nearest [topology.OtherRegion + 1]choice
+type bestByDistance [topology.OtherRegion + 1]choice
 
 // choose returns the worker that a request goes to, none without a backend. late returns the
 // share of answers that miss the target, given their mean time. spare is asked last, and for
 // large bodies only: whether the link between regions has room for one more.
-func (c crossing) choose(by nearest, of need, late func(mean time.Duration) float64, spare func() bool) choice {
+func (c crossingPolicy) choose(by bestByDistance, of requirements, late func(mean time.Duration) float64, spare func() bool) choice {
 	best := by[topology.SameZone]
-	if next := by[topology.SameRegion]; c.gains(best, next, late, c.zone) {
+	if next := by[topology.SameRegion]; c.gainsEnough(best, next, late, c.minZoneGain) {
 		best = next
 	}
 	across := by[topology.OtherRegion]
 	switch {
-	case across.backend == nil || of.stay:
+	case across.backend == nil || of.sameRegionOnly:
 		return best
-	case of.bulk && c.bulkLate > 0:
-		short := best.backend == nil || late(best.estimate) >= c.bulkLate && late(across.estimate) < late(best.estimate)
+	case of.bulk && c.bulkLateShare > 0:
+		short := best.backend == nil || late(best.estimate) >= c.bulkLateShare && late(across.estimate) < late(best.estimate)
 		if short && spare() {
 			return across
 		}
 		return best
-	case c.gains(best, across, late, c.region+c.perKilobyte*of.bytes/1000):
+	case c.gainsEnough(best, across, late, c.minRegionGain+c.minGainPerKilobyte*of.bytes/1000):
 		return across
 	}
 	return best
 }
 
 // gains reports whether a worker farther away answers so many more requests in time.
-func (c crossing) gains(near, far choice, late func(time.Duration) float64, least float64) bool {
+func (c crossingPolicy) gainsEnough(near, far choice, late func(time.Duration) float64, least float64) bool {
 	if far.backend == nil || near.backend == nil {
 		return far.backend != nil
 	}
--- a/internal/proxy/evacuation_test.go
+++ b/internal/proxy/evacuation_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNoWorkGoesToAnEvacuatedZone(t *testing.T) {
+func TestEvacuatedZoneReceivesNoRequests(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	other := newFakeWorker(t, "w2", alwaysAnswer("y"))
 	far := other.entry("pool")
@@ -28,12 +28,12 @@
 	assert.Equal(t, body, "x")
 }
 
-func TestOwnersInAnEvacuatedZoneGetWorkForAWhile(t *testing.T) {
+func TestOwnersInEvacuatedZoneReceiveRequestsBriefly(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
 	f := newTestProxy(t, entry)
 	f.assignAllKeys(entry)
-	f.proxy.Evacuate = 2 * time.Second
+	f.proxy.EvacuationPeriod = 2 * time.Second
 	for name, c := range map[string]struct {
 		since  time.Time
 		status int
--- a/internal/proxy/fairness.go
+++ b/internal/proxy/fairness.go
@@ -10,9 +10,9 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// judgedBy is of how many requests one worker's own counts say more than those of the service:
+// minOwnerRequests is of how many requests one worker's own counts say more than those of the service:
 // of fewer, chance decides who seems to ask for much.
-const judgedBy = 10
+const minOwnerRequests = 10
 
 // claim is what a request counts for where workers are short. Its zero value is that of a
 // configuration without tenants, under which nothing is counted.
@@ -26,8 +26,8 @@
 	owner *backend
 }
 
-// usualWeight returns the weight of tenants without a limit: the mean of the others.
-func usualWeight(config *routing.Config) float64 {
+// meanTenantRate returns the weight of tenants without a limit: the mean of the others.
+func meanTenantRate(config *routing.Config) float64 {
 	total, count := 0.0, 0
 	for _, one := range config.Tenants {
 		if one.Limited() {
@@ -42,11 +42,11 @@
 }
 
 // demand counts the request for its tenant, if the configuration has any.
-func (c *call) demand(used *active) {
+func (c *call) recordDemand(used *activeConfig) {
 	if used.keys == nil {
 		return
 	}
-	c.claim.weight = used.weight
+	c.claim.weight = used.defaultWeight
 	c.claim.caller.Priority = routing.Priority(c.route, c.tenant)
 	if c.tenant != nil {
 		c.claim.caller.Name = string(c.tenant.Name)
@@ -56,7 +56,7 @@
 	}
 	shares := &c.state.shares
 	if shares.RecordRequest(c.began, c.claim.caller, c.claim.weight) {
-		c.tellShare(false, shares.RefusalShares(c.began, c.claim.caller))
+		c.logShareChange(false, shares.RefusalShares(c.began, c.claim.caller))
 	}
 	if !c.service.Keyed {
 		c.claim.yields = rand.Float64() < shares.YieldShare(c.began, c.claim.caller)
@@ -65,14 +65,14 @@
 
 // turnedBack returns why a request is refused without asking its owner, which turns others
 // away; empty: it is not.
-func (c *call) turnedBack(now time.Time, to *backend) string {
+func (c *call) refusalReason(now time.Time, to *backend) string {
 	if c.claim.weight == 0 {
 		if to.throttled(now, rand.Float64()) {
 			return reasonBusy
 		}
 		return ""
 	}
-	share, short := to.shortage(now)
+	share, short := to.refusalShare(now)
 	if !short {
 		return ""
 	}
@@ -81,7 +81,7 @@
 		to.shares.RecordRequest(now, c.claim.caller, c.claim.weight)
 	}
 	judged := to.shares.RefusalShares(now, c.claim.caller)
-	if judged.All > 0 && to.shares.RecentRequests(now) >= judgedBy {
+	if judged.All > 0 && to.shares.RecentRequests(now) >= minOwnerRequests {
 		share = max(share, judged.All)
 	} else {
 		judged = c.state.shares.RefusalShares(now, c.claim.caller)
@@ -89,21 +89,21 @@
 	if rand.Float64() >= judged.Scaled(share) {
 		return ""
 	}
-	to.refuseUnasked(now)
+	to.recordThrottled(now)
 	if judged.Own > judged.All {
-		return reasonShare
+		return reasonOverShare
 	}
 	return reasonBusy
 }
 
 // countLost counts a request that there was no room for.
-func (c *call) countLost(reason string) {
+func (c *call) recordUnserved(reason string) {
 	if c.claim.weight == 0 || c.state == nil {
 		return
 	}
 	switch reason {
-	case reasonShare:
-		c.countOverShare()
+	case reasonOverShare:
+		c.recordShareRefusal()
 	case reasonBusy, reasonQueue, reasonRefused:
 	default:
 		return
@@ -116,19 +116,19 @@
 }
 
 // countOverShare counts a request that is refused for its tenant's share.
-func (c *call) countOverShare() {
+func (c *call) recordShareRefusal() {
 	if c.tenant != nil {
 		counters := c.proxy.Metrics.tenants
 		counters.overShare.WithLabelValues(counters.label(c.tenant.Name)).Inc()
 	}
 	now, shares := clock.Now(), &c.state.shares
 	if shares.RecordShareRefusal(now, c.claim.caller) {
-		c.tellShare(true, shares.RefusalShares(now, c.claim.caller))
+		c.logShareChange(true, shares.RefusalShares(now, c.claim.caller))
 	}
 }
 
 // tellShare writes a line where a tenant begins or ends to be refused for its share.
-func (c *call) tellShare(over bool, shares fair.RefusalShares) {
+func (c *call) logShareChange(over bool, shares fair.RefusalShares) {
 	c.proxy.Log.Line(decision.KindShare).Str("tenant", c.claim.caller.Name).Str("service", string(c.service.Name)).
 		Int("priority", c.claim.caller.Priority).Bool("over", over).
 		Float64("refused", shares.Own).Float64("all", shares.All).Msg("")
--- a/internal/proxy/fairness_bench_test.go
+++ b/internal/proxy/fairness_bench_test.go
@@ -15,14 +15,14 @@
 func BenchmarkDemand(b *testing.B) {
 	p := New("z", workers.NewDirectory(), BudgetLimits{})
 	p.Metrics = NewMetrics(prometheus.NewRegistry())
-	for name, used := range map[string]*active{"without tenants": {}, "with tenants": {keys: &tenant.Index{}, weight: 1}} {
+	for name, used := range map[string]*activeConfig{"without tenants": {}, "with tenants": {keys: &tenant.Index{}, defaultWeight: 1}} {
 		b.Run(name, func(b *testing.B) {
 			service := &routing.Service{Name: routing.ServiceName(name)}
 			c := &call{proxy: p, service: service, state: p.fleet.service(service), route: &routing.Route{}}
 			b.ReportAllocs()
 			for b.Loop() {
 				c.began = clock.Now()
-				c.demand(used)
+				c.recordDemand(used)
 				if c.claim.yields {
 					b.Fatal("there is room")
 				}
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -17,15 +17,15 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// fairTries is how often a request is judged by chance: as many times none is chosen of those of
+// fairnessTries is how often a request is judged by chance: as many times none is chosen of those of
 // which half are to be.
-const fairTries = 200
+const fairnessTries = 200
 
-// sharesKnown is after which time shares are worked out anew.
-const sharesKnown = time.Second
+// sharesUpdateDelay is after which time shares are worked out anew.
+const sharesUpdateDelay = time.Second
 
-// callOf is a request of a tenant at a service of a front.
-func callOf(f *testProxy, service routing.ServiceName, tenant routing.TenantName) *call {
+// newCall is a request of a tenant at a service of a front.
+func newCall(f *testProxy, service routing.ServiceName, tenant routing.TenantName) *call {
 	config := f.proxy.Config()
 	c := &call{
 		proxy: f.proxy, config: config, service: config.Services[service], route: config.Match("app.example", "/safe/"),
@@ -34,33 +34,33 @@
 		tried: map[workers.ID]bool{}, detach: func() bool { return true },
 	}
 	c.state = f.proxy.fleet.service(c.service)
-	c.demand(f.proxy.current.Load())
+	c.recordDemand(f.proxy.current.Load())
 	return c
 }
 
 // flooded is a front of whose two tenants a has asked ten times as much as b, and half in vain.
-func flooded(t *testing.T, service routing.ServiceName, list ...workers.Worker) *testProxy {
+func newFloodedProxy(t *testing.T, service routing.ServiceName, list ...workers.Worker) *testProxy {
 	t.Helper()
 	f := newTestProxy(t, list...)
 	assert.Assert(t, f.proxy.Use(tenantsConfig(t, 2, twoTenants)))
 	now := clock.Now()
 	for range 10 {
-		callOf(f, service, "b")
+		newCall(f, service, "b")
 	}
 	for range 50 {
-		callOf(f, service, "a")
-		callOf(f, service, "a").state.shares.RecordUnserved(now)
+		newCall(f, service, "a")
+		newCall(f, service, "a").state.shares.RecordUnserved(now)
 	}
 	return f
 }
 
-func TestAnOwnerThatTurnsRequestsAwayIsSparedThoseOfTheTenantBeyondItsShare(t *testing.T) {
-	f := flooded(t, "keyed")
-	now := clock.Now().Add(sharesKnown)
+func TestRejectingOwnerIsSparedTenantBeyondItsShare(t *testing.T) {
+	f := newFloodedProxy(t, "keyed")
+	now := clock.Now().Add(sharesUpdateDelay)
 	reasons := map[routing.TenantName]map[string]int{"a": {}, "b": {}}
 	for name, counts := range reasons {
-		c := callOf(f, "keyed", name)
-		for range fairTries {
+		c := newCall(f, "keyed", name)
+		for range fairnessTries {
 			c.claim.owner = nil
 			to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
 			for range 20 {
@@ -69,65 +69,65 @@
 			for range 8 {
 				to.throttle.Sent(now, true)
 			}
-			counts[c.turnedBack(now, to)]++
+			counts[c.refusalReason(now, to)]++
 		}
 	}
-	assert.Equal(t, reasons["b"][""], fairTries, "%v", reasons)
-	assert.Assert(t, reasons["a"][reasonShare] > fairTries/4, "%v", reasons)
+	assert.Equal(t, reasons["b"][""], fairnessTries, "%v", reasons)
+	assert.Assert(t, reasons["a"][reasonOverShare] > fairnessTries/4, "%v", reasons)
 }
 
 // An owner that has turned nobody away for a while has room again, whatever its counts say of before.
-func TestAnOwnerWithRoomTurnsNobodyBack(t *testing.T) {
-	f := flooded(t, "keyed")
+func TestOwnerWithCapacityRefusesNoRequests(t *testing.T) {
+	f := newFloodedProxy(t, "keyed")
 	now := clock.Now()
 	to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
-	c := callOf(f, "keyed", "a")
-	for range 2 * judgedBy {
+	c := newCall(f, "keyed", "a")
+	for range 2 * minOwnerRequests {
 		to.shares.RecordRequest(now, c.claim.caller, 1)
 		to.shares.RecordUnserved(now)
 	}
-	for range fairTries {
+	for range fairnessTries {
 		c.claim.owner = nil
-		assert.Equal(t, c.turnedBack(now.Add(sharesKnown), to), "")
+		assert.Equal(t, c.refusalReason(now.Add(sharesUpdateDelay), to), "")
 	}
 }
 
 // A request of a tenant beyond its share does not wait at a worker, where others would wait
 // behind it.
-func TestATenantBeyondItsShareTakesFreeWorkersOnly(t *testing.T) {
+func TestTenantBeyondItsShareUsesFreeWorkersOnly(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
-	f := flooded(t, "pool", w.entry("pool"))
+	f := newFloodedProxy(t, "pool", w.entry("pool"))
 	yields := 0
 	const tries = 30 // few, since b counts for more with each
 	for range tries {
-		assert.Assert(t, !callOf(f, "pool", "b").claim.yields)
-		if callOf(f, "pool", "a").claim.yields {
+		assert.Assert(t, !newCall(f, "pool", "b").claim.yields)
+		if newCall(f, "pool", "a").claim.yields {
 			yields++
 		}
 	}
 	assert.Assert(t, yields > 0 && yields < tries, "%d", yields)
-	c := callOf(f, "pool", "a")
+	c := newCall(f, "pool", "a")
 	list, _ := f.proxy.fleet.members(clock.Now(), c.state, "pool", 1)
 	for _, yields := range []bool{false, true} {
 		c.claim.yields = yields
-		assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend != nil, "the worker is free")
+		assert.Assert(t, c.pick(clock.Now(), c.requirements(), c.tried).backend != nil, "the worker is free")
 	}
 	for range w.entry("pool").Slots {
 		list[0].backend.begin()
 	}
 	c.claim.yields = true
-	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend == nil)
+	assert.Assert(t, c.pick(clock.Now(), c.requirements(), c.tried).backend == nil)
 	c.claim.yields = false
-	assert.Assert(t, c.pick(clock.Now(), c.need(), c.tried).backend != nil)
+	assert.Assert(t, c.pick(clock.Now(), c.requirements(), c.tried).backend != nil)
 }
 
-func TestARefusalForATenantsShareIsToldOnce(t *testing.T) {
-	f := flooded(t, "pool")
-	var log logged
+func TestShareRefusalIsLoggedOnce(t *testing.T) {
+	f := newFloodedProxy(t, "pool")
+	var log logBuffer
 	f.proxy.Log = decision.NewTo(&log, "test")
 	for range 3 {
-		c := callOf(f, "pool", "a")
-		c.giveUp(reasonShare, c.jitteredRetryAfter())
+		c := newCall(f, "pool", "a")
+		c.giveUp(reasonOverShare, c.jitteredRetryAfter())
 		recorder := c.writer.(*httptest.ResponseRecorder)
 		assert.Equal(t, recorder.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, recorder.Header().Get("Retry-After") != "")
@@ -142,14 +142,14 @@
 }
 
 // Requests that yield leave half of the places to others.
-func TestATenantBeyondItsShareDoesNotTakeTheQueue(t *testing.T) {
-	f := flooded(t, "pool")
+func TestTenantBeyondItsShareUsesHalfTheQueue(t *testing.T) {
+	f := newFloodedProxy(t, "pool")
 	for name, test := range map[string]struct {
 		yields bool
 		want   bool
 	}{"yields": {true, false}, "does not": {false, true}} {
 		t.Run(name, func(t *testing.T) {
-			c := callOf(f, "pool", "a")
+			c := newCall(f, "pool", "a")
 			c.service = &routing.Service{Name: "pool", Queue: 4}
 			c.claim.yields = test.yields
 			for range 2 {
@@ -165,25 +165,25 @@
 }
 
 // Where the configuration holds no tenants, nothing is counted and nobody yields.
-func TestWithoutTenantsNothingIsCounted(t *testing.T) {
+func TestDemandIsNotCountedWithoutTenants(t *testing.T) {
 	f := newTestProxy(t)
-	c := callOf(f, "pool", "")
-	c.countLost(reasonBusy)
+	c := newCall(f, "pool", "")
+	c.recordUnserved(reasonBusy)
 	assert.Equal(t, c.claim, claim{})
 	assert.Equal(t, c.state.shares.RecentRequests(clock.Now()), 0.0)
 }
 
-func TestALimitIsTheTenantsWeight(t *testing.T) {
+func TestDefaultWeightIsMeanOfLimits(t *testing.T) {
 	config := &routing.Config{Tenants: map[routing.TenantName]*routing.Tenant{"a": {Rate: 10}, "b": {Rate: 30}, "c": {}}}
-	assert.Equal(t, usualWeight(config), 20.0)
-	assert.Equal(t, usualWeight(&routing.Config{}), 1.0)
+	assert.Equal(t, meanTenantRate(config), 20.0)
+	assert.Equal(t, meanTenantRate(&routing.Config{}), 1.0)
 }
 
 // The tenant's priority goes before the route's.
-func TestSharesGoByTheTenantsPriority(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	f := newTestProxy(t)
 	config := tenantsConfig(t, 2, twoTenants)
 	config.Tenants["a"].Priority = 3
 	assert.Assert(t, f.proxy.Use(config))
-	assert.Equal(t, callOf(f, "pool", "a").claim.caller, fair.Caller{Name: "a", Priority: 3})
+	assert.Equal(t, newCall(f, "pool", "a").claim.caller, fair.Caller{Name: "a", Priority: 3})
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -19,45 +19,45 @@
 	byID      map[workers.ID]*backend
 	services  map[routing.ServiceName]*serviceState
 	// means are those of what each service's workers tell.
-	means  map[routing.ServiceName]*reportedMeans
-	limits BudgetLimits
+	loadMeans map[routing.ServiceName]*reportedMeans
+	limits    BudgetLimits
 	// ended is called with what is known of a worker that has started again, outside of mu.
-	ended func(*backend)
+	onIncarnationEnd func(*backend)
 	// keptAway reports whether a worker gets no more for now, by what it says of itself.
-	keptAway func(now time.Time, to *backend) bool
+	isBlocked func(now time.Time, to *backend) bool
 	// seed makes the subsets of this process its own.
 	seed maphash.Seed
 	// places are the zones' regions, and policy says what a request must gain to leave them.
-	places topology.Map
-	policy crossing
-	sizes  *sizes
-	bulk   bulkGate
+	topology    topology.Map
+	crossing    crossingPolicy
+	sizes       *sizes
+	bulkLimiter bulkLimiter
 }
 
 func newFleet(zone string, directory *workers.Directory, limits BudgetLimits) *fleet {
 	return &fleet{
-		zone: zone, directory: directory, limits: limits, seed: maphash.MakeSeed(), policy: zoned, sizes: newSizes(),
+		zone: zone, directory: directory, limits: limits, seed: maphash.MakeSeed(), crossing: singleRegionPolicy, sizes: newSizes(),
 		byID: map[workers.ID]*backend{}, services: map[routing.ServiceName]*serviceState{},
-		means:    map[routing.ServiceName]*reportedMeans{},
-		keptAway: func(time.Time, *backend) bool { return false },
+		loadMeans: map[routing.ServiceName]*reportedMeans{},
+		isBlocked: func(time.Time, *backend) bool { return false },
 	}
 }
 
 // get returns the backend of a worker. Another life of it is another worker to this process: it
 // is cold and empty, has no connections, and has failed nothing yet.
 func (f *fleet) get(worker workers.Worker) *backend {
-	known, before := f.take(worker)
+	known, before := f.getOrReplace(worker)
 	if before != nil {
 		before.pool.DropIdle()
-		if f.ended != nil {
-			f.ended(before)
+		if f.onIncarnationEnd != nil {
+			f.onIncarnationEnd(before)
 		}
 	}
 	return known
 }
 
 // take returns the backend of a worker, and that of the life before if it has just ended.
-func (f *fleet) take(worker workers.Worker) (known, before *backend) {
+func (f *fleet) getOrReplace(worker workers.Worker) (known, before *backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known = f.byID[worker.ID]
@@ -74,10 +74,10 @@
 
 // meansOf returns the means of what a service's workers tell. The caller holds mu.
 func (f *fleet) meansOf(service routing.ServiceName) *reportedMeans {
-	known := f.means[service]
+	known := f.loadMeans[service]
 	if known == nil {
 		known = &reportedMeans{}
-		f.means[service] = known
+		f.loadMeans[service] = known
 	}
 	return known
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -37,52 +37,52 @@
 	reasonNoWorker = "no-worker"
 	reasonNoOwner  = "no-owner"
 	// reasonRegion: the request may be served in regions only that have no worker for it.
-	reasonRegion    = "region-not-allowed"
-	reasonMoving    = "key-moving"
-	reasonOwnerDown = "owner-unusable"
-	reasonOwnerGone = "owner-gone"
-	reasonEnding    = "router-ends"
-	reasonEvacuated = "zone-evacuated"
-	reasonCold      = "owner-warms-up"
-	reasonBusy      = "workers-busy"
-	reasonRefused   = "worker-refused"
-	reasonBudget    = "retry-budget"
-	reasonBroken    = "answer-lost"
-	reasonDeadline  = "deadline"
-	reasonMalformed = "malformed"
-	reasonBody      = "body"
-	reasonQueue     = "queue-full"
-	// reasonRoom: there is no memory for one more large body.
-	reasonRoom = "bodies-full"
-	// reasonSlow: the caller sent its body, or read its answer, too slowly.
-	reasonSlow = "caller-slow"
+	reasonRegion     = "region-not-allowed"
+	reasonMoving     = "key-moving"
+	reasonOwnerDown  = "owner-unusable"
+	reasonOwnerGone  = "owner-gone"
+	reasonEnding     = "router-ends"
+	reasonEvacuated  = "zone-evacuated"
+	reasonCold       = "owner-warms-up"
+	reasonBusy       = "workers-busy"
+	reasonRefused    = "worker-refused"
+	reasonBudget     = "retry-budget"
+	reasonAnswerLost = "answer-lost"
+	reasonDeadline   = "deadline"
+	reasonMalformed  = "malformed"
+	reasonBody       = "body"
+	reasonQueue      = "queue-full"
+	// reasonBodiesFull: there is no memory for one more large body.
+	reasonBodiesFull = "bodies-full"
+	// reasonCallerSlow: the caller sent its body, or read its answer, too slowly.
+	reasonCallerSlow = "caller-slow"
 	// Answers that ended before they were whole: by their worker, at the deadline, or since
 	// the caller has left.
-	reasonCutByWorker = "cut-by-worker"
-	reasonCutLate     = "cut-at-deadline"
-	reasonCutByClient = "cut-by-client"
+	reasonCutByWorker   = "cut-by-worker"
+	reasonCutAtDeadline = "cut-at-deadline"
+	reasonCutByClient   = "cut-by-client"
 	// reasonLimited: the worker, or all of them, name limits, and get no more for now.
 	reasonLimited = "worker-limit"
 	// reasonBackoff: the worker, or all of them, have asked this process to send nothing for now.
 	reasonBackoff = "worker-backoff"
-	// reasonQuota: the tenant is beyond its limit.
-	reasonQuota = "over-quota"
-	// reasonShare: there is not room for all, and the tenant asks for more than its share.
-	reasonShare = "tenant-over-share"
+	// reasonOverQuota: the tenant is beyond its limit.
+	reasonOverQuota = "over-quota"
+	// reasonOverShare: there is not room for all, and the tenant asks for more than its share.
+	reasonOverShare = "tenant-over-share"
 	// reasonQuarantined: the request has crashed workers that ran it.
 	reasonQuarantined = "request-quarantined"
 )
 
 // active is a configuration with what deals its requests out.
-type active struct {
+type activeConfig struct {
 	config   *routing.Config
 	splitter *routing.Splitter
 	swaps    *swaps
 	// keys are the API keys of the configuration's tenants; nil if it has none.
 	keys *tenant.Index
 	// weight is that of a tenant without a limit.
-	weight float64
-	since  time.Time
+	defaultWeight float64
+	since         time.Time
 }
 
 // Proxy is the handler of clients' requests.
@@ -104,9 +104,9 @@
 	Limits Limits
 	// Leaving is called with the workers that say in their answers that they leave; nil: nobody wants
 	// to know.
-	Leaving func(workers.Life)
+	OnWorkerLeaving func(workers.Life)
 	// KeysStay reports whether no key can move now, since the leader can't store a move; nil: they can.
-	KeysStay func() bool
+	KeyMovesBlocked func() bool
 	// Outdated reports whether keys may have been taken away that are known here still, so that
 	// callers with keys are refused; nil: they never are for that.
 	Outdated func() bool
@@ -116,16 +116,16 @@
 	Room  *bodies.Room
 	Turns *bodies.Turns
 	// Drain is how long workers that leave may get requests.
-	Drain time.Duration
+	DrainPeriod time.Duration
 	// Evacuate is how long the workers of an evacuated zone may get requests.
-	Evacuate time.Duration
+	EvacuationPeriod time.Duration
 	// uploads and downloads count the large bodies in flight.
 	uploads, downloads atomic.Int64
 	fleet              *fleet
 	unread             *unreadHeaders
 	// secret keys the hash under which API keys are looked up.
 	secret   tenant.Secret
-	current  atomic.Pointer[active]
+	current  atomic.Pointer[activeConfig]
 	stopping atomic.Bool
 	// ending is done once the process is about to end; end makes it so.
 	ending context.Context
@@ -140,8 +140,8 @@
 		Room: bodies.NewRoom(0), Turns: bodies.NewTurns(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // it never fails
-	p.fleet.keptAway = p.isBlocked
-	p.fleet.ended = func(before *backend) { p.workerEnded(before, false) }
+	p.fleet.isBlocked = p.isBlocked
+	p.fleet.onIncarnationEnd = func(before *backend) { p.workerEnded(before, false) }
 	return p
 }
 
@@ -152,12 +152,12 @@
 		if old != nil && old.config.Version >= config.Version {
 			return false
 		}
-		fresh := &active{
-			config: config, splitter: routing.NewSplitter(rand.IntN), swaps: newSwaps(), keys: p.index(config, old),
-			weight: usualWeight(config), since: clock.Now(),
+		fresh := &activeConfig{
+			config: config, splitter: routing.NewSplitter(rand.IntN), swaps: newSwaps(), keys: p.buildKeyIndex(config, old),
+			defaultWeight: meanTenantRate(config), since: clock.Now(),
 		}
 		if p.current.CompareAndSwap(old, fresh) {
-			p.fleet.sizes.keep(config)
+			p.fleet.sizes.retain(config)
 			return true
 		}
 	}
@@ -176,7 +176,7 @@
 
 // Beside reports whether a request may run before those are answered that its caller has sent ahead
 // of it on the same connection: it may be repeated, and its answer is small.
-func (p *Proxy) Beside(request *http.Request) bool {
+func (p *Proxy) MayRunConcurrently(request *http.Request) bool {
 	used := p.current.Load()
 	if used == nil {
 		return false
@@ -194,12 +194,12 @@
 }
 
 // Stop makes the proxy ask clients to leave with each answer.
-func (p *Proxy) Stop() { p.stopping.Store(true) }
+func (p *Proxy) BeginShutdown() { p.stopping.Store(true) }
 
 // End answers all requests that are still under way, since the process is about to end: a
 // request that is at no worker yet is refused with a promise, in place of a connection that
 // breaks.
-func (p *Proxy) End() { p.end() }
+func (p *Proxy) CancelRequests() { p.end() }
 
 // DropIdle closes all resting connections to workers: they may have ended unseen.
 func (p *Proxy) DropIdle() { p.fleet.dropIdle() }
@@ -225,7 +225,7 @@
 	detach := context.AfterFunc(p.ending, cancel)
 	defer detach()
 	c := &call{proxy: p, writer: writer, request: request.WithContext(ctx), began: clock.Now(), tried: map[workers.ID]bool{}, detach: detach}
-	defer c.cleanups.end()
+	defer c.cleanups.run()
 	c.message.ID = request.Header.Get(p.Headers.RequestID)
 	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.Small
 	if p.stopping.Load() {
@@ -241,22 +241,22 @@
 		c.refuse(http.StatusNotFound, reasonNoRoute, 0)
 		return
 	}
-	if !c.identify(used.keys) || !c.withinQuota() {
+	if !c.identify(used.keys) || !c.takeQuota() {
 		return
 	}
 	defer c.returnQuota()
 	c.sends.maxRuns = max(1, c.route.Attempts)
-	c.service = c.part(used)
+	c.service = c.selectService(used)
 	if !c.prepare() {
 		return
 	}
-	if c.quarantined() {
+	if c.refuseIfQuarantined() {
 		return
 	}
 	c.initialStanding = c.standing()
 	c.state = p.fleet.service(c.service)
 	c.state.budget.recordRequest(int(p.Nodes.Load()), c.began)
-	c.demand(used)
+	c.recordDemand(used)
 	if c.service.Keyed {
 		c.serveKeyed()
 	} else {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -47,7 +47,7 @@
 	h.inFlight++
 	c := h.call
 	c.sends.begin()
-	c.countSend()
+	c.recordQuotaSend()
 	until := c.deadline.Add(-answerMargin)
 	go h.run(to, until)
 }
@@ -124,7 +124,7 @@
 // hedgeTarget returns the worker to send the second copy to, or nil if none may be sent. It charges
 // the retry budget.
 func (c *call) hedgeTarget(second func() *backend) *backend {
-	if !c.sends.maySend() || !c.maySpread() || c.timeLeft() <= answerMargin || c.request.Context().Err() != nil {
+	if !c.sends.maySend() || !c.mayRunOnSeveralWorkers() || c.timeLeft() <= answerMargin || c.request.Context().Err() != nil {
 		return nil
 	}
 	to := second()
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -43,7 +43,7 @@
 		if to == nil {
 			return
 		}
-		if c.quarantined() {
+		if c.refuseIfQuarantined() {
 			return
 		}
 		if !c.spendRetryBudget() {
@@ -92,7 +92,7 @@
 			return c.admitToOwner(to)
 		}
 		if reason == reasonRegion {
-			c.giveUp(reason, regionReturn)
+			c.giveUp(reason, regionRetryAfter)
 			return nil
 		}
 		share := c.ownerWaitShare(reason)
@@ -122,7 +122,7 @@
 
 // cannotReassignKey reports whether the key has lost its owner and can't get another one for now.
 func (c *call) cannotReassignKey(reason string) bool {
-	return reason == reasonOwnerGone && c.proxy.KeysStay != nil && c.proxy.KeysStay()
+	return reason == reasonOwnerGone && c.proxy.KeyMovesBlocked != nil && c.proxy.KeyMovesBlocked()
 }
 
 // ownerRetryAfter returns the Retry-After delay of a request whose key has no usable owner. While
@@ -148,7 +148,7 @@
 	switch {
 	case to == nil:
 		return nil, reasonOwnerGone
-	case c.bound() && !c.servedIn(c.proxy.fleet.regionOf(to.info())):
+	case c.regionBound() && !c.allowedIn(c.proxy.fleet.regionOf(to.info())):
 		return nil, reasonRegion
 	case c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():
 		return nil, reasonEvacuated
@@ -198,7 +198,7 @@
 		c.giveUp(reasonBackoff, c.backoffRetryAfter(wait))
 		return nil
 	}
-	if reason := c.turnedBack(now, to); reason != "" {
+	if reason := c.refusalReason(now, to); reason != "" {
 		c.giveUp(reason, c.jitteredRetryAfter())
 		return nil
 	}
@@ -211,9 +211,9 @@
 		c.giveUp(reasonCold, c.jitteredRetryAfter())
 		return nil
 	}
-	wait, ok := c.permitted(to, c.maxLimitWait())
+	wait, ok := c.acquirePermit(to, c.maxLimitWait())
 	if !ok {
-		c.giveUp(reasonLimited, returnWhenLet(wait))
+		c.giveUp(reasonLimited, limitRetryAfter(wait))
 		return nil
 	}
 	if wait > 0 && !c.pause(wait) {
@@ -258,13 +258,13 @@
 // leavingGrace returns for how long a worker still gets requests for its keys after it is known to be
 // draining or is no longer announced.
 func (c *call) leavingGrace() time.Duration {
-	return time.Duration((1 - detectionShare) * float64(c.proxy.Drain))
+	return time.Duration((1 - detectionShare) * float64(c.proxy.DrainPeriod))
 }
 
 // evacuationGrace returns for how long owners in an evacuated zone still get requests after this
 // process has learned of the evacuation. Their keys move to other workers during that time.
 func (c *call) evacuationGrace() time.Duration {
-	return time.Duration((1 - detectionShare) * float64(c.proxy.Evacuate))
+	return time.Duration((1 - detectionShare) * float64(c.proxy.EvacuationPeriod))
 }
 
 // drainedFor returns for how long a worker has been draining.
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -22,12 +22,12 @@
 	Answered(worker workers.Life, answer *upstream.Result)
 }
 
-// permitShare is the share of a request's target within which its permit must come.
-const permitShare = 0.25
+// permitTimeoutShare is the share of a request's target within which its permit must come.
+const permitTimeoutShare = 0.25
 
-// limitJitter is by which part of the time at most callers come back later than their requests may
+// limitRetryJitter is by which part of the time at most callers come back later than their requests may
 // leave, so that not all are back at once.
-const limitJitter = 0.25
+const limitRetryJitter = 0.25
 
 // anyLimited reports whether any worker names a limit.
 func (p *Proxy) anyLimited() bool { return p.Limits != nil && p.Limits.Count() > 0 }
@@ -39,7 +39,7 @@
 
 // permitted asks whether the request may leave for a worker that may name a limit, within some
 // patience: it then leaves after wait. If it may not, wait is after which time one may.
-func (c *call) permitted(to *backend, patience time.Duration) (wait time.Duration, ok bool) {
+func (c *call) acquirePermit(to *backend, patience time.Duration) (wait time.Duration, ok bool) {
 	if !c.proxy.isLimited(to) {
 		return 0, true
 	}
@@ -47,33 +47,33 @@
 	if until := to.limitedUntil(); until.Sub(now) > patience {
 		return until.Sub(now), false
 	}
-	within := min(time.Duration(permitShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
+	within := min(time.Duration(permitTimeoutShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
 	wait, ok = c.proxy.Limits.Take(to.info().Life(), patience, within)
 	if !ok {
-		to.limit(clock.Now().Add(wait))
+		to.setLimitedUntil(clock.Now().Add(wait))
 	}
 	return wait, ok
 }
 
 // limit keeps requests away from the worker until a time.
-func (b *backend) limit(until time.Time) { b.limitUntil.Store(clock.Nanos(until)) }
+func (b *backend) setLimitedUntil(until time.Time) { b.limitUntil.Store(clock.Nanos(until)) }
 
 // limitedUntil returns until when requests are kept away from the worker if it names a limit.
 func (b *backend) limitedUntil() time.Time { return clock.OfNanos(b.limitUntil.Load()) }
 
-// returnWhenLet is when a caller may come back whose request a limit keeps away for some time.
-func returnWhenLet(wait time.Duration) time.Duration {
-	return wait + time.Duration(limitJitter*rand.Float64()*float64(wait))
+// limitRetryAfter is when a caller may come back whose request a limit keeps away for some time.
+func limitRetryAfter(wait time.Duration) time.Duration {
+	return wait + time.Duration(limitRetryJitter*rand.Float64()*float64(wait))
 }
 
 // watchLimit learns from the end of a send whether its worker names a limit.
-func (c *call) watchLimit(worker *workers.Worker, got *upstream.Result) {
+func (c *call) recordLimit(worker *workers.Worker, got *upstream.Result) {
 	limits := c.proxy.Limits
 	if limits == nil {
 		return
 	}
 	if limits.Count() > 0 && limits.Limited(worker.Life()) {
-		c.proxy.Metrics.limited(c.service.Name)
+		c.proxy.Metrics.recordLimitedSend(c.service.Name)
 	}
 	limits.Answered(worker.Life(), got)
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -56,28 +56,28 @@
 }
 
 // asks returns how often a permit was asked for.
-func (l *fakeLimits) asks() int {
+func (l *fakeLimits) permitRequests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.asked
 }
 
 // letThrough lets so many more requests through.
-func (l *fakeLimits) letThrough(count int) {
+func (l *fakeLimits) addPermits(count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.left += count
 }
 
 // end ends all limits.
-func (l *fakeLimits) end() {
+func (l *fakeLimits) removeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.named)
 }
 
-// newLimitedFront is a front with limits that let none through for a second and a half.
-func newLimitedFront(t *testing.T, limited []workers.ID, entries ...workers.Worker) (*testProxy, *fakeLimits) {
+// newLimitedProxy is a front with limits that let none through for a second and a half.
+func newLimitedProxy(t *testing.T, limited []workers.ID, entries ...workers.Worker) (*testProxy, *fakeLimits) {
 	t.Helper()
 	f := newTestProxy(t, entries...)
 	limits := &fakeLimits{named: map[workers.ID]float64{}, wait: 1500 * time.Millisecond}
@@ -88,9 +88,9 @@
 	return f, limits
 }
 
-func TestWhatALimitedWorkerDoesNotTakeGoesToAnother(t *testing.T) {
+func TestRequestsBeyondWorkerLimitGoToAnotherWorker(t *testing.T) {
 	limited, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
-	f, _ := newLimitedFront(t, []workers.ID{"w1"}, limited.entry("pool"), other.entry("pool"))
+	f, _ := newLimitedProxy(t, []workers.ID{"w1"}, limited.entry("pool"), other.entry("pool"))
 	for range 10 {
 		response, _ := f.get(t, "GET", "/safe/", "")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
@@ -99,7 +99,7 @@
 	assert.Equal(t, other.receivedCount(), 10)
 }
 
-func TestWhatNoWorkerTakesIsRefusedAtOnce(t *testing.T) {
+func TestRequestsBeyondAllWorkerLimitsAreRefusedImmediately(t *testing.T) {
 	for name, path := range map[string]string{"pool": "/safe/", "pool, runs once": "/unsafe/", "keyed": "/keyed/"} {
 		t.Run(name, func(t *testing.T) {
 			service := "pool"
@@ -107,7 +107,7 @@
 				service = "keyed"
 			}
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
-			f, limits := newLimitedFront(t, []workers.ID{"w1"}, w.entry(service))
+			f, limits := newLimitedProxy(t, []workers.ID{"w1"}, w.entry(service))
 			f.assignAllKeys(w.entry(service))
 			for range 5 {
 				began := time.Now()
@@ -120,27 +120,27 @@
 				assert.Assert(t, time.Since(began) < 300*time.Millisecond, "nothing is waited for")
 			}
 			assert.Equal(t, w.receivedCount(), 0)
-			assert.Equal(t, limits.asks(), 1, "what is known is not asked again")
+			assert.Equal(t, limits.permitRequests(), 1, "what is known is not asked again")
 		})
 	}
 }
 
-func TestTheEndOfALimitCountsAtOnce(t *testing.T) {
+func TestRemovedLimitTakesEffectImmediately(t *testing.T) {
 	for name, path := range map[string]string{"pool": "/safe/", "keyed": "/keyed/"} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
-			f, limits := newLimitedFront(t, []workers.ID{"w1"}, w.entry(name))
+			f, limits := newLimitedProxy(t, []workers.ID{"w1"}, w.entry(name))
 			f.assignAllKeys(w.entry(name))
 			response, _ := f.get(t, "GET", path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
-			limits.end()
+			limits.removeAll()
 			response, _ = f.get(t, "GET", path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 		})
 	}
 }
 
-func TestEachSendToALimitedWorkerAsksForAPermit(t *testing.T) {
+func TestEachSendToLimitedWorkerRequestsPermit(t *testing.T) {
 	for name, test := range map[string]struct {
 		service, path string
 		run           script
@@ -150,23 +150,23 @@
 		"pool":                        {service: "pool", path: "/safe/", run: alwaysAnswer("x"), permits: 1},
 		"keyed":                       {service: "keyed", path: "/keyed/", run: alwaysAnswer("x"), permits: 1},
 		"sent again to another":       {service: "pool", path: "/unsafe/", run: refuseOnce(), permits: 2},
-		"sent again after it may run": {service: "pool", path: "/safe/", run: breaksOnce(), permits: 2},
+		"sent again after it may run": {service: "pool", path: "/safe/", run: breakOnce(), permits: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			one, two := newFakeWorker(t, "w1", test.run), newFakeWorker(t, "w2", test.run)
-			f, limits := newLimitedFront(t, []workers.ID{"w1", "w2"}, one.entry(test.service), two.entry(test.service))
+			f, limits := newLimitedProxy(t, []workers.ID{"w1", "w2"}, one.entry(test.service), two.entry(test.service))
 			f.assignAllKeys(one.entry(test.service))
 			limits.left = 5
 			response, _ := f.get(t, "GET", test.path, "", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusOK)
-			assert.Equal(t, limits.asks(), test.permits)
+			assert.Equal(t, limits.permitRequests(), test.permits)
 			assert.Equal(t, one.receivedCount()+two.receivedCount(), test.permits)
 		})
 	}
 }
 
-// breaksOnce breaks the first connection off, and answers from then on.
-func breaksOnce() script {
+// breakOnce breaks the first connection off, and answers from then on.
+func breakOnce() script {
 	var broken atomic.Bool
 	return func(connection net.Conn, request *http.Request) bool {
 		if broken.CompareAndSwap(false, true) {
@@ -177,29 +177,29 @@
 	}
 }
 
-func TestNoSecondCopyGoesToALimitedWorker(t *testing.T) {
+func TestLimitedWorkerReceivesNoHedge(t *testing.T) {
 	var limits *fakeLimits
 	slow := func(connection net.Conn, request *http.Request) bool {
-		limits.letThrough(5) // when the second copy leaves there is room
+		limits.addPermits(5) // when the second copy leaves there is room
 		time.Sleep(time.Second)
 		answer(connection, request, http.StatusOK, "slow")
 		return true
 	}
 	first, limited := newFakeWorker(t, "w1", slow), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	var f *testProxy
-	f, limits = newLimitedFront(t, []workers.ID{"w2"}, first.entry("pool"), limited.entry("pool"))
+	f, limits = newLimitedProxy(t, []workers.ID{"w2"}, first.entry("pool"), limited.entry("pool"))
 	limits.wait = time.Millisecond
 	_, body := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, body, "slow")
 	assert.Equal(t, limited.receivedCount(), 0)
 }
 
-func TestAnswersAndRefusalsTellTheLimit(t *testing.T) {
+func TestLimitInAnswerIsRecorded(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x", "X-Limit: 2.5")
 		return true
 	})
-	f, limits := newLimitedFront(t, nil, w.entry("pool"))
+	f, limits := newLimitedProxy(t, nil, w.entry("pool"))
 	f.proxy.Headers.Limit = "X-Limit"
 	response, _ := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.Header.Get("X-Limit"), "2.5", "it goes on to the caller, as all that it does not know")
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -53,29 +53,29 @@
 		}, []string{"service"}),
 	}
 	metrics.tenants = newTenantCounters()
-	registerer.MustRegister(metrics.requests, metrics.sends, metrics.crashes, metrics.limits, metrics.notices, metrics.unread, metrics.latency, metrics.tenants.vector, metrics.tenants.overShare)
+	registerer.MustRegister(metrics.requests, metrics.sends, metrics.crashes, metrics.limits, metrics.notices, metrics.unread, metrics.latency, metrics.tenants.requests, metrics.tenants.overShare)
 	return metrics
 }
 
-func (m *Metrics) sent(service routing.ServiceName, ended upstream.Outcome) {
+func (m *Metrics) recordSend(service routing.ServiceName, ended upstream.Outcome) {
 	m.sends.WithLabelValues(string(service), string(ended)).Inc()
 }
 
-func (m *Metrics) crashed(service routing.ServiceName) {
+func (m *Metrics) recordCrash(service routing.ServiceName) {
 	m.crashes.WithLabelValues(string(service)).Inc()
 }
 
-func (m *Metrics) limited(service routing.ServiceName) {
+func (m *Metrics) recordLimitedSend(service routing.ServiceName) {
 	m.limits.WithLabelValues(string(service)).Inc()
 }
 
-func (m *Metrics) noticed(service routing.ServiceName, notice string) {
+func (m *Metrics) recordNotice(service routing.ServiceName, notice string) {
 	m.notices.WithLabelValues(string(service), notice).Inc()
 }
 
-func (m *Metrics) unreadHeader(name string) { m.unread.WithLabelValues(name).Inc() }
+func (m *Metrics) recordUnreadHeader(name string) { m.unread.WithLabelValues(name).Inc() }
 
-func (m *Metrics) ended(service string, status int, reason string, took time.Duration) {
+func (m *Metrics) recordEnd(service string, status int, reason string, took time.Duration) {
 	m.requests.WithLabelValues(service, strconv.Itoa(status), reason).Inc()
 	m.latency.WithLabelValues(service).Observe(took.Seconds())
 }
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -17,9 +17,9 @@
 // counts headers that the router does not read.
 func (c *call) recordNotice(to *backend, result *upstream.Result) {
 	if result.Leaving {
-		c.proxy.Metrics.noticed(c.service.Name, noticeLeaving)
-		if c.proxy.Leaving != nil {
-			c.proxy.Leaving(to.info().Life())
+		c.proxy.Metrics.recordNotice(c.service.Name, noticeLeaving)
+		if c.proxy.OnWorkerLeaving != nil {
+			c.proxy.OnWorkerLeaving(to.info().Life())
 		}
 	}
 	c.recordBackoff(to, result)
@@ -68,5 +68,5 @@
 	if reason == reasonBackoff {
 		return c.backoffRetryAfter(wait)
 	}
-	return returnWhenLet(wait)
+	return limitRetryAfter(wait)
 }
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -103,7 +103,7 @@
 			sameZone = append(sameZone, worker.ID)
 		}
 	}
-	return state.subset.of(f.seed, sameZone, version, subsetSize(len(sameZone), nodes/max(1, len(zones))))
+	return state.subset.choose(f.seed, sameZone, version, subsetSize(len(sameZone), nodes/max(1, len(zones))))
 }
 
 // meanLatencyOf returns the mean latency over the workers with measurements, or defaultLatency if
@@ -124,7 +124,7 @@
 
 // pick chooses a worker of a pool. The choice has no backend if no worker may be sent to now. nodes
 // is the number of router processes.
-func (f *fleet) pick(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
+func (f *fleet) pick(now time.Time, state *serviceState, service *routing.Service, required requirements, tried map[workers.ID]bool, nodes int) choice {
 	for {
 		picked := f.fastest(now, state, service, required, tried, nodes)
 		if picked.backend == nil || picked.backend.admit(now, service.ColdRate, nodes) {
@@ -134,16 +134,16 @@
 }
 
 // fastest returns the worker that should receive the request, by estimated latency and distance.
-func (f *fleet) fastest(now time.Time, state *serviceState, service *routing.Service, required need, tried map[workers.ID]bool, nodes int) choice {
+func (f *fleet) fastest(now time.Time, state *serviceState, service *routing.Service, required requirements, tried map[workers.ID]bool, nodes int) choice {
 	list, meanLatency := f.members(now, state, service.Name, nodes)
 	var preferred choice
-	var byDistance nearest
+	var byDistance bestByDistance
 	for _, one := range list {
-		if tried[one.id] || required.serves != nil && !required.serves(one.region) || f.keptAway(now, one.backend) {
+		if tried[one.id] || required.regionAllowed != nil && !required.regionAllowed(one.region) || f.isBlocked(now, one.backend) {
 			continue
 		}
 		candidate, ok := one.backend.assess(now, meanLatency, service.ColdRate, nodes)
-		if !ok || required.free && !candidate.hasFreeSlot {
+		if !ok || required.freeSlotOnly && !candidate.hasFreeSlot {
 			continue
 		}
 		candidate.estimate = time.Duration(float64(candidate.estimate) * (1 + estimateJitter*rand.Float64()))
@@ -158,5 +158,5 @@
 	}
 	byDistance[topology.SameZone] = preferred
 	lateShare := func(mean time.Duration) float64 { return state.lateShare(mean, required.target) }
-	return f.policy.choose(byDistance, required, lateShare, func() bool { return f.bulk.take(now, required.bytes, nodes) })
+	return f.crossing.choose(byDistance, required, lateShare, func() bool { return f.bulkLimiter.take(now, required.bytes, nodes) })
 }
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -31,7 +31,7 @@
 	service, state := &routing.Service{Name: "s", ColdRate: 4.2}, &serviceState{}
 	now := time.Now()
 	for b.Loop() {
-		f.pick(now, state, service, need{target: time.Second}, nil, 74)
+		f.pick(now, state, service, requirements{target: time.Second}, nil, 74)
 	}
 }
 
@@ -47,7 +47,7 @@
 		one.backend.finish(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{Loaded: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
 	}
 	pick := func(at time.Time) *backend {
-		return f.pick(at, state, service, need{target: time.Second}, nil, 74).backend
+		return f.pick(at, state, service, requirements{target: time.Second}, nil, 74).backend
 	}
 	assert.Assert(t, pick(now.Add(100*time.Millisecond)) == nil)
 	assert.Assert(t, pick(now.Add(5*time.Second)) != nil)
--- a/internal/proxy/pooled.go
+++ b/internal/proxy/pooled.go
@@ -23,7 +23,7 @@
 		if picked.backend == nil {
 			return
 		}
-		if c.quarantined() {
+		if c.refuseIfQuarantined() {
 			return
 		}
 		if !c.spendRetryBudget() {
@@ -47,29 +47,29 @@
 // and may run on several workers, it is hedged: a second copy goes to another worker if the first does
 // not answer.
 func (c *call) sendPooled(picked choice) *upstream.Result {
-	if !c.repeatable() || c.sends.mayHaveRun() > 0 || !c.maySpread() {
+	if !c.repeatable() || c.sends.mayHaveRun() > 0 || !c.mayRunOnSeveralWorkers() {
 		return c.sendTo(picked.backend, c.deadline.Add(-answerMargin))
 	}
 	return c.sendHedged(picked, func() *backend {
-		required := c.need()
-		required.stay = required.bulk // the link between regions must not carry a large body twice
-		required.spare = true
+		required := c.requirements()
+		required.sameRegionOnly = required.bulk // the link between regions must not carry a large body twice
+		required.forHedge = true
 		return c.pick(clock.Now(), required, map[workers.ID]bool{picked.backend.id(): true}).backend
 	})
 }
 
 // pick chooses a worker that has not been tried and may get one more request now.
-func (c *call) pick(now time.Time, required need, tried map[workers.ID]bool) choice {
+func (c *call) pick(now time.Time, required requirements, tried map[workers.ID]bool) choice {
 	for {
 		picked := c.proxy.fleet.pick(now, c.state, c.service, required, tried, int(c.proxy.Nodes.Load()))
 		if picked.backend == nil {
 			return picked
 		}
-		if required.spare && c.proxy.isLimited(picked.backend) {
+		if required.forHedge && c.proxy.isLimited(picked.backend) {
 			tried[picked.backend.id()] = true
 			continue
 		}
-		if _, ok := c.permitted(picked.backend, 0); ok {
+		if _, ok := c.acquirePermit(picked.backend, 0); ok {
 			return picked
 		}
 		now = clock.Now()
@@ -82,7 +82,7 @@
 	waitLimit := c.began.Add(time.Duration(queueWaitShare * float64(c.route.Target)))
 	for {
 		now := clock.Now()
-		if picked := c.pick(now, c.need(), c.tried); picked.backend != nil {
+		if picked := c.pick(now, c.requirements(), c.tried); picked.backend != nil {
 			if picked.estimate < c.timeLeft() || c.sends.mayHaveArrived() > 0 || picked.backend.estimateDecayed(now, defaultLatency) < c.timeLeft() {
 				return picked
 			}
@@ -96,8 +96,8 @@
 			c.giveUp(reason, c.blockedRetryAfter(reason, until.Sub(now)))
 			return choice{}
 		}
-		if c.nowhere() {
-			c.giveUp(reasonRegion, regionReturn)
+		if c.noWorkerInAllowedRegions() {
+			c.giveUp(reasonRegion, regionRetryAfter)
 			return choice{}
 		}
 		if now.After(waitLimit) || c.timeLeft() <= answerMargin {
@@ -114,7 +114,7 @@
 // if it has already ended the request.
 func (c *call) waitInQueue() bool {
 	if c.claim.yields && c.state.halfFull(c.service.Queue) {
-		c.giveUp(reasonShare, c.jitteredRetryAfter())
+		c.giveUp(reasonOverShare, c.jitteredRetryAfter())
 		return false
 	}
 	if !c.state.enqueue(c.service.Queue) {
@@ -128,7 +128,7 @@
 // resetTried makes all workers eligible again once each usable one has been tried. It returns false
 // if some have not been tried.
 func (c *call) resetTried() bool {
-	if len(c.tried) < c.usable() {
+	if len(c.tried) < c.usableWorkerCount() {
 		return false
 	}
 	clear(c.tried)
@@ -138,10 +138,10 @@
 // noWorkerReason returns the reason for which no worker could be picked.
 func (c *call) noWorkerReason() string {
 	switch {
-	case c.usable() == 0:
+	case c.usableWorkerCount() == 0:
 		return reasonNoWorker
 	case c.claim.yields:
-		return reasonShare
+		return reasonOverShare
 	}
 	return reasonBusy
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -239,7 +239,7 @@
 func TestLongBodyIsStreamedOnce(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
-	long := strings.Repeat("0123456789", keptBody*3/2/10)
+	long := strings.Repeat("0123456789", maxBufferedBody*3/2/10)
 	response, _ := f.get(t, "POST", "/unsafe/", long)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	assert.Equal(t, w.bodies[0], long)
@@ -296,7 +296,7 @@
 				} else {
 					time.Sleep(50 * time.Millisecond)
 				}
-				f.proxy.End()
+				f.proxy.CancelRequests()
 			}()
 			response, _ := f.get(t, c.method, c.path, "x", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, c.status)
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -14,30 +14,30 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// attemptAt returns what the proxy takes a request of this machine to be.
-func attemptAt(method, uri, body string) quarantine.Attempt {
+// expectedAttempt returns what the proxy takes a request of this machine to be.
+func expectedAttempt(method, uri, body string) quarantine.Attempt {
 	request := quarantine.Request{
 		Method: method, Host: "app.example", URI: uri, Body: []byte(body), Length: int64(len(body)),
 	}
-	return quarantine.Attempt{Request: request.Fingerprint(), Caller: caller("127.0.0.1:1")}
+	return quarantine.Attempt{Request: request.Fingerprint(), Caller: callerAddress("127.0.0.1:1")}
 }
 
 // crashed tells the proxy that a request was under way at workers that crashed.
-func (f *testProxy) crashed(attempt quarantine.Attempt, list ...workers.ID) {
+func (f *testProxy) recordCrashes(attempt quarantine.Attempt, list ...workers.ID) {
 	for index, worker := range list {
 		at := time.Now().Add(time.Duration(3*(index-len(list))) * time.Second)
 		f.proxy.Suspects.Crashed(time.Now(), attempt, quarantine.Crash{Worker: worker, At: at})
 	}
 }
 
-func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/keyed/x"} {
 		t.Run(path, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			entry := w.entry("pool")
 			f := newTestProxy(t, entry)
 			f.assignAllKeys(entry)
-			f.crashed(attemptAt("POST", path, "b"), "a", "b", "c")
+			f.recordCrashes(expectedAttempt("POST", path, "b"), "a", "b", "c")
 			began := time.Now()
 			response, body := f.get(t, "POST", path, "b", "X-Key", "7")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
@@ -52,7 +52,7 @@
 }
 
 // Before a process knows which requests are quarantined it sends none.
-func TestARouterThatStartsKnowsTheListFirst(t *testing.T) {
+func TestStartingRouterSendsNothingBeforeQuarantineIsKnown(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.Starting.Store(true)
@@ -65,7 +65,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 }
 
-func TestASuspectGoesToOneWorkerOnly(t *testing.T) {
+func TestSuspectIsSentToOneWorkerOnly(t *testing.T) {
 	tests := map[string]struct {
 		crashes []workers.ID
 		path    string
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			one, two := newFakeWorker(t, "w1", reset), newFakeWorker(t, "w2", reset)
 			f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
-			f.crashed(attemptAt("GET", test.path, ""), test.crashes...)
+			f.recordCrashes(expectedAttempt("GET", test.path, ""), test.crashes...)
 			response, _ := f.get(t, "GET", test.path, "")
 			assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 			assert.Equal(t, one.receivedCount()+two.receivedCount(), test.want)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestAGoodRunClearsARequest(t *testing.T) {
+func TestSuccessfulRunClearsSuspect(t *testing.T) {
 	tests := map[string]struct {
 		status int
 		want   quarantine.Standing
@@ -103,8 +103,8 @@
 				return true
 			})
 			f := newTestProxy(t, w.entry("pool"))
-			attempt := attemptAt("GET", "/safe/x", "")
-			f.crashed(attempt, "a")
+			attempt := expectedAttempt("GET", "/safe/x", "")
+			f.recordCrashes(attempt, "a")
 			f.get(t, "GET", "/safe/x", "")
 			assert.Equal(t, f.proxy.Suspects.Standing(quarantine.Run{Request: attempt.Request, Caller: attempt.Caller}), test.want)
 		})
@@ -112,7 +112,7 @@
 }
 
 // A request that was given up may still run, and crash its worker: the next send finds nobody.
-func TestARequestThatWasGivenUpIsASuspectToo(t *testing.T) {
+func TestTimedOutRequestCanBecomeSuspect(t *testing.T) {
 	var w *fakeWorker
 	w = newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool {
 		time.Sleep(400 * time.Millisecond)
@@ -126,7 +126,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusGatewayTimeout)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		f.get(t, "GET", "/keyed/other", "", "X-Key", "7", "X-Deadline", "200")
-		if f.proxy.Suspects.Standing(quarantine.Run{Request: attemptAt("GET", "/keyed/x", "").Request}) == quarantine.Suspect {
+		if f.proxy.Suspects.Standing(quarantine.Run{Request: expectedAttempt("GET", "/keyed/x", "").Request}) == quarantine.Suspect {
 			return poll.Success()
 		}
 		return poll.Continue("not suspected")
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -24,18 +24,18 @@
 	Return(granted time.Time, tenant *routing.Tenant)
 }
 
-// quotaGrain is how much later than it was granted, or sent last, a request is sent that
+// quotaTimeTolerance is how much later than it was granted, or sent last, a request is sent that
 // counts from the same time. Requests wait for a worker; quotas allow for this much.
-const quotaGrain = 200 * time.Millisecond
+const quotaTimeTolerance = 200 * time.Millisecond
 
 // withinQuota counts the request against its tenant's limit; false if it was answered.
-func (c *call) withinQuota() bool {
+func (c *call) takeQuota() bool {
 	if c.proxy.Quota == nil || c.tenant == nil || !c.tenant.Limited() {
 		return true
 	}
 	granted, wait := c.proxy.Quota.Take(c.request.Context(), c.tenant)
 	if granted.IsZero() {
-		c.refuse(http.StatusTooManyRequests, reasonQuota, max(wait, minRetryAfter))
+		c.refuse(http.StatusTooManyRequests, reasonOverQuota, max(wait, minRetryAfter))
 		return false
 	}
 	c.quotaCountedAt = granted
@@ -44,8 +44,8 @@
 
 // countSend lets a request that leaves for a worker count from now on. Second sends and copies
 // are of the same request, which counts once.
-func (c *call) countSend() {
-	if !c.quotaCountedAt.IsZero() && clock.Since(c.quotaCountedAt) > quotaGrain {
+func (c *call) recordQuotaSend() {
+	if !c.quotaCountedAt.IsZero() && clock.Since(c.quotaCountedAt) > quotaTimeTolerance {
 		c.quotaCountedAt = c.proxy.Quota.Sent(c.quotaCountedAt, c.tenant)
 	}
 }
--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -50,8 +50,8 @@
 	return [3]int{q.taken, q.sent, q.returned}
 }
 
-// newQuotaFront is a front whose tenant a has a limit, and whose worker runs a script.
-func newQuotaFront(t *testing.T, units int, run script) (*testProxy, *fakeWorker, *fakeQuota) {
+// newQuotaProxy is a front whose tenant a has a limit, and whose worker runs a script.
+func newQuotaProxy(t *testing.T, units int, run script) (*testProxy, *fakeWorker, *fakeQuota) {
 	t.Helper()
 	w := newFakeWorker(t, "w1", run)
 	f := newTestProxy(t, w.entry("pool"))
@@ -63,11 +63,11 @@
 	return f, w, quota
 }
 
-const askedByA = "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\nAuthorization: Bearer " + keyOfA + "\r\n\r\n"
+const requestOfA = "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\nAuthorization: Bearer " + keyOfA + "\r\n\r\n"
 
-func TestATenantBeyondItsLimitIsRefusedAtOnce(t *testing.T) {
-	f, w, quota := newQuotaFront(t, 1, alwaysAnswer("x"))
-	assert.Equal(t, f.sendRaw(t, askedByA), http.StatusOK)
+func TestTenantBeyondItsLimitIsRefusedImmediately(t *testing.T) {
+	f, w, quota := newQuotaProxy(t, 1, alwaysAnswer("x"))
+	assert.Equal(t, f.sendRaw(t, requestOfA), http.StatusOK)
 	request, err := http.NewRequest(http.MethodGet, f.server.URL+"/safe/", nil)
 	assert.NilError(t, err)
 	request.Host = "app.example"
@@ -85,14 +85,14 @@
 	assert.Equal(t, quota.counts(), [3]int{1, 0, 0})
 }
 
-func TestATenantWithoutALimitIsNotCounted(t *testing.T) {
-	f, _, quota := newQuotaFront(t, 0, alwaysAnswer("x"))
+func TestTenantWithoutLimitIsNotCounted(t *testing.T) {
+	f, _, quota := newQuotaProxy(t, 0, alwaysAnswer("x"))
 	raw := "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\nAuthorization: Bearer " + keyOfB + "\r\n\r\n"
 	assert.Equal(t, f.sendRaw(t, raw), http.StatusOK)
 	assert.Equal(t, quota.counts(), [3]int{})
 }
 
-func TestARequestThatDidNotRunIsGivenBack(t *testing.T) {
+func TestQuotaIsReturnedForRequestThatDidNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		run      script
 		returned int
@@ -101,8 +101,8 @@
 		"workers refused": {refuse, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, _, quota := newQuotaFront(t, 1, test.run)
-			f.sendRaw(t, askedByA)
+			f, _, quota := newQuotaProxy(t, 1, test.run)
+			f.sendRaw(t, requestOfA)
 			counts := quota.counts()
 			assert.Equal(t, counts[0], 1, "each attempt counts once, however often it is sent")
 			assert.Equal(t, counts[2], test.returned)
--- a/internal/proxy/regionlink_test.go
+++ b/internal/proxy/regionlink_test.go
@@ -16,7 +16,7 @@
 // Renewals of what workers hold cross a link between regions within 50 ms while callers of a
 // region without workers want ten times the link for large answers. Without the gate the answers
 // that wait on the link held renewals up for 400 ms.
-func TestRenewalsPassBesideLargeBodies(t *testing.T) {
+func TestLargeBodiesDoNotDelayRenewals(t *testing.T) {
 	const (
 		routers      = 4
 		callers      = 24 // for each router; they ask again at once
@@ -43,14 +43,14 @@
 	var fronts []*testProxy
 	for index := range routers {
 		f := newTestProxy(t, entry)
-		f.proxy.Locate(twoRegions)
+		f.proxy.SetTopology(twoRegions)
 		f.proxy.Nodes.Store(routers)
 		config := testConfig(t, 2)
 		config.Match("app.example", "/safe/").Class = routing.BulkDown
 		assert.Assert(t, f.proxy.Use(config))
 		// Turns are taken evenly here, where they are random else: chance must not decide.
-		pause := time.Duration(answerBytes * routers * time.Second / bulkAcross)
-		f.proxy.fleet.bulk.next = started.Add(pause * time.Duration(index) / routers)
+		pause := time.Duration(answerBytes * routers * time.Second / bulkLinkRate)
+		f.proxy.fleet.bulkLimiter.next = started.Add(pause * time.Duration(index) / routers)
 		fronts = append(fronts, f)
 	}
 	var asks sync.WaitGroup
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -17,7 +17,7 @@
 var twoRegions = topology.New(map[topology.Zone]topology.Region{"z": "near", "far": "abroad"})
 
 // binds lets the routes be served in some regions only.
-func (f *testProxy) binds(t *testing.T, version routing.Version, regions ...topology.Region) {
+func (f *testProxy) restrictRegions(t *testing.T, version routing.Version, regions ...topology.Region) {
 	t.Helper()
 	config := testConfig(t, version)
 	for _, prefix := range []string{"/safe/", "/unsafe/", "/keyed/"} {
@@ -43,8 +43,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestProxy(t, test.list...)
-			f.proxy.Locate(twoRegions)
-			f.binds(t, 2, test.regions...)
+			f.proxy.SetTopology(twoRegions)
+			f.restrictRegions(t, 2, test.regions...)
 			for range 5 {
 				response, body := f.get(t, "GET", "/safe/", "")
 				assert.Equal(t, response.StatusCode, test.status)
@@ -55,13 +55,13 @@
 }
 
 // A worker inside that refuses is tried again, and none outside.
-func TestRefusedInsideStaysInside(t *testing.T) {
+func TestRefusedRequestStaysInAllowedRegion(t *testing.T) {
 	inside, outside := newFakeWorker(t, "w1", refuse), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	abroad := outside.entry("pool")
 	abroad.Zone = "far"
 	f := newTestProxy(t, inside.entry("pool"), abroad)
-	f.proxy.Locate(twoRegions)
-	f.binds(t, 2, "near")
+	f.proxy.SetTopology(twoRegions)
+	f.restrictRegions(t, 2, "near")
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, outside.receivedCount(), 0)
@@ -73,11 +73,11 @@
 	entry := w.entry("keyed")
 	entry.Zone = "far"
 	f := newTestProxy(t, entry)
-	f.proxy.Locate(twoRegions)
+	f.proxy.SetTopology(twoRegions)
 	f.assignAllKeys(entry)
 	_, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, body, "x", "any region may serve")
-	f.binds(t, 2, "near")
+	f.restrictRegions(t, 2, "near")
 	response, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, body, reasonRegion+"\n")
@@ -86,13 +86,13 @@
 }
 
 // An owner that is no longer announced stands in a zone that nobody knows.
-func TestVanishedOwnerServesNoBoundRequest(t *testing.T) {
+func TestUnannouncedOwnerServesNoRegionBoundRequest(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	entry := w.entry("keyed")
 	f := newTestProxy(t)
-	f.proxy.Locate(twoRegions)
+	f.proxy.SetTopology(twoRegions)
 	f.assignAllKeys(entry)
-	f.binds(t, 2, "near")
+	f.restrictRegions(t, 2, "near")
 	response, _ := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, w.receivedCount(), 0)
@@ -116,7 +116,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTestProxy(t, near.entry("pool"), abroad)
-			f.proxy.Locate(twoRegions)
+			f.proxy.SetTopology(twoRegions)
 			config := tenantsConfig(t, 2, twoTenants)
 			config.Tenants["a"].Regions = test.tenant
 			config.Match("app.example", "/safe/").Regions = test.route
@@ -134,7 +134,7 @@
 }
 
 // Second copies of silent requests go to no worker outside, and large ones to no other region.
-func TestCopiesStayInside(t *testing.T) {
+func TestHedgesStayInAllowedRegion(t *testing.T) {
 	for name, test := range map[string]struct {
 		class   routing.BodyClass
 		regions []topology.Region
@@ -153,12 +153,12 @@
 			abroad := outside.entry("pool")
 			abroad.Zone = "far"
 			f := newTestProxy(t, silent.entry("pool"), abroad)
-			f.proxy.Locate(twoRegions)
+			f.proxy.SetTopology(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
 			route.Regions, route.Class = test.regions, test.class
 			assert.Assert(t, f.proxy.Use(config))
-			f.proxy.fleet.bulk.next = time.Now() // the link has room
+			f.proxy.fleet.bulkLimiter.next = time.Now() // the link has room
 			f.get(t, "GET", "/safe/", "", "X-Deadline", "900")
 			assert.Equal(t, silent.receivedCount(), 1)
 			assert.Equal(t, outside.receivedCount(), test.copies)
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -85,7 +85,7 @@
 			entry.Born = 1
 			f := newTestProxy(t, entry)
 			f.assignAllKeys(entry)
-			logged := &lines{}
+			logged := &logCounter{}
 			f.proxy.Log = decision.NewTo(logged, "test")
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			entry.State = test.state
--- a/internal/proxy/sizes.go
+++ b/internal/proxy/sizes.go
@@ -13,10 +13,10 @@
 
 // Sizes of requests and answers of which nothing is known yet, in bytes, heads included.
 const (
-	usualSmall = 4 << 10
-	usualBulk  = 100 << 10
-	// sizeShare is the weight of a new answer: some tens of them tell the mean.
-	sizeShare = 0.05
+	defaultSmallBytes = 4 << 10
+	defaultBulkBytes  = 100 << 10
+	// sizeWeight is the weight of a new answer: some tens of them tell the mean.
+	sizeWeight = 0.05
 )
 
 // sizes are the mean bytes of a request and its answer, by route. It is safe for concurrent
@@ -32,30 +32,30 @@
 func (s *sizes) add(route *routing.Route, bytes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	mean := s.meanOf(route)
-	s.mean[route.Name] = mean + sizeShare*(bytes-mean)
+	mean := s.expectedLocked(route)
+	s.mean[route.Name] = mean + sizeWeight*(bytes-mean)
 }
 
 // of returns the expected size.
-func (s *sizes) of(route *routing.Route) float64 {
+func (s *sizes) expected(route *routing.Route) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.meanOf(route)
+	return s.expectedLocked(route)
 }
 
 // meanOf is of for a caller that holds mu.
-func (s *sizes) meanOf(route *routing.Route) float64 {
+func (s *sizes) expectedLocked(route *routing.Route) float64 {
 	if mean, known := s.mean[route.Name]; known {
 		return mean
 	}
 	if route.Class != routing.Small {
-		return usualBulk
+		return defaultBulkBytes
 	}
-	return usualSmall
+	return defaultSmallBytes
 }
 
 // keep forgets the routes that a configuration does not have.
-func (s *sizes) keep(config *routing.Config) {
+func (s *sizes) retain(config *routing.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name := range s.mean {
@@ -70,16 +70,16 @@
 
 // weigh notes the size of the request and of a worker's answer, as far as their heads tell. Where
 // they don't, the exchange counts as one of its route's usual size, and says nothing of it.
-func (c *call) weigh(worker *workers.Worker, got *upstream.Result) {
-	bytes, known := c.weight(got)
+func (c *call) recordSize(worker *workers.Worker, got *upstream.Result) {
+	bytes, known := c.exchangeSize(got)
 	if known {
 		c.proxy.fleet.sizes.add(c.route, bytes)
 	} else {
-		bytes = max(bytes, c.proxy.fleet.sizes.of(c.route))
+		bytes = max(bytes, c.proxy.fleet.sizes.expected(c.route))
 	}
 	kind := traffic.Pooled
 	switch {
-	case bulky(c.route.Class, bytes):
+	case isBulk(c.route.Class, bytes):
 		kind = traffic.Bulk
 	case c.service.Keyed:
 		kind = traffic.Keyed
@@ -89,7 +89,7 @@
 
 // weight is the size of the request and of a worker's answer in bytes; known is false if one of
 // them comes in chunks that are passed on, so that it is larger.
-func (c *call) weight(got *upstream.Result) (bytes float64, known bool) {
+func (c *call) exchangeSize(got *upstream.Result) (bytes float64, known bool) {
 	size := got.Body.Length()
 	length, err := strconv.ParseInt(got.Header.Get("Content-Length"), 10, 64)
 	if err == nil {
--- a/internal/proxy/sizes_test.go
+++ b/internal/proxy/sizes_test.go
@@ -14,7 +14,7 @@
 
 // Bodies whose length no head told were learned as empty ones. The link between regions then took
 // as many downloads as came: each was reckoned with some 600 bytes.
-func TestBodiesOfUnknownLengthTellNothingOfTheirRoute(t *testing.T) {
+func TestUnknownBodyLengthIsNotLearned(t *testing.T) {
 	length := func(text string) http.Header { return http.Header{"Content-Length": {text}} }
 	for name, test := range map[string]struct {
 		up      int64
@@ -34,9 +34,9 @@
 				service: &routing.Service{Name: "pool"}, message: upstream.Message{Length: test.up},
 			}
 			for range 100 {
-				c.weigh(&workers.Worker{}, &test.got)
+				c.recordSize(&workers.Worker{}, &test.got)
 			}
-			assert.Equal(t, f.proxy.fleet.sizes.of(c.route) != usualBulk, test.learned)
+			assert.Equal(t, f.proxy.fleet.sizes.expected(c.route) != defaultBulkBytes, test.learned)
 		})
 	}
 }
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -18,13 +18,13 @@
 const (
 	// subsetOverlap is how many processes prefer each worker on average.
 	subsetOverlap = 4
-	// leastSubset is how many workers a process prefers at the least.
-	leastSubset = 4
-	// mostConsidered is how many workers of its own zone a process chooses among, and
-	// mostConsideredFar those of each other zone: more of them cost each choice, and memory for
+	// minSubsetSize is how many workers a process prefers at the least.
+	minSubsetSize = 4
+	// maxConsidered is how many workers of its own zone a process chooses among, and
+	// maxConsideredRemote those of each other zone: more of them cost each choice, and memory for
 	// each, and are heard of once in minutes. Other processes choose among others.
-	mostConsidered    = 128
-	mostConsideredFar = 32
+	maxConsidered       = 128
+	maxConsideredRemote = 32
 )
 
 // subset is the workers of one service that this process prefers. It is safe for
@@ -40,7 +40,7 @@
 // subsetSize returns how many of a zone's workers each of its processes prefers.
 func subsetSize(zoneWorkers, zoneProcesses int) int {
 	shared := float64(subsetOverlap*zoneWorkers) / float64(max(1, zoneProcesses))
-	return max(leastSubset, int(math.Ceil(shared)))
+	return max(minSubsetSize, int(math.Ceil(shared)))
 }
 
 // considered returns the workers of a service that this process chooses among: all, or of large
@@ -53,9 +53,9 @@
 	}
 	limits, all := map[string]uint64{}, true
 	for zone, inZone := range count {
-		most := mostConsideredFar
+		most := maxConsideredRemote
 		if zone == f.zone {
-			most = max(mostConsidered, 2*preferred)
+			most = max(maxConsidered, 2*preferred)
 		}
 		limits[zone] = math.MaxUint64
 		if inZone > most {
@@ -76,7 +76,7 @@
 
 // of returns the preferred ones of a zone's ready workers. A list of the same version has
 // the same workers.
-func (s *subset) of(seed maphash.Seed, ready []workers.ID, version uint64, size int) map[workers.ID]bool {
+func (s *subset) choose(seed maphash.Seed, ready []workers.ID, version uint64, size int) map[workers.ID]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.preferred != nil && s.version == version && s.size == size {
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -18,10 +18,10 @@
 	}{
 		"few processes: all":             {workers: 4, processes: 3, want: 6},
 		"processes not known: all":       {workers: 21, processes: 0, want: 84},
-		"many processes, few workers":    {workers: 10, processes: 59, want: leastSubset},
+		"many processes, few workers":    {workers: 10, processes: 59, want: minSubsetSize},
 		"as many workers as processes":   {workers: 20, processes: 20, want: subsetOverlap},
 		"more workers than processes":    {workers: 66, processes: 16, want: 17},
-		"one worker and many that share": {workers: 1, processes: 50, want: leastSubset},
+		"one worker and many that share": {workers: 1, processes: 50, want: minSubsetSize},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, subsetSize(test.workers, test.processes), test.want)
@@ -37,9 +37,9 @@
 	}
 	seed := maphash.MakeSeed()
 	var s subset
-	before := s.of(seed, ready, 1, 6)
+	before := s.choose(seed, ready, 1, 6)
 	assert.Equal(t, len(before), 6)
-	after := s.of(seed, ready[1:], 2, 6)
+	after := s.choose(seed, ready[1:], 2, 6)
 	assert.Equal(t, len(after), 6)
 	kept := 0
 	for id := range before {
@@ -48,11 +48,11 @@
 		}
 	}
 	assert.Assert(t, kept >= 5, "%d", kept)
-	assert.Equal(t, len(s.of(seed, ready[:3], 3, 6)), 3)
+	assert.Equal(t, len(s.choose(seed, ready[:3], 3, 6)), 3)
 }
 
 // The preferred workers get what they have slots for, the others of the zone the rest.
-func TestPreferredWorkersComeFirst(t *testing.T) {
+func TestPreferredWorkersArePickedFirst(t *testing.T) {
 	directory := workers.NewDirectory()
 	var list []workers.Worker
 	for index := range 30 {
@@ -65,19 +65,19 @@
 	service := &serviceState{}
 	now := time.Now()
 	chosen := map[workers.ID]int{}
-	for range 2 * leastSubset {
-		picked := f.pick(now, service, &routing.Service{Name: "s"}, need{target: time.Second}, nil, 30)
+	for range 2 * minSubsetSize {
+		picked := f.pick(now, service, &routing.Service{Name: "s"}, requirements{target: time.Second}, nil, 30)
 		picked.backend.begin()
 		chosen[picked.backend.id()]++
 	}
-	assert.Equal(t, len(chosen), leastSubset)
-	picked := f.pick(now, service, &routing.Service{Name: "s"}, need{target: time.Second}, nil, 30)
+	assert.Equal(t, len(chosen), minSubsetSize)
+	picked := f.pick(now, service, &routing.Service{Name: "s"}, requirements{target: time.Second}, nil, 30)
 	assert.Equal(t, chosen[picked.backend.id()], 0, "all slots of the preferred ones are taken")
 }
 
 // A process that shares thousands of workers with hundreds of others chooses among some of them,
 // the preferred ones included; together the processes choose among all.
-func TestAProcessChoosesAmongSomeOfMany(t *testing.T) {
+func TestProcessConsidersPartOfManyWorkers(t *testing.T) {
 	const zones, inZone, processes = 5, 740, 984
 	directory := workers.NewDirectory()
 	var list []workers.Worker
@@ -120,6 +120,6 @@
 	of, service := &routing.Service{Name: "s"}, &serviceState{}
 	now := time.Now()
 	for b.Loop() {
-		f.pick(now, service, of, need{target: time.Second}, nil, 984)
+		f.pick(now, service, of, requirements{target: time.Second}, nil, 984)
 	}
 }
--- a/internal/proxy/swaps.go
+++ b/internal/proxy/swaps.go
@@ -9,9 +9,9 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// mostOwed bounds how many requests of a part this process has dealt to another one and not
+// maxOwed bounds how many requests of a part this process has dealt to another one and not
 // made up for yet, so that the weights hold over any few requests of each process.
-const mostOwed = 4
+const maxOwed = 4
 
 // swaps exchange requests with large bodies between the parts of a weighted route: one whose
 // key has its owner in another region goes to a pool of the route instead, and for it one of
@@ -23,34 +23,34 @@
 // is safe for concurrent use.
 type swaps struct {
 	mu   sync.Mutex
-	owed map[swapped]int
+	owed map[partPair]int
 }
 
 // swapped names two parts of a route.
-type swapped struct {
+type partPair struct {
 	route       *routing.Route
 	keyed, pool routing.ServiceName
 }
 
-func newSwaps() *swaps { return &swaps{owed: map[swapped]int{}} }
+func newSwaps() *swaps { return &swaps{owed: map[partPair]int{}} }
 
 // whereabouts says where one part of a route would serve a request.
-type whereabouts int
+type serviceLocation int
 
 const (
 	// unserved: the request has no key, or the part has no worker that would take it now.
-	unserved whereabouts = iota
-	// inRegion: in this process's region.
-	inRegion
-	// acrossLink: in another region.
-	acrossLink
+	notServed serviceLocation = iota
+	// inSameRegion: in this process's region.
+	inSameRegion
+	// inOtherRegion: in another region.
+	inOtherRegion
 )
 
 // pick returns the part that a request goes to, given the part that was dealt to it. keyed
 // reports whether a service is divided by key, and where says where each would serve the request:
 // only what the other part can serve in the region is exchanged.
 func (s *swaps) pick(route *routing.Route, dealt routing.ServiceName, keyed func(routing.ServiceName) bool,
-	where func(routing.ServiceName) whereabouts) routing.ServiceName {
+	where func(routing.ServiceName) serviceLocation) routing.ServiceName {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range route.Parts {
@@ -58,15 +58,15 @@
 			continue
 		}
 		if keyed(dealt) {
-			pair := swapped{route, dealt, part.Service}
-			if s.owed[pair] < mostOwed && where(dealt) == acrossLink && where(part.Service) == inRegion {
+			pair := partPair{route, dealt, part.Service}
+			if s.owed[pair] < maxOwed && where(dealt) == inOtherRegion && where(part.Service) == inSameRegion {
 				s.owed[pair]++
 				return part.Service
 			}
 			continue
 		}
-		pair := swapped{route, part.Service, dealt}
-		if s.owed[pair] > 0 && where(part.Service) == inRegion {
+		pair := partPair{route, part.Service, dealt}
+		if s.owed[pair] > 0 && where(part.Service) == inSameRegion {
 			s.owed[pair]--
 			return part.Service
 		}
@@ -76,52 +76,52 @@
 
 // part returns the service that the request goes to, of the route's parts. Bound requests are not
 // exchanged: an owner that is near need not be allowed.
-func (c *call) part(used *active) *routing.Service {
+func (c *call) selectService(used *activeConfig) *routing.Service {
 	dealt := used.splitter.Pick(c.route)
 	fleet := c.proxy.fleet
-	if len(c.route.Parts) > 1 && fleet.places.Regions() > 1 && !c.bound() && bulky(c.route.Class, fleet.sizes.of(c.route)) {
+	if len(c.route.Parts) > 1 && fleet.topology.Regions() > 1 && !c.regionBound() && isBulk(c.route.Class, fleet.sizes.expected(c.route)) {
 		keyed := func(name routing.ServiceName) bool { return c.config.Services[name].Keyed }
-		dealt = used.swaps.pick(c.route, dealt, keyed, c.whereabouts)
+		dealt = used.swaps.pick(c.route, dealt, keyed, c.locateService)
 	}
 	return c.config.Services[dealt]
 }
 
 // whereabouts says where a part would serve the request.
-func (c *call) whereabouts(name routing.ServiceName) whereabouts {
+func (c *call) locateService(name routing.ServiceName) serviceLocation {
 	if service := c.config.Services[name]; service.Keyed {
-		return c.ownerWhereabouts(service)
+		return c.locateOwner(service)
 	}
 	fleet := c.proxy.fleet
 	list, _ := fleet.directory.Usable(name)
 	for _, worker := range list {
 		if fleet.distance(worker.Zone) != topology.OtherRegion {
-			return inRegion
+			return inSameRegion
 		}
 	}
 	if len(list) > 0 {
-		return acrossLink
+		return inOtherRegion
 	}
-	return unserved
+	return notServed
 }
 
 // ownerWhereabouts says where the owner of the request's key stands.
-func (c *call) ownerWhereabouts(service *routing.Service) whereabouts {
+func (c *call) locateOwner(service *routing.Service) serviceLocation {
 	key, found := c.readKey(service)
 	if !found {
-		return unserved
+		return notServed
 	}
 	held, known := c.proxy.Table.Lookup(service.Name, key)
 	if !known || held.Moving {
-		return unserved
+		return notServed
 	}
 	fleet := c.proxy.fleet
 	worker, announced := fleet.directory.Get(held.Worker)
 	switch {
 	case !announced || worker.State != workers.StateReady || !fleet.get(worker).usableAsOwner(clock.Now()),
 		fleet.get(worker).backoffLeft(clock.Now()) > 0:
-		return unserved
+		return notServed
 	case fleet.distance(worker.Zone) == topology.OtherRegion:
-		return acrossLink
+		return inOtherRegion
 	}
-	return inRegion
+	return inSameRegion
 }
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-func TestSwapsKeepTheWeights(t *testing.T) {
+func TestSwapsPreserveWeights(t *testing.T) {
 	isKeyed := func(name routing.ServiceName) bool { return name == "keyed" }
 	for name, test := range map[string]struct {
 		weights [2]int // of the keyed part and of the pool
@@ -33,11 +33,11 @@
 			const requests = 4000
 			for index := range requests {
 				far := index*7%13%2 == 1 // owners alternate out of step with the weights
-				where := func(name routing.ServiceName) whereabouts {
+				where := func(name routing.ServiceName) serviceLocation {
 					if isKeyed(name) && far {
-						return acrossLink
+						return inOtherRegion
 					}
-					return inRegion
+					return inSameRegion
 				}
 				if s.pick(route, splitter.Pick(route), isKeyed, where) == "keyed" {
 					dealt++
@@ -47,7 +47,7 @@
 				}
 			}
 			want := requests * test.weights[0] / (test.weights[0] + test.weights[1])
-			assert.Assert(t, dealt <= want+mostOwed && dealt >= want-mostOwed, "%d of %d", dealt, want)
+			assert.Assert(t, dealt <= want+maxOwed && dealt >= want-maxOwed, "%d of %d", dealt, want)
 			assert.Assert(t, crossed <= test.crossing, "%d crossed", crossed)
 		})
 	}
@@ -59,7 +59,7 @@
 	abroad := far.entry("keyed")
 	abroad.Zone = "far"
 	f := newTestProxy(t, near.entry("keyed"), abroad, pool.entry("pool"))
-	f.proxy.Locate(twoRegions)
+	f.proxy.SetTopology(twoRegions)
 	config := testConfig(t, 2)
 	route := config.Match("app.example", "/safe/")
 	route.Class = routing.BulkDown
@@ -83,28 +83,28 @@
 // A request is exchanged only for one that the other part can serve in the region: one without a
 // key was sent to the part that is divided by key, where it is malformed, and one whose key moved
 // waited there, while the pool that it was dealt to was free.
-func TestSwapsExchangeWhatCanBeServed(t *testing.T) {
+func TestSwapsRequireServableRequests(t *testing.T) {
 	isKeyed := func(name routing.ServiceName) bool { return name == "keyed" }
 	route := &routing.Route{Parts: []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
 	for name, test := range map[string]struct {
 		dealt       routing.ServiceName
-		keyed, pool whereabouts
+		keyed, pool serviceLocation
 		want        routing.ServiceName
 	}{
-		"far owner":                    {"keyed", acrossLink, inRegion, "pool"},
-		"near owner":                   {"keyed", inRegion, inRegion, "keyed"},
-		"no owner":                     {"keyed", unserved, inRegion, "keyed"},
-		"far owner, no pool":           {"keyed", acrossLink, unserved, "keyed"},
-		"far owner, far pool":          {"keyed", acrossLink, acrossLink, "keyed"},
-		"the pool's, near owner":       {"pool", inRegion, inRegion, "keyed"},
-		"the pool's, far owner":        {"pool", acrossLink, inRegion, "pool"},
-		"the pool's, no key or owner":  {"pool", unserved, inRegion, "pool"},
-		"the pool's, which has no one": {"pool", inRegion, unserved, "keyed"},
+		"far owner":                    {"keyed", inOtherRegion, inSameRegion, "pool"},
+		"near owner":                   {"keyed", inSameRegion, inSameRegion, "keyed"},
+		"no owner":                     {"keyed", notServed, inSameRegion, "keyed"},
+		"far owner, no pool":           {"keyed", inOtherRegion, notServed, "keyed"},
+		"far owner, far pool":          {"keyed", inOtherRegion, inOtherRegion, "keyed"},
+		"the pool's, near owner":       {"pool", inSameRegion, inSameRegion, "keyed"},
+		"the pool's, far owner":        {"pool", inOtherRegion, inSameRegion, "pool"},
+		"the pool's, no key or owner":  {"pool", notServed, inSameRegion, "pool"},
+		"the pool's, which has no one": {"pool", inSameRegion, notServed, "keyed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSwaps()
-			s.owed[swapped{route, "keyed", "pool"}] = 1
-			where := func(name routing.ServiceName) whereabouts {
+			s.owed[partPair{route, "keyed", "pool"}] = 1
+			where := func(name routing.ServiceName) serviceLocation {
 				if isKeyed(name) {
 					return test.keyed
 				}
@@ -117,7 +117,7 @@
 
 // What was exchanged for a far owner's request is not made up for by one that has no key, or
 // whose key's owner is not there.
-func TestNothingIsExchangedForWhatNobodyServes(t *testing.T) {
+func TestUnservableKeyIsNotSwapped(t *testing.T) {
 	for name, test := range map[string]struct {
 		key   string
 		owner workers.ID
@@ -129,7 +129,7 @@
 		t.Run(name, func(t *testing.T) {
 			near, pool := newFakeWorker(t, "w1", alwaysAnswer("n")), newFakeWorker(t, "w3", alwaysAnswer("p"))
 			f := newTestProxy(t, near.entry("keyed"), pool.entry("pool"))
-			f.proxy.Locate(twoRegions)
+			f.proxy.SetTopology(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
 			route.Class = routing.BulkDown
@@ -142,8 +142,8 @@
 			if test.key != "" {
 				c.request.Header.Set("X-Key", test.key)
 			}
-			assert.Equal(t, c.whereabouts("keyed"), unserved)
-			assert.Equal(t, c.whereabouts("pool"), inRegion)
+			assert.Equal(t, c.locateService("keyed"), notServed)
+			assert.Equal(t, c.locateService("pool"), inSameRegion)
 		})
 	}
 }
--- a/internal/proxy/tenantmetrics.go
+++ b/internal/proxy/tenantmetrics.go
@@ -9,13 +9,13 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// mostTenantSeries is how many tenants have series of their own in one process; the others are
+// maxTenantSeries is how many tenants have series of their own in one process; the others are
 // counted together. Four series each are a third of what a router shows besides.
-const mostTenantSeries = 100
+const maxTenantSeries = 100
 
-// otherTenants is the label of those that are counted together. No tenant has that name: a label of
+// otherTenantsLabel is the label of those that are counted together. No tenant has that name: a label of
 // a tenant with it would stand for the others too, and only in the sum.
-const otherTenants = "(others)"
+const otherTenantsLabel = "(others)"
 
 // Ends of a tenant's request.
 const (
@@ -26,7 +26,7 @@
 
 // tenantCounters count the ends of requests by tenant. It is safe for concurrent use.
 type tenantCounters struct {
-	vector *prometheus.CounterVec
+	requests *prometheus.CounterVec
 	// overShare counts those refused for their tenant's share.
 	overShare *prometheus.CounterVec
 	mu        sync.RWMutex
@@ -36,7 +36,7 @@
 
 func newTenantCounters() *tenantCounters {
 	return &tenantCounters{
-		vector: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_tenant_requests_total",
 			Help: "Requests of tenants by their end: served, refused (429, 503 and the like) or failed; tenants over the bound are (others).",
 		}, []string{"tenant", "end"}),
@@ -49,8 +49,8 @@
 }
 
 // ended counts the end of a request.
-func (t *tenantCounters) ended(name routing.TenantName, status int) {
-	t.vector.WithLabelValues(t.label(name), endOf(status)).Inc()
+func (t *tenantCounters) recordEnd(name routing.TenantName, status int) {
+	t.requests.WithLabelValues(t.label(name), endOf(status)).Inc()
 }
 
 // label returns what a tenant is counted as.
@@ -63,8 +63,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.named) >= mostTenantSeries && !t.named[name] {
-		return otherTenants
+	if len(t.named) >= maxTenantSeries && !t.named[name] {
+		return otherTenantsLabel
 	}
 	t.named[name] = true
 	return string(name)
--- a/internal/proxy/tenantmetrics_test.go
+++ b/internal/proxy/tenantmetrics_test.go
@@ -11,27 +11,27 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-func TestSeriesOfTenantsAreBounded(t *testing.T) {
+func TestTenantSeriesAreBounded(t *testing.T) {
 	counters := newTenantCounters()
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(counters.vector)
+	registry.MustRegister(counters.requests)
 	for range 2 {
-		for index := range mostTenantSeries + 50 {
-			counters.ended(routing.TenantName(fmt.Sprint("t", index)), http.StatusOK)
+		for index := range maxTenantSeries + 50 {
+			counters.recordEnd(routing.TenantName(fmt.Sprint("t", index)), http.StatusOK)
 		}
 	}
 	families, err := registry.Gather()
 	assert.NilError(t, err)
 	series := families[0].GetMetric()
-	assert.Equal(t, len(series), mostTenantSeries+1)
+	assert.Equal(t, len(series), maxTenantSeries+1)
 	sum := 0.0
 	for _, one := range series {
 		sum += one.GetCounter().GetValue()
 	}
-	assert.Equal(t, sum, 2.0*(mostTenantSeries+50), "nothing is left out of the sum")
+	assert.Equal(t, sum, 2.0*(maxTenantSeries+50), "nothing is left out of the sum")
 }
 
-func TestEndsOfTenantsRequests(t *testing.T) {
+func TestTenantRequestOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
 		want   string
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -18,14 +18,14 @@
 	reasonOutdated = "configuration-outdated"
 )
 
-// outdatedRetry is when a caller may come back to a router whose configuration may be out of
+// outdatedRetryAfter is when a caller may come back to a router whose configuration may be out of
 // date: one that the store refuses hears its neighbours within that time, and other routers
 // are in touch.
-const outdatedRetry = 300 * time.Millisecond
+const outdatedRetryAfter = 300 * time.Millisecond
 
 // index returns the index of a configuration's API keys; nil if it has no tenants. old is what
 // was in force before; nil if nothing was.
-func (p *Proxy) index(config *routing.Config, old *active) *tenant.Index {
+func (p *Proxy) buildKeyIndex(config *routing.Config, old *activeConfig) *tenant.Index {
 	switch {
 	case config.Tenants == nil:
 		return nil
@@ -58,16 +58,16 @@
 	}
 	c.tenant = caller.Tenant
 	if outdated := c.proxy.Outdated; outdated != nil && outdated() {
-		c.refuse(http.StatusServiceUnavailable, reasonOutdated, outdatedRetry)
+		c.refuse(http.StatusServiceUnavailable, reasonOutdated, outdatedRetryAfter)
 		return false
 	}
 	c.message.Tenant = string(c.tenant.Name)
 	return true
 }
 
-// shownReason is what a caller is told of the reason of an answer: whoever shows a key that was
+// publicReason is what a caller is told of the reason of an answer: whoever shows a key that was
 // taken away need not learn that it once was good.
-func shownReason(reason string) string {
+func publicReason(reason string) string {
 	if reason == reasonKeyTakenAway {
 		return reasonKeyUnknown
 	}
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -50,25 +50,25 @@
 var twoTenants = map[routing.TenantName][]string{"a": {keyOfA}, "b": {keyOfB}}
 
 // logged are the lines that a proxy has written.
-type logged struct {
+type logBuffer struct {
 	mu  sync.Mutex
 	all bytes.Buffer
 }
 
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(line)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
 }
 
 // awaits waits for lines with all of some texts.
-func (l *logged) awaits(t *testing.T, texts ...string) {
+func (l *logBuffer) awaitTexts(t *testing.T, texts ...string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, text := range texts {
@@ -80,12 +80,12 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-// newTenantsFront is newTestProxy under a configuration with two tenants, and what it logs.
-func newTenantsFront(t *testing.T, run script) (*testProxy, *fakeWorker, *logged) {
+// newTenantsProxy is newTestProxy under a configuration with two tenants, and what it logs.
+func newTenantsProxy(t *testing.T, run script) (*testProxy, *fakeWorker, *logBuffer) {
 	t.Helper()
 	w := newFakeWorker(t, "w1", run)
 	f := newTestProxy(t, w.entry("pool"))
-	lines := &logged{}
+	lines := &logBuffer{}
 	f.proxy.Log = decision.NewTo(lines, "test")
 	assert.Assert(t, f.proxy.Use(tenantsConfig(t, 2, twoTenants)))
 	return f, w, lines
@@ -105,7 +105,7 @@
 	return response.StatusCode
 }
 
-func TestAWorkerIsToldTheTenantAndNeverTheKey(t *testing.T) {
+func TestWorkerReceivesTenantButNotKey(t *testing.T) {
 	const start = "GET /safe/ HTTP/1.1\r\nHost: app.example\r\nX-Id: i\r\nX-Deadline: 1500\r\n"
 	const showsA = "Authorization: Bearer " + keyOfA + "\r\n"
 	for name, raw := range map[string]string{
@@ -127,7 +127,7 @@
 		"line folded": start + showsA + "X-Other: 1\r\n X-Tenant: b\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, logged := newTenantsFront(t, alwaysAnswer("x"))
+			f, w, logged := newTenantsProxy(t, alwaysAnswer("x"))
 			assert.Equal(t, f.sendRaw(t, raw), http.StatusOK)
 			assert.Equal(t, w.receivedCount(), 1)
 			arrived := w.received[0]
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestCallersWithoutATenantAreRefusedAtOnce(t *testing.T) {
+func TestCallersWithoutTenantAreRefusedImmediately(t *testing.T) {
 	for name, test := range map[string]struct {
 		lines  string
 		reason string
@@ -160,7 +160,7 @@
 		"listed Connection": {lines: "Connection: Authorization\r\n", reason: reasonKeyMissing},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, logged := newTenantsFront(t, alwaysAnswer("x"))
+			f, w, logged := newTenantsProxy(t, alwaysAnswer("x"))
 			connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 			assert.NilError(t, err)
 			defer func() { _ = connection.Close() }()
@@ -175,14 +175,14 @@
 			assert.Equal(t, response.Header.Get("X-Id"), "i-7")
 			assert.Equal(t, response.Header.Get("Retry-After"), "", "it would be refused again")
 			assert.Equal(t, w.receivedCount(), 0)
-			logged.awaits(t, test.reason, `"id":"i-7"`)
+			logged.awaitTexts(t, test.reason, `"id":"i-7"`)
 			assert.Assert(t, !strings.Contains(logged.String(), keyOfA) && !strings.Contains(logged.String(), "sk-c"))
 		})
 	}
 }
 
 // Who comes by a public route is nobody to the worker, whatever it shows or says.
-func TestAPublicRouteNamesNobody(t *testing.T) {
+func TestPublicRouteSendsNoTenant(t *testing.T) {
 	for name, headers := range map[string][]string{
 		"nothing":        {},
 		"a tenant's key": {"Authorization", "Bearer " + keyOfA},
@@ -191,7 +191,7 @@
 		"a name listed":  {"X-Tenant", "a", "Connection", "X-Tenant"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
+			f, w, _ := newTenantsProxy(t, alwaysAnswer("x"))
 			response, _ := f.get(t, "GET", "/safe/public/", "", headers...)
 			assert.Equal(t, response.StatusCode, http.StatusOK)
 			assert.Equal(t, len(w.received[0].Header["X-Tenant"]), 0)
@@ -201,7 +201,7 @@
 }
 
 // Where nobody is a tenant, what callers send travels on as it is.
-func TestWithoutTenantsHeadersTravelOn(t *testing.T) {
+func TestHeadersAreForwardedWithoutTenants(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "GET", "/safe/", "", "Authorization", "Basic abc", "X-Tenant", "z")
@@ -211,8 +211,8 @@
 }
 
 // One connection of a caller, as of a proxy before it, may bring requests of several tenants.
-func TestEachRequestOfAConnectionIsIdentified(t *testing.T) {
-	f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
+func TestEachRequestOnConnectionIsAuthenticated(t *testing.T) {
+	f, w, _ := newTenantsProxy(t, alwaysAnswer("x"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = connection.Close() }()
@@ -235,8 +235,8 @@
 	assert.Equal(t, w.received[1].Header.Get("X-Tenant"), "b")
 }
 
-func TestKeysComeAndGoWithConfigurations(t *testing.T) {
-	f, _, logged := newTenantsFront(t, alwaysAnswer("x"))
+func TestAPIKeysFollowConfiguration(t *testing.T) {
+	f, _, logged := newTenantsProxy(t, alwaysAnswer("x"))
 	status := func(key string) int {
 		response, body := f.get(t, "GET", "/safe/", "", "Authorization", "Bearer "+key)
 		assert.Assert(t, response.StatusCode == http.StatusOK || body == reasonKeyUnknown+"\n", "%s: what became of a key is not for who shows it", body)
@@ -249,15 +249,15 @@
 	assert.Equal(t, status("sk-new"), http.StatusOK)
 	assert.Assert(t, !f.proxy.Use(tenantsConfig(t, 6, twoTenants)), "an older one never comes back")
 	assert.Equal(t, status(keyOfA), http.StatusUnauthorized)
-	logged.awaits(t, `"reason":"key-taken-away"`, `"gone_with":7`, `"tenant":"a"`)
+	logged.awaitTexts(t, `"reason":"key-taken-away"`, `"gone_with":7`, `"tenant":"a"`)
 }
 
 // A request that is on its way when its key goes is finished, also where its first worker did
 // not run it.
-func TestARequestOnItsWayOutlivesItsKey(t *testing.T) {
+func TestInFlightRequestSurvivesKeyRemoval(t *testing.T) {
 	asked, goOn := make(chan struct{}), make(chan struct{})
 	var first atomic.Bool
-	f, w, _ := newTenantsFront(t, func(connection net.Conn, request *http.Request) bool {
+	f, w, _ := newTenantsProxy(t, func(connection net.Conn, request *http.Request) bool {
 		if first.CompareAndSwap(false, true) {
 			close(asked)
 			<-goOn
@@ -283,7 +283,7 @@
 }
 
 // A configuration that is not known says nothing against a key.
-func TestWithoutAConfigurationNoKeyIsUnknown(t *testing.T) {
+func TestMissingConfigurationRejectsNoKey(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
 	f.proxy.current.Store(nil)
@@ -291,8 +291,8 @@
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 }
 
-func TestCallersWithKeysAreRefusedWhereKeysMayBeGone(t *testing.T) {
-	f, w, _ := newTenantsFront(t, alwaysAnswer("x"))
+func TestCallersWithKeysAreRefusedIfConfigurationIsOutdated(t *testing.T) {
+	f, w, _ := newTenantsProxy(t, alwaysAnswer("x"))
 	var outdated atomic.Bool
 	f.proxy.Outdated = outdated.Load
 	status := func(path string, headers ...string) int {
@@ -312,7 +312,7 @@
 
 // A refusal for which the body need not be read leaves the caller's connection open.
 func TestRefusalsKeepConnectionsOpen(t *testing.T) {
-	f, _, _ := newTenantsFront(t, alwaysAnswer("x"))
+	f, _, _ := newTenantsProxy(t, alwaysAnswer("x"))
 	response, _ := f.get(t, "POST", "/unsafe/", "short")
 	assert.Equal(t, response.StatusCode, http.StatusUnauthorized)
 	assert.Assert(t, !response.Close)
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -20,7 +20,7 @@
 }
 
 // count notes whether the worker has turned a request away. The caller holds mu.
-func (b *backend) count(now time.Time, got *upstream.Result) {
+func (b *backend) recordThrottleResult(now time.Time, got *upstream.Result) {
 	switch got.Outcome {
 	case upstream.Answered, upstream.Late:
 		b.throttle.Sent(now, true)
@@ -38,14 +38,14 @@
 
 // shortage returns which share of the requests for a worker of keys is to be refused unasked,
 // and whether it has turned any away lately.
-func (b *backend) shortage(now time.Time) (share float64, short bool) {
+func (b *backend) refusalShare(now time.Time) (share float64, short bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.throttle.Share(now), b.throttle.Short(now)
 }
 
 // refuseUnasked counts a request for the worker that is refused without asking it.
-func (b *backend) refuseUnasked(now time.Time) {
+func (b *backend) recordThrottled(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.throttle.Refused(now)
--- a/internal/proxy/unread.go
+++ b/internal/proxy/unread.go
@@ -10,12 +10,12 @@
 
 // Bounds of what is kept of headers that are only passed on.
 const (
-	// mostUnreadNames is how many names are counted each by itself.
-	mostUnreadNames = 32
-	// mostUnreadSenders is how many workers' headers are remembered, and logged.
-	mostUnreadSenders = 1024
-	// otherHeaders stands for the names beyond.
-	otherHeaders = "other"
+	// maxUnreadNames is how many names are counted each by itself.
+	maxUnreadNames = 32
+	// maxUnreadSenders is how many workers' headers are remembered, and logged.
+	maxUnreadSenders = 1024
+	// otherHeadersLabel stands for the names beyond.
+	otherHeadersLabel = "other"
 )
 
 // commonHeaders are headers of answers that say nothing to a router: they are for callers, or about one
@@ -33,28 +33,28 @@
 type unreadHeaders struct {
 	mu      sync.Mutex
 	names   map[string]bool
-	senders map[sender]bool
+	senders map[workerHeader]bool
 }
 
 // sender is a worker that has sent a header.
-type sender struct {
+type workerHeader struct {
 	worker workers.ID
 	name   string
 }
 
 func newUnreadHeaders() *unreadHeaders {
-	return &unreadHeaders{names: map[string]bool{}, senders: map[sender]bool{}}
+	return &unreadHeaders{names: map[string]bool{}, senders: map[workerHeader]bool{}}
 }
 
 // note returns the name by which a header is counted, and whether it is the first of its worker.
-func (u *unreadHeaders) note(one sender) (label string, first bool) {
+func (u *unreadHeaders) record(one workerHeader) (label string, first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.senders[one] && len(u.senders) < mostUnreadSenders {
+	if !u.senders[one] && len(u.senders) < maxUnreadSenders {
 		u.senders[one], first = true, true
 	}
-	if !u.names[one.name] && len(u.names) == mostUnreadNames {
-		return otherHeaders, first
+	if !u.names[one.name] && len(u.names) == maxUnreadNames {
+		return otherHeadersLabel, first
 	}
 	u.names[one.name] = true
 	return one.name, first
@@ -67,8 +67,8 @@
 		if commonHeaders[name] || p.Headers.Owns(name) {
 			continue
 		}
-		label, first := p.unread.note(sender{from, name})
-		p.Metrics.unreadHeader(label)
+		label, first := p.unread.record(workerHeader{from, name})
+		p.Metrics.recordUnreadHeader(label)
 		if first {
 			p.Log.Line(decision.KindHeaderUnread).Str("worker", string(from)).Str("header", name).Msg("")
 		}
--- a/internal/proxy/unread_test.go
+++ b/internal/proxy/unread_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-func TestHeadersThatNobodyReadsAreCountedByName(t *testing.T) {
+func TestUnreadHeadersAreCountedByName(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusOK, "x", "X-New-Word: secret", "Content-Type: text/plain", "X-Load: 1,0,2")
 		return true
@@ -31,17 +31,17 @@
 	assert.DeepEqual(t, counts, map[string]float64{"X-New-Word": 3}) // what is read, or is for callers, does not count
 }
 
-func TestNamesOfUnreadHeadersAreBounded(t *testing.T) {
+func TestUnreadHeaderNamesAreBounded(t *testing.T) {
 	u := newUnreadHeaders()
-	for index := range 2 * mostUnreadNames {
-		label, first := u.note(sender{"w", fmt.Sprint("X-", index)})
+	for index := range 2 * maxUnreadNames {
+		label, first := u.record(workerHeader{"w", fmt.Sprint("X-", index)})
 		assert.Assert(t, first)
-		assert.Equal(t, label == otherHeaders, index >= mostUnreadNames)
+		assert.Equal(t, label == otherHeadersLabel, index >= maxUnreadNames)
 	}
-	_, again := u.note(sender{"w", "X-1"})
+	_, again := u.record(workerHeader{"w", "X-1"})
 	assert.Assert(t, !again, "one line a worker and name")
-	for index := range 2 * mostUnreadSenders {
-		u.note(sender{workers.ID(fmt.Sprint(index)), "X-1"})
+	for index := range 2 * maxUnreadSenders {
+		u.record(workerHeader{workers.ID(fmt.Sprint(index)), "X-1"})
 	}
-	assert.Equal(t, len(u.senders), mostUnreadSenders)
+	assert.Equal(t, len(u.senders), maxUnreadSenders)
 }
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -188,7 +188,7 @@
 	directory.Replace(list, nil, time.Now())
 	proxy := New("z", directory, BudgetLimits{Ratio: 0.2, Slack: 200, Window: 10 * time.Second})
 	proxy.Headers, proxy.Table, proxy.Meter = testHeaders, keytable.New(), peerlink.NewMeter()
-	proxy.Drain = testDrain
+	proxy.DrainPeriod = testDrain
 	proxy.Log, proxy.Metrics = decision.NewTo(io.Discard, "test"), NewMetrics(prometheus.NewRegistry())
 	proxy.Use(testConfig(t, 1))
 	f := &testProxy{proxy: proxy, directory: directory, server: httptest.NewServer(proxy)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -157,10 +157,10 @@
 	r.workers.OnExpired(r.entriesView.logExpired)
 	r.configView = newConfigView(r)
 	r.proxy = proxy.New(config.Zone, r.workers, retryLimits(config))
-	r.proxy.Locate(r.zoneMap)
+	r.proxy.SetTopology(r.zoneMap)
 	r.proxy.Traffic = traffic.NewCounter(topology.Zone(config.Zone), r.zoneMap, metrics)
 	r.proxy.Headers, r.proxy.Table, r.proxy.Meter = adapter.Headers, r.table, r.meter
-	r.proxy.Drain, r.proxy.Evacuate = config.Drain.Std(), config.Evacuate.Std()
+	r.proxy.DrainPeriod, r.proxy.EvacuationPeriod = config.Drain.Std(), config.Evacuate.Std()
 	r.proxy.Log, r.proxy.Nodes, r.proxy.Metrics = log, r.nodes, proxy.NewMetrics(metrics)
 	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewTurns(config.Machine.LinkMbps)
 	r.proxy.Starting.Store(true)
@@ -196,9 +196,9 @@
 	r.hub.OnLimits(r.limits.handleReports)
 	r.hub.OnPermit(r.limits.handlePermitRequest)
 	r.leaving = newLeavingWorkers(r)
-	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
+	r.proxy.OnWorkerLeaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
 	r.hub.OnLeaving(r.leaving.handleReports)
-	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
+	r.proxy.KeyMovesBlocked = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
 	r.keeper.Leaving = r.leaving.noteLeaving
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
@@ -330,7 +330,7 @@
 
 // pipelineLimits bounds what runs behind others.
 func (r *Router) pipelineLimits() pipeline.Limits {
-	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.Beside}
+	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.MayRunConcurrently}
 	if memory := r.settings.Machine.MemoryMB; memory > 0 {
 		limits.Held = int64(pipelineHeldShare * float64(memory) * (1 << 20))
 	}
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -50,7 +50,7 @@
 	grace := r.settings.Grace.Std()
 	r.log.Line(decision.KindReady).Bool("ready", false).Str("reason", "asked to stop").Msg("")
 	r.stopping.Store(true)
-	r.proxy.Stop()
+	r.proxy.BeginShutdown()
 	r.pipelined.Stop()
 	stopLeading()
 	select {
@@ -58,7 +58,7 @@
 	case <-time.After(grace / 4):
 	}
 	clock.Sleep(context.Background(), clock.Until(began.Add(time.Duration(acceptShare*float64(grace)))))
-	defer time.AfterFunc(clock.Until(began.Add(time.Duration(answerShare*float64(grace)))), r.proxy.End).Stop()
+	defer time.AfterFunc(clock.Until(began.Add(time.Duration(answerShare*float64(grace)))), r.proxy.CancelRequests).Stop()
 	bounded, cancel := context.WithTimeout(context.Background(), clock.Until(began.Add(time.Duration(finishShare*float64(grace)))))
 	defer cancel()
 	r.awaitPipelined(bounded) // the server takes their connections to be idle, or closes them with the first answer
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -114,7 +114,7 @@
 // settle does what time brings.
 func (k *suspectsKeeper) settle(now time.Time) {
 	for _, record := range k.r.proxy.Suspects.Settle(now) {
-		proxy.TellQuarantined(k.r.log, record.Attempt)
+		proxy.LogQuarantined(k.r.log, record.Attempt)
 	}
 }
 
@@ -208,7 +208,7 @@
 // tellQuarantined logs which requests are sent no longer.
 func (r *Router) logQuarantined(attempts []quarantine.Attempt) {
 	for _, attempt := range attempts {
-		proxy.TellQuarantined(r.log, attempt)
+		proxy.LogQuarantined(r.log, attempt)
 	}
 }
 
