--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -115,7 +115,7 @@
 // settle applies time-dependent changes.
 func (k *suspectsKeeper) settle(now time.Time) {
 	for _, record := range k.r.proxy.Suspects.Settle(now) {
-		proxy.TellQuarantined(k.r.log, record.Attempt)
+		proxy.LogQuarantined(k.r.log, record.Attempt)
 	}
 }
 
@@ -209,7 +209,7 @@
 // logQuarantined logs requests that are no longer forwarded.
 func (r *Router) logQuarantined(attempts []quarantine.Attempt) {
 	for _, attempt := range attempts {
-		proxy.TellQuarantined(r.log, attempt)
+		proxy.LogQuarantined(r.log, attempt)
 	}
 }
 
