--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -25,26 +25,26 @@
 func (f Fact) Replaces(other Fact) bool { return f.Since.Before(other.Since) }
 
 // TellsSame implements facts.Fact.
-func (f Fact) TellsSame(other Fact) bool { return f.Since.Sub(other.Since).Abs() <= sameSince }
+func (f Fact) EquivalentTo(other Fact) bool { return f.Since.Sub(other.Since).Abs() <= sameSince }
 
 // Holds implements facts.Fact.
-func (f Fact) Holds() bool { return true }
+func (f Fact) Active() bool { return true }
 
 // Told is a fact as processes tell it to each other. Their times of day differ, so times are told
 // as ages.
-type Told struct {
+type Message struct {
 	Worker    workers.ID   `json:"w"`
 	Born      workers.Born `json:"b,omitempty"`
 	AgeMillis int64        `json:"a,omitempty"`
 }
 
 // Tell describes a fact.
-func Tell(now time.Time, fact Fact) Told {
-	return Told{Worker: fact.Worker.ID, Born: fact.Worker.Born, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
+func NewMessage(now time.Time, fact Fact) Message {
+	return Message{Worker: fact.Worker.ID, Born: fact.Worker.Born, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
 }
 
 // Fact returns the fact that was told just now.
-func (t Told) Fact(now time.Time) Fact {
+func (t Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
 	return Fact{Worker: workers.Life{ID: t.Worker, Born: t.Born}, Since: now.Add(-age)}
 }
--- a/internal/departure/departure_test.go
+++ b/internal/departure/departure_test.go
@@ -23,7 +23,7 @@
 		list := rapid.SliceOfN(rapid.Custom(drawFact), 1, 8).Draw(t, "facts")
 		other := rapid.Permutation(list).Draw(t, "other")
 		merged := func(list []Fact) []Fact {
-			book := facts.NewBook[Fact]()
+			book := facts.NewTable[Fact]()
 			for _, one := range append(list, list...) {
 				book.Merge(one)
 			}
@@ -34,12 +34,12 @@
 }
 
 func TestADepartureCountsFromWhoKnewFirst(t *testing.T) {
-	book, life := facts.NewBook[Fact](), workers.Life{ID: "w", Born: 1}
+	book, life := facts.NewTable[Fact](), workers.Life{ID: "w", Born: 1}
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(time.Second)}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sameSince)}), "others need not hear of so little")
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start.Add(-time.Second)}))
 	known, _ := book.Fact(life)
 	assert.Equal(t, known.Since, start.Add(-time.Second))
-	assert.Equal(t, Tell(start, known).Fact(start), known)
+	assert.Equal(t, NewMessage(start, known).Fact(start), known)
 }
--- a/internal/facts/book.go
+++ b/internal/facts/book.go
@@ -11,7 +11,7 @@
 )
 
 // Book holds the facts that a process knows, one for each key. It is safe for concurrent use.
-type Book[F Fact[F]] struct {
+type Table[F Fact[F]] struct {
 	// holding counts the facts that hold, so that requests need no lock where none does.
 	holding atomic.Int32
 	mu      sync.Mutex
@@ -26,14 +26,14 @@
 	version    uint64
 }
 
-// NewBook returns a book that knows nothing.
-func NewBook[F Fact[F]]() *Book[F] { return &Book[F]{entries: map[workers.Life]*entry[F]{}} }
+// NewTable returns a book that knows nothing.
+func NewTable[F Fact[F]]() *Table[F] { return &Table[F]{entries: map[workers.Life]*entry[F]{}} }
 
 // Holding returns how many facts hold.
-func (b *Book[F]) Holding() int { return int(b.holding.Load()) }
+func (b *Table[F]) ActiveCount() int { return int(b.holding.Load()) }
 
 // Fact returns what is known on a key; false if nothing is.
-func (b *Book[F]) Fact(key workers.Life) (F, bool) {
+func (b *Table[F]) Fact(key workers.Life) (F, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if one := b.entries[key]; one != nil {
@@ -44,7 +44,7 @@
 }
 
 // Merge adds a fact. It reports whether the book tells something else with that.
-func (b *Book[F]) Merge(fact F) bool {
+func (b *Table[F]) Merge(fact F) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := fact.Key()
@@ -52,11 +52,11 @@
 	if one != nil && !fact.Replaces(one.fact) {
 		return false
 	}
-	if one != nil && fact.TellsSame(one.told) {
+	if one != nil && fact.EquivalentTo(one.told) {
 		one.fact = fact
 		return false
 	}
-	news := one != nil || fact.Holds()
+	news := one != nil || fact.Active()
 	b.version++
 	b.entries[key] = &entry[F]{fact: fact, told: fact, version: b.version}
 	b.count()
@@ -64,10 +64,10 @@
 }
 
 // count counts the facts that hold. The caller holds mu.
-func (b *Book[F]) count() {
+func (b *Table[F]) count() {
 	count := 0
 	for _, one := range b.entries {
-		if one.fact.Holds() {
+		if one.fact.Active() {
 			count++
 		}
 	}
@@ -76,7 +76,7 @@
 
 // Since returns what the book tells since a version, at most so many facts of it, the longest known
 // first, and the version up to which they tell.
-func (b *Book[F]) Since(version uint64, most int) ([]F, uint64) {
+func (b *Table[F]) Since(version uint64, most int) ([]F, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if version == b.version {
@@ -102,7 +102,7 @@
 }
 
 // Forget drops the facts that a function chooses.
-func (b *Book[F]) Forget(drop func(F) bool) {
+func (b *Table[F]) Forget(drop func(F) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	maps.DeleteFunc(b.entries, func(_ workers.Life, one *entry[F]) bool { return drop(one.fact) })
@@ -110,17 +110,17 @@
 }
 
 // Told returns the facts that hold, by their keys, each as of when it began to be told as it is.
-func (b *Book[F]) Told() []F {
-	return b.list(func(one *entry[F]) (F, bool) { return one.told, one.fact.Holds() })
+func (b *Table[F]) Published() []F {
+	return b.list(func(one *entry[F]) (F, bool) { return one.told, one.fact.Active() })
 }
 
 // Facts returns all that is known, by their keys.
-func (b *Book[F]) Facts() []F {
+func (b *Table[F]) Facts() []F {
 	return b.list(func(one *entry[F]) (F, bool) { return one.fact, true })
 }
 
 // list returns what a function takes of each entry, by their keys.
-func (b *Book[F]) list(take func(*entry[F]) (F, bool)) []F {
+func (b *Table[F]) list(take func(*entry[F]) (F, bool)) []F {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	facts := make([]F, 0, len(b.entries))
--- a/internal/facts/book_test.go
+++ b/internal/facts/book_test.go
@@ -16,29 +16,29 @@
 
 func (c count) Key() workers.Life         { return workers.Life{ID: c.Of} }
 func (c count) Replaces(other count) bool { return c.Value > other.Value }
-func (c count) TellsSame(other count) bool {
-	return c.Holds() == other.Holds() && c.Value/10 == other.Value/10
+func (c count) EquivalentTo(other count) bool {
+	return c.Active() == other.Active() && c.Value/10 == other.Value/10
 }
-func (c count) Holds() bool { return c.Value >= 0 }
+func (c count) Active() bool { return c.Value >= 0 }
 
 func TestNewsGoToTheFollowedProcessOnce(t *testing.T) {
-	m := NewMember[count]()
-	assert.Assert(t, m.Learn(count{"a", 10}))
-	assert.Assert(t, !m.Learn(count{"a", 10}))
-	assert.Assert(t, !m.Learn(count{"a", 12}), "others need not hear of so little")
-	assert.Assert(t, m.Hear(count{"b", 30}), "the followed process tells it")
-	assert.DeepEqual(t, m.Tell(9), []count{{"a", 12}})
-	assert.Equal(t, len(m.Tell(9)), 0)
-	m.Linked()
-	assert.Equal(t, len(m.Tell(1)), 1)
-	assert.Equal(t, len(m.Tell(9)), 1, "another process is told all, in pieces")
-	m.Lead(true)
-	m.Learn(count{"c", 50})
-	assert.Equal(t, len(m.Tell(9)), 0, "a leader follows nobody")
+	m := NewReplica[count]()
+	assert.Assert(t, m.Add(count{"a", 10}))
+	assert.Assert(t, !m.Add(count{"a", 10}))
+	assert.Assert(t, !m.Add(count{"a", 12}), "others need not hear of so little")
+	assert.Assert(t, m.ApplyUpdate(count{"b", 30}), "the followed process tells it")
+	assert.DeepEqual(t, m.TakeReport(9), []count{{"a", 12}})
+	assert.Equal(t, len(m.TakeReport(9)), 0)
+	m.QueueAll()
+	assert.Equal(t, len(m.TakeReport(1)), 1)
+	assert.Equal(t, len(m.TakeReport(9)), 1, "another process is told all, in pieces")
+	m.SetLeading(true)
+	m.Add(count{"c", 50})
+	assert.Equal(t, len(m.TakeReport(9)), 0, "a leader follows nobody")
 }
 
 func TestLinksAreToldWhatIsNewInPieces(t *testing.T) {
-	b := NewBook[count]()
+	b := NewTable[count]()
 	for _, id := range []workers.ID{"c", "a", "b"} {
 		b.Merge(count{id, 10})
 	}
@@ -52,14 +52,14 @@
 }
 
 func TestWhatHasEndedIsKnownAndDoesNotHold(t *testing.T) {
-	b := NewBook[count]()
+	b := NewTable[count]()
 	assert.Assert(t, !b.Merge(count{"a", -1}), "nobody needs to hear of the end of what was not known")
-	assert.Equal(t, b.Holding(), 0)
+	assert.Equal(t, b.ActiveCount(), 0)
 	assert.Equal(t, len(b.Facts()), 1)
-	assert.Equal(t, len(b.Told()), 0)
+	assert.Equal(t, len(b.Published()), 0)
 	b.Merge(count{"a", 1})
-	assert.Equal(t, b.Holding(), 1)
+	assert.Equal(t, b.ActiveCount(), 1)
 	b.Forget(func(count) bool { return true })
-	assert.Equal(t, b.Holding(), 0)
+	assert.Equal(t, b.ActiveCount(), 0)
 	assert.Equal(t, len(b.Facts()), 0)
 }
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -13,7 +13,7 @@
 	Replaces(other F) bool
 	// TellsSame reports whether processes that know the other one need not hear of this one. Of one
 	// that holds and one that does not they must.
-	TellsSame(other F) bool
+	EquivalentTo(other F) bool
 	// Holds reports whether the fact holds now; one that does not records that something has ended.
-	Holds() bool
+	Active() bool
 }
--- a/internal/facts/member.go
+++ b/internal/facts/member.go
@@ -8,8 +8,8 @@
 
 // Member is one process's part in telling facts: what it learns goes on to the process that it
 // follows, and what it knows to those that follow it. It is safe for concurrent use.
-type Member[F Fact[F]] struct {
-	book *Book[F]
+type Replica[F Fact[F]] struct {
+	book *Table[F]
 	mu   sync.Mutex
 	// leads says that this process follows nobody, who would have to be told.
 	leads bool
@@ -17,17 +17,17 @@
 	untold map[workers.Life]struct{}
 }
 
-// NewMember returns a member that knows nothing.
-func NewMember[F Fact[F]]() *Member[F] {
-	return &Member[F]{book: NewBook[F](), untold: map[workers.Life]struct{}{}}
+// NewReplica returns a member that knows nothing.
+func NewReplica[F Fact[F]]() *Replica[F] {
+	return &Replica[F]{book: NewTable[F](), untold: map[workers.Life]struct{}{}}
 }
 
 // Book returns what the member knows.
-func (m *Member[F]) Book() *Book[F] { return m.book }
+func (m *Replica[F]) Table() *Table[F] { return m.book }
 
 // Learn adds a fact that was seen here, or told by a process that follows this one. It reports
 // whether that was news, which goes on to the followed process.
-func (m *Member[F]) Learn(fact F) bool {
+func (m *Replica[F]) Add(fact F) bool {
 	if !m.book.Merge(fact) {
 		return false
 	}
@@ -40,10 +40,10 @@
 }
 
 // Hear adds a fact that the followed process tells. It reports whether that was news.
-func (m *Member[F]) Hear(fact F) bool { return m.book.Merge(fact) }
+func (m *Replica[F]) ApplyUpdate(fact F) bool { return m.book.Merge(fact) }
 
 // Linked notes that another process is followed now, which may know nothing of what is known here.
-func (m *Member[F]) Linked() {
+func (m *Replica[F]) QueueAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, fact := range m.book.Facts() {
@@ -52,7 +52,7 @@
 }
 
 // Tell returns what the followed process is to be told, at most so many facts.
-func (m *Member[F]) Tell(most int) []F {
+func (m *Replica[F]) TakeReport(most int) []F {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var facts []F
@@ -70,7 +70,7 @@
 
 // Lead begins a time in which this process follows nobody, or ends it. Who follows another process
 // later tells that one all.
-func (m *Member[F]) Lead(leads bool) {
+func (m *Replica[F]) SetLeading(leads bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leads = leads
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -12,8 +12,8 @@
 	{
 		name: "good-run-clears-nothing",
 		file: "internal/quarantine/book.go",
-		old:  "	if b.Standing(run) == Free {",
-		new:  "	if b.Standing(run) >= Free {",
+		old:  "	if b.Standing(run) == Unsuspected {",
+		new:  "	if b.Standing(run) >= Unsuspected {",
 		pkg:  "./internal/quarantine", test: "TestErrorsOfTheBook",
 	},
 	{
@@ -54,7 +54,7 @@
 	{
 		name: "suspect-sent-to-several",
 		file: "internal/proxy/crash.go",
-		old:  "	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed",
+		old:  "	return c.initialStanding == quarantine.Unsuspected && c.closedConnections.Load() < mostClosed",
 		new:  "	return c.closedConnections.Load() < mostClosed",
 		pkg:  "./internal/proxy", test: "TestASuspectGoesToOneWorkerOnly",
 	},
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -33,8 +33,8 @@
 	{
 		name: "leader-lets-all-through",
 		file: "internal/workerlimit/member.go",
-		old:  "	return Permit{Granted: granted, Wait: wait, News: news}, true",
-		new:  "	return Permit{Granted: true || granted, Wait: 0 * wait, News: news}, true",
+		old:  "	return Permit{Granted: granted, Wait: wait, Updated: news}, true",
+		new:  "	return Permit{Granted: true || granted, Wait: 0 * wait, Updated: news}, true",
 		pkg:  "./internal/workerlimit", test: "TestALimitOverAllRoutersHoldsWhateverIsLost",
 	},
 	{
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -34,8 +34,8 @@
 	{
 		name: "routers-are-not-told-who-leaves",
 		file: "internal/peerlink/update.go",
-		old:  "	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.Tell)\n",
-		new:  "	_ = departure.Tell\n",
+		old:  "	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.NewMessage)\n",
+		new:  "	_ = departure.NewMessage\n",
 		pkg:  "./platform/session", test: "TestAllRoutersKnowThatAWorkerLeavesThroughRelays",
 	},
 	{
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -124,8 +124,8 @@
 	askNotices := func(_ context.Context, leader string) (peerlink.WorkerNotices, error) {
 		assert.Equal(t, leader, "10.0.0.1:82")
 		return peerlink.WorkerNotices{
-			Limits:   []workerlimit.Told{{Worker: "w2", PerSecond: 2.5, AgeMillis: 7100}},
-			Leaving:  []departure.Told{{Worker: "w1", AgeMillis: 3200}, {Worker: "w9", AgeMillis: 60100}},
+			Limits:   []workerlimit.Message{{Worker: "w2", PerSecond: 2.5, AgeMillis: 7100}},
+			Leaving:  []departure.Message{{Worker: "w1", AgeMillis: 3200}, {Worker: "w9", AgeMillis: 60100}},
 			Backoffs: []peerlink.BackoffShare{{Worker: "w2", Share: 0.75, RemainingMillis: 1900}},
 		}, nil
 	}
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -93,16 +93,16 @@
 
 func describeSuspects(snapshot quarantine.Snapshot) []SuspectedRequest {
 	list := []SuspectedRequest{}
-	for _, record := range snapshot.Told(time.UnixMilli(snapshot.WrittenMillis).UTC()) {
-		if record.Standing() == quarantine.Free {
+	for _, record := range snapshot.Received(time.UnixMilli(snapshot.WrittenMillis).UTC()) {
+		if record.Standing() == quarantine.Unsuspected {
 			continue
 		}
 		one := SuspectedRequest{
 			Fingerprint: record.Attempt.Request, Quarantined: record.Standing() == quarantine.Quarantined,
-			Route: record.Attempt.Route, Caller: record.Attempt.Caller.String(), LastID: record.Attempt.ID, Until: record.Until(),
+			Route: record.Attempt.Route, Caller: record.Attempt.Caller.String(), LastID: record.Attempt.ID, Until: record.ExpiresAt(),
 		}
-		if record.For.IsValid() {
-			one.For = record.For.String()
+		if record.OnlyCaller.IsValid() {
+			one.For = record.OnlyCaller.String()
 		}
 		for _, crash := range record.Crashes {
 			if !slices.Contains(one.Workers, string(crash.Worker)) {
--- a/internal/operator/quarantine_test.go
+++ b/internal/operator/quarantine_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, ListSuspects(t.Context(), shown.output(), store, prefix), ExitOK)
 	assert.Equal(t, strings.Count(shown.result.String(), "\n"), 1, "nothing is stored: the head only")
 
-	book, now := quarantine.NewBook(), time.Unix(1_000_000, 0)
+	book, now := quarantine.NewTracker(), time.Unix(1_000_000, 0)
 	held := quarantine.Attempt{Request: quarantine.Fingerprint{1}, ID: "id-3", Route: "tables", Caller: netip.MustParseAddr("10.0.0.7")}
 	for index, worker := range []workers.ID{"w1", "w2", "w3"} {
-		book.Crashed(now, held, quarantine.Crash{Worker: worker, At: now.Add(time.Duration(3*index) * time.Second)})
+		book.RecordCrash(now, held, quarantine.Crash{Worker: worker, At: now.Add(time.Duration(3*index) * time.Second)})
 	}
-	book.Crashed(now, quarantine.Attempt{Request: quarantine.Fingerprint{2}}, quarantine.Crash{Worker: "w1", At: now})
+	book.RecordCrash(now, quarantine.Attempt{Request: quarantine.Fingerprint{2}}, quarantine.Crash{Worker: "w1", At: now})
 	_, err := store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{
 		{Key: quarantine.StoreKey(prefix), Value: quarantine.NewSnapshot(now.Add(6*time.Second), book.Records()).Encode()},
 	}})
--- a/internal/peerlink/facts.go
+++ b/internal/peerlink/facts.go
@@ -23,7 +23,7 @@
 }
 
 // factsFor returns what a link is to be told of a book now, and notes that it is.
-func factsFor[F facts.Fact[F]](book *facts.Book[F], told *factsTold, now time.Time) []F {
+func factsFor[F facts.Fact[F]](book *facts.Table[F], told *factsTold, now time.Time) []F {
 	if book == nil || now.Sub(told.at) < factsPause {
 		return nil
 	}
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -49,9 +49,9 @@
 	// Traffic counts what is said to processes that follow this one; nil: nobody wants to know.
 	Traffic *traffic.Counter
 	// Limits are what this process knows of workers' limits, and tells its links; nil: nothing.
-	Limits *facts.Book[workerlimit.Fact]
+	Limits *facts.Table[workerlimit.Fact]
 	// Leaving are the workers that say that they leave, as told to links; nil: none.
-	Leaving *facts.Book[departure.Fact]
+	Leaving *facts.Table[departure.Fact]
 
 	mu      sync.Mutex
 	leading bool
@@ -79,7 +79,7 @@
 	bulk        bulk
 	difference  ownerChanges
 	config      configLog
-	suspects    quarantine.Ledger
+	suspects    quarantine.ChangeLog
 	deaf        bool
 	standbys    standbys
 	// asked is called with the term of a leader that asks; nil: nobody wants to know.
@@ -91,8 +91,8 @@
 	quotas   quotaLinks
 	// limitsTold and leavingTold are called with what linked processes have learned of workers, and
 	// permit answers those that ask for permits.
-	limitsTold  func([]workerlimit.Told)
-	leavingTold func([]departure.Told)
+	limitsTold  func([]workerlimit.Message)
+	leavingTold func([]departure.Message)
 	permit      func(PermitRequest) (Permit, bool)
 	// backoffs are those that owners of keys have asked for, as operators are told.
 	backoffs []BackoffShare
--- a/internal/peerlink/lines_test.go
+++ b/internal/peerlink/lines_test.go
@@ -112,7 +112,7 @@
 					}
 				}
 				if changes, tells, _ := update.DecodeSuspects(); tells {
-					view.Told(time.Unix(1000, 0), hub.ApplySuspects(changes))
+					view.HandleUpdate(time.Unix(1000, 0), hub.ApplySuspects(changes))
 				}
 			},
 		}
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -113,9 +113,9 @@
 	// those that it has told of.
 	Quota []quota.Grant `json:"u,omitempty"`
 	// Limits are what has become known of the limits that workers name.
-	Limits []workerlimit.Told `json:"w,omitempty"`
+	Limits []workerlimit.Message `json:"w,omitempty"`
 	// Leaving are workers that say in their answers that they leave.
-	Leaving []departure.Told `json:"s,omitempty"`
+	Leaving []departure.Message `json:"s,omitempty"`
 	// Backoffs are told to operators only.
 	Backoffs []BackoffShare `json:"bo,omitempty"`
 }
@@ -274,9 +274,9 @@
 	// Quota is how much of tenants' limits is in use, at this process and at its followers.
 	Quota []quota.Report `json:"u,omitempty"`
 	// Limits are what this process, or one that follows it, has learned of workers' limits.
-	Limits []workerlimit.Told `json:"l,omitempty"`
+	Limits []workerlimit.Message `json:"l,omitempty"`
 	// Leaving are workers that say in their answers that they leave.
-	Leaving []departure.Told `json:"s,omitempty"`
+	Leaving []departure.Message `json:"s,omitempty"`
 }
 
 // Empty reports whether nothing was seen and nothing is to be told.
--- a/internal/peerlink/notices.go
+++ b/internal/peerlink/notices.go
@@ -14,8 +14,8 @@
 // WorkerNotices are what a leader knows that workers say of themselves in their answers. Ages are as of
 // when something was first known as it is.
 type WorkerNotices struct {
-	Limits   []workerlimit.Told
-	Leaving  []departure.Told
+	Limits   []workerlimit.Message
+	Leaving  []departure.Message
 	Backoffs []BackoffShare
 }
 
@@ -29,11 +29,11 @@
 
 // OnLeaving sets what is called with what linked processes tell of workers that leave, by a leader and
 // by a relay.
-func (h *Hub) OnLeaving(call func([]departure.Told)) { h.leavingTold = call }
+func (h *Hub) OnLeaving(call func([]departure.Message)) { h.leavingTold = call }
 
 // OnLimits sets what is called with what linked processes tell of workers' limits, by a leader and
 // by a relay.
-func (h *Hub) OnLimits(call func([]workerlimit.Told)) { h.limitsTold = call }
+func (h *Hub) OnLimits(call func([]workerlimit.Message)) { h.limitsTold = call }
 
 // SetBackoffs sets which owners of keys have asked routers for backoffs, for operators.
 func (h *Hub) SetBackoffs(backoffs []BackoffShare) {
@@ -70,10 +70,10 @@
 		return
 	}
 	if h.Limits != nil {
-		answer.Limits = tellAll(now, h.Limits.Told(), workerlimit.Tell)
+		answer.Limits = tellAll(now, h.Limits.Published(), workerlimit.NewMessage)
 	}
 	if h.Leaving != nil {
-		answer.Leaving = tellAll(now, h.Leaving.Told(), departure.Tell)
+		answer.Leaving = tellAll(now, h.Leaving.Published(), departure.NewMessage)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -35,7 +35,7 @@
 
 func TestFirstUpdateContainsAllLimits(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	hub.Limits = workerlimit.NewBook().Book
+	hub.Limits = workerlimit.NewTable().Table
 	for index := range 200 {
 		hub.Limits.Merge(limited(workers.ID(fmt.Sprint("w", index)), 2.5))
 	}
@@ -61,9 +61,9 @@
 
 func TestOnlyLeaderReturnsWorkerNotices(t *testing.T) {
 	hub, _, address := leading(t, 3)
-	hub.Limits = workerlimit.NewBook().Book
+	hub.Limits = workerlimit.NewTable().Table
 	hub.Limits.Merge(limited("w", 2.5))
-	hub.Leaving = facts.NewBook[departure.Fact]()
+	hub.Leaving = facts.NewTable[departure.Fact]()
 	hub.Leaving.Merge(departure.Fact{Worker: workers.Life{ID: "v"}, Since: time.Now()})
 	hub.SetBackoffs([]BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
 	told, err := QueryNotices(t.Context(), address)
@@ -87,7 +87,7 @@
 	var asking sync.WaitGroup
 	for index := range 100 {
 		asking.Go(func() {
-			ask := PermitRequest{Limit: workerlimit.Told{Worker: "w", PerSecond: float64(index % 3)}, MaxWaitMillis: int64(index)}
+			ask := PermitRequest{Limit: workerlimit.Message{Worker: "w", PerSecond: float64(index % 3)}, MaxWaitMillis: int64(index)}
 			permit, err := l.Request(t.Context(), address, ask)
 			assert.Check(t, err)
 			assert.Check(t, permit.WaitMillis == int64(index) && permit.Granted == (index%3 > 1))
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -19,7 +19,7 @@
 	// Number names the question on its connection.
 	Number uint64 `json:"n"`
 	// Limit is what the process that asks knows of the worker's limit.
-	Limit workerlimit.Told `json:"l"`
+	Limit workerlimit.Message `json:"l"`
 	// PatienceMillis is for how long the request may wait.
 	MaxWaitMillis int64 `json:"p,omitempty"`
 }
@@ -31,7 +31,7 @@
 	Granted    bool  `json:"g,omitempty"`
 	WaitMillis int64 `json:"w,omitempty"`
 	// Ended is told if the worker names no limit any longer.
-	LimitEnded *workerlimit.Told `json:"e,omitempty"`
+	LimitEnded *workerlimit.Message `json:"e,omitempty"`
 }
 
 // Wait is how long the request waits, or is kept from asking again.
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -25,8 +25,8 @@
 		err := unpack(u.SuspectChanges, &changes)
 		return changes, err == nil, err
 	case len(u.Suspects) > 0:
-		changes.Whole = true
-		err := unpack(u.Suspects, &changes.Fresh)
+		changes.Full = true
+		err := unpack(u.Suspects, &changes.Updated)
 		return changes, err == nil, err
 	}
 	return changes, false, nil
@@ -41,7 +41,7 @@
 	one.suspectsAt = now
 	if !one.hello.SuspectChanges {
 		changes, upTo := h.suspects.Since(now, 0, 0)
-		update.Suspects, one.suspects = pack(changes.Fresh), upTo
+		update.Suspects, one.suspects = pack(changes.Updated), upTo
 		return
 	}
 	changes, upTo := h.suspects.Since(now, one.suspects, mostSuspects)
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -25,8 +25,8 @@
 		h.bulk.leave(one)
 	}
 	h.tellSuspects(one, &update, now)
-	update.Limits = tellAll(now, factsFor(h.Limits, &one.limits, now), workerlimit.Tell)
-	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.Tell)
+	update.Limits = tellAll(now, factsFor(h.Limits, &one.limits, now), workerlimit.NewMessage)
+	update.Leaving = tellAll(now, factsFor(h.Leaving, &one.leaving, now), departure.NewMessage)
 	update.Quota, one.quota = one.quota, nil
 	update.Peers = h.peersFor(one, now)
 	if h.leading {
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -68,7 +68,7 @@
 	cold coldGate
 	// witness holds what was observed of the worker's end. probeAt is the start time of the last
 	// probe of its address, which may be in the future.
-	witness quarantine.Witness
+	witness quarantine.CrashObserver
 	probeAt time.Time
 }
 
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -42,8 +42,8 @@
 }
 
 // run returns whose request this is.
-func (c *call) run() quarantine.Run {
-	return quarantine.Run{Request: c.fingerprint(), Caller: caller(c.request.RemoteAddr)}
+func (c *call) run() quarantine.CallerRequest {
+	return quarantine.CallerRequest{Request: c.fingerprint(), Caller: caller(c.request.RemoteAddr)}
 }
 
 // caller returns the address that a request came from; the zero one if there is none.
@@ -101,7 +101,7 @@
 func (b *backend) cutOff(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.CutOff(now, attempt)
+	return b.witness.RecordInterrupted(now, attempt)
 }
 
 // hasEnded notes that the worker has ended; first is false if that was known. It returns the
@@ -109,7 +109,7 @@
 func (b *backend) hasEnded(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.Ended(now)
+	return b.witness.RecordEnd(now)
 }
 
 // nextProbe says after which time the worker's address is to be looked at; due is false if a
@@ -183,7 +183,7 @@
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 	life := to.info().Life()
-	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
+	for _, held := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
 		TellQuarantined(p.Log, held)
 	}
 }
@@ -203,8 +203,8 @@
 
 // standing says how the request may be sent. While no request is suspected it costs one load.
 func (c *call) standing() quarantine.Standing {
-	if !c.proxy.Suspects.Watching() {
-		return quarantine.Free
+	if !c.proxy.Suspects.AnyRestricted() {
+		return quarantine.Unsuspected
 	}
 	return c.proxy.Suspects.Standing(c.run())
 }
@@ -221,8 +221,8 @@
 
 // cleared tells that a suspected request ran to a good end.
 func (c *call) cleared(got *upstream.Result) {
-	if got.Outcome == upstream.Answered && got.Status < http.StatusInternalServerError && c.standing() != quarantine.Free {
-		c.proxy.Suspects.Finished(clock.Now(), c.run())
+	if got.Outcome == upstream.Answered && got.Status < http.StatusInternalServerError && c.standing() != quarantine.Unsuspected {
+		c.proxy.Suspects.RecordSuccess(clock.Now(), c.run())
 	}
 }
 
@@ -234,5 +234,5 @@
 // maySpread reports whether the request may be sent to a second worker while it may run, or
 // have run, at a first: a request that crashes its workers would crash that one too.
 func (c *call) maySpread() bool {
-	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < mostClosed && c.standing() != quarantine.Quarantined
+	return c.initialStanding == quarantine.Unsuspected && c.closedConnections.Load() < mostClosed && c.standing() != quarantine.Quarantined
 }
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -26,7 +26,7 @@
 func (f *testProxy) crashed(attempt quarantine.Attempt, list ...workers.ID) {
 	for index, worker := range list {
 		at := time.Now().Add(time.Duration(3*(index-len(list))) * time.Second)
-		f.proxy.Suspects.Crashed(time.Now(), attempt, quarantine.Crash{Worker: worker, At: at})
+		f.proxy.Suspects.RecordCrash(time.Now(), attempt, quarantine.Crash{Worker: worker, At: at})
 	}
 }
 
@@ -92,8 +92,8 @@
 		status int
 		want   quarantine.Standing
 	}{
-		"success":          {status: http.StatusOK, want: quarantine.Free},
-		"caller's mistake": {status: http.StatusNotFound, want: quarantine.Free},
+		"success":          {status: http.StatusOK, want: quarantine.Unsuspected},
+		"caller's mistake": {status: http.StatusNotFound, want: quarantine.Unsuspected},
 		"worker's failure": {status: http.StatusInternalServerError, want: quarantine.Suspect},
 	}
 	for name, test := range tests {
@@ -106,7 +106,7 @@
 			attempt := attemptAt("GET", "/safe/x", "")
 			f.crashed(attempt, "a")
 			f.get(t, "GET", "/safe/x", "")
-			assert.Equal(t, f.proxy.Suspects.Standing(quarantine.Run{Request: attempt.Request, Caller: attempt.Caller}), test.want)
+			assert.Equal(t, f.proxy.Suspects.Standing(quarantine.CallerRequest{Request: attempt.Request, Caller: attempt.Caller}), test.want)
 		})
 	}
 }
@@ -126,7 +126,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusGatewayTimeout)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		f.get(t, "GET", "/keyed/other", "", "X-Key", "7", "X-Deadline", "200")
-		if f.proxy.Suspects.Standing(quarantine.Run{Request: attemptAt("GET", "/keyed/x", "").Request}) == quarantine.Suspect {
+		if f.proxy.Suspects.Standing(quarantine.CallerRequest{Request: attemptAt("GET", "/keyed/x", "").Request}) == quarantine.Suspect {
 			return poll.Success()
 		}
 		return poll.Continue("not suspected")
@@ -141,12 +141,12 @@
 			p := New("z", workers.NewDirectory(), BudgetLimits{})
 			for index := range suspects {
 				one := quarantine.Attempt{Request: quarantine.Fingerprint{byte(index)}}
-				p.Suspects.Crashed(time.Now(), one, quarantine.Crash{Worker: "w", At: time.Now()})
+				p.Suspects.RecordCrash(time.Now(), one, quarantine.Crash{Worker: "w", At: time.Now()})
 			}
 			for b.Loop() {
 				c := &call{proxy: p, request: &http.Request{RemoteAddr: "10.0.0.1:1234"}}
 				c.message = upstream.Message{Method: "GET", URI: "/some/path?page=3", Host: "app.example"}
-				if c.standing() != quarantine.Free {
+				if c.standing() != quarantine.Unsuspected {
 					b.Fatal("suspected")
 				}
 			}
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -10,13 +10,13 @@
 )
 
 // Book judges requests by the crashes that they were under way at. Its zero value is not
-// usable; see NewBook.
+// usable; see NewTracker.
 //
 // All requests that were under way at a worker's crash are suspects. What tells the guilty one
 // is that it was under way at three, at different moments, without a run of it that ended well
 // in between: such a run clears a request. Crashes with the requests of all callers add up; once
 // a run of one caller has ended well, what crashed under another's speaks against that one's only.
-type Book struct {
+type Tracker struct {
 	records map[Fingerprint]*Record
 	// ended are the workers that crashed lately, whatever was under way there, and crowds count
 	// them.
@@ -27,19 +27,19 @@
 	dropped uint64
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{records: map[Fingerprint]*Record{}, ended: map[workers.Life]time.Time{}, crowds: crowds{}}
+// NewTracker returns an empty book.
+func NewTracker() *Tracker {
+	return &Tracker{records: map[Fingerprint]*Record{}, ended: map[workers.Life]time.Time{}, crowds: crowds{}}
 }
 
 // Version counts the changes of the book.
-func (b *Book) Version() uint64 { return b.version }
+func (b *Tracker) Version() uint64 { return b.version }
 
 // Dropped counts the suspects that were forgotten early, to make room for others.
-func (b *Book) Dropped() uint64 { return b.dropped }
+func (b *Tracker) Evicted() uint64 { return b.dropped }
 
 // Count returns how many requests are suspects and how many are quarantined.
-func (b *Book) Count() (suspects, quarantined int) {
+func (b *Tracker) Count() (suspects, quarantined int) {
 	for _, known := range b.records {
 		switch known.Standing() {
 		case Suspect:
@@ -52,20 +52,20 @@
 }
 
 // Standing says how the request of a caller may be sent.
-func (b *Book) Standing(run Run) Standing {
-	return max(b.standing(run.Request), b.standing(run.Request.By(run.Caller)))
+func (b *Tracker) Standing(run CallerRequest) Standing {
+	return max(b.standing(run.Request), b.standing(run.Request.ForCaller(run.Caller)))
 }
 
-func (b *Book) standing(request Fingerprint) Standing {
+func (b *Tracker) standing(request Fingerprint) Standing {
 	if known := b.records[request]; known != nil {
 		return known.Standing()
 	}
-	return Free
+	return Unsuspected
 }
 
 // Crashed notes that a request was under way at a worker when that crashed, at a time. It
 // returns what is quarantined by that: the request, or that of its caller.
-func (b *Book) Crashed(now time.Time, attempt Attempt, crash Crash) []Attempt {
+func (b *Tracker) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
 	if _, known := b.ended[crash.life()]; !known {
 		b.ended[crash.life()] = crash.At
 		b.crowds.add(crash.At)
@@ -85,7 +85,7 @@
 
 // isCallers reports whether a crash is held against the request of its caller too: once runs of
 // others have ended well.
-func (b *Book) isCallers(attempt Attempt, crash Crash) bool {
+func (b *Tracker) isCallers(attempt Attempt, crash Crash) bool {
 	known := b.records[attempt.Request]
 	if known != nil && known.lifts(crash.At) {
 		return false
@@ -95,13 +95,13 @@
 
 // blame holds a crash against a request, of one caller or of everybody. It reports whether the
 // request is quarantined by that.
-func (b *Book) blame(now time.Time, attempt Attempt, caller netip.Addr, crash Crash) bool {
+func (b *Tracker) blame(now time.Time, attempt Attempt, caller netip.Addr, crash Crash) bool {
 	known := b.record(attempt, caller)
 	if !known.add(crash) {
 		return false
 	}
 	b.version++
-	if known.HeldAt.IsZero() {
+	if known.QuarantinedAt.IsZero() {
 		known.Attempt = attempt
 	}
 	return known.noteHeld(now)
@@ -109,10 +109,10 @@
 
 // record returns what is known of a request, of one caller or of everybody; nothing is yet if it
 // is new.
-func (b *Book) record(attempt Attempt, caller netip.Addr) *Record {
+func (b *Tracker) record(attempt Attempt, caller netip.Addr) *Record {
 	known := b.records[attempt.Request]
 	if known == nil {
-		known = &Record{Attempt: attempt, For: caller}
+		known = &Record{Attempt: attempt, OnlyCaller: caller}
 		b.records[attempt.Request] = known
 	}
 	return known
@@ -120,11 +120,11 @@
 
 // Finished notes that a run of a request ended well: it does not crash its workers, as its caller
 // asks it. It reports whether the request was suspected or quarantined.
-func (b *Book) Finished(now time.Time, run Run) bool {
-	if b.Standing(run) == Free {
+func (b *Tracker) RecordSuccess(now time.Time, run CallerRequest) bool {
+	if b.Standing(run) == Unsuspected {
 		return false
 	}
-	if own := b.records[run.Request.By(run.Caller)]; own != nil {
+	if own := b.records[run.Request.ForCaller(run.Caller)]; own != nil {
 		own.clear(now)
 	}
 	if known := b.records[run.Request]; known != nil {
@@ -141,7 +141,7 @@
 
 // holdAgainstCallers holds the crashes of a request that was cleared against the requests of their
 // own callers.
-func (b *Book) holdAgainstCallers(attempt Attempt, crashes []Crash) {
+func (b *Tracker) holdAgainstCallers(attempt Attempt, crashes []Crash) {
 	for _, crash := range crashes {
 		attempt.Caller = crash.Caller
 		b.blame(crash.At, attempt.own(), crash.Caller, crash)
@@ -151,12 +151,12 @@
 // Settle does what time brings: it forgets what is old, and quarantines requests whose workers
 // all crashed at one moment if no other worker crashed then, as it would where they share a
 // reason. It needs the evidence of all processes. It returns those that it has quarantined.
-func (b *Book) Settle(now time.Time) []Record {
+func (b *Tracker) Evaluate(now time.Time) []Record {
 	b.Expire(now)
 	var held []Record
 	for _, known := range b.records {
 		if known.Standing() == Suspect && known.crashedOften() && now.Sub(known.last()) >= sameMoment && b.alone(known) {
-			known.AloneAt, known.HeldAt = now, now
+			known.IsolatedAt, known.QuarantinedAt = now, now
 			b.version++
 			held = append(held, known.copied())
 		}
@@ -165,9 +165,9 @@
 }
 
 // Expire forgets what is old.
-func (b *Book) Expire(now time.Time) {
+func (b *Tracker) Expire(now time.Time) {
 	maps.DeleteFunc(b.records, func(_ Fingerprint, known *Record) bool {
-		old := !now.Before(known.Until())
+		old := !now.Before(known.ExpiresAt())
 		if old {
 			b.version++
 		}
@@ -178,7 +178,7 @@
 }
 
 // alone reports whether no worker without the request crashed at the moment of its crashes.
-func (b *Book) alone(of *Record) bool {
+func (b *Tracker) alone(of *Record) bool {
 	first, last := of.Crashes[0].At.Add(-sameMoment), of.last().Add(sameMoment)
 	for life, at := range b.ended {
 		if at.Before(first) || at.After(last) {
@@ -192,7 +192,7 @@
 }
 
 // Records returns all that is known, those requests first that have crashed workers for longest.
-func (b *Book) Records() []Record {
+func (b *Tracker) Records() []Record {
 	list := make([]Record, 0, len(b.records))
 	for _, known := range b.records {
 		list = append(list, known.copied())
@@ -215,13 +215,13 @@
 }
 
 // Merge adds what another book knows. It returns what is quarantined by that.
-func (b *Book) Merge(now time.Time, list []Record) []Attempt {
+func (b *Tracker) Merge(now time.Time, list []Record) []Attempt {
 	var held []Attempt
 	for _, other := range list {
-		if other.Standing() == Free && other.removedAt().IsZero() {
+		if other.Standing() == Unsuspected && other.removedAt().IsZero() {
 			continue
 		}
-		known := b.record(other.Attempt, other.For)
+		known := b.record(other.Attempt, other.OnlyCaller)
 		before := known.Standing()
 		if known.merge(other) {
 			b.version++
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -26,13 +26,13 @@
 	finished byte
 }
 
-func play(b *Book, steps []step) {
+func play(b *Tracker, steps []step) {
 	for _, one := range steps {
 		for _, request := range one.requests {
-			b.Crashed(at(one.at), attempt(request), Crash{Worker: one.worker, At: at(one.at)})
+			b.RecordCrash(at(one.at), attempt(request), Crash{Worker: one.worker, At: at(one.at)})
 		}
 		if one.finished != 0 {
-			b.Finished(at(one.at), attempt(one.finished).run())
+			b.RecordSuccess(at(one.at), attempt(one.finished).run())
 		}
 	}
 }
@@ -43,8 +43,8 @@
 		now   float64
 		want  map[byte]Standing
 	}{
-		"nothing":   {now: 1, want: map[byte]Standing{1: Free}},
-		"one crash": {steps: []step{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Free}},
+		"nothing":   {now: 1, want: map[byte]Standing{1: Unsuspected}},
+		"one crash": {steps: []step{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Unsuspected}},
 		"three crashes, others there once": {
 			steps: []step{
 				{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1, 3}},
@@ -64,7 +64,7 @@
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}}, {at: 6.1, finished: 1},
 			},
-			now: 7, want: map[byte]Standing{1: Free},
+			now: 7, want: map[byte]Standing{1: Unsuspected},
 		},
 		"one worker, reported thrice": {
 			steps: []step{
@@ -103,7 +103,7 @@
 		},
 		"a crash is forgotten": {
 			steps: []step{{at: 0, worker: "a", requests: []byte{1}}},
-			now:   suspectMemory.Seconds(), want: map[byte]Standing{1: Free},
+			now:   suspectMemory.Seconds(), want: map[byte]Standing{1: Unsuspected},
 		},
 		"quarantine lasts": {
 			steps: []step{
@@ -117,14 +117,14 @@
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}},
 			},
-			now: holdTime.Seconds() + 6, want: map[byte]Standing{1: Free},
+			now: holdTime.Seconds() + 6, want: map[byte]Standing{1: Unsuspected},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewTracker()
 			play(b, test.steps)
-			b.Settle(at(test.now))
+			b.Evaluate(at(test.now))
 			for request, want := range test.want {
 				assert.Equal(t, b.Standing(attempt(request).run()), want, "request %d", request)
 			}
@@ -169,14 +169,14 @@
 				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, finished: true}, {at: 3, worker: "b", caller: 1},
 				{at: 4, caller: 9, finished: true}, {at: 6, worker: "c", caller: 1}, {at: 7, caller: 9, finished: true},
 			},
-			want: map[byte]Standing{1: Quarantined, 2: Free, 9: Free},
+			want: map[byte]Standing{1: Quarantined, 2: Unsuspected, 9: Unsuspected},
 		},
 		"another caller's run ends well once it is quarantined": {
 			steps: []callerStep{
 				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 1}, {at: 6, worker: "c", caller: 1},
 				{at: 6.1, caller: 9, finished: true},
 			},
-			want: map[byte]Standing{1: Quarantined, 9: Free},
+			want: map[byte]Standing{1: Quarantined, 9: Unsuspected},
 		},
 		"its own run ends well": {
 			steps: []callerStep{
@@ -187,20 +187,20 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewTracker()
 			for _, one := range test.steps {
 				request := attempt(1)
 				request.Caller = callerAt(one.caller)
 				if one.finished {
-					b.Finished(at(one.at), request.run())
+					b.RecordSuccess(at(one.at), request.run())
 					continue
 				}
-				b.Crashed(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
+				b.RecordCrash(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
 			}
-			told := NewBook()
-			told.Merge(at(8), NewSnapshot(at(8), b.Records()).Told(at(8)))
+			told := NewTracker()
+			told.Merge(at(8), NewSnapshot(at(8), b.Records()).Received(at(8)))
 			for caller, want := range test.want {
-				run := Run{Request: attempt(1).Request, Caller: callerAt(caller)}
+				run := CallerRequest{Request: attempt(1).Request, Caller: callerAt(caller)}
 				assert.Equal(t, b.Standing(run), want, "caller %d", caller)
 				assert.Equal(t, told.Standing(run), want, "caller %d, as told", caller)
 			}
@@ -209,22 +209,22 @@
 }
 
 func TestBookIsBounded(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	play(b, []step{
 		{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
 	for index := range 2 * mostRecords {
 		one := Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}}
-		b.Crashed(at(10+float64(index)), one, Crash{Worker: "d", At: at(10 + float64(index))})
+		b.RecordCrash(at(10+float64(index)), one, Crash{Worker: "d", At: at(10 + float64(index))})
 	}
 	assert.Assert(t, len(b.Records()) <= mostRecords)
 	assert.Equal(t, b.Standing(attempt(1).run()), Quarantined, "suspects make room, not what is quarantined")
-	assert.Equal(t, b.Standing(Run{Request: Fingerprint{2, 0, 0}}), Free)
+	assert.Equal(t, b.Standing(CallerRequest{Request: Fingerprint{2, 0, 0}}), Unsuspected)
 }
 
 // What is stored is read by processes that start later, maybe with another time of day.
 func TestSnapshotOutlastsItsWriter(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	play(b, []step{
 		{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
@@ -234,9 +234,9 @@
 		t.Run(name, func(t *testing.T) {
 			snapshot, err := DecodeSnapshot(stored)
 			assert.NilError(t, err)
-			later := NewBook()
+			later := NewTracker()
 			later.Merge(at(now), snapshot.Stored(at(now)))
-			later.Settle(at(now))
+			later.Evaluate(at(now))
 			assert.Equal(t, later.Standing(attempt(1).run()), Quarantined)
 			assert.Equal(t, later.Standing(attempt(2).run()), Suspect)
 			assert.Equal(t, later.Records()[0].Attempt.Request, attempt(1).Request)
@@ -248,51 +248,51 @@
 
 func TestViewTellsUntilALeaderKnows(t *testing.T) {
 	follower, leader := NewView(), NewView()
-	assert.Assert(t, !follower.Watching())
-	assert.Assert(t, follower.Tell(at(0)) == nil)
-	follower.Crashed(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
-	assert.Assert(t, follower.Watching())
-	first := follower.Tell(at(0.2))
+	assert.Assert(t, !follower.AnyRestricted())
+	assert.Assert(t, follower.CollectEvidence(at(0)) == nil)
+	follower.RecordCrash(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
+	assert.Assert(t, follower.AnyRestricted())
+	first := follower.CollectEvidence(at(0.2))
 	assert.Equal(t, len(first.Crashes), 1)
 	assert.Equal(t, first.Crashes[0].Crash.AgeMillis, int64(200))
-	assert.Assert(t, follower.Tell(at(0.4)) == nil, "it is on its way")
-	assert.Equal(t, len(follower.Tell(at(1.3)).Crashes), 1, "nobody has confirmed it")
+	assert.Assert(t, follower.CollectEvidence(at(0.4)) == nil, "it is on its way")
+	assert.Equal(t, len(follower.CollectEvidence(at(1.3)).Crashes), 1, "nobody has confirmed it")
 
 	other, _ := leader.Snapshot(at(1.4))
-	follower.Told(at(1.4), other.Told(at(1.4)))
+	follower.HandleUpdate(at(1.4), other.Received(at(1.4)))
 	assert.Equal(t, follower.Standing(attempt(1).run()), Suspect, "a leader that has not heard of it takes nothing away")
-	leader.Take(at(1.5), *first)
-	leader.Take(at(1.6), *first)
+	leader.HandleEvidence(at(1.5), *first)
+	leader.HandleEvidence(at(1.6), *first)
 	snapshot, _ := leader.Snapshot(at(1.6))
 	assert.Equal(t, len(snapshot.Records), 1)
 	assert.Equal(t, len(snapshot.Records[0].Crashes), 1)
-	follower.Told(at(1.6), snapshot.Told(at(1.6)))
-	assert.Assert(t, follower.Tell(at(5)) == nil, "a leader knows")
+	follower.HandleUpdate(at(1.6), snapshot.Received(at(1.6)))
+	assert.Assert(t, follower.CollectEvidence(at(5)) == nil, "a leader knows")
 
-	follower.Finished(at(6), attempt(1).run())
-	assert.Assert(t, !follower.Watching())
-	leader.Take(at(6), *follower.Tell(at(6)))
-	assert.Assert(t, !leader.Watching(), "a good run clears it everywhere")
-	follower.Finished(at(7), attempt(1).run())
-	assert.Assert(t, follower.Tell(at(7)) == nil)
+	follower.RecordSuccess(at(6), attempt(1).run())
+	assert.Assert(t, !follower.AnyRestricted())
+	leader.HandleEvidence(at(6), *follower.CollectEvidence(at(6)))
+	assert.Assert(t, !leader.AnyRestricted(), "a good run clears it everywhere")
+	follower.RecordSuccess(at(7), attempt(1).run())
+	assert.Assert(t, follower.CollectEvidence(at(7)) == nil)
 }
 
 func TestViewGivesUpTellingInTheEnd(t *testing.T) {
 	v := NewView()
-	v.Crashed(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
-	assert.Equal(t, len(v.Tell(at(1)).Crashes), 1)
-	assert.Assert(t, v.Tell(at(1+tellFor.Seconds())) == nil)
+	v.RecordCrash(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
+	assert.Equal(t, len(v.CollectEvidence(at(1)).Crashes), 1)
+	assert.Assert(t, v.CollectEvidence(at(1+tellFor.Seconds())) == nil)
 }
 
 func TestViewNamesWhatBecomesQuarantined(t *testing.T) {
 	leader, follower := NewView(), NewView()
 	for index, worker := range []workers.ID{"a", "b", "c"} {
 		seconds := float64(3 * index)
-		held := leader.Take(at(seconds), Evidence{Crashes: []Suspicion{{Attempt: attempt(1), Crash: SnapshotCrash{Worker: worker}}}})
+		held := leader.HandleEvidence(at(seconds), Evidence{Crashes: []CrashReport{{Attempt: attempt(1), Crash: SnapshotCrash{Worker: worker}}}})
 		assert.Equal(t, len(held), index/2, "the third crash does it")
 		snapshot, _ := leader.Snapshot(at(seconds))
-		assert.Equal(t, len(follower.Told(at(seconds), snapshot.Told(at(seconds)))), index/2)
-		assert.Equal(t, len(follower.Told(at(seconds), snapshot.Told(at(seconds)))), 0, "told before")
+		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), index/2)
+		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), 0, "told before")
 	}
 	suspects, quarantined := follower.Count()
 	assert.Equal(t, suspects, 0)
@@ -310,11 +310,11 @@
 		"one life, told three times": {lives: []workers.Born{1, 1, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewTracker()
 			for index, born := range test.lives {
 				seconds := 10 * float64(index)
 				crash := Crash{Worker: "w", Born: born, At: at(seconds)}
-				b.Crashed(at(seconds), attempt(1), crash.describe(at(seconds)).crashAt(at(seconds)))
+				b.RecordCrash(at(seconds), attempt(1), crash.describe(at(seconds)).crashAt(at(seconds)))
 			}
 			assert.Equal(t, b.Standing(attempt(1).run()) == Quarantined, test.held)
 		})
--- a/internal/quarantine/errors_test.go
+++ b/internal/quarantine/errors_test.go
@@ -113,7 +113,7 @@
 	id := worker.id
 	for _, run := range worker.runs {
 		w.later(now, 20*time.Millisecond, func(seen time.Time) {
-			run.router.Crashed(seen, Attempt{Request: run.request}, Crash{Worker: id, At: seen})
+			run.router.RecordCrash(seen, Attempt{Request: run.request}, Crash{Worker: id, At: seen})
 		})
 	}
 	worker.runs, worker.until = nil, now.Add(backAfter)
@@ -125,7 +125,7 @@
 
 // send sends a request through a router to a worker that is up, unless it is quarantined.
 func (w *world) send(now time.Time, router *View, request Fingerprint) (refused bool) {
-	if router.Standing(Run{Request: request}) == Quarantined {
+	if router.Standing(CallerRequest{Request: request}) == Quarantined {
 		return true
 	}
 	worker := w.workers[w.random.IntN(len(w.workers))]
@@ -184,8 +184,8 @@
 		if now.Sub(one.began) < runTime {
 			return false
 		}
-		if one.router.Standing(Run{Request: one.request}) != Free {
-			one.router.Finished(now, Run{Request: one.request})
+		if one.router.Standing(CallerRequest{Request: one.request}) != Unsuspected {
+			one.router.RecordSuccess(now, CallerRequest{Request: one.request})
 		}
 		return true
 	})
@@ -194,11 +194,11 @@
 // exchange lets routers report and the leader tell.
 func (w *world) exchange(now time.Time) {
 	for _, router := range w.routers {
-		if evidence := router.Tell(now); evidence != nil {
-			w.later(now, 500*time.Millisecond, func(at time.Time) { w.leader.Take(at, *evidence) })
+		if evidence := router.CollectEvidence(now); evidence != nil {
+			w.later(now, 500*time.Millisecond, func(at time.Time) { w.leader.HandleEvidence(at, *evidence) })
 		}
 	}
-	w.leader.Settle(now)
+	w.leader.Evaluate(now)
 	snapshot, version := w.leader.Snapshot(now)
 	if version == w.told {
 		return
@@ -206,7 +206,7 @@
 	w.told = version
 	for _, router := range w.routers {
 		// A link keeps its messages in order.
-		w.later(now, 20*time.Millisecond, func(at time.Time) { router.Told(at, snapshot.Told(now)) })
+		w.later(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
 	}
 }
 
@@ -246,7 +246,7 @@
 func (w *world) ask(now time.Time, request Fingerprint) {
 	w.asked++
 	router := w.routers[w.random.IntN(len(w.routers))]
-	if router.Standing(Run{Request: request}) == Suspect {
+	if router.Standing(CallerRequest{Request: request}) == Suspect {
 		w.suspected++
 	}
 	if w.send(now, router, request) {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -51,7 +51,7 @@
 
 // By returns the name of a request as one caller asks it, whose headers may make another request
 // of it.
-func (f Fingerprint) By(caller netip.Addr) Fingerprint {
+func (f Fingerprint) ForCaller(caller netip.Addr) Fingerprint {
 	sum := sha256.Sum256(append(f[:], caller.AsSlice()...))
 	return Fingerprint(sum[:len(f)])
 }
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -63,7 +63,7 @@
 			report(f.now, view, leader)
 		}
 	}
-	leader.Settle(f.now)
+	leader.Evaluate(f.now)
 	if f.storeUp {
 		snapshot, _ := leader.Snapshot(f.now)
 		f.store, f.stored = snapshot.Encode(), leader.Standing(harmfulRun) == Quarantined
@@ -91,7 +91,7 @@
 		return
 	}
 	f.ended++
-	f.views[through].Crashed(f.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", f.ended)), At: f.now})
+	f.views[through].RecordCrash(f.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", f.ended)), At: f.now})
 }
 
 // read gives a view what is stored.
@@ -238,7 +238,7 @@
 		if f.lift() {
 			f.settle()
 			for index, view := range f.views {
-				assert.Equal(t, view.Standing(harmfulRun), Free, "router %d", index)
+				assert.Equal(t, view.Standing(harmfulRun), Unsuspected, "router %d", index)
 			}
 		}
 	})
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -14,15 +14,15 @@
 // Changes are what has become of a ledger's records since an earlier state.
 type Changes struct {
 	// Whole says that Fresh are all records; else those that are new or have changed.
-	Whole bool     `json:"w,omitempty"`
-	Fresh Snapshot `json:"s"`
+	Full    bool     `json:"w,omitempty"`
+	Updated Snapshot `json:"s"`
 	// Gone are the requests whose records were removed.
-	Gone []Fingerprint `json:"g,omitempty"`
+	Removed []Fingerprint `json:"g,omitempty"`
 }
 
 // Ledger is a list of records that is told to others by its changes. The zero value knows
 // nothing, not even that there are no records. It is not safe for concurrent use.
-type Ledger struct {
+type ChangeLog struct {
 	version uint64
 	entries map[Fingerprint]ledgerEntry
 	// forgotten is the newest version of which a removal is no longer remembered.
@@ -37,10 +37,10 @@
 }
 
 // Version counts the changes; zero: nothing is known.
-func (l *Ledger) Version() uint64 { return l.version }
+func (l *ChangeLog) Version() uint64 { return l.version }
 
 // Records returns all records, in no order.
-func (l *Ledger) Records() []Record {
+func (l *ChangeLog) Records() []Record {
 	var records []Record
 	for _, entry := range l.entries {
 		if !entry.gone {
@@ -51,7 +51,7 @@
 }
 
 // Set replaces the records, and takes note of what has changed with that.
-func (l *Ledger) Set(records []Record) {
+func (l *ChangeLog) Set(records []Record) {
 	if l.version == 0 {
 		l.version, l.entries = 1, map[Fingerprint]ledgerEntry{}
 	}
@@ -69,15 +69,15 @@
 }
 
 // Apply takes changes that were told at a time.
-func (l *Ledger) Apply(now time.Time, changes Changes) {
-	if changes.Whole || l.version == 0 {
-		l.Set(changes.Fresh.Told(now))
+func (l *ChangeLog) Apply(now time.Time, changes Changes) {
+	if changes.Full || l.version == 0 {
+		l.Set(changes.Updated.Received(now))
 		return
 	}
-	for _, record := range changes.Fresh.Told(now) {
+	for _, record := range changes.Updated.Received(now) {
 		l.put(record)
 	}
-	for _, request := range changes.Gone {
+	for _, request := range changes.Removed {
 		if entry, known := l.entries[request]; known && !entry.gone {
 			l.remove(request)
 		}
@@ -86,7 +86,7 @@
 }
 
 // put adds or changes a record.
-func (l *Ledger) put(record Record) {
+func (l *ChangeLog) put(record Record) {
 	entry, known := l.entries[record.Attempt.Request]
 	if known && !entry.gone && sameRecord(entry.record, record) {
 		return
@@ -96,7 +96,7 @@
 }
 
 // remove notes that a record was removed.
-func (l *Ledger) remove(request Fingerprint) {
+func (l *ChangeLog) remove(request Fingerprint) {
 	l.version++
 	l.entries[request] = ledgerEntry{version: l.version, gone: true}
 }
@@ -104,7 +104,7 @@
 // sameRecord reports whether two records tell the same. The times of crashes, which are told as
 // ages, differ by what messages take on their way.
 func sameRecord(a, b Record) bool {
-	return a.Attempt == b.Attempt && sameEvent(a.HeldAt, b.HeldAt) && sameEvent(a.ClearedAt, b.ClearedAt) &&
+	return a.Attempt == b.Attempt && sameEvent(a.QuarantinedAt, b.QuarantinedAt) && sameEvent(a.ClearedAt, b.ClearedAt) &&
 		sameEvent(a.LiftedAt, b.LiftedAt) &&
 		slices.EqualFunc(a.Crashes, b.Crashes, Crash.same)
 }
@@ -113,7 +113,7 @@
 func sameEvent(a, b time.Time) bool { return !isLater(a, b) && !isLater(b, a) }
 
 // prune forgets the oldest removals.
-func (l *Ledger) prune() {
+func (l *ChangeLog) prune() {
 	var gone []uint64
 	for _, entry := range l.entries {
 		if entry.gone {
@@ -133,9 +133,9 @@
 // Since returns what has changed after a version, at most so many records of it, the longest
 // known first, and the version up to which that tells. Quarantined requests are told always:
 // they must be sent to no worker.
-func (l *Ledger) Since(now time.Time, version uint64, most int) (Changes, uint64) {
+func (l *ChangeLog) Since(now time.Time, version uint64, most int) (Changes, uint64) {
 	if version == 0 || version < l.forgotten {
-		return Changes{Whole: true, Fresh: NewSnapshot(now, l.Records())}, l.version
+		return Changes{Full: true, Updated: NewSnapshot(now, l.Records())}, l.version
 	}
 	var fresh []ledgerEntry
 	for _, entry := range l.entries {
@@ -148,7 +148,7 @@
 }
 
 // changes describes changed entries, which are in the order of their versions.
-func (l *Ledger) changes(now time.Time, fresh []ledgerEntry, most int) (Changes, uint64) {
+func (l *ChangeLog) changes(now time.Time, fresh []ledgerEntry, most int) (Changes, uint64) {
 	var changes Changes
 	var records []Record
 	upTo := l.version
@@ -167,9 +167,9 @@
 	}
 	for request, entry := range l.entries {
 		if gone[entry.version] {
-			changes.Gone = append(changes.Gone, request)
+			changes.Removed = append(changes.Removed, request)
 		}
 	}
-	changes.Fresh = NewSnapshot(now, records)
+	changes.Updated = NewSnapshot(now, records)
 	return changes, upTo
 }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -13,7 +13,7 @@
 	one := Record{Attempt: attempt(number), Crashes: []Crash{{Worker: "w", At: at(1)}}}
 	if held {
 		one.Crashes = []Crash{{Worker: "w", At: at(-5)}, {Worker: "x", At: at(-2)}, {Worker: "y", At: at(1)}}
-		one.HeldAt = at(2)
+		one.QuarantinedAt = at(2)
 	}
 	return one
 }
@@ -31,7 +31,7 @@
 // the leader knows.
 func TestChangesLeadToTheSameRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var leader, relay, follower Ledger
+		var leader, relay, follower ChangeLog
 		var relayAt, followerAt uint64
 		most := rapid.IntRange(1, 3).Draw(t, "most")
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -58,7 +58,7 @@
 }
 
 // tell brings one message, and returns up to which version it told.
-func tell(from, to *Ledger, version uint64, most int) uint64 {
+func tell(from, to *ChangeLog, version uint64, most int) uint64 {
 	if version == from.Version() {
 		return version
 	}
@@ -87,16 +87,16 @@
 		"the same, whatever its ages said": {before: []Record{record(1, false)}, after: []Record{late(record(1, false))}, known: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var ledger Ledger
+			var ledger ChangeLog
 			ledger.Set(test.before)
 			ledger.Set(test.after)
 			changes, _ := ledger.Since(at(3), test.known, 4)
 			if test.known == 10 {
 				changes, _ = ledger.Since(at(3), ledger.Version(), 4)
 			}
-			assert.Equal(t, changes.Whole, test.whole)
-			assert.Equal(t, len(changes.Fresh.Records), test.fresh)
-			assert.Equal(t, len(changes.Gone), test.gone)
+			assert.Equal(t, changes.Full, test.whole)
+			assert.Equal(t, len(changes.Updated.Records), test.fresh)
+			assert.Equal(t, len(changes.Removed), test.gone)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 
 // Who knows of a state that is older than what is remembered is told all.
 func TestOldStatesAreToldWhole(t *testing.T) {
-	var ledger Ledger
+	var ledger ChangeLog
 	ledger.Set(nil)
 	known := ledger.Version()
 	for number := range keptGone + 1 {
@@ -118,6 +118,6 @@
 	}
 	ledger.Set(nil)
 	changes, _ := ledger.Since(at(2), known, 4)
-	assert.Assert(t, changes.Whole)
+	assert.Assert(t, changes.Full)
 	assert.Assert(t, len(ledger.entries) <= keptGone)
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -35,7 +35,7 @@
 // Standings of requests.
 const (
 	// Free: nothing speaks against it.
-	Free Standing = iota
+	Unsuspected Standing = iota
 	// Suspect: it was under way at a worker that crashed, and no run has ended well since. It
 	// may be sent, but to one worker at a time.
 	Suspect
@@ -66,12 +66,12 @@
 	// Attempt is the last one that was under way at a crash.
 	Attempt Attempt
 	// For is the only caller whose request is meant; zero: everybody's.
-	For netip.Addr
+	OnlyCaller netip.Addr
 	// Crashes are those of different workers, or with requests of different callers, in order.
 	Crashes []Crash
 	// HeldAt is when the request was quarantined last; zero: it never was. AloneAt is when it was
 	// found that its workers crashed at one moment, and no others did; zero: never.
-	HeldAt, AloneAt time.Time
+	QuarantinedAt, IsolatedAt time.Time
 	// ClearedAt is when a run of it ended well last; zero: never. LiftedAt is when an operator lifted
 	// it: what was before speaks against none of its callers.
 	ClearedAt, LiftedAt time.Time
@@ -81,7 +81,7 @@
 func (r Record) Standing() Standing {
 	switch {
 	case len(r.Crashes) == 0:
-		return Free
+		return Unsuspected
 	case r.isHeld():
 		return Quarantined
 	}
@@ -93,7 +93,7 @@
 	if !r.crashedOften() {
 		return false
 	}
-	return r.moments() > 1 || (!r.AloneAt.IsZero() && !r.clears(r.AloneAt))
+	return r.moments() > 1 || (!r.IsolatedAt.IsZero() && !r.clears(r.IsolatedAt))
 }
 
 // clears reports whether what was at a time is no longer held against the request.
@@ -108,10 +108,10 @@
 
 // Until returns when the record is forgotten. That a quarantine was lifted is remembered for as
 // long as some process may know of that quarantine only.
-func (r Record) Until() time.Time {
+func (r Record) ExpiresAt() time.Time {
 	switch {
-	case !r.HeldAt.IsZero():
-		return r.HeldAt.Add(holdTime)
+	case !r.QuarantinedAt.IsZero():
+		return r.QuarantinedAt.Add(holdTime)
 	case len(r.Crashes) > 0:
 		return r.last().Add(suspectMemory)
 	}
@@ -172,11 +172,11 @@
 	if isLater(other.LiftedAt, r.LiftedAt) {
 		r.lift(other.LiftedAt)
 	}
-	if isLater(other.HeldAt, r.HeldAt) {
-		r.HeldAt = other.HeldAt
+	if isLater(other.QuarantinedAt, r.QuarantinedAt) {
+		r.QuarantinedAt = other.QuarantinedAt
 	}
-	if isLater(other.AloneAt, r.AloneAt) {
-		r.AloneAt = other.AloneAt
+	if isLater(other.IsolatedAt, r.IsolatedAt) {
+		r.IsolatedAt = other.IsolatedAt
 	}
 	for _, crash := range other.Crashes {
 		if r.add(crash) {
@@ -189,7 +189,7 @@
 
 // lacks reports whether another record tells of a later decision on the request.
 func (r *Record) lacks(other Record) bool {
-	return isLater(other.ClearedAt, r.ClearedAt) || isLater(other.LiftedAt, r.LiftedAt) || isLater(other.HeldAt, r.HeldAt)
+	return isLater(other.ClearedAt, r.ClearedAt) || isLater(other.LiftedAt, r.LiftedAt) || isLater(other.QuarantinedAt, r.QuarantinedAt)
 }
 
 // says reports whether a leader that tells another record has to be told this one: of a decision, of a
@@ -197,9 +197,9 @@
 // costs no more than one worker.
 func (r Record) says(other Record) bool {
 	switch {
-	case !r.HeldAt.IsZero() && other.lacks(r):
+	case !r.QuarantinedAt.IsZero() && other.lacks(r):
 		return true
-	case other.Standing() != Free && isLater(r.ClearedAt, other.ClearedAt):
+	case other.Standing() != Unsuspected && isLater(r.ClearedAt, other.ClearedAt):
 		return true
 	case other.Standing() == Quarantined:
 		return false
@@ -250,10 +250,10 @@
 
 // noteHeld notes since when the request is quarantined, if it is. It reports whether that is new.
 func (r *Record) noteHeld(now time.Time) bool {
-	if !r.isHeld() || (!r.HeldAt.IsZero() && !r.clears(r.HeldAt)) {
+	if !r.isHeld() || (!r.QuarantinedAt.IsZero() && !r.clears(r.QuarantinedAt)) {
 		return false
 	}
-	r.HeldAt = now
+	r.QuarantinedAt = now
 	return true
 }
 
--- a/internal/quarantine/room.go
+++ b/internal/quarantine/room.go
@@ -17,13 +17,13 @@
 )
 
 // makeRoom forgets the requests against which least is held if there are too many records.
-func (b *Book) makeRoom() {
+func (b *Tracker) makeRoom() {
 	if len(b.records) <= mostRecords {
 		return
 	}
 	removable := make([]weight, 0, len(b.records))
 	for _, known := range b.records {
-		if known.HeldAt.IsZero() {
+		if known.QuarantinedAt.IsZero() {
 			removable = append(removable, b.weigh(known))
 		}
 	}
@@ -46,7 +46,7 @@
 }
 
 // weigh says how much is held against a request.
-func (b *Book) weigh(known *Record) weight {
+func (b *Tracker) weigh(known *Record) weight {
 	if len(known.Crashes) == 0 {
 		return weight{request: known.Attempt.Request, last: known.removedAt()}
 	}
--- a/internal/quarantine/room_test.go
+++ b/internal/quarantine/room_test.go
@@ -15,7 +15,7 @@
 	const between = 3.2 // seconds from one crash under the harmful request to the next
 	for _, innocents := range []int{400, 512, 2000, 10_000} {
 		t.Run(fmt.Sprint(innocents), func(t *testing.T) {
-			b := NewBook()
+			b := NewTracker()
 			sent := 0
 			for round := range 8 {
 				if b.Standing(attempt(1).run()) == Quarantined {
@@ -23,7 +23,7 @@
 				}
 				sent++
 				seconds := between * float64(round)
-				b.Crashed(at(seconds), attempt(1), crashAt(workers.ID(fmt.Sprint("alone-", round)), seconds))
+				b.RecordCrash(at(seconds), attempt(1), crashAt(workers.ID(fmt.Sprint("alone-", round)), seconds))
 				endTogether(b, round, innocents, seconds+1)
 			}
 			assert.Equal(t, sent, mostCrashes)
@@ -33,10 +33,10 @@
 }
 
 // endTogether ends workers at one moment, with innocent requests under way, three at each.
-func endTogether(b *Book, round, innocents int, seconds float64) {
+func endTogether(b *Tracker, round, innocents int, seconds float64) {
 	for index := range innocents {
 		one := Attempt{Request: Fingerprint{2, byte(round), byte(index >> 8), byte(index)}}
-		b.Crashed(at(seconds), one, crashAt(workers.ID(fmt.Sprint("rack-", round, "-", index/3)), seconds))
+		b.RecordCrash(at(seconds), one, crashAt(workers.ID(fmt.Sprint("rack-", round, "-", index/3)), seconds))
 	}
-	b.Settle(at(seconds + 1.1))
+	b.Evaluate(at(seconds + 1.1))
 }
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -27,16 +27,16 @@
 type SnapshotEntry struct {
 	Attempt
 	// For is the only caller whose request is meant; zero: everybody's.
-	For     netip.Addr      `json:"o,omitzero"`
-	Crashes []SnapshotCrash `json:"x"`
+	OnlyCaller netip.Addr      `json:"o,omitzero"`
+	Crashes    []SnapshotCrash `json:"x"`
 	// Held says that the request is quarantined.
-	Held bool `json:"h,omitempty"`
+	Quarantined bool `json:"h,omitempty"`
 	// HeldMillis is for how long the request has been quarantined, or since when it was, and
 	// ClearedMillis and LiftedMillis since when it was cleared and lifted; zero: never. A negative one
 	// is later than the writing: an operator has changed what a leader wrote.
-	HeldMillis    int64 `json:"m,omitempty"`
-	ClearedMillis int64 `json:"k,omitempty"`
-	LiftedMillis  int64 `json:"v,omitempty"`
+	QuarantinedMillis int64 `json:"m,omitempty"`
+	ClearedMillis     int64 `json:"k,omitempty"`
+	LiftedMillis      int64 `json:"v,omitempty"`
 }
 
 // SnapshotCrash is one crash, AgeMillis ago.
@@ -65,8 +65,8 @@
 	snapshot := Snapshot{WrittenMillis: now.UnixMilli(), Records: make([]SnapshotEntry, 0, len(records))}
 	for _, record := range records {
 		entry := SnapshotEntry{
-			Attempt: record.Attempt, For: record.For, Held: record.Standing() == Quarantined,
-			HeldMillis: age(now, record.HeldAt), ClearedMillis: age(now, record.ClearedAt), LiftedMillis: age(now, record.LiftedAt),
+			Attempt: record.Attempt, OnlyCaller: record.OnlyCaller, Quarantined: record.Standing() == Quarantined,
+			QuarantinedMillis: age(now, record.QuarantinedAt), ClearedMillis: age(now, record.ClearedAt), LiftedMillis: age(now, record.LiftedAt),
 		}
 		for _, crash := range record.told() {
 			entry.Crashes = append(entry.Crashes, crash.describe(now))
@@ -127,7 +127,7 @@
 	s.Records = slices.Clone(s.Records)
 	entry := &s.Records[index]
 	entry.LiftedMillis = entry.newest(s.WrittenMillis - now.UnixMilli())
-	entry.Crashes, entry.Held = nil, false
+	entry.Crashes, entry.Quarantined = nil, false
 	return s, true
 }
 
@@ -137,8 +137,8 @@
 	for _, crash := range e.Crashes {
 		age = min(age, crash.AgeMillis)
 	}
-	if e.HeldMillis > 0 {
-		age = min(age, e.HeldMillis)
+	if e.QuarantinedMillis > 0 {
+		age = min(age, e.QuarantinedMillis)
 	}
 	if age == 0 {
 		return -1
@@ -147,7 +147,7 @@
 }
 
 // Told returns the records of a snapshot that was just written elsewhere.
-func (s Snapshot) Told(now time.Time) []Record { return s.records(now) }
+func (s Snapshot) Received(now time.Time) []Record { return s.records(now) }
 
 // Stored returns the records of a snapshot that was written a while ago.
 func (s Snapshot) Stored(now time.Time) []Record {
@@ -159,15 +159,15 @@
 func (s Snapshot) records(written time.Time) []Record {
 	list := make([]Record, 0, len(s.Records))
 	for _, entry := range s.Records {
-		record := Record{Attempt: entry.Attempt, For: entry.For}
+		record := Record{Attempt: entry.Attempt, OnlyCaller: entry.OnlyCaller}
 		for _, crash := range entry.Crashes {
 			record.Crashes = append(record.Crashes, crash.crashAt(written))
 		}
-		record.HeldAt = aged(written, entry.HeldMillis)
+		record.QuarantinedAt = aged(written, entry.QuarantinedMillis)
 		record.ClearedAt = aged(written, entry.ClearedMillis)
 		record.LiftedAt = aged(written, entry.LiftedMillis)
-		if entry.Held && record.Standing() != Quarantined {
-			record.AloneAt = record.HeldAt
+		if entry.Quarantined && record.Standing() != Quarantined {
+			record.IsolatedAt = record.QuarantinedAt
 		}
 		list = append(list, record)
 	}
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -19,15 +19,15 @@
 
 // Evidence is what processes tell a leader.
 type Evidence struct {
-	Crashes []Suspicion `json:"x,omitempty"`
+	Crashes []CrashReport `json:"x,omitempty"`
 	// Finished are runs of suspected requests that ended well.
-	Finished []Run `json:"d,omitempty"`
+	Succeeded []CallerRequest `json:"d,omitempty"`
 	// Known are requests of which the leader does not tell enough.
-	Known *Snapshot `json:"k,omitempty"`
+	MissingRecords *Snapshot `json:"k,omitempty"`
 }
 
 // Suspicion says that a request was under way at a worker that crashed.
-type Suspicion struct {
+type CrashReport struct {
 	Attempt
 	Crash SnapshotCrash `json:"x"`
 }
@@ -38,9 +38,9 @@
 	// watching says that there are records.
 	watching atomic.Bool
 	mu       sync.Mutex
-	book     *Book
+	book     *Tracker
 	own      []*witnessed
-	finished []Run
+	finished []CallerRequest
 	// lacking are the requests of which the leader has to be told what is known here.
 	lacking map[Fingerprint]*delivery
 	changed chan struct{}
@@ -80,15 +80,15 @@
 
 // NewView returns a view that knows nothing.
 func NewView() *View {
-	return &View{book: NewBook(), lacking: map[Fingerprint]*delivery{}, changed: make(chan struct{}, 1)}
+	return &View{book: NewTracker(), lacking: map[Fingerprint]*delivery{}, changed: make(chan struct{}, 1)}
 }
 
 // Watching reports whether any request is suspected or quarantined. While none is, requests
 // need no fingerprint.
-func (v *View) Watching() bool { return v.watching.Load() }
+func (v *View) AnyRestricted() bool { return v.watching.Load() }
 
 // Standing says how the request of a caller may be sent.
-func (v *View) Standing(run Run) Standing {
+func (v *View) Standing(run CallerRequest) Standing {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.book.Standing(run)
@@ -114,7 +114,7 @@
 
 // Crashed notes that a request was under way at a worker that crashed just now. It returns what
 // is quarantined by that.
-func (v *View) Crashed(now time.Time, attempt Attempt, crash Crash) []Attempt {
+func (v *View) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	crash.Caller = attempt.Caller
@@ -125,15 +125,15 @@
 	}
 	v.own = append(v.own, &witnessed{attempt: attempt, own: attempt.own(), crash: crash})
 	defer v.note()
-	return v.book.Crashed(now, attempt, crash)
+	return v.book.RecordCrash(now, attempt, crash)
 }
 
 // Finished notes that a run of a suspected request ended well.
-func (v *View) Finished(now time.Time, run Run) {
+func (v *View) RecordSuccess(now time.Time, run CallerRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.own = slices.DeleteFunc(v.own, func(one *witnessed) bool { return one.attempt.run() == run })
-	if v.book.Finished(now, run) {
+	if v.book.RecordSuccess(now, run) {
 		v.finished = append(v.finished, run)
 		v.note()
 	}
@@ -141,40 +141,40 @@
 
 // Take takes the evidence of another process. It returns the requests that are quarantined by
 // that.
-func (v *View) Take(now time.Time, evidence Evidence) []Attempt {
+func (v *View) HandleEvidence(now time.Time, evidence Evidence) []Attempt {
 	var held []Attempt
 	for _, one := range evidence.Crashes {
-		held = append(held, v.Crashed(now, one.Attempt, one.Crash.crashAt(now))...)
+		held = append(held, v.RecordCrash(now, one.Attempt, one.Crash.crashAt(now))...)
 	}
-	for _, run := range evidence.Finished {
-		v.Finished(now, run)
+	for _, run := range evidence.Succeeded {
+		v.RecordSuccess(now, run)
 	}
-	if evidence.Known != nil {
-		held = append(held, v.Merge(now, evidence.Known.Told(now))...)
+	if evidence.MissingRecords != nil {
+		held = append(held, v.Merge(now, evidence.MissingRecords.Received(now))...)
 	}
 	return held
 }
 
 // Tell returns the evidence that a leader is to be told; nil if there is none.
-func (v *View) Tell(now time.Time) *Evidence {
+func (v *View) CollectEvidence(now time.Time) *Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.forget(now)
-	evidence := &Evidence{Finished: v.finished}
+	evidence := &Evidence{Succeeded: v.finished}
 	v.finished = nil
 	for _, one := range v.own {
 		if one.confirmed || !one.due(now) {
 			continue
 		}
-		evidence.Crashes = append(evidence.Crashes, Suspicion{
+		evidence.Crashes = append(evidence.Crashes, CrashReport{
 			Attempt: one.attempt,
 			Crash:   one.crash.describe(now),
 		})
 	}
 	if known := v.known(now); len(known.Records) > 0 {
-		evidence.Known = &known
+		evidence.MissingRecords = &known
 	}
-	if len(evidence.Crashes) == 0 && len(evidence.Finished) == 0 && evidence.Known == nil {
+	if len(evidence.Crashes) == 0 && len(evidence.Succeeded) == 0 && evidence.MissingRecords == nil {
 		return nil
 	}
 	return evidence
@@ -213,7 +213,7 @@
 
 // Told takes what a leader knows. A leader may not know all: what is known here stays, and the
 // leader is told of it. It returns what is quarantined by that.
-func (v *View) Told(now time.Time, records []Record) []Attempt {
+func (v *View) HandleUpdate(now time.Time, records []Record) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.book.Expire(now)
@@ -273,24 +273,24 @@
 
 // Lifted returns which requests other records say to be lifted that are known to be suspects or
 // quarantined.
-func (v *View) Lifted(records []Record) []Fingerprint {
+func (v *View) NewlyLifted(records []Record) []Fingerprint {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var lifted []Fingerprint
 	for _, one := range records {
 		known := v.book.records[one.Attempt.Request]
-		if known != nil && known.Standing() != Free && isLater(one.LiftedAt, known.LiftedAt) {
+		if known != nil && known.Standing() != Unsuspected && isLater(one.LiftedAt, known.LiftedAt) {
 			lifted = append(lifted, one.Attempt.Request)
 		}
 	}
 	return lifted
 }
 
-// Settle does what time brings; see Book.Settle. Only a process that has all evidence calls it.
-func (v *View) Settle(now time.Time) []Record {
+// Settle does what time brings; see Book.Evaluate. Only a process that has all evidence calls it.
+func (v *View) Evaluate(now time.Time) []Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	held := v.book.Settle(now)
+	held := v.book.Evaluate(now)
 	if len(held) > 0 {
 		v.note()
 	}
@@ -313,10 +313,10 @@
 }
 
 // Dropped counts the suspects that were forgotten early, to make room for others.
-func (v *View) Dropped() uint64 {
+func (v *View) Evicted() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Dropped()
+	return v.book.Evicted()
 }
 
 // Count returns how many requests are suspects and how many are quarantined.
--- a/internal/quarantine/witness.go
+++ b/internal/quarantine/witness.go
@@ -17,7 +17,7 @@
 )
 
 // Run is a run of a request for a caller.
-type Run struct {
+type CallerRequest struct {
 	Request Fingerprint `json:"f"`
 	Caller  netip.Addr  `json:"c,omitzero"`
 }
@@ -32,17 +32,17 @@
 }
 
 // run returns whose request the attempt runs.
-func (a Attempt) run() Run { return Run{Request: a.Request, Caller: a.Caller} }
+func (a Attempt) run() CallerRequest { return CallerRequest{Request: a.Request, Caller: a.Caller} }
 
 // own returns the attempt as one of its caller's own request.
 func (a Attempt) own() Attempt {
-	a.Request = a.Request.By(a.Caller)
+	a.Request = a.Request.ForCaller(a.Caller)
 	return a
 }
 
 // Witness is what one process saw of the end of one worker: whether it crashed, and which
 // requests were under way there. Its zero value has seen nothing.
-type Witness struct {
+type CrashObserver struct {
 	cut     []cutOff
 	endedAt time.Time
 }
@@ -55,7 +55,7 @@
 
 // CutOff notes a request that was sent and got no whole answer. It reports whether the worker
 // is known to have ended just then, so that its end cut the request off.
-func (w *Witness) CutOff(now time.Time, attempt Attempt) bool {
+func (w *CrashObserver) RecordInterrupted(now time.Time, attempt Attempt) bool {
 	if !w.endedAt.IsZero() {
 		return now.Sub(w.endedAt) < cutMemory
 	}
@@ -69,13 +69,13 @@
 
 // Ended notes that the worker has ended; first is false if that was known. It returns the
 // requests that its end cut off, each once for each caller.
-func (w *Witness) Ended(now time.Time) (attempts []Attempt, first bool) {
+func (w *CrashObserver) RecordEnd(now time.Time) (attempts []Attempt, first bool) {
 	if !w.endedAt.IsZero() {
 		return nil, false
 	}
 	w.endedAt = now
 	w.forget(now)
-	seen := map[Run]bool{}
+	seen := map[CallerRequest]bool{}
 	for _, one := range w.cut {
 		if !seen[one.attempt.run()] {
 			seen[one.attempt.run()] = true
@@ -87,6 +87,6 @@
 }
 
 // forget drops sends that broke off too long ago to have to do with an end now.
-func (w *Witness) forget(now time.Time) {
+func (w *CrashObserver) forget(now time.Time) {
 	w.cut = slices.DeleteFunc(w.cut, func(one cutOff) bool { return now.Sub(one.at) >= cutMemory })
 }
--- a/internal/quarantine/witness_test.go
+++ b/internal/quarantine/witness_test.go
@@ -26,17 +26,17 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var w Witness
+			var w CrashObserver
 			for request, millis := range test.cut {
-				assert.Assert(t, !w.CutOff(at(millis), attempt(request)))
+				assert.Assert(t, !w.RecordInterrupted(at(millis), attempt(request)))
 			}
-			requests, first := w.Ended(at(test.ended))
+			requests, first := w.RecordEnd(at(test.ended))
 			assert.Assert(t, first)
 			assert.Assert(t, slices.Equal(requests, test.want), "%v", requests)
-			_, first = w.Ended(at(test.ended + 1))
+			_, first = w.RecordEnd(at(test.ended + 1))
 			assert.Assert(t, !first, "a worker ends once")
-			assert.Assert(t, w.CutOff(at(test.ended+5), attempt(9)), "cut off too, and noticed later")
-			assert.Assert(t, !w.CutOff(at(test.ended+5000), attempt(9)), "too late to have been there")
+			assert.Assert(t, w.RecordInterrupted(at(test.ended+5), attempt(9)), "cut off too, and noticed later")
+			assert.Assert(t, !w.RecordInterrupted(at(test.ended+5000), attempt(9)), "too late to have been there")
 		})
 	}
 }
@@ -45,12 +45,12 @@
 func TestManySendsCutOffBeforeDoNotHideTheLast(t *testing.T) {
 	for name, count := range map[string]int{"as many as are remembered": mostCut, "twice as many": 2 * mostCut} {
 		t.Run(name, func(t *testing.T) {
-			var w Witness
+			var w CrashObserver
 			for index := range count {
-				w.CutOff(start, Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}})
+				w.RecordInterrupted(start, Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}})
 			}
-			w.CutOff(start, attempt(1))
-			attempts, _ := w.Ended(start.Add(100 * time.Millisecond))
+			w.RecordInterrupted(start, attempt(1))
+			attempts, _ := w.RecordEnd(start.Add(100 * time.Millisecond))
 			assert.Assert(t, slices.Contains(attempts, attempt(1)))
 			assert.Equal(t, len(attempts), mostCut)
 		})
@@ -76,8 +76,8 @@
 		})
 	}
 	one, other := netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.0.0.2")
-	assert.Assert(t, base.Fingerprint().By(one) != base.Fingerprint().By(other))
-	assert.Assert(t, base.Fingerprint().By(one) != base.Fingerprint())
+	assert.Assert(t, base.Fingerprint().ForCaller(one) != base.Fingerprint().ForCaller(other))
+	assert.Assert(t, base.Fingerprint().ForCaller(one) != base.Fingerprint())
 	text, err := base.Fingerprint().MarshalText()
 	assert.NilError(t, err)
 	var read Fingerprint
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -142,8 +142,8 @@
 	f.r.hub.SetFollowedLeader(f.leader.Address)
 	f.r.peers.Add(f.leader.Address, f.address)
 	f.r.quotas.holder.Linked()
-	f.r.limits.member.Linked()
-	f.r.leaving.member.Linked()
+	f.r.limits.member.QueueAll()
+	f.r.leaving.member.QueueAll()
 	line := f.r.log.Line(decision.KindLeaderFound).Str("leader", f.leader.Address).Int64("term", int64(f.leader.Term))
 	if f.viaRelay() {
 		line = line.Str("relay", f.address)
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -237,12 +237,12 @@
 	go r.keepSuspects(tenureCtx, tenure)
 	go r.quotas.coordinate(tenureCtx, tenure)
 	r.limits.lead(tenure)
-	r.leaving.member.Lead(true)
+	r.leaving.member.SetLeading(true)
 	r.leaderStoreUnreachable.Store(false) // that was the leader before
 	r.nodes.Store(int32(r.hub.Nodes()))
 	r.keeper.Lead(tenureCtx, tenure, until)
 	r.limits.stopLeading() // before another may lead
-	r.leaving.member.Lead(false)
+	r.leaving.member.SetLeading(false)
 	resign, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
 	tenure.Resign(resign)
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -25,26 +25,28 @@
 // and others are told.
 type leavingWorkers struct {
 	r      *Router
-	member *facts.Member[departure.Fact]
+	member *facts.Replica[departure.Fact]
 }
 
 func newLeavingWorkers(r *Router) *leavingWorkers {
-	return &leavingWorkers{r: r, member: facts.NewMember[departure.Fact]()}
+	return &leavingWorkers{r: r, member: facts.NewReplica[departure.Fact]()}
 }
 
 // answered notes that a worker has said to this process, in answer to a request or an order, that it
 // leaves.
 func (l *leavingWorkers) noteLeaving(worker workers.Life) {
-	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenBySelf)
+	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Add, seenBySelf)
 }
 
 // heard takes what processes that follow this one have learned.
-func (l *leavingWorkers) handleReports(reports []departure.Told) { l.addAll(reports, l.member.Learn) }
+func (l *leavingWorkers) handleReports(reports []departure.Message) { l.addAll(reports, l.member.Add) }
 
 // told takes what the leader, or a relay, tells.
-func (l *leavingWorkers) handleUpdate(reports []departure.Told) { l.addAll(reports, l.member.Hear) }
+func (l *leavingWorkers) handleUpdate(reports []departure.Message) {
+	l.addAll(reports, l.member.ApplyUpdate)
+}
 
-func (l *leavingWorkers) addAll(reports []departure.Told, record func(departure.Fact) bool) {
+func (l *leavingWorkers) addAll(reports []departure.Message, record func(departure.Fact) bool) {
 	now := clock.Now()
 	for _, one := range reports {
 		l.add(one.Fact(now), record, seenByPeer)
@@ -62,11 +64,11 @@
 }
 
 // tell returns what the leader is to know.
-func (l *leavingWorkers) report() []departure.Told {
-	var reports []departure.Told
+func (l *leavingWorkers) report() []departure.Message {
+	var reports []departure.Message
 	now := clock.Now()
-	for _, fact := range l.member.Tell(maxLeavingPerReport) {
-		reports = append(reports, departure.Tell(now, fact))
+	for _, fact := range l.member.TakeReport(maxLeavingPerReport) {
+		reports = append(reports, departure.NewMessage(now, fact))
 	}
 	return reports
 }
@@ -74,7 +76,7 @@
 // run forgets workers that are gone, until ctx ends.
 func (l *leavingWorkers) run(ctx context.Context) {
 	for clock.Sleep(ctx, leavingCleanupInterval) {
-		l.member.Book().Forget(func(fact departure.Fact) bool {
+		l.member.Table().Forget(func(fact departure.Fact) bool {
 			_, announced := l.r.workers.Get(fact.Worker.ID)
 			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingRetention
 		})
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -31,9 +31,9 @@
 	})
 	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.Cold()) })
 	gauge("shalefork_router_leaving_workers", "Workers that have said in an answer that they leave, here or to another router.",
-		func() float64 { return float64(r.leaving.member.Book().Holding()) })
+		func() float64 { return float64(r.leaving.member.Table().ActiveCount()) })
 	gauge("shalefork_router_limited_workers", "Workers that name a limit of requests a second from all routers together.",
-		func() float64 { return float64(r.limits.book.Holding()) })
+		func() float64 { return float64(r.limits.book.ActiveCount()) })
 	registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "shalefork_router_unreadable_limits_total", Help: "Answers of workers that named a limit which can't be read.",
 	}, func() float64 { return float64(r.limits.unreadable.Load()) }))
@@ -43,7 +43,7 @@
 		func() float64 { _, quarantined := r.proxy.Suspects.Count(); return float64(quarantined) })
 	registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "shalefork_router_suspects_dropped_total", Help: "Suspected requests that were forgotten to make room for others.",
-	}, func() float64 { return float64(r.proxy.Suspects.Dropped()) }))
+	}, func() float64 { return float64(r.proxy.Suspects.Evicted()) }))
 	gauge("shalefork_router_pipelined_requests", "Requests that run behind others on their connections.", func() float64 {
 		return float64(r.pipelined.Behind())
 	})
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -21,7 +21,7 @@
 	report := r.meter.Take()
 	report.Followers = r.hub.Followers()
 	r.standby.Tell(&report)
-	report.Evidence = r.proxy.Suspects.Tell(clock.Now())
+	report.Evidence = r.proxy.Suspects.CollectEvidence(clock.Now())
 	report.Quota = r.quotas.collectReports()
 	report.Limits = r.limits.report()
 	report.Leaving = r.leaving.report()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -192,11 +192,11 @@
 	r.hub.OnQuota(r.quotas.handleReports)
 	r.limits = newWorkerLimits(r)
 	r.keeper.Limits = r.limits.book.Rate
-	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Book
+	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Table
 	r.hub.OnLimits(r.limits.handleReports)
 	r.hub.OnPermit(r.limits.handlePermitRequest)
 	r.leaving = newLeavingWorkers(r)
-	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
+	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Table()
 	r.hub.OnLeaving(r.leaving.handleReports)
 	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
 	r.keeper.Leaving = r.leaving.noteLeaving
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -113,7 +113,7 @@
 
 // settle does what time brings.
 func (k *suspectsKeeper) settle(now time.Time) {
-	for _, record := range k.r.proxy.Suspects.Settle(now) {
+	for _, record := range k.r.proxy.Suspects.Evaluate(now) {
 		proxy.TellQuarantined(k.r.log, record.Attempt)
 	}
 }
@@ -200,7 +200,7 @@
 	}
 	now := clock.Now()
 	records := snapshot.Stored(now)
-	lifted := r.proxy.Suspects.Lifted(records)
+	lifted := r.proxy.Suspects.NewlyLifted(records)
 	r.logQuarantined(r.proxy.Suspects.Merge(now, records))
 	return lifted
 }
@@ -221,11 +221,11 @@
 	if !present {
 		return
 	}
-	r.logQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.ApplySuspects(changes)))
+	r.logQuarantined(r.proxy.Suspects.HandleUpdate(clock.Now(), r.hub.ApplySuspects(changes)))
 	r.proxy.Starting.Store(false)
 }
 
 // evidenceTaken takes what another process has seen of crashes.
 func (r *Router) handleEvidence(evidence quarantine.Evidence) {
-	r.logQuarantined(r.proxy.Suspects.Take(clock.Now(), evidence))
+	r.logQuarantined(r.proxy.Suspects.HandleEvidence(clock.Now(), evidence))
 }
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -35,7 +35,7 @@
 		assert.Equal(t, told(), uint64(1), "nothing is suspected, and all know that this leader knows")
 		assert.Equal(t, k.revision, coord.Revision(0), "nothing is stored")
 		attempt := quarantine.Attempt{Request: quarantine.Fingerprint{1}}
-		r.proxy.Suspects.Crashed(clock.Now(), attempt, quarantine.Crash{Worker: "w", At: clock.Now()})
+		r.proxy.Suspects.RecordCrash(clock.Now(), attempt, quarantine.Crash{Worker: "w", At: clock.Now()})
 		assert.Equal(t, told(), uint64(2))
 		written := k.revision
 		assert.Assert(t, written != coord.Revision(0))
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -49,8 +49,8 @@
 // leaves for one, and answers others while this process leads. It implements proxy.Limits.
 type workerLimits struct {
 	r      *Router
-	member *workerlimit.Member
-	book   workerlimit.Book
+	member *workerlimit.Limiter
+	book   workerlimit.Table
 	link   peerlink.PermitClient
 	// tenure is that in which this process leads, or led last.
 	tenure atomic.Pointer[election.Tenure]
@@ -62,9 +62,9 @@
 }
 
 func newWorkerLimits(r *Router) *workerLimits {
-	member := workerlimit.NewMember()
+	member := workerlimit.NewLimiter()
 	return &workerLimits{
-		r: r, member: member, book: member.Book(),
+		r: r, member: member, book: member.Table(),
 		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
@@ -74,7 +74,7 @@
 }
 
 // Count implements proxy.Limits.
-func (l *workerLimits) Count() int { return l.book.Holding() }
+func (l *workerLimits) Count() int { return l.book.ActiveCount() }
 
 // Limited implements proxy.Limits.
 func (l *workerLimits) Limited(worker workers.Life) bool {
@@ -98,13 +98,13 @@
 
 // learn adds what was seen here, or told by a process that follows this one.
 func (l *workerLimits) learn(fact workerlimit.Fact, seenBy string) {
-	if l.member.Learn(fact) {
+	if l.member.Add(fact) {
 		l.log(fact, seenBy)
 	}
 }
 
 // heard takes what processes that follow this one have learned.
-func (l *workerLimits) handleReports(reports []workerlimit.Told) {
+func (l *workerLimits) handleReports(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
 		l.learn(one.Fact(now), seenByPeer)
@@ -112,21 +112,21 @@
 }
 
 // told takes what the leader, or a relay, tells.
-func (l *workerLimits) handleUpdate(reports []workerlimit.Told) {
+func (l *workerLimits) handleUpdate(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
-		if fact := one.Fact(now); l.member.Hear(fact) {
+		if fact := one.Fact(now); l.member.ApplyUpdate(fact) {
 			l.log(fact, seenByPeer)
 		}
 	}
 }
 
 // tell returns what the leader is to know.
-func (l *workerLimits) report() []workerlimit.Told {
-	var reports []workerlimit.Told
+func (l *workerLimits) report() []workerlimit.Message {
+	var reports []workerlimit.Message
 	now := clock.Now()
-	for _, fact := range l.member.Tell(maxLimitsPerReport) {
-		reports = append(reports, workerlimit.Tell(now, fact))
+	for _, fact := range l.member.TakeReport(maxLimitsPerReport) {
+		reports = append(reports, workerlimit.NewMessage(now, fact))
 	}
 	return reports
 }
@@ -148,7 +148,7 @@
 	}
 	l.permits.WithLabelValues(outcome).Inc()
 	if permit.LimitEnded != nil {
-		l.handleUpdate([]workerlimit.Told{*permit.LimitEnded})
+		l.handleUpdate([]workerlimit.Message{*permit.LimitEnded})
 	}
 	return permit.Wait(), permit.Granted
 }
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
-		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: patience.Milliseconds(),
+		Limit: workerlimit.NewMessage(now, fact), MaxWaitMillis: patience.Milliseconds(),
 	})
 	if err != nil {
 		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
@@ -189,12 +189,12 @@
 		return peerlink.Permit{}, false
 	}
 	permit, leading := l.member.Issue(now, fact, patience, !now.Before(tenure.Until()))
-	if permit.News {
+	if permit.Updated {
 		l.log(fact, seenByPeer)
 	}
 	message := peerlink.Permit{Granted: permit.Granted, WaitMillis: (permit.Wait + time.Millisecond - 1).Milliseconds()}
-	if permit.Ended != nil {
-		report := workerlimit.Tell(now, *permit.Ended)
+	if permit.LimitEnded != nil {
+		report := workerlimit.NewMessage(now, *permit.LimitEnded)
 		message.LimitEnded = &report
 	}
 	return message, leading
@@ -203,11 +203,11 @@
 // lead begins to pace all routers' requests in a tenure.
 func (l *workerLimits) lead(tenure *election.Tenure) {
 	l.tenure.Store(tenure)
-	l.member.Lead(true)
+	l.member.SetLeading(true)
 }
 
 // stopLeading ends that.
-func (l *workerLimits) stopLeading() { l.member.Lead(false) }
+func (l *workerLimits) stopLeading() { l.member.SetLeading(false) }
 
 // run keeps the book tidy until ctx ends.
 func (l *workerLimits) run(ctx context.Context) {
--- a/internal/workerlimit/book.go
+++ b/internal/workerlimit/book.go
@@ -12,14 +12,14 @@
 const endedMemory = 30 * time.Second
 
 // Book holds what a process knows of workers' limits. It is safe for concurrent use.
-type Book struct{ *facts.Book[Fact] }
+type Table struct{ *facts.Table[Fact] }
 
-// NewBook returns a book that knows of no limit.
-func NewBook() Book { return Book{facts.NewBook[Fact]()} }
+// NewTable returns a book that knows of no limit.
+func NewTable() Table { return Table{facts.NewTable[Fact]()} }
 
 // Fact returns what is known of a worker's limit; false if it never named one.
-func (b Book) Fact(life workers.Life) (Fact, bool) {
-	fact, known := b.Book.Fact(workers.Life{ID: life.ID})
+func (b Table) Fact(life workers.Life) (Fact, bool) {
+	fact, known := b.Table.Fact(workers.Life{ID: life.ID})
 	if !known || !fact.Worker.MayBe(life) {
 		return Fact{}, false
 	}
@@ -28,8 +28,8 @@
 
 // Rate returns how many requests a second a worker takes from all routers together; false if it
 // names no limit.
-func (b Book) Rate(life workers.Life) (perSecond float64, limited bool) {
-	if b.Holding() == 0 {
+func (b Table) Rate(life workers.Life) (perSecond float64, limited bool) {
+	if b.ActiveCount() == 0 {
 		return 0, false
 	}
 	fact, known := b.Fact(life)
@@ -40,8 +40,8 @@
 }
 
 // Forget drops what is known of workers that are gone, and limits that ended long ago.
-func (b Book) Forget(now time.Time, gone func(workers.ID) bool) {
-	b.Book.Forget(func(fact Fact) bool {
+func (b Table) Forget(now time.Time, gone func(workers.ID) bool) {
+	b.Table.Forget(func(fact Fact) bool {
 		return gone(fact.Worker.ID) || (fact.Ended && now.Sub(fact.At) > endedMemory)
 	})
 }
--- a/internal/workerlimit/fact.go
+++ b/internal/workerlimit/fact.go
@@ -31,10 +31,10 @@
 func (f Fact) Key() workers.Life { return workers.Life{ID: f.Worker.ID} }
 
 // Holds implements facts.Fact.
-func (f Fact) Holds() bool { return !f.Ended }
+func (f Fact) Active() bool { return !f.Ended }
 
 // TellsSame reports whether two facts tell the same of the same life of a worker.
-func (f Fact) TellsSame(other Fact) bool {
+func (f Fact) EquivalentTo(other Fact) bool {
 	switch {
 	case f.Worker != other.Worker || f.Ended != other.Ended:
 		return false
--- a/internal/workerlimit/member.go
+++ b/internal/workerlimit/member.go
@@ -14,33 +14,33 @@
 	Granted bool
 	Wait    time.Duration
 	// Ended is set if the worker names no limit any longer.
-	Ended *Fact
+	LimitEnded *Fact
 	// News says that the leader did not know what the process knows that asked.
-	News bool
+	Updated bool
 }
 
 // Member is one process's part in keeping workers within their limits. It is safe for concurrent
 // use.
-type Member struct {
-	*facts.Member[Fact]
-	book Book
+type Limiter struct {
+	*facts.Replica[Fact]
+	book Table
 	mu   sync.Mutex
 	// pacer is nil while the process does not lead.
 	pacer *Pacer
 }
 
-// NewMember returns a member that knows of no limit.
-func NewMember() *Member {
-	told := facts.NewMember[Fact]()
-	return &Member{Member: told, book: Book{told.Book()}}
+// NewLimiter returns a member that knows of no limit.
+func NewLimiter() *Limiter {
+	told := facts.NewReplica[Fact]()
+	return &Limiter{Replica: told, book: Table{told.Table()}}
 }
 
 // Book returns what the member knows.
-func (m *Member) Book() Book { return m.book }
+func (m *Limiter) Table() Table { return m.book }
 
 // Lead begins to pace all processes' requests, or ends it.
-func (m *Member) Lead(leads bool) {
-	m.Member.Lead(leads)
+func (m *Limiter) SetLeading(leads bool) {
+	m.Replica.SetLeading(leads)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pacer = nil
@@ -51,7 +51,7 @@
 
 // Issue answers a process that knows a fact and asks whether a request may leave within some
 // patience; false if this process does not lead. doubtful says that another may lead.
-func (m *Member) Issue(now time.Time, fact Fact, patience time.Duration, doubtful bool) (Permit, bool) {
+func (m *Limiter) Issue(now time.Time, fact Fact, patience time.Duration, doubtful bool) (Permit, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.pacer == nil {
@@ -63,19 +63,19 @@
 		known = fact
 	}
 	if known.Ended {
-		return Permit{Granted: true, Ended: &known, News: news}, true
+		return Permit{Granted: true, LimitEnded: &known, Updated: news}, true
 	}
 	wait, granted := m.pacer.Take(now, fact.Worker, known.Rate, patience, doubtful)
-	return Permit{Granted: granted, Wait: wait, News: news}, true
+	return Permit{Granted: granted, Wait: wait, Updated: news}, true
 }
 
 // Forget drops what is known of workers that are gone, and limits that ended long ago.
-func (m *Member) Forget(now time.Time, gone func(workers.ID) bool) {
+func (m *Limiter) Forget(now time.Time, gone func(workers.ID) bool) {
 	m.book.Forget(now, gone)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.pacer != nil {
-		m.pacer.Keep(func(life workers.Life) bool {
+		m.pacer.RemoveUnlimited(func(life workers.Life) bool {
 			_, limited := m.book.Rate(life)
 			return limited
 		})
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -78,7 +78,7 @@
 }
 
 // Keep forgets workers that name no limit any longer.
-func (p *Pacer) Keep(limited func(workers.Life) bool) {
+func (p *Pacer) RemoveUnlimited(limited func(workers.Life) bool) {
 	for id, b := range p.buckets {
 		if !limited(b.life) {
 			delete(p.buckets, id)
--- a/internal/workerlimit/told.go
+++ b/internal/workerlimit/told.go
@@ -8,7 +8,7 @@
 
 // Told is a fact as processes tell it to each other. Their times of day differ, so times are told
 // as ages.
-type Told struct {
+type Message struct {
 	Worker    workers.ID   `json:"w"`
 	Born      workers.Born `json:"b,omitempty"`
 	PerSecond float64      `json:"r,omitempty"`
@@ -17,15 +17,15 @@
 }
 
 // Tell describes a fact.
-func Tell(now time.Time, fact Fact) Told {
-	return Told{
+func NewMessage(now time.Time, fact Fact) Message {
+	return Message{
 		Worker: fact.Worker.ID, Born: fact.Worker.Born, PerSecond: fact.Rate, Ended: fact.Ended,
 		AgeMillis: max(0, now.Sub(fact.At).Milliseconds()),
 	}
 }
 
 // Fact returns the fact that was told just now.
-func (t Told) Fact(now time.Time) Fact {
+func (t Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
 	return Fact{
 		Worker: workers.Life{ID: t.Worker, Born: t.Born}, Rate: max(0, t.PerSecond), Ended: t.Ended, At: now.Add(-age),
--- a/internal/workerlimit/world_test.go
+++ b/internal/workerlimit/world_test.go
@@ -67,7 +67,7 @@
 
 // worldRouter is a router.
 type worldRouter struct {
-	member *Member
+	member *Limiter
 	// follows is the router that it takes for the leader.
 	follows *worldRouter
 	// version is up to which it was told by the router that it follows.
@@ -106,7 +106,7 @@
 	w := &world{now: start, chance: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
 	w.worker.life = workers.Life{ID: "w", Born: 1}
 	for range routers {
-		w.routers = append(w.routers, &worldRouter{member: NewMember()})
+		w.routers = append(w.routers, &worldRouter{member: NewLimiter()})
 	}
 	w.elect()
 	for _, one := range w.routers {
@@ -159,7 +159,7 @@
 	}
 	w.leader = reach[w.chance.IntN(len(reach))]
 	w.leader.leads, w.leader.authority = true, start.Add(worldLength)
-	w.leader.member.Lead(true)
+	w.leader.member.SetLeading(true)
 	for _, one := range reach {
 		w.follow(one, w.leader)
 	}
@@ -168,7 +168,7 @@
 // follow lets a router follow another.
 func (w *world) follow(one, leader *worldRouter) {
 	one.follows, one.version = leader, 0
-	one.member.Linked()
+	one.member.QueueAll()
 }
 
 // tell lets leaders tell what they know.
@@ -178,11 +178,11 @@
 		if leader == nil || leader == one || !leader.leads || !w.reaches(one, leader) {
 			continue
 		}
-		facts, upTo := leader.member.Book().Since(one.version, 8)
+		facts, upTo := leader.member.Table().Since(one.version, 8)
 		one.version = upTo
 		w.after(w.way(), func() {
 			for _, fact := range facts {
-				one.member.Hear(fact)
+				one.member.ApplyUpdate(fact)
 			}
 		})
 	}
@@ -194,10 +194,10 @@
 	if leader == nil || leader == one || !w.reaches(one, leader) {
 		return
 	}
-	facts := one.member.Tell(8)
+	facts := one.member.TakeReport(8)
 	w.after(w.way(), func() {
 		for _, fact := range facts {
-			leader.member.Learn(fact)
+			leader.member.Add(fact)
 		}
 	})
 }
@@ -213,7 +213,7 @@
 // request is a caller's, for the worker, at a router.
 func (w *world) request(at *worldRouter) {
 	w.asked++
-	fact, known := at.member.Book().Fact(w.worker.life)
+	fact, known := at.member.Table().Fact(w.worker.life)
 	if !known || fact.Ended {
 		w.send(at)
 		return
@@ -245,8 +245,8 @@
 	case !permit.Granted:
 		at.pacedUntil = w.now.Add(permit.Wait)
 	default:
-		if permit.Ended != nil {
-			at.member.Hear(*permit.Ended)
+		if permit.LimitEnded != nil {
+			at.member.ApplyUpdate(*permit.LimitEnded)
 		}
 		w.granted++
 		w.send(at)
@@ -263,9 +263,9 @@
 			limited, perSecond := w.worker.limited, w.worker.perSecond
 			w.after(w.way(), func() {
 				if limited {
-					at.member.Learn(Fact{Worker: life, Rate: perSecond, At: w.now})
-				} else if _, known := at.member.Book().Rate(life); known {
-					at.member.Learn(Fact{Worker: life, Ended: true, At: sent})
+					at.member.Add(Fact{Worker: life, Rate: perSecond, At: w.now})
+				} else if _, known := at.member.Table().Rate(life); known {
+					at.member.Add(Fact{Worker: life, Ended: true, At: sent})
 				}
 			})
 		})
@@ -297,11 +297,11 @@
 		w.leader = nil
 		w.after(time.Duration(300+w.chance.IntN(2000))*time.Millisecond, w.elect)
 	}
-	*one = worldRouter{member: NewMember(), part: one.part, excusedUntil: w.now.Add(contact)}
+	*one = worldRouter{member: NewLimiter(), part: one.part, excusedUntil: w.now.Add(contact)}
 	if w.leader != nil && w.leader != one && w.reaches(one, w.leader) {
 		w.follow(one, w.leader)
-		for _, fact := range w.leader.member.Book().Facts() { // before it is ready
-			one.member.Hear(fact)
+		for _, fact := range w.leader.member.Table().Facts() { // before it is ready
+			one.member.ApplyUpdate(fact)
 		}
 	}
 }
@@ -328,7 +328,7 @@
 			one.part, one.excusedUntil = 0, w.now.Add(contact)
 			if one.leads && one != w.leader {
 				one.leads = false
-				one.member.Lead(false)
+				one.member.SetLeading(false)
 			}
 			if w.leader != nil {
 				w.follow(one, w.leader)
--- a/internal/workerlimit/worlds_test.go
+++ b/internal/workerlimit/worlds_test.go
@@ -67,12 +67,12 @@
 		w.name(5, true)
 		w.run(contact)
 		for _, one := range w.routers {
-			assert.Equal(t, one.member.Book().Holding(), 1)
+			assert.Equal(t, one.member.Table().ActiveCount(), 1)
 		}
 		w.name(0, false)
 		w.run(contact)
 		for _, one := range w.routers {
-			assert.Equal(t, one.member.Book().Holding(), 0)
+			assert.Equal(t, one.member.Table().ActiveCount(), 0)
 		}
 	}
 }
