--- a/internal/peerlink/notices.go
+++ b/internal/peerlink/notices.go
@@ -14,8 +14,8 @@
 // WorkerNotices are what workers have announced about themselves in their responses, as known to
 // the leader. The age of a notice is the time since its current value was first known.
 type WorkerNotices struct {
-	Limits   []workerlimit.Told
-	Leaving  []departure.Told
+	Limits   []workerlimit.Message
+	Leaving  []departure.Message
 	Backoffs []BackoffShare
 }
 
@@ -30,11 +30,11 @@
 
 // OnLeaving sets the function that is called with the departures of workers that linked processes
 // report. Leaders and relays use it.
-func (h *Hub) OnLeaving(call func([]departure.Told)) { h.onLeaving = call }
+func (h *Hub) OnLeaving(call func([]departure.Message)) { h.onLeaving = call }
 
 // OnLimits sets the function that is called with the limits of workers that linked processes
 // report. Leaders and relays use it.
-func (h *Hub) OnLimits(call func([]workerlimit.Told)) { h.onLimits = call }
+func (h *Hub) OnLimits(call func([]workerlimit.Message)) { h.onLimits = call }
 
 // SetBackoffs sets the backoffs that owners of keys have requested from routers, for operators.
 func (h *Hub) SetBackoffs(backoffs []BackoffShare) {
@@ -73,10 +73,10 @@
 		return
 	}
 	if h.Limits != nil {
-		answer.Limits = encodeFacts(now, h.Limits.Told(), workerlimit.Tell)
+		answer.Limits = encodeFacts(now, h.Limits.Published(), workerlimit.NewMessage)
 	}
 	if h.Leaving != nil {
-		answer.Leaving = encodeFacts(now, h.Leaving.Told(), departure.Tell)
+		answer.Leaving = encodeFacts(now, h.Leaving.Published(), departure.NewMessage)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
