--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -105,7 +105,7 @@
 // List returns all items under a prefix, and the revision to watch from: that of the first page,
 // since what changed while the others were read is told by the changes after it.
 func List(ctx context.Context, store Store, prefix string) ([]Item, Revision, error) {
-	var reading Reading
+	var reading PartialList
 	for !reading.Done {
 		page, err := store.ListPage(ctx, prefix, reading.After)
 		if err != nil {
@@ -118,7 +118,7 @@
 
 // Reading is a list of which some pages were read. The zero value has none. It goes on after a
 // page that failed, so that a list that takes long is not begun again.
-type Reading struct {
+type PartialList struct {
 	Items []Item
 	// At is the revision of the first page, and After is where the next one begins.
 	At    Revision
@@ -128,7 +128,7 @@
 }
 
 // Add takes the next page.
-func (r *Reading) Add(page Page) {
+func (r *PartialList) Add(page Page) {
 	if r.After == "" {
 		r.At = page.At
 	}
--- a/internal/coord/follow.go
+++ b/internal/coord/follow.go
@@ -41,34 +41,34 @@
 type Options struct {
 	// Wait is how long the next watch may stay silent. Each watch is a priced
 	// call, and one that the service lost unseen is noticed only after the wait.
-	Wait func() time.Duration
+	WatchTimeout func() time.Duration
 	// Gather is the pause after changes, so that many of them cost one call.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Renew gives up a waiting watch and lists anew; while following is paused, it
 	// reads what has changed.
-	Renew <-chan struct{}
+	Resync <-chan struct{}
 	// Paused says that another process tells of changes: nothing is watched. Nil:
 	// never.
 	Paused func() bool
 	// Hurry reports whether the first watch after a pause is to answer at once, since others wait
 	// to hear as of when all is known. Nil: never.
-	Hurry func() bool
+	PollAfterPause func() bool
 	// Reached is called after each call that was answered, with a time as of which all
 	// is known. Nil: nobody wants to know.
-	Reached func(at time.Time)
+	OnSynced func(at time.Time)
 	// Failed is called after each call that failed, with a time at which the service was
 	// away for this process. Nil: nobody wants to know.
-	Failed func(at time.Time)
+	OnFailure func(at time.Time)
 	// Covered is the revision up to which the view knows all changes, which may come
 	// from elsewhere meanwhile. Nil: what was read here.
-	Covered func() Revision
+	CoveredRevision func() Revision
 	// Told waits, before the first list, whether others tell all that there is, up to the
 	// revision Covered; nil: nobody does.
-	Told func(ctx context.Context) bool
+	AwaitInitialState func(ctx context.Context) bool
 	// More waits, once the first page of a list shows that others follow, for whether others tell
 	// all that there is as of that page's revision, or a later one; false: the pages are to be
 	// read. Nil: they are read at once.
-	More func(ctx context.Context, at Revision) bool
+	AwaitRelayedList func(ctx context.Context, at Revision) bool
 }
 
 // Follow keeps a view up to date until ctx ends.
@@ -90,7 +90,7 @@
 	at      Revision
 	listed  bool
 	// reading is a list that was begun.
-	reading Reading
+	reading PartialList
 	// asked says that others were waited for.
 	asked bool
 	lost  bool
@@ -115,7 +115,7 @@
 	if f.hurries { // an answer tells soon what the call before has missed
 		return f.watchFor(ctx, catchUpWait)
 	}
-	return f.watchFor(ctx, f.options.Wait())
+	return f.watchFor(ctx, f.options.WatchTimeout())
 }
 
 // pause waits until following goes on, or what has changed is to be read.
@@ -124,34 +124,34 @@
 	defer ticker.Stop()
 	for f.options.Paused() {
 		select {
-		case <-f.options.Renew:
+		case <-f.options.Resync:
 			return f.watchFor(ctx, catchUpWait)
 		case <-ticker.C:
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	f.hurries = f.options.Hurry != nil && f.options.Hurry()
+	f.hurries = f.options.PollAfterPause != nil && f.options.PollAfterPause()
 	return nil
 }
 
 // toldAll waits once, before the first list, whether others tell all that there is.
 func (f *follower) toldAll(ctx context.Context) bool {
-	if f.asked || f.options.Told == nil {
+	if f.asked || f.options.AwaitInitialState == nil {
 		return false
 	}
 	f.asked = true
-	if f.options.Told(ctx) {
-		f.listed, f.at = true, f.options.Covered()
+	if f.options.AwaitInitialState(ctx) {
+		f.listed, f.at = true, f.options.CoveredRevision()
 	}
 	return f.listed
 }
 
 // list reads a page of a list, the first or the next one, and takes the list with its last page.
 func (f *follower) list(ctx context.Context) error {
-	if f.reading.After != "" && f.options.More != nil && f.options.More(ctx, f.reading.At) {
-		f.reading = Reading{}
-		f.listed, f.at = true, max(f.at, f.options.Covered())
+	if f.reading.After != "" && f.options.AwaitRelayedList != nil && f.options.AwaitRelayedList(ctx, f.reading.At) {
+		f.reading = PartialList{}
+		f.listed, f.at = true, max(f.at, f.options.CoveredRevision())
 		return nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, pageTimeout)
@@ -174,8 +174,8 @@
 
 // take takes a list that was read whole: all that changed since its first page was sent for is
 // still to be read.
-func (f *follower) take(list Reading) {
-	f.reading = Reading{}
+func (f *follower) take(list PartialList) {
+	f.reading = PartialList{}
 	f.at, f.listed = max(f.at, list.At), true
 	f.view.Snapshot(list.Items, list.At)
 	f.reached(f.began)
@@ -183,15 +183,15 @@
 
 // reached tells that all is known as of a time.
 func (f *follower) reached(at time.Time) {
-	if f.options.Reached != nil {
-		f.options.Reached(at)
+	if f.options.OnSynced != nil {
+		f.options.OnSynced(at)
 	}
 }
 
 // watchFor waits for changes for some time.
 func (f *follower) watchFor(ctx context.Context, wait time.Duration) error {
-	if f.options.Covered != nil {
-		f.at = max(f.at, f.options.Covered())
+	if f.options.CoveredRevision != nil {
+		f.at = max(f.at, f.options.CoveredRevision())
 	}
 	bounded, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
@@ -215,7 +215,7 @@
 	}
 	f.reached(answered)
 	if len(events) > 0 {
-		clock.Sleep(ctx, f.options.Gather())
+		clock.Sleep(ctx, f.options.BatchDelay())
 	}
 	return nil
 }
@@ -223,12 +223,12 @@
 // watchRenewal cancels the watch when it is to be renewed.
 func (f *follower) watchRenewal(ctx context.Context, cancel context.CancelFunc) *atomic.Bool {
 	renewed := &atomic.Bool{}
-	if f.options.Renew == nil {
+	if f.options.Resync == nil {
 		return renewed
 	}
 	go func() {
 		select {
-		case <-f.options.Renew:
+		case <-f.options.Resync:
 			renewed.Store(true)
 			cancel()
 		case <-ctx.Done():
@@ -250,8 +250,8 @@
 	if errors.Is(err, ErrRefused) {
 		f.away = clock.Now()
 	}
-	if f.options.Failed != nil {
-		f.options.Failed(f.away)
+	if f.options.OnFailure != nil {
+		f.options.OnFailure(f.away)
 	}
 	took, first := clock.Since(f.sent), !f.lost
 	if first {
--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -69,9 +69,9 @@
 		renew := make(chan struct{}, 1)
 		ctx, stop := context.WithCancel(t.Context())
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
-			Wait:   func() time.Duration { return wait },
-			Gather: func() time.Duration { return 100 * time.Millisecond },
-			Renew:  renew,
+			WatchTimeout: func() time.Duration { return wait },
+			BatchDelay:   func() time.Duration { return 100 * time.Millisecond },
+			Resync:       renew,
 		})
 		synctest.Wait()
 		play(t, store, view, renew)
@@ -97,11 +97,11 @@
 // a process on an old configuration for as long as the watch might be silent.
 func TestFollowNoticesAWatchThatWasLostUnseen(t *testing.T) {
 	follow(t, 1500*time.Millisecond, func(t *testing.T, store *memory.Store, view *recorded, _ chan struct{}) {
-		store.SetDeaf(true)
+		store.SetWatchesSilent(true)
 		put(t, store, "a/wake", "sets the waiting watch deaf")
 		put(t, store, "a/1", "new")
 		elapse(time.Second)
-		store.SetDeaf(false)
+		store.SetWatchesSilent(false)
 		elapse(1600 * time.Millisecond)
 		assert.Equal(t, view.values["a/1"], "new")
 		assert.Equal(t, view.lost, 1)
@@ -119,9 +119,9 @@
 		var reached time.Time
 		longest := time.Duration(0)
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
-			Wait:   func() time.Duration { return 1500 * time.Millisecond },
-			Gather: func() time.Duration { return 0 },
-			Reached: func(at time.Time) {
+			WatchTimeout: func() time.Duration { return 1500 * time.Millisecond },
+			BatchDelay:   func() time.Duration { return 0 },
+			OnSynced: func(at time.Time) {
 				if !reached.IsZero() {
 					longest = max(longest, at.Sub(reached))
 				}
@@ -130,11 +130,11 @@
 		})
 		elapse(time.Second)
 		for round := range 5 { // each watch is lost that waits, and the next one answers at once
-			store.SetDeaf(true)
+			store.SetWatchesSilent(true)
 			put(t, store, "b/wake", "sets the waiting watch deaf")
 			put(t, store, "a/1", fmt.Sprint(round))
 			synctest.Wait()
-			store.SetDeaf(false)
+			store.SetWatchesSilent(false)
 			elapse(2050 * time.Millisecond)
 			assert.Equal(t, view.values["a/1"], fmt.Sprint(round))
 		}
@@ -145,11 +145,11 @@
 
 func TestFollowListsAnewWhenTheHistoryIsGone(t *testing.T) {
 	follow(t, 1500*time.Millisecond, func(t *testing.T, store *memory.Store, view *recorded, _ chan struct{}) {
-		store.SetDeaf(true)
+		store.SetWatchesSilent(true)
 		put(t, store, "a/wake", "sets the waiting watch deaf")
 		put(t, store, "a/1", "new")
-		store.Forget()
-		store.SetDeaf(false)
+		store.ForgetHistory()
+		store.SetWatchesSilent(false)
 		elapse(3 * time.Second)
 		assert.Equal(t, view.values["a/1"], "new")
 		assert.Equal(t, view.snapshots, 2)
@@ -158,10 +158,10 @@
 
 func TestFollowRenewsAWaitingWatch(t *testing.T) {
 	follow(t, time.Hour, func(t *testing.T, store *memory.Store, view *recorded, renew chan struct{}) {
-		store.SetDeaf(true)
+		store.SetWatchesSilent(true)
 		put(t, store, "a/1", "new")
 		synctest.Wait()
-		store.SetDeaf(false)
+		store.SetWatchesSilent(false)
 		renew <- struct{}{}
 		elapse(time.Second)
 		assert.Equal(t, view.values["a/1"], "new")
@@ -177,9 +177,9 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
-			Wait:   func() time.Duration { return time.Second },
-			Gather: func() time.Duration { return 0 },
-			Renew:  renew, Paused: paused.Load,
+			WatchTimeout: func() time.Duration { return time.Second },
+			BatchDelay:   func() time.Duration { return 0 },
+			Resync:       renew, Paused: paused.Load,
 		})
 		elapse(100 * time.Millisecond)
 		paused.Store(true)
@@ -212,11 +212,11 @@
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				go coord.Follow(ctx, store, "a/", &recorded{}, coord.Options{
-					Wait:    func() time.Duration { return 700 * time.Millisecond },
-					Gather:  func() time.Duration { return 0 },
-					Paused:  paused.Load,
-					Hurry:   func() bool { return hurries },
-					Reached: func(time.Time) { reached.Add(1) },
+					WatchTimeout:   func() time.Duration { return 700 * time.Millisecond },
+					BatchDelay:     func() time.Duration { return 0 },
+					Paused:         paused.Load,
+					PollAfterPause: func() bool { return hurries },
+					OnSynced:       func(time.Time) { reached.Add(1) },
 				})
 				elapse(100 * time.Millisecond)
 				paused.Store(true)
@@ -278,8 +278,8 @@
 					store, view := &refusing{Store: memory.New()}, &recorded{}
 					ctx, stop := context.WithCancel(t.Context())
 					go coord.Follow(ctx, store, "a/", view, coord.Options{
-						Wait:   func() time.Duration { return time.Second },
-						Gather: func() time.Duration { return 0 },
+						WatchTimeout: func() time.Duration { return time.Second },
+						BatchDelay:   func() time.Duration { return 0 },
 					})
 					elapse(time.Second)
 					away(store, true)
@@ -326,8 +326,8 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
-			Wait:   func() time.Duration { return time.Second },
-			Gather: func() time.Duration { return 0 },
+			WatchTimeout: func() time.Duration { return time.Second },
+			BatchDelay:   func() time.Duration { return 0 },
 		})
 		elapse(2 * time.Second)
 		assert.Equal(t, len(view.values), 5)
@@ -351,11 +351,11 @@
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				go coord.Follow(ctx, store, "a/", view, coord.Options{
-					Wait:    func() time.Duration { return time.Second },
-					Gather:  func() time.Duration { return 0 },
-					Covered: func() coord.Revision { return 5 },
-					Paused:  func() bool { return told },
-					More: func(_ context.Context, at coord.Revision) bool {
+					WatchTimeout:    func() time.Duration { return time.Second },
+					BatchDelay:      func() time.Duration { return 0 },
+					CoveredRevision: func() coord.Revision { return 5 },
+					Paused:          func() bool { return told },
+					AwaitRelayedList: func(_ context.Context, at coord.Revision) bool {
 						assert.Check(t, at == 5)
 						return told
 					},
--- a/internal/coord/memory/memory.go
+++ b/internal/coord/memory/memory.go
@@ -62,7 +62,7 @@
 
 // SetDeaf makes watches hear nothing until it is lifted; a watch that waits
 // meanwhile never answers.
-func (s *Store) SetDeaf(deaf bool) {
+func (s *Store) SetWatchesSilent(deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deaf = deaf
@@ -77,7 +77,7 @@
 }
 
 // Forget drops the history.
-func (s *Store) Forget() {
+func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.revision
--- a/internal/coord/memory/bounded.go
+++ b/internal/coord/memory/timeoutstore.go
@@ -8,14 +8,14 @@
 )
 
 // Bounded is a store whose commits end after a time, as a real client's do.
-type Bounded struct {
+type TimeoutStore struct {
 	coord.Store
-	Limit time.Duration
+	CommitTimeout time.Duration
 }
 
 // Commit implements coord.Store.
-func (b Bounded) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
-	limited, cancel := context.WithTimeout(ctx, b.Limit)
+func (b TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
+	limited, cancel := context.WithTimeout(ctx, b.CommitTimeout)
 	defer cancel()
 	return b.Store.Commit(limited, txn)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -24,8 +24,8 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("election")
 
-// ErrLost: another process leads.
-var ErrLost = errs.New("another process leads")
+// ErrOtherLeader: another process leads.
+var ErrOtherLeader = errs.New("another process leads")
 
 // Times of the lease.
 const (
@@ -82,7 +82,7 @@
 func (e *Election) termKey() string { return e.prefix + "term" }
 
 // Look returns the leader; false if there is none.
-func (e *Election) Look(ctx context.Context) (Leader, bool, error) {
+func (e *Election) CurrentLeader(ctx context.Context) (Leader, bool, error) {
 	item, found, err := e.store.Get(ctx, e.LeaderKey())
 	if err != nil || !found {
 		return Leader{}, false, err
@@ -99,7 +99,7 @@
 
 // AwaitAnother waits until the service no longer names a leader; false if ctx ends
 // first. Waits are short: a watch that the service has lost unseen tells nothing.
-func (e *Election) AwaitAnother(ctx context.Context, leader Leader) bool {
+func (e *Election) AwaitLeaderChange(ctx context.Context, leader Leader) bool {
 	backoff := clock.Backoff{First: anotherPause, Longest: longestPause}
 	after := leader.Revision
 	for ctx.Err() == nil {
@@ -135,7 +135,7 @@
 
 // Campaign tries once to become the leader. replace is the revision of the
 // leader's key that may be replaced; zero: there must be none. The error is
-// ErrLost if another process leads.
+// ErrOtherLeader if another process leads.
 func (e *Election) Campaign(ctx context.Context, replace coord.Revision) (*Tenure, error) {
 	term, termRevision, err := e.term(ctx)
 	if err != nil {
@@ -171,7 +171,7 @@
 		return nil, lost(err)
 	}
 	tenure := newTenure(e.store, won, lease, ttl, sent)
-	tenure.Before = before
+	tenure.PreviousRenewers = before
 	tenure.renewersKey, tenure.leaderKey = e.renewersKey(), e.LeaderKey()
 	tenure.renewersRevision = won.Revision
 	return tenure, nil
@@ -182,7 +182,7 @@
 	if errors.Is(err, coord.ErrConflict) || errors.Is(err, coord.ErrRefused) || errors.Is(err, coord.ErrNoLease) {
 		return false
 	}
-	leader, found, err := e.Look(ctx)
+	leader, found, err := e.CurrentLeader(ctx)
 	if err != nil || !found || leader.Nonce != won.Nonce {
 		return false
 	}
@@ -192,7 +192,7 @@
 
 func lost(err error) error {
 	if errors.Is(err, coord.ErrConflict) {
-		return ErrLost
+		return ErrOtherLeader
 	}
 	return err
 }
@@ -210,7 +210,7 @@
 type Tenure struct {
 	Leader Leader
 	// Before are the processes that may still renew what earlier leaders gave.
-	Before                 []Renewer
+	PreviousRenewers       []Renewer
 	renewersKey, leaderKey string
 	// renewersRevision is that of the record of renewers. One call at a time uses it.
 	renewersRevision coord.Revision
@@ -234,14 +234,14 @@
 }
 
 // Until returns when the tenure's authority ends if it is not renewed.
-func (t *Tenure) Until() time.Time {
+func (t *Tenure) AuthorityUntil() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.until
 }
 
 // Reached returns when the last call was sent that the service has answered.
-func (t *Tenure) Reached() time.Time {
+func (t *Tenure) LastContact() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reached
@@ -251,7 +251,7 @@
 func (t *Tenure) Ended() <-chan struct{} { return t.done }
 
 // Keep renews the lease until ctx ends or the lease is over.
-func (t *Tenure) Keep(ctx context.Context) {
+func (t *Tenure) KeepAlive(ctx context.Context) {
 	ticker := time.NewTicker(renewEvery)
 	defer ticker.Stop()
 	for {
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -53,7 +53,7 @@
 		assert.NilError(t, err)
 		tenure, err := one.Campaign(t.Context(), 0)
 		assert.NilError(t, err)
-		assert.Equal(t, len(tenure.Before), 0)
+		assert.Equal(t, len(tenure.PreviousRenewers), 0)
 		stored := Renewer{Address: "x:1", Process: "x"}
 		assert.NilError(t, bounded(t, tenure, stored))
 		list, _, err := one.renewers(t.Context())
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -58,7 +58,7 @@
 type Keeper struct {
 	// ReadUpTo returns as of when this process has read all changes of configuration and
 	// workers. Nil: not known.
-	ReadUpTo func() time.Time
+	SyncedAt func() time.Time
 	Store    coord.Store
 	Prefix   string
 	Orders   owner.OrderSender
@@ -79,7 +79,7 @@
 	Limits func(workers.Life) (perSecond float64, limited bool)
 	// Leaving is called with the workers that say with an answer to an order that they leave. Nil:
 	// nobody wants to know.
-	Leaving func(workers.Life)
+	OnWorkerLeaving func(workers.Life)
 	// Unresolved are processes that may renew what earlier leaders gave until it has
 	// all ended, since they did not answer.
 	Unresolved []election.Renewer
@@ -167,7 +167,7 @@
 
 // step does what is due. It returns false once the tenure is over.
 func (t *tenancy) step(now time.Time) bool {
-	authority := t.tenure.Until()
+	authority := t.tenure.AuthorityUntil()
 	if now.After(authority.Add(t.Times.RenewalGrace)) {
 		return false
 	}
@@ -204,10 +204,10 @@
 // deaf reports whether the routers are to read changes themselves: the service has not
 // answered lately, or what this process follows there has not come.
 func (t *tenancy) deaf(now time.Time) bool {
-	if now.Sub(t.tenure.Reached()) > deafAfter {
+	if now.Sub(t.tenure.LastContact()) > deafAfter {
 		return true
 	}
-	return t.ReadUpTo != nil && now.Sub(t.ReadUpTo()) > unreadAfter
+	return t.SyncedAt != nil && now.Sub(t.SyncedAt()) > unreadAfter
 }
 
 // ensure begins to load the books of keyed services that are new.
@@ -240,8 +240,8 @@
 		reply = t.Orders.Grant(bounded, order.Target, order.Grant)
 	}
 	t.Metrics.answered(of.name, order, reply.Outcome, clock.Since(began))
-	if reply.Leaving && t.Leaving != nil {
-		t.Leaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
+	if reply.Leaving && t.OnWorkerLeaving != nil {
+		t.OnWorkerLeaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
 	}
 	select {
 	case t.answers <- answer{of: of, order: order, reply: reply}:
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -61,7 +61,7 @@
 		b := &bench{t: t, store: memory.New(), orders: &obeying{grants: map[workers.ID][]owner.Grant{}}}
 		config, err := routing.Build(1, nil, map[routing.ServiceName]*routing.Service{"s": {Name: "s", Keyed: true}}, routing.Limits{})
 		assert.NilError(t, err)
-		store := memory.Bounded{Store: b.store, Limit: time.Second}
+		store := memory.TimeoutStore{Store: b.store, CommitTimeout: time.Second}
 		b.election = election.New(store, "cell/", "a:1", "process", b.nonce)
 		known := func() peerlink.ReadState { return peerlink.ReadState{} }
 		b.keeper = &Keeper{
@@ -93,7 +93,7 @@
 	assert.NilError(b.t, err)
 	ctx, cancel := context.WithTimeout(b.t.Context(), length)
 	defer cancel()
-	go tenure.Keep(ctx)
+	go tenure.KeepAlive(ctx)
 	if meanwhile != nil {
 		go meanwhile()
 	}
@@ -235,7 +235,7 @@
 func TestKeysLeaveAWorkerThatSaysToALeaderThatItLeaves(t *testing.T) {
 	play(t, func(b *bench) {
 		b.orders.leaving = "w1"
-		b.keeper.Leaving = func(life workers.Life) { b.keeper.Workers.Leaves(life, time.Now()) }
+		b.keeper.OnWorkerLeaving = func(life workers.Life) { b.keeper.Workers.Leaves(life, time.Now()) }
 		b.lead(6*time.Second, nil)
 		for _, held := range b.stored() {
 			assert.Equal(b.t, held.Worker, workers.ID("w2"))
@@ -321,7 +321,7 @@
 				assert.NilError(t, err)
 				if !test.unknown {
 					read := time.Now().Add(test.leaseBefore - test.readBefore)
-					b.keeper.ReadUpTo = func() time.Time { return read }
+					b.keeper.SyncedAt = func() time.Time { return read }
 				}
 				one := &tenancy{Keeper: b.keeper, tenure: tenure}
 				assert.Equal(t, one.deaf(time.Now().Add(test.leaseBefore)), test.deaf)
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -19,7 +19,7 @@
 		assert.NilError(b.t, err)
 		tenure, err := b.election.Campaign(b.t.Context(), 0)
 		assert.NilError(b.t, err)
-		go tenure.Keep(b.t.Context())
+		go tenure.KeepAlive(b.t.Context())
 		until := time.Now().Add(5 * time.Second)
 		go b.keeper.Lead(b.t.Context(), tenure, until)
 		time.Sleep(4900 * time.Millisecond)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -67,7 +67,7 @@
 
 // readOverview reads what is stored, and the states of workers in their entries.
 func readOverview(ctx context.Context, store coord.Store, prefix string, announced Announced) (Overview, map[workers.ID]workers.State, error) {
-	leader, found, err := election.New(store, prefix, "", "", nil).Look(ctx)
+	leader, found, err := election.New(store, prefix, "", "", nil).CurrentLeader(ctx)
 	if err != nil {
 		return Overview{}, nil, errs.Combine(registry.ErrUnavailable, err)
 	}
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -139,7 +139,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = is
-	s.SetDeaf(is) // pending watches
+	s.SetWatchesSilent(is) // pending watches
 }
 
 // connect fails like a connection attempt to an unreachable service.
@@ -239,7 +239,7 @@
 		store.setCut(true)
 		put(t, store, "w/6", workers.StateReady)
 		elapse(time.Second)
-		store.Forget()
+		store.ForgetHistory()
 		store.setCut(false)
 		elapse(4 * time.Second)
 		assert.Equal(t, usable(r), 6)
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -133,20 +133,20 @@
 // received.
 func (r *Router) followPrefix(ctx context.Context, prefix string, view coord.View, state *prefixState) {
 	options := coord.Options{
-		Wait:    r.watchTimeout,
-		Gather:  r.batchDelay,
-		Renew:   state.resync,
-		Paused:  r.updates.live,
-		Hurry:   func() bool { return r.hub.Followers() > 0 },
-		Covered: state.coveredRevision,
-		Reached: func(at time.Time) { r.noteStoreSynced(state, at) },
-		Failed:  func(at time.Time) { state.failedAt.Store(clock.Nanos(at)) },
+		WatchTimeout:    r.watchTimeout,
+		BatchDelay:      r.batchDelay,
+		Resync:          state.resync,
+		Paused:          r.updates.live,
+		PollAfterPause:  func() bool { return r.hub.Followers() > 0 },
+		CoveredRevision: state.coveredRevision,
+		OnSynced:        func(at time.Time) { r.noteStoreSynced(state, at) },
+		OnFailure:       func(at time.Time) { state.failedAt.Store(clock.Nanos(at)) },
 	}
 	if len(r.settings.Operators) == 0 { // bundles are not relayed by the leader
-		options.Told = func(ctx context.Context) bool {
+		options.AwaitInitialState = func(ctx context.Context) bool {
 			return r.awaitUpdate(ctx, func() bool { return state.coveredRevision() > 0 })
 		}
-		options.More = func(ctx context.Context, at coord.Revision) bool {
+		options.AwaitRelayedList = func(ctx context.Context, at coord.Revision) bool {
 			return r.awaitRelayedList(ctx, state, at)
 		}
 	}
@@ -302,7 +302,7 @@
 func (r *Router) handleUpdate(update peerlink.Update) {
 	r.updates.received(clock.Now(), update.Age(), !update.StoreUnreachable && !update.Stale())
 	if !update.Leaderless {
-		r.standby.Heard(update.Term, update.Mandate)
+		r.standby.HandleUpdate(update.Term, update.Mandate)
 	}
 	r.leaderStoreUnreachable.Store(update.StoreUnreachable)
 	r.strongest.Store(math.Float64bits(update.Strongest))
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -59,7 +59,7 @@
 	err := f.run(bounded)
 	r.hub.SetFollowedLeader("")
 	r.updates.invalidate() // what was not received by now is read from the service
-	r.standby.Lost()
+	r.standby.LeaderLost()
 	if ctx.Err() != nil {
 		r.hub.RedirectFollowers(leader.Address)
 		return
@@ -157,7 +157,7 @@
 func (f *followSession) awaitSuccessor(ctx context.Context) {
 	f.doubtOnce.Do(func() {
 		go func() {
-			if f.r.election.AwaitAnother(ctx, f.leader) {
+			if f.r.election.AwaitLeaderChange(ctx, f.leader) {
 				f.stop()
 			}
 		}()
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -157,7 +157,7 @@
 func (r *Router) lookUpLeader(ctx context.Context) (election.Leader, bool, error) {
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	return r.election.Look(bounded)
+	return r.election.CurrentLeader(bounded)
 }
 
 // awaitLeaderChange waits until the service no longer names a lost leader, peers name another one,
@@ -171,7 +171,7 @@
 		changed <- struct{}{}
 	}()
 	go func() {
-		r.election.AwaitAnother(bounded, leader)
+		r.election.AwaitLeaderChange(bounded, leader)
 		changed <- struct{}{}
 	}()
 	go func() {
@@ -222,15 +222,15 @@
 func (r *Router) tryToLead(ctx context.Context, replace coord.Revision) {
 	tenure, err := r.election.Campaign(ctx, replace)
 	if err != nil {
-		if !errors.Is(err, election.ErrLost) {
+		if !errors.Is(err, election.ErrOtherLeader) {
 			clock.Sleep(ctx, retryPause)
 		}
 		return
 	}
 	tenureCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go tenure.Keep(tenureCtx)
-	r.standby.Stop(tenure.Leader.Term)
+	go tenure.KeepAlive(tenureCtx)
+	r.standby.Revoke(tenure.Leader.Term)
 	until := r.holdsEndAt(ctx, tenure)
 	r.log.Line(decision.KindElected).Int64("term", int64(tenure.Leader.Term)).Time("holds_until", until).Msg("")
 	go r.reportToSelf(tenureCtx)
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -192,7 +192,7 @@
 	defer ticker.Stop()
 	for {
 		if config := q.r.proxy.Config(); config != nil && (len(config.Tenants) > 0 || coordinator.TenantCount() > 0) {
-			grants, lowered := q.step(config, coordinator, tenure.Until())
+			grants, lowered := q.step(config, coordinator, tenure.AuthorityUntil())
 			q.handleGrants(grants)
 			if lowered {
 				go q.blockReserve(ctx, tenure)
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -91,7 +91,7 @@
 		assert.NilError(t, err)
 		leaseCtx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go tenure.Keep(leaseCtx)
+		go tenure.KeepAlive(leaseCtx)
 		claimed := func() float64 {
 			item, found, err := store.Get(t.Context(), KeyPrefix+reserveKey)
 			assert.NilError(t, err)
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -16,8 +16,8 @@
 // flight. Those that do not answer are kept as unresolved.
 func (r *Router) holdsEndAt(ctx context.Context, tenure *election.Tenure) time.Time {
 	times := r.keeper.Times
-	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.Before, tenure.Leader.Term)
-	if len(tenure.Before) > 0 && len(r.keeper.Unresolved) == 0 {
+	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.PreviousRenewers, tenure.Leader.Term)
+	if len(tenure.PreviousRenewers) > 0 && len(r.keeper.Unresolved) == 0 {
 		return clock.Now().Add(maxOrderDuration + times.MaxHold())
 	}
 	return clock.Now().Add(times.RenewalGrace + times.MaxHold())
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -20,7 +20,7 @@
 func (r *Router) report() peerlink.Report {
 	report := r.meter.Take()
 	report.Followers = r.hub.Followers()
-	r.standby.Tell(&report)
+	r.standby.AddToReport(&report)
 	report.Evidence = r.proxy.Suspects.Tell(clock.Now())
 	report.Quota = r.quotas.collectReports()
 	report.Limits = r.limits.report()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -178,12 +178,12 @@
 	r.keeper = &keeper.Keeper{
 		Store: adapter.Store, Prefix: KeyPrefix, Orders: adapter.Orders, Workers: r.workers,
 		Config: r.proxy.Config, Hub: r.hub, Table: r.table, Reports: r.reports, Log: log, Metrics: keeper.NewMetrics(metrics),
-		ReadUpTo: r.storeSyncedAt,
+		SyncedAt: r.storeSyncedAt,
 		Times:    owner.DefaultConfig(config.MaxHold.Std()), Nonce: rand.Text, Zone: config.Zone, Regions: r.zoneMap,
 	}
 	r.standby = standby.New(adapter.Orders, r.keeper.Times, log)
 	r.standby.Workers = r.workers
-	r.hub.OnLeaderQuery(r.standby.Stop)
+	r.hub.OnLeaderQuery(r.standby.Revoke)
 	r.hub.OnFollowerReport(r.meter.AddReport)
 	r.hub.OnLinked(r.peers.Add)
 	r.hub.OnEvidence(r.handleEvidence)
@@ -199,7 +199,7 @@
 	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
 	r.hub.OnLeaving(r.leaving.handleReports)
 	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
-	r.keeper.Leaving = r.leaving.noteLeaving
+	r.keeper.OnWorkerLeaving = r.leaving.noteLeaving
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
 	r.registerMetrics(metrics)
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -189,7 +189,7 @@
 	if tenure == nil {
 		return peerlink.Permit{}, false
 	}
-	permit, leading := l.member.Issue(now, fact, maxWait, !now.Before(tenure.Until()))
+	permit, leading := l.member.Issue(now, fact, maxWait, !now.Before(tenure.AuthorityUntil()))
 	if permit.News {
 		l.log(fact, seenByPeer)
 	}
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -57,7 +57,7 @@
 }
 
 // Heard takes what the leader of a term says; mandate is nil for all but standbys.
-func (s *Standby) Heard(term owner.Term, mandate *peerlink.Mandate) {
+func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Mandate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = mandate != nil
@@ -92,7 +92,7 @@
 }
 
 // Lost tells that the leader is no longer heard.
-func (s *Standby) Lost() {
+func (s *Standby) LeaderLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = false
@@ -115,7 +115,7 @@
 }
 
 // Stop ends all that leaders before a term allowed, for good.
-func (s *Standby) Stop(term owner.Term) {
+func (s *Standby) Revoke(term owner.Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stop(term)
@@ -129,7 +129,7 @@
 }
 
 // Tell adds to a report what the leader of a standby needs.
-func (s *Standby) Tell(report *peerlink.Report) {
+func (s *Standby) AddToReport(report *peerlink.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.appointed {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -47,13 +47,13 @@
 		most    int32
 	}{
 		"the leader is heard":        {mandate: leave(time.Second, 6*time.Second), then: func(*Standby) {}},
-		"the leader is lost":         {mandate: leave(time.Second, 6*time.Second), then: (*Standby).Lost, least: 5, most: 8},
-		"little is left":             {mandate: leave(time.Second, time.Second), then: (*Standby).Lost, least: 1, most: 1},
-		"told long after its stamp":  {mandate: leave(time.Millisecond, time.Second), then: (*Standby).Lost},
-		"no standby":                 {then: (*Standby).Lost},
-		"asked to stop":              {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); s.Stop(4) }},
-		"suspended beyond its leave": {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); clock.Suspend(7 * time.Second) }},
-		"found again":                {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); s.Heard(3, nil) }},
+		"the leader is lost":         {mandate: leave(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
+		"little is left":             {mandate: leave(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
+		"told long after its stamp":  {mandate: leave(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
+		"no standby":                 {then: (*Standby).LeaderLost},
+		"asked to stop":              {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
+		"suspended beyond its leave": {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
+		"found again":                {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,7 +65,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				go s.Run(ctx)
 				time.Sleep(time.Second)
-				s.Heard(3, c.mandate)
+				s.HandleUpdate(3, c.mandate)
 				c.then(s)
 				time.Sleep(15 * time.Second)
 				stop()
@@ -83,11 +83,11 @@
 		defer log.Close()
 		s := New(&counting{}, owner.DefaultConfig(10*time.Second), log)
 		var report peerlink.Report
-		s.Tell(&report)
+		s.AddToReport(&report)
 		assert.Assert(t, report.Empty(), "it is no standby")
 		time.Sleep(time.Second)
-		s.Heard(3, leave(time.Second, time.Second))
-		s.Tell(&report)
+		s.HandleUpdate(3, leave(time.Second, time.Second))
+		s.AddToReport(&report)
 		assert.Equal(t, report.Stamp, int64(1000))
 		assert.Equal(t, report.HoldVersions["s"], uint64(5))
 	})
