--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -10,7 +10,7 @@
 
 // Fact says that a life of a worker leaves.
 type Fact struct {
-	Worker workers.Life
+	Worker workers.Incarnation
 	// Since is when the first process knew.
 	Since time.Time
 }
@@ -19,7 +19,7 @@
 const sameSince = 250 * time.Millisecond
 
 // Key implements facts.Fact: each life has a fact of its own.
-func (f Fact) Key() workers.Life { return f.Worker }
+func (f Fact) Key() workers.Incarnation { return f.Worker }
 
 // Replaces reports whether a fact is known for longer than another on the same life.
 func (f Fact) Replaces(other Fact) bool { return f.Since.Before(other.Since) }
@@ -33,18 +33,18 @@
 // Told is a fact as processes tell it to each other. Their times of day differ, so times are told
 // as ages.
 type Told struct {
-	Worker    workers.ID   `json:"w"`
-	Born      workers.Born `json:"b,omitempty"`
-	AgeMillis int64        `json:"a,omitempty"`
+	Worker    workers.ID        `json:"w"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	AgeMillis int64             `json:"a,omitempty"`
 }
 
 // Tell describes a fact.
 func Tell(now time.Time, fact Fact) Told {
-	return Told{Worker: fact.Worker.ID, Born: fact.Worker.Born, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
+	return Told{Worker: fact.Worker.ID, Born: fact.Worker.StartTime, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
 }
 
 // Fact returns the fact that was told just now.
 func (t Told) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
-	return Fact{Worker: workers.Life{ID: t.Worker, Born: t.Born}, Since: now.Add(-age)}
+	return Fact{Worker: workers.Incarnation{ID: t.Worker, StartTime: t.Born}, Since: now.Add(-age)}
 }
--- a/internal/departure/departure_test.go
+++ b/internal/departure/departure_test.go
@@ -14,7 +14,7 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func drawFact(t *rapid.T) Fact {
-	life := workers.Life{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), Born: workers.Born(rapid.IntRange(0, 2).Draw(t, "born"))}
+	life := workers.Incarnation{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))}
 	return Fact{Worker: life, Since: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "since")) * time.Second)}
 }
 
@@ -34,7 +34,7 @@
 }
 
 func TestADepartureCountsFromWhoKnewFirst(t *testing.T) {
-	book, life := facts.NewBook[Fact](), workers.Life{ID: "w", Born: 1}
+	book, life := facts.NewBook[Fact](), workers.Incarnation{ID: "w", StartTime: 1}
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(time.Second)}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sameSince)}), "others need not hear of so little")
--- a/internal/estimate/backoffs.go
+++ b/internal/estimate/backoffs.go
@@ -50,10 +50,10 @@
 }
 
 // Left returns for how long the last backoff goes on.
-func (b *Backoffs) Left(now time.Time) time.Duration { return max(0, b.last.Sub(now)) }
+func (b *Backoffs) Remaining(now time.Time) time.Duration { return max(0, b.last.Sub(now)) }
 
 // Lately reports whether the worker has asked for a backoff that lasts, or has ended lately.
-func (b *Backoffs) Lately(now time.Time) bool {
+func (b *Backoffs) IsRecent(now time.Time) bool {
 	return !b.last.IsZero() && now.Before(b.last.Add(backoffMemory))
 }
 
--- a/internal/estimate/backoffs_test.go
+++ b/internal/estimate/backoffs_test.go
@@ -11,14 +11,14 @@
 	now := time.Unix(1000, 0)
 	var b Backoffs
 	assert.Equal(t, b.Share(now, 10), 0.0)
-	assert.Assert(t, !b.Lately(now))
+	assert.Assert(t, !b.IsRecent(now))
 	b.Add(now, 2, 6*time.Second)
 	b.Add(now.Add(time.Second), 3, 3*time.Second)
 	assert.Equal(t, b.Share(now.Add(time.Second), 10), 0.5)
 	assert.Equal(t, b.Share(now.Add(2500*time.Millisecond), 10), 0.2)
 	assert.Equal(t, b.Share(now.Add(4*time.Second), 10), 0.0)
-	assert.Assert(t, b.Lately(now.Add(4*time.Second)), "most ask again")
-	assert.Assert(t, !b.Lately(now.Add(9*time.Second)))
+	assert.Assert(t, b.IsRecent(now.Add(4*time.Second)), "most ask again")
+	assert.Assert(t, !b.IsRecent(now.Add(9*time.Second)))
 	assert.Equal(t, len(b.ends), 0)
 }
 
--- a/internal/estimate/latency.go
+++ b/internal/estimate/latency.go
@@ -111,7 +111,7 @@
 
 // Late returns the share of answers that come later than a time, given their mean: as of
 // a logarithmic normal distribution.
-func (s *Spread) Late(mean, limit time.Duration) float64 {
+func (s *Spread) LateShare(mean, limit time.Duration) float64 {
 	spread := usualSpread
 	if s.known {
 		spread = max(math.Sqrt(s.variance), 0.1)
--- a/internal/estimate/latency_test.go
+++ b/internal/estimate/latency_test.go
@@ -77,7 +77,7 @@
 					late++
 				}
 			}
-			got, want := spread.Late(c.mean, c.limit), float64(late)/float64(count)
+			got, want := spread.LateShare(c.mean, c.limit), float64(late)/float64(count)
 			assert.Assert(t, math.Abs(got-want) < 0.04, "%f, not %f", got, want)
 		})
 	}
--- a/internal/estimate/throttle.go
+++ b/internal/estimate/throttle.go
@@ -35,10 +35,10 @@
 }
 
 // Refused counts a request that was not sent.
-func (t *Throttle) Refused(now time.Time) { t.add(now, 0) }
+func (t *Throttle) RecordRefused(now time.Time) { t.add(now, 0) }
 
 // Sent counts a request that was sent, and whether the worker took it.
-func (t *Throttle) Sent(now time.Time, taken bool) {
+func (t *Throttle) RecordSent(now time.Time, taken bool) {
 	if taken {
 		t.add(now, 1)
 		return
@@ -48,7 +48,7 @@
 }
 
 // Short reports whether the worker has turned a request away within the last two seconds.
-func (t *Throttle) Short(now time.Time) bool {
+func (t *Throttle) HasRecentRejection(now time.Time) bool {
 	t.forget(now)
 	return t.turnedAway >= shortTrace
 }
--- a/internal/estimate/throttle_test.go
+++ b/internal/estimate/throttle_test.go
@@ -28,10 +28,10 @@
 			var throttle Throttle
 			now := time.Unix(1000, 0)
 			for range test.taken {
-				throttle.Sent(now, true)
+				throttle.RecordSent(now, true)
 			}
 			for range test.turnedAway {
-				throttle.Sent(now, false)
+				throttle.RecordSent(now, false)
 			}
 			share := throttle.Share(now.Add(test.later))
 			assert.Assert(t, share >= test.least && share <= test.most, "%v", share)
@@ -48,7 +48,7 @@
 	for step := range 400 { // 100 a second, of which 10 can be taken
 		now = now.Add(10 * time.Millisecond)
 		if throttle.Share(now) > float64(step%10)/10 {
-			throttle.Refused(now)
+			throttle.RecordRefused(now)
 			continue
 		}
 		sent++
@@ -56,7 +56,7 @@
 		if takes {
 			taken++
 		}
-		throttle.Sent(now, takes)
+		throttle.RecordSent(now, takes)
 	}
 	assert.Assert(t, taken >= 35, "%d", taken)
 	assert.Assert(t, sent < 4*taken, "%d sent, %d taken", sent, taken)
--- a/internal/estimate/told.go
+++ b/internal/estimate/told.go
@@ -59,16 +59,16 @@
 // workers) 2,266 of 16,662 arrivals of requests of 400 ms were rejected, and 169 of 14,069
 // since; 0.737 of their worth was earned, and 0.841 since. Of 38,056 requests of 160 ms
 // 32,744 were answered in time, and 35,430 since.
-type Told struct {
+type ReportedValue struct {
 	last float64
 	at   time.Time
 }
 
 // Add takes what is told.
-func (t *Told) Add(now time.Time, figure float64) { t.last, t.at = figure, now }
+func (t *ReportedValue) Add(now time.Time, figure float64) { t.last, t.at = figure, now }
 
 // Expected returns what the figure is expected to be now, given the mean of its kind.
-func (t *Told) Expected(now time.Time, mean float64) float64 {
+func (t *ReportedValue) Expected(now time.Time, mean float64) float64 {
 	if t.at.IsZero() {
 		return mean
 	}
--- a/internal/estimate/told_test.go
+++ b/internal/estimate/told_test.go
@@ -26,7 +26,7 @@
 		"the same as all": {told: true, figure: mean, age: toldMemory, expected: mean},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var told Told
+			var told ReportedValue
 			if c.told {
 				told.Add(now.Add(-c.age), c.figure)
 			}
--- a/internal/facts/book.go
+++ b/internal/facts/book.go
@@ -16,7 +16,7 @@
 	holding atomic.Int32
 	mu      sync.Mutex
 	version uint64
-	entries map[workers.Life]*entry[F]
+	entries map[workers.Incarnation]*entry[F]
 }
 
 // entry is the fact on a key, and the one that others are told, with the version of the book
@@ -27,13 +27,13 @@
 }
 
 // NewBook returns a book that knows nothing.
-func NewBook[F Fact[F]]() *Book[F] { return &Book[F]{entries: map[workers.Life]*entry[F]{}} }
+func NewBook[F Fact[F]]() *Book[F] { return &Book[F]{entries: map[workers.Incarnation]*entry[F]{}} }
 
 // Holding returns how many facts hold.
 func (b *Book[F]) Holding() int { return int(b.holding.Load()) }
 
 // Fact returns what is known on a key; false if nothing is.
-func (b *Book[F]) Fact(key workers.Life) (F, bool) {
+func (b *Book[F]) Fact(key workers.Incarnation) (F, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if one := b.entries[key]; one != nil {
@@ -105,7 +105,7 @@
 func (b *Book[F]) Forget(drop func(F) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	maps.DeleteFunc(b.entries, func(_ workers.Life, one *entry[F]) bool { return drop(one.fact) })
+	maps.DeleteFunc(b.entries, func(_ workers.Incarnation, one *entry[F]) bool { return drop(one.fact) })
 	b.count()
 }
 
@@ -133,6 +133,6 @@
 	return facts
 }
 
-func compareKeys(a, b workers.Life) int {
-	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+func compareKeys(a, b workers.Incarnation) int {
+	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartTime, b.StartTime))
 }
--- a/internal/facts/book_test.go
+++ b/internal/facts/book_test.go
@@ -14,7 +14,7 @@
 	Value int
 }
 
-func (c count) Key() workers.Life         { return workers.Life{ID: c.Of} }
+func (c count) Key() workers.Incarnation  { return workers.Incarnation{ID: c.Of} }
 func (c count) Replaces(other count) bool { return c.Value > other.Value }
 func (c count) TellsSame(other count) bool {
 	return c.Holds() == other.Holds() && c.Value/10 == other.Value/10
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -7,7 +7,7 @@
 // Fact is what is known of a worker, or of one life of it.
 type Fact[F any] interface {
 	// Key returns what the fact is on: the worker's ID alone, or a life of it.
-	Key() workers.Life
+	Key() workers.Incarnation
 	// Replaces reports whether the fact takes the place of another one with the same key. It orders
 	// all facts with a key.
 	Replaces(other F) bool
--- a/internal/facts/member.go
+++ b/internal/facts/member.go
@@ -14,12 +14,12 @@
 	// leads says that this process follows nobody, who would have to be told.
 	leads bool
 	// untold are the keys of facts that the followed process is to be told.
-	untold map[workers.Life]struct{}
+	untold map[workers.Incarnation]struct{}
 }
 
 // NewMember returns a member that knows nothing.
 func NewMember[F Fact[F]]() *Member[F] {
-	return &Member[F]{book: NewBook[F](), untold: map[workers.Life]struct{}{}}
+	return &Member[F]{book: NewBook[F](), untold: map[workers.Incarnation]struct{}{}}
 }
 
 // Book returns what the member knows.
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -76,10 +76,10 @@
 	Zone    string
 	Regions topology.Map
 	// Limits returns how many requests a second a worker takes that names a limit. Nil: none does.
-	Limits func(workers.Life) (perSecond float64, limited bool)
+	Limits func(workers.Incarnation) (perSecond float64, limited bool)
 	// Leaving is called with the workers that say with an answer to an order that they leave. Nil:
 	// nobody wants to know.
-	Leaving func(workers.Life)
+	Leaving func(workers.Incarnation)
 	// Unresolved are processes that may renew what earlier leaders gave until it has
 	// all ended, since they did not answer.
 	Unresolved []election.Renewer
@@ -241,7 +241,7 @@
 	}
 	t.Metrics.answered(of.name, order, reply.Outcome, clock.Since(began))
 	if reply.Leaving && t.Leaving != nil {
-		t.Leaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
+		t.Leaving(workers.Incarnation{ID: order.Target.ID, StartTime: order.Target.Incarnation})
 	}
 	select {
 	case t.answers <- answer{of: of, order: order, reply: reply}:
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -235,7 +235,7 @@
 func TestKeysLeaveAWorkerThatSaysToALeaderThatItLeaves(t *testing.T) {
 	play(t, func(b *bench) {
 		b.orders.leaving = "w1"
-		b.keeper.Leaving = func(life workers.Life) { b.keeper.Workers.Leaves(life, time.Now()) }
+		b.keeper.Leaving = func(life workers.Incarnation) { b.keeper.Workers.MarkLeaving(life, time.Now()) }
 		b.lead(6*time.Second, nil)
 		for _, held := range b.stored() {
 			assert.Equal(b.t, held.Worker, workers.ID("w2"))
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -83,11 +83,11 @@
 		return nil
 	}
 	described := config.Services[of.name]
-	places := make([]owner.PlacementRule, 0, len(described.Places))
-	for _, one := range described.Places {
+	places := make([]owner.PlacementRule, 0, len(described.Placement))
+	for _, one := range described.Placement {
 		places = append(places, owner.PlacementRule{Keys: owner.KeyRange{From: one.From, To: one.To}, Zones: one.Zones})
 	}
-	if regions, bound := config.RegionsOf(of.name); bound && t.Regions.Regions() > 1 {
+	if regions, bound := config.AllowedRegions(of.name); bound && t.Regions.RegionCount() > 1 {
 		return owner.RestrictToZones(places, t.zones(regions))
 	}
 	return places
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -40,11 +40,11 @@
 // A worker that starts again gets its keys under a higher fence, and its speed is measured anew.
 func TestAWorkerThatStartsAgainGetsItsKeysAnew(t *testing.T) {
 	play(t, func(b *bench) {
-		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, Born: 1}
+		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, StartTime: 1}
 		b.keeper.Workers.Replace([]workers.Worker{first}, nil, clock.Now())
 		b.lead(6*time.Second, func() {
 			time.Sleep(4 * time.Second)
-			first.Born = 2
+			first.StartTime = 2
 			b.keeper.Workers.Update([]workers.Worker{first}, nil, nil)
 		})
 		var fences []owner.Fence
--- a/internal/keeper/regions_test.go
+++ b/internal/keeper/regions_test.go
@@ -16,7 +16,7 @@
 func (b *bench) boundTo(version routing.Version, regions ...topology.Region) *routing.Config {
 	route := &routing.Route{
 		Name: "r", Prefix: "/", Timeout: time.Second, Regions: regions,
-		Parts: []routing.Part{{Service: "s", Weight: 1}},
+		Services: []routing.WeightedService{{Service: "s", Weight: 1}},
 	}
 	config, err := routing.Build(version, []*routing.Route{route},
 		map[routing.ServiceName]*routing.Service{"s": {Name: "s", Keyed: true}}, routing.Limits{})
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -100,13 +100,13 @@
 
 // tellLives tells the book of workers that have started again, and forgets how fast they were.
 func (t *tenancy) tellLives(now time.Time, of *service) {
-	list, version := t.Workers.Of(of.name)
+	list, version := t.Workers.ByService(of.name)
 	if version == of.seen {
 		return
 	}
 	of.seen = version
 	for _, worker := range list {
-		if !of.book.ObserveIncarnation(now, worker.Life(), worker.Address) {
+		if !of.book.ObserveIncarnation(now, worker.Incarnation(), worker.Address) {
 			continue
 		}
 		delete(of.work, worker.ID)
@@ -122,7 +122,7 @@
 		of.coldRate = described.ColdRate
 	}
 	of.measureUsual(now, t.Workers)
-	list, _ := t.Workers.Of(of.name)
+	list, _ := t.Workers.ByService(of.name)
 	var candidates []owner.Candidate
 	for _, worker := range list {
 		if worker.State != workers.StateReady || of.book.Failing(now, worker.ID, failingAfter) || t.Workers.Evacuated(worker.Zone) {
@@ -182,7 +182,7 @@
 	if t.Limits == nil {
 		return candidate
 	}
-	if perSecond, limited := t.Limits(worker.Life()); limited {
+	if perSecond, limited := t.Limits(worker.Incarnation()); limited {
 		candidate.Capacity, candidate.Limited = min(candidate.Capacity, perSecond), true
 	}
 	return candidate
@@ -193,7 +193,7 @@
 	var list []peerlink.BackoffShare
 	for _, of := range t.services {
 		for id, one := range of.backoffs {
-			if left := one.Left(now); left > 0 {
+			if left := one.Remaining(now); left > 0 {
 				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
 			}
 		}
@@ -208,7 +208,7 @@
 // lessen lowers a worker's capacity by the share of routers that back off. For as long as it has asked
 // for backoffs lately it gets no more keys.
 func (t *tenancy) lessen(now time.Time, of *service, candidate *owner.Candidate, backoffs *estimate.Backoffs) {
-	if !backoffs.Lately(now) {
+	if !backoffs.IsRecent(now) {
 		delete(of.backoffs, candidate.ID)
 		return
 	}
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -70,10 +70,10 @@
 	Version uint64
 	// Whole says that Owners are all that the keys Within have, or all keys if that is nil; else
 	// they are those of some keys, and the others stay.
-	Whole  bool
-	Within *owner.KeyRange
+	Full  bool
+	Range *owner.KeyRange
 	// Part says that more is to come until the table is as of Version.
-	Part bool
+	Partial bool
 	// Owners are in the order of their keys.
 	Owners []owner.Owner
 }
@@ -87,7 +87,7 @@
 		return
 	}
 	t.set(change.Term, service, change.apply)
-	if !change.Part {
+	if !change.Partial {
 		t.versions[service] = change.Version
 	}
 }
@@ -95,10 +95,10 @@
 // apply returns the owners after the change.
 func (c Change) apply(owners []owner.Owner) []owner.Owner {
 	switch {
-	case !c.Whole:
+	case !c.Full:
 		return overlay(owners, runsOf(c.Owners), c.Owners)
-	case c.Within != nil:
-		return overlay(owners, []owner.KeyRange{*c.Within}, c.Owners)
+	case c.Range != nil:
+		return overlay(owners, []owner.KeyRange{*c.Range}, c.Owners)
 	}
 	return slices.Clone(c.Owners)
 }
@@ -150,7 +150,7 @@
 }
 
 // Within returns the owners of some keys, each run cut at their ends.
-func Within(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
+func Clip(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
 	var within []owner.Owner
 	for _, one := range owners {
 		from, to := max(one.Keys.From, keys.From), min(one.Keys.To, keys.To)
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -86,16 +86,16 @@
 		change Change
 		want   workers.ID
 	}{
-		"older and whole":           {change: Change{Term: 3, Version: 4, Whole: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
+		"older and whole":           {change: Change{Term: 3, Version: 4, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
 		"older, of some keys":       {change: Change{Term: 3, Version: 4, Owners: run(7, 7, "b")}, want: "a"},
-		"the same again":            {change: Change{Term: 3, Version: 5, Whole: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
+		"the same again":            {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
 		"newer, of some keys":       {change: Change{Term: 3, Version: 6, Owners: run(7, 7, "b")}, want: "b"},
-		"of a later leader":         {change: Change{Term: 4, Version: 1, Whole: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
-		"later, of an older leader": {change: Change{Term: 2, Version: 9, Whole: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
+		"of a later leader":         {change: Change{Term: 4, Version: 1, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
+		"later, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New()
-			table.Apply("s", Change{Term: 3, Version: 5, Whole: true, Owners: run(0, owner.KeyCount-1, "a")})
+			table.Apply("s", Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")})
 			table.Apply("s", test.change)
 			held, known := table.Lookup("s", 7)
 			assert.Assert(t, known)
@@ -110,13 +110,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
 		table := New()
-		table.Apply("s", Change{Term: 1, Version: 4, Whole: true, Owners: before})
+		table.Apply("s", Change{Term: 1, Version: 4, Full: true, Owners: before})
 		next := 0
 		for next < owner.KeyCount {
 			keys := owner.KeyRange{From: next, To: min(owner.KeyCount-1, next+rapid.IntRange(0, owner.KeyCount).Draw(t, "piece"))}
 			next = keys.To + 1
 			table.Apply("s", Change{
-				Term: 1, Version: 9, Whole: true, Within: &keys, Part: next < owner.KeyCount, Owners: Within(after, keys),
+				Term: 1, Version: 9, Full: true, Range: &keys, Partial: next < owner.KeyCount, Owners: Clip(after, keys),
 			})
 			_, _, version := table.Owners("s")
 			if whole := next == owner.KeyCount; whole != (version == 9) {
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -12,7 +12,7 @@
 	{
 		name: "what-was-learned-of-a-worker-outlives-its-life",
 		file: "internal/proxy/backend.go",
-		old:  "\treturn worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born",
+		old:  "\treturn worker.StartTime != 0 && b.worker.StartTime != 0 && worker.StartTime != b.worker.StartTime",
 		new:  "\treturn false",
 		pkg:  "./internal/proxy", test: "TestRestartedWorkerStartsWithFreshState",
 	},
@@ -26,8 +26,8 @@
 	{
 		name: "crashes-of-lives-counted-as-one",
 		file: "internal/quarantine/record.go",
-		old:  "workers.Life{ID: c.Worker, Born: c.Born} }",
-		new:  "workers.Life{ID: c.Worker} }",
+		old:  "workers.Incarnation{ID: c.Worker, StartTime: c.Born}",
+		new:  "workers.Incarnation{ID: c.Worker}",
 		pkg:  "./internal/quarantine", test: "TestEachLifeThatCrashesCounts",
 	},
 	{
@@ -68,7 +68,7 @@
 	{
 		name: "standby-renews-another-life",
 		file: "internal/owner/standby.go",
-		old:  "one.Target.ID == life.ID && one.Target.Incarnation != life.Born &&",
+		old:  "one.Target.ID == life.ID && one.Target.Incarnation != life.StartTime &&",
 		new:  "false &&",
 		pkg:  "./internal/owner", test: "TestAStandbyRenewsNothingOfAnotherLife",
 	},
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -20,7 +20,7 @@
 	{
 		name: "word-of-one-life-counts-for-another",
 		file: "internal/workers/leaving.go",
-		old:  "if !announced || !life.MayBe(worker.Life()) {",
+		old:  "if !announced || !life.MayEqual(worker.Incarnation()) {",
 		new:  "if !announced {",
 		pkg:  "./internal/workers", test: "TestWhatDoesNotEndAWorkersOwnWordThatItLeaves",
 	},
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -40,7 +40,7 @@
 	{
 		name: "bound-keys-are-owned-anywhere",
 		file: "internal/keeper/plan.go",
-		old:  "bound && t.Regions.Regions() > 1 {",
+		old:  "bound && t.Regions.RegionCount() > 1 {",
 		new:  "bound && false {",
 		pkg:  "./internal/keeper", test: "TestKeysOfABoundServiceMoveInside",
 	},
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -33,15 +33,15 @@
 	{
 		name: "unknown-key-served",
 		file: "internal/proxy/tenants.go",
-		old:  "	if caller.Finding != tenant.Proved {",
-		new:  "	if caller.Finding == tenant.Missing {",
+		old:  "	if caller.Result != tenant.Authenticated {",
+		new:  "	if caller.Result == tenant.Missing {",
 		pkg:  "./internal/proxy", test: "TestCallersWithoutATenantAreRefusedAtOnce",
 	},
 	{
 		name: "taken-key-goes-on",
 		file: "internal/tenant/index.go",
-		old:  "		return Caller{Finding: TakenAway, Former: former}",
-		new:  "		return Caller{Finding: Proved, Tenant: &routing.Tenant{Name: former.Tenant, Scope: former.Scope}}",
+		old:  "		return Caller{Result: Revoked, RevokedKey: former}",
+		new:  "		return Caller{Result: Authenticated, Tenant: &routing.Tenant{Name: former.Tenant, Scope: former.Scope}}",
 		pkg:  "./internal/proxy", test: "TestKeysComeAndGoWithConfigurations",
 	},
 	{
--- a/internal/operator/apikey.go
+++ b/internal/operator/apikey.go
@@ -32,7 +32,7 @@
 		return output.Fail(Error.Wrap(err))
 	}
 	key := strings.TrimSpace(string(text))
-	if !tenant.Valid(key) {
+	if !tenant.IsValidKey(key) {
 		return output.Fail(Error.New("file %s holds no API key: expected one line of visible ASCII, without blanks", path))
 	}
 	return output.digest(key)
--- a/internal/operator/apikey_test.go
+++ b/internal/operator/apikey_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, info.Mode().Perm(), os.FileMode(keyFileMode))
 	key := strings.TrimSpace(string(text))
-	assert.Assert(t, tenant.Valid(key) && len(key) > 40)
+	assert.Assert(t, tenant.IsValidKey(key) && len(key) > 40)
 	assert.Assert(t, !strings.Contains(result.String()+complaint.String(), key))
 	var digest routing.KeyDigest
 	assert.NilError(t, digest.UnmarshalText(bytes.TrimSpace(result.Bytes())))
--- a/internal/owner/book.go
+++ b/internal/owner/book.go
@@ -14,7 +14,7 @@
 	spans     []*span
 	addresses map[workers.ID]string
 	// lives are the last ones that were announced, of workers that tell of them.
-	lives map[workers.ID]workers.Born
+	lives map[workers.ID]workers.StartTime
 	// change counts changes of owners; stored is the last that is kept safe.
 	change uint64
 	stored uint64
@@ -42,7 +42,7 @@
 		config:     config,
 		fence:      term.FirstFence(),
 		addresses:  map[workers.ID]string{},
-		lives:      map[workers.ID]workers.Born{},
+		lives:      map[workers.ID]workers.StartTime{},
 		unanswered: map[workers.ID]time.Time{},
 		failing:    map[workers.ID]failure{},
 		ended:      map[workers.ID]bool{},
--- a/internal/owner/life.go
+++ b/internal/owner/life.go
@@ -15,12 +15,12 @@
 // fence is told again, since a life has seen none of the fences of the one before.
 //
 // It reports whether the worker has started again.
-func (b *Ledger) ObserveIncarnation(now time.Time, life workers.Life, address string) bool {
+func (b *Ledger) ObserveIncarnation(now time.Time, life workers.Incarnation, address string) bool {
 	before, known := b.lives[life.ID]
-	if life.Born == 0 || before == life.Born {
+	if life.StartTime == 0 || before == life.StartTime {
 		return false
 	}
-	b.lives[life.ID] = life.Born
+	b.lives[life.ID] = life.StartTime
 	if !known {
 		return false
 	}
--- a/internal/owner/life_test.go
+++ b/internal/owner/life_test.go
@@ -15,7 +15,7 @@
 	book := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := fleet(2, 30)
 	for _, one := range candidates {
-		book.ObserveIncarnation(now, workers.Life{ID: one.ID, Born: 1}, one.Address)
+		book.ObserveIncarnation(now, workers.Incarnation{ID: one.ID, StartTime: 1}, one.Address)
 	}
 	book.Assign(now, InitialOwners(candidates[:1], nil))
 	book.MarkStored(book.RecordVersion())
@@ -23,7 +23,7 @@
 }
 
 func (b *Ledger) beganAgain(now time.Time, one Candidate) bool {
-	return b.ObserveIncarnation(now, workers.Life{ID: one.ID, Born: 2}, one.Address)
+	return b.ObserveIncarnation(now, workers.Incarnation{ID: one.ID, StartTime: 2}, one.Address)
 }
 
 // Keys that were granted to the first life were believed to be held by the second until the next
@@ -34,14 +34,14 @@
 	first := grantDue(t, book, now)
 	book.HandleReply(now, first, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !book.Assignment()[0].Moving)
-	assert.Assert(t, !book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 1}, candidates[0].Address))
-	assert.Assert(t, !book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID}, candidates[0].Address), "it says nothing of its start")
+	assert.Assert(t, !book.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 1}, candidates[0].Address))
+	assert.Assert(t, !book.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID}, candidates[0].Address), "it says nothing of its start")
 	assert.Assert(t, book.beganAgain(now, candidates[0]))
 	assert.Assert(t, book.Assignment()[0].Moving)
 	assert.Equal(t, len(book.Holds()), 0, "no standby may renew them")
 	again := grantDue(t, book, now)
 	assert.Assert(t, again.Fence > first.Fence)
-	assert.Equal(t, again.Target.Incarnation, workers.Born(2))
+	assert.Equal(t, again.Target.Incarnation, workers.StartTime(2))
 	book.HandleReply(now, again, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !book.Assignment()[0].Moving)
 }
@@ -62,7 +62,7 @@
 	book.MarkStored(book.RecordVersion())
 	release := grantDue(t, book, now.Add(time.Second))
 	assert.Assert(t, release.Release)
-	book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 3}, candidates[0].Address)
+	book.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 3}, candidates[0].Address)
 	book.HandleReply(now, release, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, grantDue(t, book, now.Add(time.Second)).Release, "the third life may have been renewed")
 }
@@ -133,7 +133,7 @@
 	book, candidates := bornBook(t, now)
 	book.HandleReply(now, grantDue(t, book, now), Reply{Outcome: OutcomeOtherWorker})
 	assert.Assert(t, book.Failing(now, candidates[0].ID, time.Second))
-	book.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 2}, "elsewhere:1")
+	book.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 2}, "elsewhere:1")
 	assert.Assert(t, !book.Failing(now, candidates[0].ID, time.Second))
 	assert.Equal(t, grantDue(t, book, now.Add(time.Second)).Target.Address, "elsewhere:1")
 	assert.Equal(t, book.Assignment()[0].Address, "elsewhere:1")
@@ -141,7 +141,7 @@
 
 func TestAStandbyRenewsNothingOfAnotherLife(t *testing.T) {
 	for name, test := range map[string]struct {
-		told, announced workers.Born
+		told, announced workers.StartTime
 		renews          bool
 	}{
 		"the same life":               {told: 1, announced: 1, renews: true},
@@ -156,7 +156,7 @@
 			hold := Hold{Keys: KeyRange{0, 9}, Target: Target{ID: "w", Address: "a", Incarnation: test.told}, Fence: 7}
 			standby.SetHolds(1, 1, []Hold{hold}, now.Add(time.Minute))
 			standby.LeaderLost()
-			standby.ObserveIncarnation(workers.Life{ID: "w", Born: test.announced})
+			standby.ObserveIncarnation(workers.Incarnation{ID: "w", StartTime: test.announced})
 			assert.Equal(t, len(standby.Due(now)) == 1, test.renews)
 		})
 	}
--- a/internal/owner/model_life_test.go
+++ b/internal/owner/model_life_test.go
@@ -36,7 +36,7 @@
 func (m *model) hearRestart(leader, index int) {
 	one, holder := m.leaders[leader], m.holders[index]
 	one.lives[index] = holder.born
-	one.book.ObserveIncarnation(m.now, workers.Life{ID: holder.id, Born: holder.born}, "a")
+	one.book.ObserveIncarnation(m.now, workers.Incarnation{ID: holder.id, StartTime: holder.born}, "a")
 }
 
 // tellLives ends the time in which a new life is told of fences: whoever leads has heard of
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -55,7 +55,7 @@
 	lateCut bool
 	// born tells its lives apart; zero if it does not tell them. before is the highest fence of
 	// its earlier lives.
-	born   workers.Born
+	born   workers.StartTime
 	before Fence
 	// untold says that nobody can have told this life of a higher fence yet.
 	untold bool
@@ -75,7 +75,7 @@
 	// cut says that the worker was cut off while the order was late.
 	cut bool
 	// born is the life of the worker that the sender had heard of.
-	born workers.Born
+	born workers.StartTime
 }
 
 // modelWrite is a record on its way to the store.
@@ -92,7 +92,7 @@
 	cutOff, dead bool
 	write        *modelWrite
 	// lives are those that the leader was told of.
-	lives [modelWorkers]workers.Born
+	lives [modelWorkers]workers.StartTime
 }
 
 // model is one state, reached by a path of choices.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -54,7 +54,7 @@
 	Address string
 	// Born tells which life of the worker is meant; zero if that is not known. A worker that
 	// started again holds nothing, and has seen no fences.
-	Incarnation workers.Born
+	Incarnation workers.StartTime
 }
 
 // Grant gives keys for a time.
--- a/internal/owner/standby.go
+++ b/internal/owner/standby.go
@@ -65,9 +65,9 @@
 func (s *Standby) HoldsVersion() uint64 { return s.version }
 
 // Began tells which life of a worker is announced. What another life held is not renewed.
-func (s *Standby) ObserveIncarnation(life workers.Life) {
+func (s *Standby) ObserveIncarnation(life workers.Incarnation) {
 	s.holds = slices.DeleteFunc(s.holds, func(one *standbyHold) bool {
-		return one.Target.ID == life.ID && one.Target.Incarnation != life.Born && one.Target.Incarnation != 0 && life.Born != 0
+		return one.Target.ID == life.ID && one.Target.Incarnation != life.StartTime && one.Target.Incarnation != 0 && life.StartTime != 0
 	})
 }
 
--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -29,7 +29,7 @@
 		id := workers.ID(fmt.Sprintf("i-%010x", source.Uint64()>>24))
 		address := fmt.Sprintf("10.%d.%d.%d:%d", source.Intn(256), source.Intn(256), source.Intn(256), 1024+source.Intn(60000))
 		changes = append(changes, NewWorkerChange(coord.Revision(1000+index), workers.Worker{
-			ID: id, Service: "s", Address: address, Zone: "zone-a", Slots: 2, State: workers.StateReady, Born: workers.Born(1764739000000 + index),
+			ID: id, Service: "s", Address: address, Zone: "zone-a", Slots: 2, State: workers.StateReady, StartTime: workers.StartTime(1764739000000 + index),
 		}))
 		if index < ownerCount {
 			keys := owner.KeyRange{From: owner.KeyCount * index / ownerCount, To: owner.KeyCount*(index+1)/ownerCount - 1}
@@ -230,7 +230,7 @@
 			decoded, ok := message.Owners()
 			assert.Assert(t, ok)
 			table.Apply("s", keytable.Change{
-				Term: update.Term, Version: message.Version, Part: message.Part, Whole: message.Whole, Within: message.Keys, Owners: decoded,
+				Term: update.Term, Version: message.Version, Partial: message.Part, Full: message.Whole, Range: message.Keys, Owners: decoded,
 			})
 		}
 	}
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -254,7 +254,7 @@
 	ID      workers.ID `json:"i"`
 	Address string     `json:"a"`
 	// Incarnation is that of the worker that holds refer to; zero if unknown.
-	Incarnation workers.Born `json:"b,omitempty"`
+	Incarnation workers.StartTime `json:"b,omitempty"`
 }
 
 // Report contains what a process has counted and learned since its last report.
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -21,7 +21,7 @@
 
 // limitFact returns a fact on a worker's limit.
 func limitFact(id workers.ID, perSecond float64) workerlimit.Fact {
-	return workerlimit.Fact{Worker: workers.Life{ID: id}, Rate: perSecond, At: time.Now()}
+	return workerlimit.Fact{Worker: workers.Incarnation{ID: id}, Rate: perSecond, At: time.Now()}
 }
 
 // dialLink opens a link as a following process does.
@@ -64,7 +64,7 @@
 	hub.Limits = workerlimit.NewBook().Book
 	hub.Limits.Merge(limitFact("w", 2.5))
 	hub.Leaving = facts.NewBook[departure.Fact]()
-	hub.Leaving.Merge(departure.Fact{Worker: workers.Life{ID: "v"}, Since: time.Now()})
+	hub.Leaving.Merge(departure.Fact{Worker: workers.Incarnation{ID: "v"}, Since: time.Now()})
 	hub.SetBackoffs([]BackoffShare{{Worker: "u", Share: 0.5, RemainingMillis: 900}})
 	notices, err := QueryNotices(t.Context(), address)
 	assert.NilError(t, err)
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -73,7 +73,7 @@
 func (h *Hub) addChangedOwners(update *Update, service routing.ServiceName, published publishedOwners, sent *sentOwners) {
 	changes := h.ownerChanges.between(*sent, published)
 	if !sent.complete() {
-		changes = keytable.Within(changes, owner.KeyRange{To: sent.nextKey - 1})
+		changes = keytable.Clip(changes, owner.KeyRange{To: sent.nextKey - 1})
 	}
 	message := ServiceOwners{Service: service, Version: published.version, Part: published.partial || !sent.complete()}
 	if len(changes) == 0 && message.Version == sent.version && message.Part == sent.partial {
@@ -95,7 +95,7 @@
 	message := ServiceOwners{
 		Service: service, Version: published.version, Whole: true, Keys: &keys, Part: published.partial || !sent.complete(),
 	}
-	message.encode(keytable.Within(published.owners, keys))
+	message.encode(keytable.Clip(published.owners, keys))
 	sent.version, sent.partial = message.Version, message.Part
 	update.Services = append(update.Services, message)
 	if published.needsPieces() {
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -157,8 +157,8 @@
 	if c.tenant != nil {
 		line = line.Str("tenant", string(c.tenant.Name))
 	}
-	if c.removedKey.Gone > 0 {
-		line = line.Str("tenant", string(c.removedKey.Tenant)).Uint64("gone_with", uint64(c.removedKey.Gone))
+	if c.removedKey.RevokedIn > 0 {
+		line = line.Str("tenant", string(c.removedKey.Tenant)).Uint64("gone_with", uint64(c.removedKey.RevokedIn))
 	}
 	if reason == reasonQuarantined {
 		line = line.Str("fingerprint", c.fingerprint().String())
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -41,7 +41,7 @@
 	// othersLoad is the number of requests of other processes at the worker, and slowdown the
 	// relative duration of work, as reported by the worker. means are the averages of both over the
 	// service's workers.
-	othersLoad, slowdown estimate.Told
+	othersLoad, slowdown estimate.ReportedValue
 	means                *reportedMeans
 	// latency measures the time that the worker works on a request.
 	latency estimate.Latency
@@ -86,7 +86,7 @@
 func (b *backend) isOtherIncarnation(worker workers.Worker) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born
+	return worker.StartTime != 0 && b.worker.StartTime != 0 && worker.StartTime != b.worker.StartTime
 }
 
 // update replaces the worker's announced description. If the new one has no incarnation, because the
@@ -94,8 +94,8 @@
 func (b *backend) update(worker workers.Worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if worker.Born == 0 {
-		worker.Born = b.worker.Born
+	if worker.StartTime == 0 {
+		worker.StartTime = b.worker.StartTime
 	}
 	b.worker = worker
 }
--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -43,7 +43,7 @@
 			f.proxy.fleet.get(w).startBackoff(clock.Now(), 3*time.Second)
 		},
 		"draining for too long": func(f *testProxy, w workers.Worker) {
-			f.directory.Leaves(w.Life(), clock.Now().Add(-testDrain))
+			f.directory.MarkLeaving(w.Incarnation(), clock.Now().Add(-testDrain))
 		},
 	} {
 		for name, way := range sendPaths {
@@ -166,7 +166,7 @@
 func TestRestartedWorkerHasNoBackoff(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	first, second := w.entry("pool"), w.entry("pool")
-	first.Born, second.Born = 1, 2
+	first.StartTime, second.StartTime = 1, 2
 	f := newTestProxy(t, first)
 	f.proxy.fleet.get(first).startBackoff(clock.Now(), 3*time.Second)
 	assert.Assert(t, f.proxy.fleet.get(first).backoffLeft(clock.Now()) > 0)
@@ -188,7 +188,7 @@
 			f := newTestProxy(t, w.entry("keyed"))
 			f.assignAllKeys(w.entry("keyed"))
 			f.proxy.KeysStay = func() bool { return test.stay }
-			f.directory.Leaves(w.entry("keyed").Life(), clock.Now().Add(-testDrain))
+			f.directory.MarkLeaving(w.entry("keyed").Incarnation(), clock.Now().Add(-testDrain))
 			began := time.Now()
 			response, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			took := time.Since(began)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -74,7 +74,7 @@
 
 // keepBack says how much of an answer is kept back until it is whole, and for how long.
 func (c *call) keepBack() (most int64, hold time.Duration) {
-	if c.route.Class == routing.BulkDown {
+	if c.route.Class == routing.BulkDownload {
 		return keptDownload, time.Duration(holdShare * float64(c.route.Target))
 	}
 	return keptAnswer, 0
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -28,7 +28,7 @@
 	// tenant is the one whose API key the caller presented; nil if there is none.
 	tenant *routing.Tenant
 	// removedKey describes the caller's API key if that has been removed from the configuration.
-	removedKey tenant.Former
+	removedKey tenant.RevokedKey
 	state      *serviceState
 	key        int
 	began      time.Time
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -168,11 +168,11 @@
 // wasServing reports whether a worker is announced and does not leave; one that has started
 // again meanwhile, whether it did not then.
 func (p *Proxy) wasServing(to *backend) bool {
-	life := to.info().Life()
+	life := to.info().Incarnation()
 	worker, announced := p.fleet.directory.Get(life.ID)
-	if announced && life.Born != 0 && worker.Born != life.Born {
-		worker, announced = p.fleet.directory.Before(life.ID)
-		announced = announced && worker.Born == life.Born
+	if announced && life.StartTime != 0 && worker.StartTime != life.StartTime {
+		worker, announced = p.fleet.directory.PreviousIncarnation(life.ID)
+		announced = announced && worker.StartTime == life.StartTime
 	}
 	return announced && worker.State == workers.StateReady
 }
@@ -182,8 +182,8 @@
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
-	life := to.info().Life()
-	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
+	life := to.info().Incarnation()
+	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.StartTime, At: now}) {
 		TellQuarantined(p.Log, held)
 	}
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -118,10 +118,10 @@
 
 // What a worker was when it closed the connection counts only while its entry tells nothing else.
 func TestWhatEndedAfterItsEntryChanged(t *testing.T) {
-	ready := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady, Born: 1}
+	ready := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady, StartTime: 1}
 	draining, again := ready, ready
 	draining.State = workers.StateDraining
-	again.Born = 2
+	again.StartTime = 2
 	for name, test := range map[string]struct {
 		then    []workers.Worker
 		gone    bool
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -114,7 +114,7 @@
 
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	s := newSizes()
-	small, bulk := &routing.Route{Name: "a"}, &routing.Route{Name: "b", Class: routing.BulkDown}
+	small, bulk := &routing.Route{Name: "a"}, &routing.Route{Name: "b", Class: routing.BulkDownload}
 	assert.Equal(t, s.of(small), float64(usualSmall))
 	assert.Equal(t, s.of(bulk), float64(usualBulk))
 	for range 200 {
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -64,10 +64,10 @@
 			c.claim.owner = nil
 			to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
 			for range 20 {
-				to.throttle.Sent(now, false)
+				to.throttle.RecordSent(now, false)
 			}
 			for range 8 {
-				to.throttle.Sent(now, true)
+				to.throttle.RecordSent(now, true)
 			}
 			counts[c.turnedBack(now, to)]++
 		}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -104,7 +104,7 @@
 	Limits Limits
 	// Leaving is called with the workers that say in their answers that they leave; nil: nobody wants
 	// to know.
-	Leaving func(workers.Life)
+	Leaving func(workers.Incarnation)
 	// KeysStay reports whether no key can move now, since the leader can't store a move; nil: they can.
 	KeysStay func() bool
 	// Outdated reports whether keys may have been taken away that are known here still, so that
@@ -182,7 +182,7 @@
 		return false
 	}
 	route := used.config.Match(request.Host, request.URL.Path)
-	return route != nil && route.Repeatable && route.Class != routing.BulkDown && route.Class != routing.BulkUp
+	return route != nil && route.Repeatable && route.Class != routing.BulkDownload && route.Class != routing.BulkUpload
 }
 
 // Config returns the configuration in force, nil if there is none.
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -14,12 +14,12 @@
 type Limits interface {
 	// Count returns how many workers name a limit, and Limited reports whether one does.
 	Count() int
-	Limited(worker workers.Life) bool
+	Limited(worker workers.Incarnation) bool
 	// Take asks whether a request may leave for a worker within some patience: it then leaves after
 	// wait. If it may not, wait is when to ask again. The answer comes within a time.
-	Take(worker workers.Life, patience, within time.Duration) (wait time.Duration, granted bool)
+	Take(worker workers.Incarnation, patience, within time.Duration) (wait time.Duration, granted bool)
 	// Answered takes what an answer says of its worker's limit.
-	Answered(worker workers.Life, answer *upstream.Result)
+	Answered(worker workers.Incarnation, answer *upstream.Result)
 }
 
 // permitShare is the share of a request's target within which its permit must come.
@@ -34,7 +34,7 @@
 
 // isLimited reports whether a worker names a limit. While none does it costs one load.
 func (p *Proxy) isLimited(to *backend) bool {
-	return p.anyLimited() && p.Limits.Limited(to.info().Life())
+	return p.anyLimited() && p.Limits.Limited(to.info().Incarnation())
 }
 
 // permitted asks whether the request may leave for a worker that may name a limit, within some
@@ -48,7 +48,7 @@
 		return until.Sub(now), false
 	}
 	within := min(time.Duration(permitShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
-	wait, ok = c.proxy.Limits.Take(to.info().Life(), patience, within)
+	wait, ok = c.proxy.Limits.Take(to.info().Incarnation(), patience, within)
 	if !ok {
 		to.limit(clock.Now().Add(wait))
 	}
@@ -72,8 +72,8 @@
 	if limits == nil {
 		return
 	}
-	if limits.Count() > 0 && limits.Limited(worker.Life()) {
+	if limits.Count() > 0 && limits.Limited(worker.Incarnation()) {
 		c.proxy.Metrics.limited(c.service.Name)
 	}
-	limits.Answered(worker.Life(), got)
+	limits.Answered(worker.Incarnation(), got)
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -31,14 +31,14 @@
 	return len(l.named)
 }
 
-func (l *fakeLimits) Limited(worker workers.Life) bool {
+func (l *fakeLimits) Limited(worker workers.Incarnation) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, limited := l.named[worker.ID]
 	return limited
 }
 
-func (l *fakeLimits) Take(workers.Life, time.Duration, time.Duration) (time.Duration, bool) {
+func (l *fakeLimits) Take(workers.Incarnation, time.Duration, time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asked++
@@ -49,7 +49,7 @@
 	return 0, true
 }
 
-func (l *fakeLimits) Answered(_ workers.Life, answer *upstream.Result) {
+func (l *fakeLimits) Answered(_ workers.Incarnation, answer *upstream.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answer = append(l.answer, answer.Limit)
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -19,7 +19,7 @@
 	if result.Leaving {
 		c.proxy.Metrics.noticed(c.service.Name, noticeLeaving)
 		if c.proxy.Leaving != nil {
-			c.proxy.Leaving(to.info().Life())
+			c.proxy.Leaving(to.info().Incarnation())
 		}
 	}
 	c.recordBackoff(to, result)
--- a/internal/proxy/regionlink_test.go
+++ b/internal/proxy/regionlink_test.go
@@ -46,7 +46,7 @@
 		f.proxy.Locate(twoRegions)
 		f.proxy.Nodes.Store(routers)
 		config := testConfig(t, 2)
-		config.Match("app.example", "/safe/").Class = routing.BulkDown
+		config.Match("app.example", "/safe/").Class = routing.BulkDownload
 		assert.Assert(t, f.proxy.Use(config))
 		// Turns are taken evenly here, where they are random else: chance must not decide.
 		pause := time.Duration(answerBytes * routers * time.Second / bulkAcross)
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -16,7 +16,7 @@
 func (p *Proxy) Locate(places topology.Map) {
 	p.fleet.places = places
 	p.fleet.policy = zoned
-	if places.Regions() > 1 {
+	if places.RegionCount() > 1 {
 		p.fleet.policy = regional
 	}
 }
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -142,7 +142,7 @@
 	}{
 		"small, anywhere": {routing.Small, nil, 1},
 		"small, bound":    {routing.Small, []topology.Region{"near"}, 0},
-		"large, anywhere": {routing.BulkDown, nil, 0},
+		"large, anywhere": {routing.BulkDownload, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			silent := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool {
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -19,7 +19,7 @@
 func TestRestartedWorkerStartsWithFreshState(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
-	first := workers.Worker{ID: "w", Service: "s", Address: "127.0.0.1:1", Slots: 2, Born: 1}
+	first := workers.Worker{ID: "w", Service: "s", Address: "127.0.0.1:1", Slots: 2, StartTime: 1}
 	before := f.get(first)
 	before.begin()
 	before.finish(now, &upstream.Result{Outcome: upstream.Misdirected})
@@ -28,7 +28,7 @@
 	assert.Assert(t, f.get(first) == before)
 
 	second := first
-	second.Born, second.Address = 2, "127.0.0.1:2"
+	second.StartTime, second.Address = 2, "127.0.0.1:2"
 	after := f.get(second)
 	assert.Assert(t, after.usable(now))
 	assert.Equal(t, after.pool.Address(), second.Address)
@@ -37,7 +37,7 @@
 	assert.Assert(t, !measured)
 
 	byAddress := second
-	byAddress.Born = 0 // an owner of keys that is known only by its address
+	byAddress.StartTime = 0 // an owner of keys that is known only by its address
 	assert.Assert(t, f.get(byAddress) == after)
 	assert.Assert(t, f.get(second) == after)
 }
@@ -47,15 +47,15 @@
 func TestRestartedWorkerWarmsUpFromItsOwnStart(t *testing.T) {
 	now := time.Now()
 	f := newFleet("z", workers.NewDirectory(), BudgetLimits{})
-	first := workers.Worker{ID: "w", Service: "s", Slots: 2, Born: 1, WarmAt: now.Add(3 * time.Second)}
+	first := workers.Worker{ID: "w", Service: "s", Slots: 2, StartTime: 1, WarmAt: now.Add(3 * time.Second)}
 	f.get(first).admit(now, 4, 1)
 	now = now.Add(2 * time.Second)
 	assert.Assert(t, f.get(first).admit(now, 4, 1), "saved up")
 	second := first
-	second.Born, second.WarmAt = 2, now.Add(3*time.Second)
+	second.StartTime, second.WarmAt = 2, now.Add(3*time.Second)
 	admitted := 0
 	for range 400 {
-		second.Born++
+		second.StartTime++
 		if f.get(second).admit(now, 4, 1) {
 			admitted++
 		}
@@ -69,7 +69,7 @@
 func TestImmediateRestartCountsAsCrash(t *testing.T) {
 	for name, test := range map[string]struct {
 		state       workers.State
-		incarnation workers.Born
+		incarnation workers.StartTime
 		removed     bool
 		crashed     int
 	}{
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
 			entry := w.entry("keyed")
-			entry.Born = 1
+			entry.StartTime = 1
 			f := newTestProxy(t, entry)
 			f.assignAllKeys(entry)
 			logged := &lines{}
@@ -93,7 +93,7 @@
 			if test.removed {
 				f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 			}
-			entry.State, entry.Born = workers.StateReady, test.incarnation
+			entry.State, entry.StartTime = workers.StateReady, test.incarnation
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			f.proxy.Log.Close()
@@ -113,11 +113,11 @@
 func TestRequestSentBeforeRestartIsNotResent(t *testing.T) {
 	w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
 	entry := w.entry("pool")
-	entry.Born = 1
+	entry.StartTime = 1
 	f := newTestProxy(t, entry)
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		entry.Born = 2
+		entry.StartTime = 2
 		f.directory.Update([]workers.Worker{entry}, nil, nil)
 	}()
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -38,7 +38,7 @@
 func (s *serviceState) lateShare(mean, target time.Duration) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.latencySpread.Late(mean, target)
+	return s.latencySpread.LateShare(mean, target)
 }
 
 // enqueue counts one more waiting request. It returns false if limit requests are already waiting; a
--- a/internal/proxy/sizes_test.go
+++ b/internal/proxy/sizes_test.go
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newTestProxy(t)
 			c := &call{
-				proxy: f.proxy, route: &routing.Route{Name: "r", Class: routing.BulkDown},
+				proxy: f.proxy, route: &routing.Route{Name: "r", Class: routing.BulkDownload},
 				service: &routing.Service{Name: "pool"}, message: upstream.Message{Length: test.up},
 			}
 			for range 100 {
--- a/internal/proxy/swaps.go
+++ b/internal/proxy/swaps.go
@@ -53,7 +53,7 @@
 	where func(routing.ServiceName) whereabouts) routing.ServiceName {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, part := range route.Parts {
+	for _, part := range route.Services {
 		if part.Weight <= 0 || keyed(part.Service) == keyed(dealt) {
 			continue
 		}
@@ -79,7 +79,7 @@
 func (c *call) part(used *active) *routing.Service {
 	dealt := used.splitter.Pick(c.route)
 	fleet := c.proxy.fleet
-	if len(c.route.Parts) > 1 && fleet.places.Regions() > 1 && !c.bound() && bulky(c.route.Class, fleet.sizes.of(c.route)) {
+	if len(c.route.Services) > 1 && fleet.places.RegionCount() > 1 && !c.bound() && bulky(c.route.Class, fleet.sizes.of(c.route)) {
 		keyed := func(name routing.ServiceName) bool { return c.config.Services[name].Keyed }
 		dealt = used.swaps.pick(c.route, dealt, keyed, c.whereabouts)
 	}
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -26,7 +26,7 @@
 		"the pool is off":  {[2]int{1, 0}, 2100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			route := &routing.Route{Parts: []routing.Part{{Service: "keyed", Weight: test.weights[0]}, {Service: "pool", Weight: test.weights[1]}}}
+			route := &routing.Route{Services: []routing.WeightedService{{Service: "keyed", Weight: test.weights[0]}, {Service: "pool", Weight: test.weights[1]}}}
 			splitter := routing.NewSplitter(func(int) int { return 0 })
 			s := newSwaps()
 			dealt, crossed := 0, 0
@@ -62,8 +62,8 @@
 	f.proxy.Locate(twoRegions)
 	config := testConfig(t, 2)
 	route := config.Match("app.example", "/safe/")
-	route.Class = routing.BulkDown
-	route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}
+	route.Class = routing.BulkDownload
+	route.Services = []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}
 	assert.Assert(t, f.proxy.Use(config))
 	half := owner.KeyCount / 2
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{
@@ -85,7 +85,7 @@
 // waited there, while the pool that it was dealt to was free.
 func TestSwapsExchangeWhatCanBeServed(t *testing.T) {
 	isKeyed := func(name routing.ServiceName) bool { return name == "keyed" }
-	route := &routing.Route{Parts: []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
+	route := &routing.Route{Services: []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
 	for name, test := range map[string]struct {
 		dealt       routing.ServiceName
 		keyed, pool whereabouts
@@ -132,8 +132,8 @@
 			f.proxy.Locate(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
-			route.Class = routing.BulkDown
-			route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
+			route.Class = routing.BulkDownload
+			route.Services = []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
 			assert.Assert(t, f.proxy.Use(config))
 			if test.owner != "" {
 				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -13,7 +13,7 @@
 	reasonKeyMissing   = string(tenant.Missing)
 	reasonKeyMalformed = string(tenant.Malformed)
 	reasonKeyUnknown   = string(tenant.Unknown)
-	reasonKeyTakenAway = string(tenant.TakenAway)
+	reasonKeyTakenAway = string(tenant.Revoked)
 	// reasonOutdated: keys may have been taken away that are known here still.
 	reasonOutdated = "configuration-outdated"
 )
@@ -50,10 +50,10 @@
 	if c.route.Public {
 		return true
 	}
-	if caller.Finding != tenant.Proved {
-		c.removedKey = caller.Former
+	if caller.Result != tenant.Authenticated {
+		c.removedKey = caller.RevokedKey
 		c.writer.Header().Set("WWW-Authenticate", tenant.Scheme)
-		c.refuse(http.StatusUnauthorized, string(caller.Finding), 0)
+		c.refuse(http.StatusUnauthorized, string(caller.Result), 0)
 		return false
 	}
 	c.tenant = caller.Tenant
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	public := &routing.Route{
 		Name: "public", Host: "app.example", Prefix: "/safe/public/", Repeatable: true, Public: true, Attempts: 2,
-		Timeout: 2 * time.Second, Target: 400 * time.Millisecond, Parts: []routing.Part{{Service: "pool", Weight: 1}},
+		Timeout: 2 * time.Second, Target: 400 * time.Millisecond, Services: []routing.WeightedService{{Service: "pool", Weight: 1}},
 	}
 	config := testConfig(t, version, public)
 	tenants := map[routing.TenantName]*routing.Tenant{}
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -15,7 +15,7 @@
 	if random >= b.throttle.Share(now) {
 		return false
 	}
-	b.throttle.Refused(now)
+	b.throttle.RecordRefused(now)
 	return true
 }
 
@@ -23,15 +23,15 @@
 func (b *backend) count(now time.Time, got *upstream.Result) {
 	switch got.Outcome {
 	case upstream.Answered, upstream.Late:
-		b.throttle.Sent(now, true)
+		b.throttle.RecordSent(now, true)
 	case upstream.TurnedAway:
-		b.throttle.Sent(now, false)
+		b.throttle.RecordSent(now, false)
 	case upstream.NotRun:
 		if got.Status != http.StatusMisdirectedRequest && !got.Load.Idle(got.Loaded) {
-			b.throttle.Sent(now, false)
+			b.throttle.RecordSent(now, false)
 		}
 	case upstream.Broken:
-		b.throttle.Sent(now, got.Status != 0 || got.Took > rejectionResetWindow)
+		b.throttle.RecordSent(now, got.Status != 0 || got.Took > rejectionResetWindow)
 	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // say nothing of the worker's room
 	}
 }
@@ -41,12 +41,12 @@
 func (b *backend) shortage(now time.Time) (share float64, short bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.throttle.Share(now), b.throttle.Short(now)
+	return b.throttle.Share(now), b.throttle.HasRecentRejection(now)
 }
 
 // refuseUnasked counts a request for the worker that is refused without asking it.
 func (b *backend) refuseUnasked(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.throttle.Refused(now)
+	b.throttle.RecordRefused(now)
 }
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -203,7 +203,7 @@
 		return &routing.Route{
 			Name: prefix, Host: "app.example", Prefix: prefix, Repeatable: repeatable, Attempts: 2,
 			Timeout: 2 * time.Second, Target: 400 * time.Millisecond,
-			Parts: []routing.Part{{Service: routing.ServiceName(service), Weight: 1}},
+			Services: []routing.WeightedService{{Service: routing.ServiceName(service), Weight: 1}},
 		}
 	}
 	services := map[routing.ServiceName]*routing.Service{
@@ -212,7 +212,7 @@
 	single := route("/single/", "pool", true)
 	single.Attempts = 1
 	up, down := route("/up/", "pool", false), route("/down/", "pool", true)
-	up.Class, down.Class = routing.BulkUp, routing.BulkDown
+	up.Class, down.Class = routing.BulkUpload, routing.BulkDownload
 	routes := append([]*routing.Route{
 		route("/safe/", "pool", true), route("/unsafe/", "pool", false), route("/keyed/", "keyed", true),
 		route("/keyed-once/", "keyed", false), single, up, down,
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -20,7 +20,7 @@
 	records map[Fingerprint]*Record
 	// ended are the workers that crashed lately, whatever was under way there, and crowds count
 	// them.
-	ended   map[workers.Life]time.Time
+	ended   map[workers.Incarnation]time.Time
 	crowds  crowds
 	version uint64
 	// dropped counts the suspects that were forgotten to make room.
@@ -29,7 +29,7 @@
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	return &Book{records: map[Fingerprint]*Record{}, ended: map[workers.Life]time.Time{}, crowds: crowds{}}
+	return &Book{records: map[Fingerprint]*Record{}, ended: map[workers.Incarnation]time.Time{}, crowds: crowds{}}
 }
 
 // Version counts the changes of the book.
@@ -173,7 +173,7 @@
 		}
 		return old
 	})
-	maps.DeleteFunc(b.ended, func(_ workers.Life, at time.Time) bool { return now.Sub(at) >= suspectMemory })
+	maps.DeleteFunc(b.ended, func(_ workers.Incarnation, at time.Time) bool { return now.Sub(at) >= suspectMemory })
 	b.crowds.forget(now.Add(-suspectMemory))
 }
 
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -303,11 +303,11 @@
 // crashed it again and again was never held.
 func TestEachLifeThatCrashesCounts(t *testing.T) {
 	for name, test := range map[string]struct {
-		lives []workers.Born
+		lives []workers.StartTime
 		held  bool
 	}{
-		"three lives":                {lives: []workers.Born{1, 2, 3}, held: true},
-		"one life, told three times": {lives: []workers.Born{1, 1, 1}},
+		"three lives":                {lives: []workers.StartTime{1, 2, 3}, held: true},
+		"one life, told three times": {lives: []workers.StartTime{1, 1, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
--- a/internal/quarantine/leaders_test.go
+++ b/internal/quarantine/leaders_test.go
@@ -138,7 +138,7 @@
 					continue
 				}
 				worker := workers.ID(rapid.StringMatching("[a-e]").Draw(t, "worker"))
-				b.Crashed(now, one, Crash{Worker: worker, Born: workers.Born(now.Unix()), At: now})
+				b.Crashed(now, one, Crash{Worker: worker, Born: workers.StartTime(now.Unix()), At: now})
 			}
 			lists[index] = b.Records()
 		}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -47,14 +47,16 @@
 type Crash struct {
 	Worker workers.ID
 	// Born tells the lives of a worker apart that starts again under its ID: each crash counts.
-	Born workers.Born
+	Born workers.StartTime
 	// Caller had asked for what was under way.
 	Caller netip.Addr
 	At     time.Time
 }
 
 // life returns the life of the worker that crashed.
-func (c Crash) life() workers.Life { return workers.Life{ID: c.Worker, Born: c.Born} }
+func (c Crash) life() workers.Incarnation {
+	return workers.Incarnation{ID: c.Worker, StartTime: c.Born}
+}
 
 // same reports whether two crashes are one, with the request of the same caller under way. Their
 // times may differ by what messages took.
@@ -220,7 +222,7 @@
 // ends returns when each of the request's workers crashed, in order.
 func (r Record) ends() []time.Time {
 	var ends []time.Time
-	ended := make(map[workers.Life]bool, len(r.Crashes))
+	ended := make(map[workers.Incarnation]bool, len(r.Crashes))
 	for _, crash := range r.Crashes {
 		if !ended[crash.life()] {
 			ended[crash.life()] = true
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -43,8 +43,8 @@
 type SnapshotCrash struct {
 	Worker workers.ID `json:"w"`
 	// Born tells the life of the worker; zero if it tells none.
-	Born      workers.Born `json:"b,omitempty"`
-	AgeMillis int64        `json:"a"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	AgeMillis int64             `json:"a"`
 	// Caller asked.
 	Caller netip.Addr `json:"c,omitzero"`
 }
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -68,7 +68,7 @@
 	}
 	if compiled.Keyed {
 		compiled.Key = keyReader(service)
-		compiled.Places = places(service)
+		compiled.Placement = places(service)
 		compiled.ChurnWeight = service.Placement.ChurnWeight
 		compiled.MovesPerMinute = orDefault(service.Placement.MovesPerMinute, defaultMoves)
 	}
@@ -105,7 +105,7 @@
 		Timeout:    deadline,
 		Target:     min(deadline/targetShare, longestTarget),
 		Attempts:   attempts,
-		Parts:      []routing.Part{{Service: name, Weight: 1}},
+		Services:   []routing.WeightedService{{Service: name, Weight: 1}},
 	}
 }
 
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -93,16 +93,16 @@
 }
 
 // places returns the zones that may hold each block of keys.
-func places(service bundle.Service) []routing.Place {
-	list := make([]routing.Place, 0, len(service.Partitions))
+func places(service bundle.Service) []routing.PlacementRule {
+	list := make([]routing.PlacementRule, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
 		first, last := block(service, partition.Name)
-		place := routing.Place{From: first, To: last}
+		place := routing.PlacementRule{From: first, To: last}
 		for _, zone := range partition.Zones {
 			place.Zones = append(place.Zones, string(zone))
 		}
 		list = append(list, place)
 	}
-	slices.SortFunc(list, func(a, b routing.Place) int { return a.From - b.From })
+	slices.SortFunc(list, func(a, b routing.PlacementRule) int { return a.From - b.From })
 	return list
 }
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -10,8 +10,8 @@
 var classes = map[bundle.Bodies]routing.BodyClass{
 	"":                    routing.Small,
 	bundle.BodiesSmall:    routing.Small,
-	bundle.BodiesBulkUp:   routing.BulkUp,
-	bundle.BodiesBulkDown: routing.BulkDown,
+	bundle.BodiesBulkUp:   routing.BulkUpload,
+	bundle.BodiesBulkDown: routing.BulkDownload,
 }
 
 // compileTenants returns the tenants of all teams, each in the scope of its team.
--- a/internal/registry/tenants_test.go
+++ b/internal/registry/tenants_test.go
@@ -34,7 +34,7 @@
 	})
 	bookings, tables := compiled.Config.Match("tawila.example", "/bookings/7"), compiled.Config.Match("x", "/tables/7")
 	assert.Assert(t, bookings.Public && !tables.Public && !tables.Open)
-	assert.Equal(t, bookings.Class, routing.BulkUp)
+	assert.Equal(t, bookings.Class, routing.BulkUpload)
 	assert.DeepEqual(t, bookings.Regions, []topology.Region{"west", "east"})
 	assert.Equal(t, tables.Scope, routing.Scope("tawila"))
 	assert.Assert(t, compiled.Config.Match("x", "/open/7").Open, "a team without tenants asks for no key")
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -157,8 +157,8 @@
 	}
 	line := v.r.log.Line(decision.KindConfig).Uint64("version", uint64(config.Version)).Int("routes", config.Routes()).
 		Int64("revision", int64(v.at))
-	if len(config.Remarks) > 0 {
-		line = line.Strs("remarks", config.Remarks)
+	if len(config.Warnings) > 0 {
+		line = line.Strs("remarks", config.Warnings)
 	}
 	line.Msg("in force")
 }
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -268,7 +268,7 @@
 // lease renewal and all reads and writes of the leader would cross regions, and a region that loses
 // the store would lose the leader with it. The latency of the fastest call indicates the region.
 func (r *Router) distanceDelay() time.Duration {
-	if r.zoneMap.Regions() <= 1 {
+	if r.zoneMap.RegionCount() <= 1 {
 		return 0
 	}
 	return min(maxDistanceDelay, distanceFactor*r.store.roundTrip())
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -34,7 +34,7 @@
 
 // noteLeaving records that a worker has announced to this process, in response to a request or an
 // order, that it leaves.
-func (l *leavingWorkers) noteLeaving(worker workers.Life) {
+func (l *leavingWorkers) noteLeaving(worker workers.Incarnation) {
 	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Learn, seenBySelf)
 }
 
@@ -56,7 +56,7 @@
 	if !record(fact) {
 		return
 	}
-	l.r.workers.Leaves(fact.Worker, fact.Since)
+	l.r.workers.MarkLeaving(fact.Worker, fact.Since)
 	l.r.log.Line(decision.KindWorkerLeaving).Str("worker", string(fact.Worker.ID)).Str("seen_by", seenBy).
 		Float64("for", clock.Since(fact.Since).Seconds()).Msg("")
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -25,11 +25,11 @@
 		func() float64 { return gaugeValue(r.updates.live()) })
 	gauge("shalefork_router_workers", "Workers that are announced.", func() float64 { return float64(r.workers.Count()) })
 	gauge("shalefork_router_kept_workers", "Workers that are kept although their entries went: these may have lapsed with the key-value service.",
-		func() float64 { return float64(r.workers.Kept()) })
+		func() float64 { return float64(r.workers.KeptCount()) })
 	gauge("shalefork_router_evacuated_zones", "Zones whose workers are to get no work.", func() float64 {
 		return float64(len(r.workers.EvacuatedZones()))
 	})
-	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.Cold()) })
+	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.ColdCount()) })
 	gauge("shalefork_router_leaving_workers", "Workers that have said in an answer that they leave, here or to another router.",
 		func() float64 { return float64(r.leaving.member.Book().Holding()) })
 	gauge("shalefork_router_limited_workers", "Workers that name a limit of requests a second from all routers together.",
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -259,7 +259,7 @@
 // known returns the revisions that this process has read.
 func (r *Router) readState() peerlink.ReadState {
 	return peerlink.ReadState{
-		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.Settling().Milliseconds(),
+		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.SettlingLeft().Milliseconds(),
 	}
 }
 
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -21,7 +21,7 @@
 func (v *workersView) readEntry(item coord.Item) peerlink.WorkerChange {
 	worker, err := v.r.adapter.ParseWorker(item)
 	id := v.r.adapter.WorkerID(item.Key)
-	if err == nil && worker.Born == 0 {
+	if err == nil && worker.StartTime == 0 {
 		err = v.checkStartTime(id, item.Revision)
 	}
 	if err == nil {
@@ -37,7 +37,7 @@
 func (v *workersView) checkStartTime(id workers.ID, revision coord.Revision) error {
 	known, announced := v.r.workers.Get(id)
 	before, refused := v.unreadable[id]
-	if (announced && known.Born != 0) || (refused && before.revision == revision) {
+	if (announced && known.StartTime != 0) || (refused && before.revision == revision) {
 		return &workers.EntryError{Reason: workers.ReasonMissing, Field: "born"}
 	}
 	return nil
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -65,7 +65,7 @@
 			assert.Assert(t, learn(r.entriesView))
 			worker, known := r.workers.Get("a")
 			assert.Assert(t, known)
-			assert.Equal(t, worker.Born, workers.Born(5))
+			assert.Equal(t, worker.StartTime, workers.StartTime(5))
 			_, known = r.workers.Get("b")
 			assert.Assert(t, !known)
 			assert.Assert(t, r.workers.Unreadable("b"))
@@ -84,7 +84,7 @@
 				r := newTestRouter(t)
 				view := r.entriesView
 				view.Snapshot([]coord.Item{item("a", 8, state)}, 10)
-				r.workers.Settle(time.Now().Add(time.Minute))
+				r.workers.BeginSettling(time.Now().Add(time.Minute))
 				view.Changed([]coord.Event{{Item: overwrittenItem("a", 11)}}, 11)
 				usable, _ := r.workers.Usable("s")
 				assert.Equal(t, len(usable), 0)
@@ -118,11 +118,11 @@
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, "ready 1")}, 10)
 	view.Changed([]coord.Event{{Item: item("a", 12, "ready 2")}}, 12)
-	late := peerlink.NewWorkerChange(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, Born: 1})
+	late := peerlink.NewWorkerChange(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, StartTime: 1})
 	assert.Assert(t, view.applyRelayed(peerlink.EntryChanges{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
 	view.Snapshot([]coord.Item{item("a", 11, "draining 1")}, 11)
 	worker, _ := r.workers.Get("a")
-	assert.Equal(t, worker.Born, workers.Born(2))
+	assert.Equal(t, worker.StartTime, workers.StartTime(2))
 	assert.Equal(t, worker.State, workers.StateReady)
 	assert.Equal(t, r.workers.DrainingFor("a"), time.Duration(0))
 }
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -65,7 +65,7 @@
 	// lapsed is whether the entry expired in an outage of the service.
 	lapsed bool
 	// born is the incarnation of the worker.
-	born workers.Born
+	born workers.StartTime
 }
 
 func newViewModel(t *testing.T) *viewModel {
@@ -85,7 +85,7 @@
 func (b *viewModel) announce(state workers.State) {
 	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.born)}}})
 	assert.NilError(b.t, err)
-	worker := workers.Worker{ID: "a", Service: "s", State: state, Born: b.born}
+	worker := workers.Worker{ID: "a", Service: "s", State: state, StartTime: b.born}
 	b.changes = append(b.changes, peerlink.NewWorkerChange(at, worker))
 }
 
@@ -237,7 +237,7 @@
 // check returns an error if the first router's current view is wrong.
 func (b *viewModel) check() error {
 	believed := usable(b.router) > 0
-	downMeanwhile := b.storeDown && (b.lapsed || b.router.workers.Kept() > 0 || !believed)
+	downMeanwhile := b.storeDown && (b.lapsed || b.router.workers.KeptCount() > 0 || !believed)
 	if downMeanwhile || b.cut && !(b.leads && b.leaderLinked && !b.leaderIsCut) {
 		b.lastUninformed = time.Now()
 	}
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -78,13 +78,13 @@
 func (l *workerLimits) Count() int { return l.book.Holding() }
 
 // Limited implements proxy.Limits.
-func (l *workerLimits) Limited(worker workers.Life) bool {
+func (l *workerLimits) Limited(worker workers.Incarnation) bool {
 	_, limited := l.book.Rate(worker)
 	return limited
 }
 
 // Answered implements proxy.Limits.
-func (l *workerLimits) Answered(worker workers.Life, answer *upstream.Result) {
+func (l *workerLimits) Answered(worker workers.Incarnation, answer *upstream.Result) {
 	switch {
 	case answer.Limit.Naming == upstream.Limited:
 		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
@@ -133,7 +133,7 @@
 }
 
 // Take implements proxy.Limits.
-func (l *workerLimits) Take(worker workers.Life, maxWait, timeout time.Duration) (time.Duration, bool) {
+func (l *workerLimits) Take(worker workers.Incarnation, maxWait, timeout time.Duration) (time.Duration, bool) {
 	fact, known := l.book.Fact(worker)
 	if !known || fact.Ended {
 		return 0, true
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -46,7 +46,7 @@
 	list := make([]peerlink.WorkerChange, 0, len(items))
 	for _, item := range items {
 		change := v.readEntry(item)
-		change.LearnedAt = v.r.workers.ListedSince(since)
+		change.LearnedAt = v.r.workers.EarliestListChange(since)
 		list = append(list, change)
 	}
 	v.replace(list, at, since)
@@ -60,7 +60,7 @@
 	v.r.listSizeKnown.close()
 	announced := make([]workers.Worker, 0, len(list))
 	unusable := map[workers.ID]unreadableEntry{}
-	learned := workers.Learned{}
+	learned := workers.LearnedTimes{}
 	for _, change := range list {
 		v.r.entries.noteRead(change.Revision)
 		if change.Unreadable != nil {
@@ -168,7 +168,7 @@
 	}
 	var changed []workers.Worker
 	var gone []workers.ID
-	learned := workers.Learned{}
+	learned := workers.LearnedTimes{}
 	for id, change := range last {
 		learned[id] = change.LearnedAt
 		v.noteUnreadable(change)
@@ -195,7 +195,7 @@
 	}
 	for _, id := range vanished.Kept {
 		v.r.log.Line(decision.KindWorker).Str("worker", string(id)).Str("state", "kept").
-			Int64("revision", int64(at)).Float64("for", v.r.workers.Settling().Seconds()).Msg("entry vanished, but may merely have expired; keeping the worker")
+			Int64("revision", int64(at)).Float64("for", v.r.workers.SettlingLeft().Seconds()).Msg("entry vanished, but may merely have expired; keeping the worker")
 	}
 }
 
@@ -229,7 +229,7 @@
 	if caughtUp := since.Add(v.r.settings.CatchUp.Std() - catchUpMargin); caughtUp.Before(until) {
 		until = caughtUp
 	}
-	v.r.workers.Settle(until)
+	v.r.workers.BeginSettling(until)
 	v.r.log.Line(decision.KindStoreBack).Str("for", "workers").Float64("away", now.Sub(v.lostAt).Seconds()).
 		Float64("waits", max(0, until.Sub(now)).Seconds()).Msg("")
 }
@@ -245,5 +245,5 @@
 	if !r.entries.storeUnreachable(now) {
 		each = r.settings.Drain.Std()/2 - catchUpMargin
 	}
-	r.workers.SettleTold(now.Add(settle), each)
+	r.workers.BeginPeerSettling(now.Add(settle), each)
 }
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -34,7 +34,7 @@
 			}
 			state, born, _ := strings.Cut(string(item.Value), " ")
 			at, _ := strconv.Atoi(born)
-			return workers.Worker{ID: id, Service: "s", State: workers.State(state), Born: workers.Born(at)}, nil
+			return workers.Worker{ID: id, Service: "s", State: workers.State(state), StartTime: workers.StartTime(at)}, nil
 		},
 	}
 	times := settings.Router{Drain: bundle.Duration(drainTime), CatchUp: bundle.Duration(catchUpTime)}
--- a/internal/routing/regions.go
+++ b/internal/routing/regions.go
@@ -8,7 +8,7 @@
 
 // RegionsOf returns the only regions in which a service can be asked for: those that any route
 // to it allows. bound is false if some route to it may be served anywhere, or none leads there.
-func (c *Config) RegionsOf(service ServiceName) (regions []topology.Region, bound bool) {
+func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, bound bool) {
 	for _, route := range c.routes {
 		if !route.leadsTo(service) {
 			continue
@@ -27,5 +27,5 @@
 
 // leadsTo reports whether any of the route's requests go to a service.
 func (r *Route) leadsTo(service ServiceName) bool {
-	return slices.ContainsFunc(r.Parts, func(one Part) bool { return one.Service == service && one.Weight > 0 })
+	return slices.ContainsFunc(r.Services, func(one WeightedService) bool { return one.Service == service && one.Weight > 0 })
 }
--- a/internal/routing/regions_test.go
+++ b/internal/routing/regions_test.go
@@ -12,7 +12,7 @@
 	route := func(weight int, regions ...topology.Region) *Route {
 		return &Route{
 			Prefix: "/", Timeout: 1, Regions: regions,
-			Parts: []Part{{Service: "s", Weight: weight}, {Service: "other", Weight: 1}},
+			Services: []WeightedService{{Service: "s", Weight: weight}, {Service: "other", Weight: 1}},
 		}
 	}
 	for name, test := range map[string]struct {
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			config, err := Build(1, test.routes, map[ServiceName]*Service{"s": {}, "other": {}}, Limits{})
 			assert.NilError(t, err)
-			got, bound := config.RegionsOf("s")
+			got, bound := config.AllowedRegions("s")
 			assert.DeepEqual(t, got, test.want)
 			assert.Equal(t, bound, len(test.want) > 0)
 		})
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -52,11 +52,11 @@
 	// Attempts is the most workers that one request is sent to.
 	Attempts int
 	// Parts share the route's requests by weight.
-	Parts []Part
+	Services []WeightedService
 }
 
 // Part is one service's share of a route.
-type Part struct {
+type WeightedService struct {
 	Service ServiceName
 	Weight  int
 }
@@ -65,7 +65,7 @@
 type KeyReader func(request *http.Request) (int, bool)
 
 // Place says which zones may hold a run of keys, both ends inside.
-type Place struct {
+type PlacementRule struct {
 	From, To int
 	Zones    []string
 }
@@ -88,7 +88,7 @@
 	Key KeyReader
 	// Places restrict where keys may be held; keys outside of all of them may be
 	// held anywhere. In the order of the keys.
-	Places []Place
+	Placement []PlacementRule
 	// ChurnWeight from 0 to 1 weighs moves for balance: at 1 there are none.
 	ChurnWeight float64
 	// MovesPerMinute bounds moves for balance.
@@ -120,9 +120,9 @@
 	Tenants map[TenantName]*Tenant
 	// Remarks are what operators should know of the configuration, which is in force all the
 	// same.
-	Remarks []string
-	routes  []*Route
-	byHost  map[string][]*Route
+	Warnings []string
+	routes   []*Route
+	byHost   map[string][]*Route
 }
 
 // Build checks the parts of a configuration and indexes them.
@@ -150,11 +150,11 @@
 		return Error.New("route %q: prefix %q must start with a slash", route.Name, route.Prefix)
 	case route.Timeout <= 0:
 		return Error.New("route %q: the timeout must be above zero", route.Name)
-	case len(route.Parts) == 0:
+	case len(route.Services) == 0:
 		return Error.New("route %q: no service", route.Name)
 	}
 	total := 0
-	for _, part := range route.Parts {
+	for _, part := range route.Services {
 		if services[part.Service] == nil {
 			return Error.New("route %q: unknown service %q", route.Name, part.Service)
 		}
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -22,8 +22,8 @@
 
 // Pick returns the part for the route's next request.
 func (s *Splitter) Pick(route *Route) ServiceName {
-	if len(route.Parts) == 1 {
-		return route.Parts[0].Service
+	if len(route.Services) == 1 {
+		return route.Services[0].Service
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 		current = s.begin(route)
 		s.current[route] = current
 	}
-	return route.Parts[deal(route, current)].Service
+	return route.Services[deal(route, current)].Service
 }
 
 // mostPassedOver bounds how many requests of a round are passed over, which takes a millisecond:
@@ -43,10 +43,10 @@
 // begin returns where a route's round begins.
 func (s *Splitter) begin(route *Route) []int {
 	total := 0
-	for _, part := range route.Parts {
+	for _, part := range route.Services {
 		total += part.Weight
 	}
-	current := make([]int, len(route.Parts))
+	current := make([]int, len(route.Services))
 	if total <= 0 {
 		return current
 	}
@@ -59,7 +59,7 @@
 // deal returns the index of the next part.
 func deal(route *Route, current []int) int {
 	total, best := 0, 0
-	for index, part := range route.Parts {
+	for index, part := range route.Services {
 		current[index] += part.Weight
 		total += part.Weight
 		if current[index] > current[best] {
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -20,7 +20,7 @@
 			route := &Route{}
 			total := 0
 			for index, weight := range weights {
-				route.Parts = append(route.Parts, Part{Service: ServiceName(rune('a' + index)), Weight: weight})
+				route.Services = append(route.Services, WeightedService{Service: ServiceName(rune('a' + index)), Weight: weight})
 				total += weight
 			}
 			first := map[ServiceName]int{}
@@ -31,7 +31,7 @@
 				})
 				first[splitter.Pick(route)]++
 			}
-			for _, part := range route.Parts {
+			for _, part := range route.Services {
 				assert.Equal(t, first[part.Service], part.Weight, part.Service)
 			}
 		})
@@ -39,7 +39,7 @@
 }
 
 func TestASplitterKeepsTheWeights(t *testing.T) {
-	route := &Route{Parts: []Part{{Service: "a", Weight: 5}, {Service: "b", Weight: 1}}}
+	route := &Route{Services: []WeightedService{{Service: "a", Weight: 5}, {Service: "b", Weight: 1}}}
 	splitter := NewSplitter(func(int) int { return 4 })
 	dealt := map[ServiceName]int{}
 	for range 60 {
@@ -51,7 +51,7 @@
 // A configuration is read by all processes within a second: weights of any size must not hold up
 // the first request of a route, which begins its round, for seconds at each of them.
 func TestHugeWeightsBeginARoundSoon(t *testing.T) {
-	route := &Route{Parts: []Part{{Service: "a", Weight: 1 << 40}, {Service: "b", Weight: 1 << 40}}}
+	route := &Route{Services: []WeightedService{{Service: "a", Weight: 1 << 40}, {Service: "b", Weight: 1 << 40}}}
 	splitter := NewSplitter(func(of int) int {
 		assert.Assert(t, of <= 100_000, "up to %d requests are passed over", of)
 		return 0
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -83,10 +83,10 @@
 const (
 	// Small bodies are kept whole until they are passed on.
 	Small BodyClass = iota
-	// BulkUp are large requests: read up to a bound before a worker is asked, then passed on.
-	BulkUp
-	// BulkDown are large answers: kept back for a part of the target, then passed on as they come.
-	BulkDown
+	// BulkUpload are large requests: read up to a bound before a worker is asked, then passed on.
+	BulkUpload
+	// BulkDownload are large answers: kept back for a part of the target, then passed on as they come.
+	BulkDownload
 )
 
 // fitsHeader reports whether a text can be the value of a header and comes out of it unchanged.
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -176,9 +176,9 @@
 	if s.Workers == nil {
 		return
 	}
-	list, _ := s.Workers.Of(name)
+	list, _ := s.Workers.ByService(name)
 	for _, one := range list {
-		service.ObserveIncarnation(one.Life())
+		service.ObserveIncarnation(one.Incarnation())
 	}
 }
 
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -27,36 +27,36 @@
 type Secret [secretBytes]byte
 
 // Finding is what became of the look for a caller's tenant.
-type Finding string
+type AuthResult string
 
 // Findings.
 const (
 	// Proved: the caller has shown a key that a tenant holds.
-	Proved Finding = "proved"
+	Authenticated AuthResult = "proved"
 	// Missing: the caller shows no key.
-	Missing Finding = "key-missing"
+	Missing AuthResult = "key-missing"
 	// Malformed: what the caller shows is no key of the scheme, or more than one.
-	Malformed Finding = "key-malformed"
+	Malformed AuthResult = "key-malformed"
 	// Unknown: no tenant holds the key, and none was seen to hold it.
-	Unknown Finding = "key-unknown"
-	// TakenAway: a tenant held the key in a configuration that was in force here.
-	TakenAway Finding = "key-taken-away"
+	Unknown AuthResult = "key-unknown"
+	// Revoked: a tenant held the key in a configuration that was in force here.
+	Revoked AuthResult = "key-taken-away"
 )
 
 // Caller is who makes a request.
 type Caller struct {
-	Finding Finding
+	Result AuthResult
 	// Tenant is set where it was proved.
 	Tenant *routing.Tenant
 	// Former says who held a key that was taken away.
-	Former Former
+	RevokedKey RevokedKey
 }
 
 // Former tells of a key that was taken away.
-type Former struct {
+type RevokedKey struct {
 	Tenant routing.TenantName
 	// Gone is the first configuration in force here without the key.
-	Gone routing.Version
+	RevokedIn routing.Version
 	// Scope of the tenant.
 	Scope routing.Scope
 }
@@ -79,7 +79,7 @@
 // NewIndex, and safe for concurrent use.
 type Index struct {
 	held   map[tag]holding
-	former map[tag]Former
+	former map[tag]RevokedKey
 	// hashers are of type *hasher.
 	hashers *sync.Pool
 }
@@ -89,7 +89,7 @@
 func NewIndex(secret Secret, config *routing.Config, before *Index) *Index {
 	x := &Index{
 		held:    map[tag]holding{},
-		former:  map[tag]Former{},
+		former:  map[tag]RevokedKey{},
 		hashers: &sync.Pool{New: func() any { return &hasher{keyed: hmac.New(sha256.New, secret[:])} }},
 	}
 	h := x.hashers.Get().(*hasher)
@@ -114,7 +114,7 @@
 	}
 	for key, was := range before.held {
 		if _, stands := x.held[key]; !stands {
-			x.former[key] = Former{Tenant: was.tenant.Name, Gone: version, Scope: was.tenant.Scope}
+			x.former[key] = RevokedKey{Tenant: was.tenant.Name, RevokedIn: version, Scope: was.tenant.Scope}
 		}
 	}
 	x.forget()
@@ -129,24 +129,24 @@
 	for key := range x.former {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b tag) int { return int(x.former[a].Gone) - int(x.former[b].Gone) })
+	slices.SortFunc(keys, func(a, b tag) int { return int(x.former[a].RevokedIn) - int(x.former[b].RevokedIn) })
 	for _, key := range keys[:len(keys)-mostFormer] {
 		delete(x.former, key)
 	}
 }
 
 // Keys returns how many keys are held.
-func (x *Index) Keys() int { return len(x.held) }
+func (x *Index) KeyCount() int { return len(x.held) }
 
 // Identify finds out who makes a request within a scope, by its headers.
 func (x *Index) Identify(header http.Header, scope routing.Scope) Caller {
 	key, finding := keyOf(header)
-	if finding != Proved {
-		return Caller{Finding: finding}
+	if finding != Authenticated {
+		return Caller{Result: finding}
 	}
 	caller := x.find(key)
 	if caller.scope() != scope {
-		return Caller{Finding: Unknown}
+		return Caller{Result: Unknown}
 	}
 	return caller
 }
@@ -156,7 +156,7 @@
 	if c.Tenant != nil {
 		return c.Tenant.Scope
 	}
-	return c.Former.Scope
+	return c.RevokedKey.Scope
 }
 
 // find returns who holds a key.
@@ -166,16 +166,16 @@
 	digest := Digest(key)
 	looked := h.tag(digest)
 	if held, found := x.held[looked]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
-		return Caller{Finding: Proved, Tenant: held.tenant}
+		return Caller{Result: Authenticated, Tenant: held.tenant}
 	}
 	if former, known := x.former[looked]; known {
-		return Caller{Finding: TakenAway, Former: former}
+		return Caller{Result: Revoked, RevokedKey: former}
 	}
-	return Caller{Finding: Unknown}
+	return Caller{Result: Unknown}
 }
 
 // keyOf reads the key that a request shows; the finding is Proved where it shows one.
-func keyOf(header http.Header) (string, Finding) {
+func keyOf(header http.Header) (string, AuthResult) {
 	lines := header[Header]
 	if len(lines) == 0 {
 		return "", Missing
@@ -185,14 +185,14 @@
 	}
 	scheme, key, _ := strings.Cut(lines[0], " ")
 	key = strings.TrimLeft(key, " ")
-	if !strings.EqualFold(scheme, Scheme) || !Valid(key) {
+	if !strings.EqualFold(scheme, Scheme) || !IsValidKey(key) {
 		return "", Malformed
 	}
-	return key, Proved
+	return key, Authenticated
 }
 
 // Valid reports whether a text can be an API key.
-func Valid(key string) bool { return key != "" && !strings.ContainsFunc(key, odd) }
+func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, odd) }
 
 // odd reports whether a character can't be part of a key: a blank, a control character, or one
 // outside of ASCII.
--- a/internal/tenant/index_test.go
+++ b/internal/tenant/index_test.go
@@ -28,14 +28,14 @@
 	x := NewIndex(Secret{1}, configOf(1, map[routing.TenantName][]string{"a": {"key-a1", "key-a2"}, "b": {"key-b"}, "none": nil}), nil)
 	for name, test := range map[string]struct {
 		lines   []string
-		finding Finding
+		finding AuthResult
 		tenant  routing.TenantName
 	}{
-		"a tenant's key":             {lines: []string{"Bearer key-a1"}, finding: Proved, tenant: "a"},
-		"its other key":              {lines: []string{"Bearer key-a2"}, finding: Proved, tenant: "a"},
-		"another tenant's":           {lines: []string{"Bearer key-b"}, finding: Proved, tenant: "b"},
-		"scheme in odd case":         {lines: []string{"bEARER key-b"}, finding: Proved, tenant: "b"},
-		"several blanks":             {lines: []string{"Bearer   key-b"}, finding: Proved, tenant: "b"},
+		"a tenant's key":             {lines: []string{"Bearer key-a1"}, finding: Authenticated, tenant: "a"},
+		"its other key":              {lines: []string{"Bearer key-a2"}, finding: Authenticated, tenant: "a"},
+		"another tenant's":           {lines: []string{"Bearer key-b"}, finding: Authenticated, tenant: "b"},
+		"scheme in odd case":         {lines: []string{"bEARER key-b"}, finding: Authenticated, tenant: "b"},
+		"several blanks":             {lines: []string{"Bearer   key-b"}, finding: Authenticated, tenant: "b"},
 		"none":                       {finding: Missing},
 		"unknown":                    {lines: []string{"Bearer key-c"}, finding: Unknown},
 		"key in odd case":            {lines: []string{"Bearer KEY-B"}, finding: Unknown},
@@ -61,8 +61,8 @@
 			if test.lines == nil {
 				caller = x.Identify(http.Header{}, "")
 			}
-			assert.Equal(t, caller.Finding, test.finding)
-			if test.finding != Proved {
+			assert.Equal(t, caller.Result, test.finding)
+			if test.finding != Authenticated {
 				assert.Assert(t, caller.Tenant == nil)
 				return
 			}
@@ -80,15 +80,15 @@
 	first := step(nil, 3, "k1", "k2")
 	second := step(first, 5, "k2")
 	third := step(second, 9, "k2", "k3")
-	assert.Equal(t, find(first, "k1").Finding, Proved)
-	assert.DeepEqual(t, find(second, "k1"), Caller{Finding: TakenAway, Former: Former{Tenant: "a", Gone: 5}})
-	assert.DeepEqual(t, find(third, "k1"), Caller{Finding: TakenAway, Former: Former{Tenant: "a", Gone: 5}})
-	assert.Equal(t, find(third, "k2").Finding, Proved)
-	assert.Equal(t, find(second, "k3").Finding, Unknown)
+	assert.Equal(t, find(first, "k1").Result, Authenticated)
+	assert.DeepEqual(t, find(second, "k1"), Caller{Result: Revoked, RevokedKey: RevokedKey{Tenant: "a", RevokedIn: 5}})
+	assert.DeepEqual(t, find(third, "k1"), Caller{Result: Revoked, RevokedKey: RevokedKey{Tenant: "a", RevokedIn: 5}})
+	assert.Equal(t, find(third, "k2").Result, Authenticated)
+	assert.Equal(t, find(second, "k3").Result, Unknown)
 	back := step(third, 10, "k1")
-	assert.Equal(t, find(back, "k1").Finding, Proved)
-	assert.DeepEqual(t, find(back, "k3").Former, Former{Tenant: "a", Gone: 10})
-	assert.Equal(t, find(step(back, 11), "k1").Former.Gone, routing.Version(11))
+	assert.Equal(t, find(back, "k1").Result, Authenticated)
+	assert.DeepEqual(t, find(back, "k3").RevokedKey, RevokedKey{Tenant: "a", RevokedIn: 10})
+	assert.Equal(t, find(step(back, 11), "k1").RevokedKey.RevokedIn, routing.Version(11))
 }
 
 func TestNoMoreKeysAreRememberedThanTheBound(t *testing.T) {
@@ -100,8 +100,8 @@
 	second := NewIndex(Secret{}, configOf(2, map[routing.TenantName][]string{"a": keys[10:]}), first)
 	third := NewIndex(Secret{}, configOf(3, nil), second)
 	assert.Equal(t, len(third.former), mostFormer)
-	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k0"}}, "").Finding, Unknown, "went first")
-	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k20"}}, "").Finding, TakenAway)
+	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k0"}}, "").Result, Unknown, "went first")
+	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k20"}}, "").Result, Revoked)
 }
 
 // Tags of one process are of no use at another.
@@ -142,11 +142,11 @@
 	first := NewIndex(Secret{}, config, nil)
 	second := NewIndex(Secret{}, configOf(2, nil), first)
 	header := http.Header{Header: {"Bearer k"}}
-	assert.Equal(t, first.Identify(header, "one").Finding, Proved)
-	assert.DeepEqual(t, first.Identify(header, "two"), Caller{Finding: Unknown})
-	assert.DeepEqual(t, first.Identify(header, ""), Caller{Finding: Unknown})
-	assert.Equal(t, second.Identify(header, "one").Finding, TakenAway)
-	assert.DeepEqual(t, second.Identify(header, "two"), Caller{Finding: Unknown})
+	assert.Equal(t, first.Identify(header, "one").Result, Authenticated)
+	assert.DeepEqual(t, first.Identify(header, "two"), Caller{Result: Unknown})
+	assert.DeepEqual(t, first.Identify(header, ""), Caller{Result: Unknown})
+	assert.Equal(t, second.Identify(header, "one").Result, Revoked)
+	assert.DeepEqual(t, second.Identify(header, "two"), Caller{Result: Unknown})
 }
 
 // FuzzIdentify: whatever a caller shows, it is a tenant only by a key that the tenant holds.
@@ -161,7 +161,7 @@
 			header.Add(Header, other)
 		}
 		caller := x.Identify(header, "")
-		if caller.Finding != Proved {
+		if caller.Result != Authenticated {
 			assert.Assert(t, caller.Tenant == nil)
 			return
 		}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -77,7 +77,7 @@
 }
 
 // Regions returns how many regions there are; one if no zones are known.
-func (m Map) Regions() int { return max(1, m.count) }
+func (m Map) RegionCount() int { return max(1, m.count) }
 
 // Zones returns the zones of some regions, in the order of their names.
 func (m Map) Zones(regions []Region) []Zone {
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -26,8 +26,8 @@
 }
 
 func TestRegions(t *testing.T) {
-	assert.Equal(t, New(map[Zone]Region{"a1": "a", "a2": "a", "b1": "b"}).Regions(), 2)
-	assert.Equal(t, Map{}.Regions(), 1)
+	assert.Equal(t, New(map[Zone]Region{"a1": "a", "a2": "a", "b1": "b"}).RegionCount(), 2)
+	assert.Equal(t, Map{}.RegionCount(), 1)
 	assert.Assert(t, !New(map[Zone]Region{"a1": "a"}).Known("b1"))
 	assert.Assert(t, Map{}.Known("b1"))
 }
--- a/internal/workerlimit/book.go
+++ b/internal/workerlimit/book.go
@@ -18,9 +18,9 @@
 func NewBook() Book { return Book{facts.NewBook[Fact]()} }
 
 // Fact returns what is known of a worker's limit; false if it never named one.
-func (b Book) Fact(life workers.Life) (Fact, bool) {
-	fact, known := b.Book.Fact(workers.Life{ID: life.ID})
-	if !known || !fact.Worker.MayBe(life) {
+func (b Book) Fact(life workers.Incarnation) (Fact, bool) {
+	fact, known := b.Book.Fact(workers.Incarnation{ID: life.ID})
+	if !known || !fact.Worker.MayEqual(life) {
 		return Fact{}, false
 	}
 	return fact, true
@@ -28,7 +28,7 @@
 
 // Rate returns how many requests a second a worker takes from all routers together; false if it
 // names no limit.
-func (b Book) Rate(life workers.Life) (perSecond float64, limited bool) {
+func (b Book) Rate(life workers.Incarnation) (perSecond float64, limited bool) {
 	if b.Holding() == 0 {
 		return 0, false
 	}
--- a/internal/workerlimit/book_test.go
+++ b/internal/workerlimit/book_test.go
@@ -13,11 +13,11 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // named and unnamed are what answers tell: one at a time, one to a request that left at a time.
-func named(b Book, now time.Time, life workers.Life, perSecond float64) bool {
+func named(b Book, now time.Time, life workers.Incarnation, perSecond float64) bool {
 	return b.Merge(Fact{Worker: life, Rate: perSecond, At: now})
 }
 
-func unnamed(b Book, sent time.Time, life workers.Life) bool {
+func unnamed(b Book, sent time.Time, life workers.Incarnation) bool {
 	return b.Merge(Fact{Worker: life, Ended: true, At: sent})
 }
 
@@ -26,20 +26,20 @@
 }
 
 func TestWhatEndsALimit(t *testing.T) {
-	first, second := workers.Life{ID: "w", Born: 1}, workers.Life{ID: "w", Born: 2}
+	first, second := workers.Incarnation{ID: "w", StartTime: 1}, workers.Incarnation{ID: "w", StartTime: 2}
 	for name, test := range map[string]struct {
 		tell    func(Book)
-		of      workers.Life
+		of      workers.Incarnation
 		limited bool
 	}{
 		"nothing":                                 {tell: func(Book) {}, of: first, limited: true},
 		"an answer to a later request":            {tell: func(b Book) { unnamed(b, at(11), first) }, of: first},
 		"not one to an earlier request":           {tell: func(b Book) { unnamed(b, at(9), first) }, of: first, limited: true},
 		"another life of the worker":              {tell: func(Book) {}, of: second},
-		"not a life whose start is not known":     {tell: func(Book) {}, of: workers.Life{ID: "w"}, limited: true},
+		"not a life whose start is not known":     {tell: func(Book) {}, of: workers.Incarnation{ID: "w"}, limited: true},
 		"not an earlier naming that arrives late": {tell: func(b Book) { unnamed(b, at(11), first); named(b, at(10.5), first, 3) }, of: first},
 		"but it is named again":                   {tell: func(b Book) { unnamed(b, at(11), first); named(b, at(12), first, 3) }, of: first, limited: true},
-		"not what another worker answers":         {tell: func(b Book) { unnamed(b, at(11), workers.Life{ID: "x"}) }, of: first, limited: true},
+		"not what another worker answers":         {tell: func(b Book) { unnamed(b, at(11), workers.Incarnation{ID: "x"}) }, of: first, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
@@ -52,7 +52,7 @@
 }
 
 func TestTheLimitNamedLastHolds(t *testing.T) {
-	b, life := NewBook(), workers.Life{ID: "w"}
+	b, life := NewBook(), workers.Incarnation{ID: "w"}
 	assert.Assert(t, named(b, at(1), life, 5))
 	assert.Assert(t, !named(b, at(2), life, 4.9)) // no news for others
 	rate, _ := b.Rate(life)
@@ -67,9 +67,9 @@
 func TestEndedLimitsAndWorkersThatAreGoneAreForgotten(t *testing.T) {
 	b := NewBook()
 	for _, id := range []workers.ID{"gone", "ended", "stays"} {
-		named(b, at(0), workers.Life{ID: id}, 1)
+		named(b, at(0), workers.Incarnation{ID: id}, 1)
 	}
-	unnamed(b, at(1), workers.Life{ID: "ended"})
+	unnamed(b, at(1), workers.Incarnation{ID: "ended"})
 	b.Forget(at(2).Add(endedMemory), func(id workers.ID) bool { return id == "gone" })
 	assert.Equal(t, len(b.Facts()), 1)
 	assert.Equal(t, b.Holding(), 1)
@@ -77,7 +77,7 @@
 
 func drawFact(t *rapid.T) Fact {
 	return Fact{
-		Worker: workers.Life{ID: workers.ID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "worker")), Born: workers.Born(rapid.IntRange(0, 2).Draw(t, "born"))},
+		Worker: workers.Incarnation{ID: workers.ID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "worker")), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))},
 		Rate:   float64(rapid.IntRange(1, 3).Draw(t, "rate")),
 		Ended:  rapid.Bool().Draw(t, "ended"),
 		At:     at(float64(rapid.IntRange(0, 5).Draw(t, "at"))),
--- a/internal/workerlimit/fact.go
+++ b/internal/workerlimit/fact.go
@@ -13,7 +13,7 @@
 
 // Fact is what is known of the limit of one life of a worker.
 type Fact struct {
-	Worker workers.Life
+	Worker workers.Incarnation
 	// Rate is how many requests a second the worker takes, while it names a limit.
 	Rate float64
 	// Ended says that the worker names no limit any longer.
@@ -28,7 +28,7 @@
 const sameRate = 0.1
 
 // Key implements facts.Fact: one fact is kept of each worker.
-func (f Fact) Key() workers.Life { return workers.Life{ID: f.Worker.ID} }
+func (f Fact) Key() workers.Incarnation { return workers.Incarnation{ID: f.Worker.ID} }
 
 // Holds implements facts.Fact.
 func (f Fact) Holds() bool { return !f.Ended }
@@ -53,8 +53,8 @@
 		return f.At.After(other.At)
 	case f.Ended != other.Ended:
 		return other.Ended
-	case f.Worker.Born != other.Worker.Born:
-		return f.Worker.Born > other.Worker.Born
+	case f.Worker.StartTime != other.Worker.StartTime:
+		return f.Worker.StartTime > other.Worker.StartTime
 	}
 	return !f.Ended && f.Rate < other.Rate
 }
--- a/internal/workerlimit/member.go
+++ b/internal/workerlimit/member.go
@@ -75,7 +75,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.pacer != nil {
-		m.pacer.Keep(func(life workers.Life) bool {
+		m.pacer.Keep(func(life workers.Incarnation) bool {
 			_, limited := m.book.Rate(life)
 			return limited
 		})
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -28,7 +28,7 @@
 
 // bucket is the pace of one worker.
 type bucket struct {
-	life workers.Life
+	life workers.Incarnation
 	// due is when the next request would leave if all left at an even pace.
 	due time.Time
 	// refused counts those that were told to wait and have not been let through since.
@@ -41,7 +41,7 @@
 // Take asks whether a request may leave for a worker that takes so many a second, within some
 // patience: it then leaves after wait. If it may not, wait is when to ask again. doubtful says that
 // another process may lead.
-func (p *Pacer) Take(now time.Time, life workers.Life, perSecond float64, patience time.Duration, doubtful bool) (wait time.Duration, granted bool) {
+func (p *Pacer) Take(now time.Time, life workers.Incarnation, perSecond float64, patience time.Duration, doubtful bool) (wait time.Duration, granted bool) {
 	saved := savedTime
 	perSecond = max(perSecond, leastRate)
 	if doubtful {
@@ -68,9 +68,9 @@
 
 // bucket returns a worker's bucket. A new one has saved up nothing: the worker has got as much as
 // there was until it named its limit, and another process may have led before.
-func (p *Pacer) bucket(now time.Time, life workers.Life) *bucket {
+func (p *Pacer) bucket(now time.Time, life workers.Incarnation) *bucket {
 	b := p.buckets[life.ID]
-	if b == nil || (b.life.Born != life.Born && b.life.Born != 0 && life.Born != 0) {
+	if b == nil || (b.life.StartTime != life.StartTime && b.life.StartTime != 0 && life.StartTime != 0) {
 		b = &bucket{life: life, due: now.Add(savedTime)}
 		p.buckets[life.ID] = b
 	}
@@ -78,7 +78,7 @@
 }
 
 // Keep forgets workers that name no limit any longer.
-func (p *Pacer) Keep(limited func(workers.Life) bool) {
+func (p *Pacer) Keep(limited func(workers.Incarnation) bool) {
 	for id, b := range p.buckets {
 		if !limited(b.life) {
 			delete(p.buckets, id)
--- a/internal/workerlimit/pacer_test.go
+++ b/internal/workerlimit/pacer_test.go
@@ -43,7 +43,7 @@
 		"more than are asked for":        {perSecond: 1e300, asked: 200, used: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, chance, life := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Life{ID: "w"}
+			p, chance, life := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Incarnation{ID: "w"}
 			const length = 200 * time.Second
 			var left []time.Time
 			asked := 0
@@ -65,7 +65,7 @@
 }
 
 func TestPatientRequestsLeaveInTurn(t *testing.T) {
-	p, life := NewPacer(), workers.Life{ID: "w"}
+	p, life := NewPacer(), workers.Incarnation{ID: "w"}
 	wait, granted := p.Take(start, life, 10, 250*time.Millisecond, false)
 	assert.Assert(t, granted && wait == 0)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} {
@@ -78,7 +78,7 @@
 }
 
 func TestRefusedRequestsAreToldToComeOneAfterTheOther(t *testing.T) {
-	p, life := NewPacer(), workers.Life{ID: "w"}
+	p, life := NewPacer(), workers.Incarnation{ID: "w"}
 	p.Take(start, life, 10, 0, false)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
 		wait, granted := p.Take(start, life, 10, 0, false)
@@ -93,7 +93,7 @@
 
 func TestALeaderInDoubtAndTheNextOneKeepTheLimitTogether(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 2.5, 5, 40, 500} {
-		before, after, life := NewPacer(), NewPacer(), workers.Life{ID: "w"}
+		before, after, life := NewPacer(), NewPacer(), workers.Incarnation{ID: "w"}
 		doubt := start.Add(10 * time.Second)
 		var left []time.Time
 		for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(time.Millisecond) {
@@ -112,7 +112,7 @@
 }
 
 func TestARaisedLimitIsUsedAtOnce(t *testing.T) {
-	p, life := NewPacer(), workers.Life{ID: "w"}
+	p, life := NewPacer(), workers.Incarnation{ID: "w"}
 	for second := range 10 {
 		p.Take(at(float64(second)), life, 0, 0, false)
 	}
@@ -128,8 +128,8 @@
 func TestAnotherLifeOfAWorkerStartsAnew(t *testing.T) {
 	p := NewPacer()
 	for range 2 {
-		p.Take(start, workers.Life{ID: "w", Born: 1}, 1, 0, false)
+		p.Take(start, workers.Incarnation{ID: "w", StartTime: 1}, 1, 0, false)
 	}
-	_, granted := p.Take(start, workers.Life{ID: "w", Born: 2}, 1, 0, false)
+	_, granted := p.Take(start, workers.Incarnation{ID: "w", StartTime: 2}, 1, 0, false)
 	assert.Assert(t, granted)
 }
--- a/internal/workerlimit/told.go
+++ b/internal/workerlimit/told.go
@@ -9,17 +9,17 @@
 // Told is a fact as processes tell it to each other. Their times of day differ, so times are told
 // as ages.
 type Told struct {
-	Worker    workers.ID   `json:"w"`
-	Born      workers.Born `json:"b,omitempty"`
-	PerSecond float64      `json:"r,omitempty"`
-	Ended     bool         `json:"e,omitempty"`
-	AgeMillis int64        `json:"a,omitempty"`
+	Worker    workers.ID        `json:"w"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	PerSecond float64           `json:"r,omitempty"`
+	Ended     bool              `json:"e,omitempty"`
+	AgeMillis int64             `json:"a,omitempty"`
 }
 
 // Tell describes a fact.
 func Tell(now time.Time, fact Fact) Told {
 	return Told{
-		Worker: fact.Worker.ID, Born: fact.Worker.Born, PerSecond: fact.Rate, Ended: fact.Ended,
+		Worker: fact.Worker.ID, Born: fact.Worker.StartTime, PerSecond: fact.Rate, Ended: fact.Ended,
 		AgeMillis: max(0, now.Sub(fact.At).Milliseconds()),
 	}
 }
@@ -28,6 +28,6 @@
 func (t Told) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
 	return Fact{
-		Worker: workers.Life{ID: t.Worker, Born: t.Born}, Rate: max(0, t.PerSecond), Ended: t.Ended, At: now.Add(-age),
+		Worker: workers.Incarnation{ID: t.Worker, StartTime: t.Born}, Rate: max(0, t.PerSecond), Ended: t.Ended, At: now.Add(-age),
 	}
 }
--- a/internal/workerlimit/world_test.go
+++ b/internal/workerlimit/world_test.go
@@ -84,7 +84,7 @@
 
 // worldWorker is a worker that names limits.
 type worldWorker struct {
-	life      workers.Life
+	life      workers.Incarnation
 	perSecond float64
 	limited   bool
 	// lives are the limits that it has named, and since when it named any.
@@ -104,7 +104,7 @@
 
 func newWorld(seed uint64, routers int, perSecond float64) *world {
 	w := &world{now: start, chance: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
-	w.worker.life = workers.Life{ID: "w", Born: 1}
+	w.worker.life = workers.Incarnation{ID: "w", StartTime: 1}
 	for range routers {
 		w.routers = append(w.routers, &worldRouter{member: NewMember()})
 	}
--- a/internal/workerlimit/worlds_test.go
+++ b/internal/workerlimit/worlds_test.go
@@ -22,7 +22,7 @@
 			"a router starts":  func() { w.restart(w.routers[rapid.IntRange(0, routers-1).Draw(t, "router")]) },
 			"routers are cut":  func() { w.cut(1+w.chance.IntN(routers/2), time.Duration(500+w.chance.IntN(6000))*time.Millisecond) },
 			"nothing":          func() {},
-			"a worker is anew": func() { w.name(0, false); w.worker.life.Born++ },
+			"a worker is anew": func() { w.name(0, false); w.worker.life.StartTime++ },
 		}
 		names := slices.Sorted(func(yield func(string) bool) {
 			for name := range events {
--- a/internal/workers/evacuation_test.go
+++ b/internal/workers/evacuation_test.go
@@ -31,7 +31,7 @@
 			directory.Update([]Worker{inZone("3", "a")}, nil, nil) // joins meanwhile
 			usable, _ := directory.Usable("s")
 			assert.Equal(t, len(usable), c.usable)
-			list, _ := directory.Of("s")
+			list, _ := directory.ByService("s")
 			assert.Equal(t, len(list), 3, "they are announced still")
 		})
 	}
--- a/internal/workers/kept.go
+++ b/internal/workers/kept.go
@@ -36,7 +36,7 @@
 
 // Settle tells that this process did not reach the service: until a time, entries of ready
 // workers that vanish may have lapsed only, and their workers are kept.
-func (d *Directory) Settle(until time.Time) {
+func (d *Directory) BeginSettling(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.own = wait{until: until, each: SettleTime}
@@ -45,7 +45,7 @@
 // SettleTold tells that another process, which tells of changes, did not reach the service.
 // each is for how long one worker is kept at most: who read all changes itself meanwhile
 // would else send requests to workers that left, for as long as the other waits.
-func (d *Directory) SettleTold(until time.Time, each time.Duration) {
+func (d *Directory) BeginPeerSettling(until time.Time, each time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.told = wait{until: until, each: each}
@@ -65,14 +65,14 @@
 }
 
 // Settling returns for how long vanished entries are kept still.
-func (d *Directory) Settling() time.Duration {
+func (d *Directory) SettlingLeft() time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return max(0, clock.Until(d.own.until), clock.Until(d.told.until))
 }
 
 // Kept returns how many workers are kept although their entries went.
-func (d *Directory) Kept() int {
+func (d *Directory) KeptCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return len(d.kept)
--- a/internal/workers/leaving.go
+++ b/internal/workers/leaving.go
@@ -8,7 +8,7 @@
 
 // Leaves notes that a life of a worker says in its answers that it leaves, as is known since a time.
 // From then on it counts as draining, whatever its entry says.
-func (d *Directory) Leaves(life Life, since time.Time) {
+func (d *Directory) MarkLeaving(life Incarnation, since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before, known := d.leaving[life]; known && !since.Before(before) {
@@ -24,13 +24,13 @@
 func (d *Directory) noteLeaving() {
 	for life, since := range d.leaving {
 		worker, announced := d.byID[life.ID]
-		if !announced || !life.MayBe(worker.Life()) {
+		if !announced || !life.MayEqual(worker.Incarnation()) {
 			continue
 		}
-		if life != worker.Life() && worker.Born != 0 {
+		if life != worker.Incarnation() && worker.StartTime != 0 {
 			delete(d.leaving, life)
-			if before, known := d.leaving[worker.Life()]; !known || since.Before(before) {
-				d.leaving[worker.Life()] = since
+			if before, known := d.leaving[worker.Incarnation()]; !known || since.Before(before) {
+				d.leaving[worker.Incarnation()] = since
 			}
 		}
 		worker.State = StateDraining
--- a/internal/workers/leaving_test.go
+++ b/internal/workers/leaving_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestWhatDoesNotEndAWorkersOwnWordThatItLeaves(t *testing.T) {
-	first, second := Worker{ID: "w", Service: "s", State: StateReady, Born: 1}, Worker{ID: "w", Service: "s", State: StateReady, Born: 2}
+	first, second := Worker{ID: "w", Service: "s", State: StateReady, StartTime: 1}, Worker{ID: "w", Service: "s", State: StateReady, StartTime: 2}
 	unborn := Worker{ID: "w", Service: "s", State: StateReady}
 	for name, test := range map[string]struct {
 		entry Worker
@@ -30,7 +30,7 @@
 			d := NewDirectory()
 			d.Replace([]Worker{test.entry, {ID: "other", Service: "s", State: StateReady}}, nil, clock.Now())
 			_, version := d.Usable("s")
-			d.Leaves(test.entry.Life(), clock.Now().Add(-time.Second))
+			d.MarkLeaving(test.entry.Incarnation(), clock.Now().Add(-time.Second))
 			list, later := d.Usable("s")
 			assert.Equal(t, len(list), 1)
 			assert.Assert(t, later != version, "who has looked the workers up looks again")
@@ -44,9 +44,9 @@
 }
 
 func TestAWordOfALifeThatWasNotKnownHoldsForOneLife(t *testing.T) {
-	first, second := Worker{ID: "w", Service: "s", State: StateReady, Born: 1}, Worker{ID: "w", Service: "s", State: StateReady, Born: 2}
+	first, second := Worker{ID: "w", Service: "s", State: StateReady, StartTime: 1}, Worker{ID: "w", Service: "s", State: StateReady, StartTime: 2}
 	d := NewDirectory()
-	d.Leaves(Life{ID: "w"}, clock.Now().Add(-time.Second))
+	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
 	d.Replace([]Worker{first}, nil, clock.Now())
 	worker, _ := d.Get("w")
 	assert.Equal(t, worker.State, StateDraining)
@@ -60,23 +60,23 @@
 func TestAWorkerDrainsFromItsFirstWord(t *testing.T) {
 	d := NewDirectory()
 	d.Replace([]Worker{{ID: "w", Service: "s", State: StateReady}}, nil, clock.Now())
-	d.Leaves(Life{ID: "w"}, clock.Now().Add(-time.Second))
-	d.Leaves(Life{ID: "w"}, clock.Now())
+	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
+	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now())
 	d.Update([]Worker{{ID: "w", Service: "s", State: StateDraining}}, nil, nil)
 	assert.Assert(t, d.DrainingFor("w") >= time.Second)
 }
 
 func TestAWorkerThatIsNotAnnouncedIsKnownToLeave(t *testing.T) {
 	d := NewDirectory()
-	d.Leaves(Life{ID: "w"}, clock.Now().Add(-time.Second))
+	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
 	assert.Assert(t, d.DrainingFor("w") >= time.Second)
 	assert.Equal(t, d.DrainingFor("other"), time.Duration(0))
 }
 
 func TestTheWordOfWorkersThatAreLongGoneIsForgotten(t *testing.T) {
 	d := NewDirectory()
-	d.Leaves(Life{ID: "gone"}, clock.Now().Add(-2*goneMemory))
-	d.Leaves(Life{ID: "lately"}, clock.Now())
+	d.MarkLeaving(Incarnation{ID: "gone"}, clock.Now().Add(-2*goneMemory))
+	d.MarkLeaving(Incarnation{ID: "lately"}, clock.Now())
 	d.Replace(nil, nil, clock.Now())
 	assert.Equal(t, len(d.leaving), 1)
 }
@@ -84,24 +84,24 @@
 // leavingModel is a directory, and which lives have said that they leave, since when.
 type leavingModel struct {
 	directory *Directory
-	said      map[Life]time.Time
+	said      map[Incarnation]time.Time
 }
 
-func drawLife(t *rapid.T) Life {
-	return Life{ID: rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker"), Born: Born(rapid.IntRange(1, 3).Draw(t, "born"))}
+func drawLife(t *rapid.T) Incarnation {
+	return Incarnation{ID: rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker"), StartTime: StartTime(rapid.IntRange(1, 3).Draw(t, "born"))}
 }
 
 func drawWorker(t *rapid.T) Worker {
 	life := drawLife(t)
 	state := rapid.SampledFrom([]State{StateReady, StateReady, StateDraining}).Draw(t, "state")
-	return Worker{ID: life.ID, Born: life.Born, Service: "s", State: state}
+	return Worker{ID: life.ID, StartTime: life.StartTime, Service: "s", State: state}
 }
 
 // leaves lets a life say that it leaves, known since some time ago.
 func (m *leavingModel) leaves(t *rapid.T) {
 	life := drawLife(t)
 	since := clock.Now().Add(-time.Duration(rapid.IntRange(0, 5).Draw(t, "ago")) * time.Second)
-	m.directory.Leaves(life, since)
+	m.directory.MarkLeaving(life, since)
 	if before, known := m.said[life]; !known || since.Before(before) {
 		m.said[life] = since
 	}
@@ -115,17 +115,17 @@
 		if !announced {
 			continue
 		}
-		since, said := m.said[worker.Life()]
+		since, said := m.said[worker.Incarnation()]
 		if said && worker.State != StateDraining {
-			t.Fatalf("%v has said that it leaves, and is %s", worker.Life(), worker.State)
+			t.Fatalf("%v has said that it leaves, and is %s", worker.Incarnation(), worker.State)
 		}
 		least := clock.Since(since)
 		if got := m.directory.DrainingFor(id); said && got < least {
-			t.Fatalf("%v leaves for %s, of %s", worker.Life(), got, least)
+			t.Fatalf("%v leaves for %s, of %s", worker.Incarnation(), got, least)
 		}
 		for _, one := range usable {
 			if said && one.ID == id {
-				t.Fatalf("%v gets new work", worker.Life())
+				t.Fatalf("%v gets new work", worker.Incarnation())
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 
 func TestNoOrderOfEntriesAndWordsMakesALeavingWorkerUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &leavingModel{directory: NewDirectory(), said: map[Life]time.Time{}}
+		m := &leavingModel{directory: NewDirectory(), said: map[Incarnation]time.Time{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"a life says that it leaves": m.leaves,
 			"an entry is written":        func(t *rapid.T) { m.directory.Update([]Worker{drawWorker(t)}, nil, nil) },
@@ -143,7 +143,7 @@
 			"a list is read": func(t *rapid.T) {
 				m.directory.Replace(rapid.SliceOfNDistinct(rapid.Custom(drawWorker), 0, 2, func(w Worker) ID { return w.ID }).Draw(t, "list"), nil, clock.Now())
 			},
-			"the store is away": func(*rapid.T) { m.directory.Settle(clock.Now().Add(time.Hour)) },
+			"the store is away": func(*rapid.T) { m.directory.BeginSettling(clock.Now().Add(time.Hour)) },
 			"the store is back": func(*rapid.T) { m.directory.EndSettling() },
 			"":                  m.check,
 		})
@@ -153,11 +153,11 @@
 func TestALifeThatSaidNothingIsAsItsEntrySays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, worker, other := NewDirectory(), drawWorker(t), drawLife(t)
-		d.Leaves(other, clock.Now())
+		d.MarkLeaving(other, clock.Now())
 		d.Update([]Worker{worker}, nil, nil)
 		got, _ := d.Get(worker.ID)
-		if other != worker.Life() && got.State != worker.State {
-			t.Fatalf("%v is %s, its entry says %s", worker.Life(), got.State, worker.State)
+		if other != worker.Incarnation() && got.State != worker.State {
+			t.Fatalf("%v is %s, its entry says %s", worker.Incarnation(), got.State, worker.State)
 		}
 	})
 }
--- a/internal/workers/life_test.go
+++ b/internal/workers/life_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func born(id ID, state State, at Born) Worker {
+func born(id ID, state State, at StartTime) Worker {
 	one := worker(id, state)
-	one.Born = at
+	one.StartTime = at
 	return one
 }
 
@@ -35,7 +35,7 @@
 				directory.Update([]Worker{born("a", StateDraining, 1)}, nil, nil)
 				time.Sleep(5 * time.Second)
 				if test.listed {
-					directory.Replace([]Worker{test.second}, Learned{"a": directory.ListedSince(time.Now())}, time.Now())
+					directory.Replace([]Worker{test.second}, LearnedTimes{"a": directory.EarliestListChange(time.Now())}, time.Now())
 				} else {
 					directory.Update([]Worker{test.second}, nil, nil)
 				}
@@ -52,17 +52,17 @@
 func TestTheLifeBeforeIsRemembered(t *testing.T) {
 	directory := NewDirectory()
 	directory.Update([]Worker{born("a", StateReady, 1), born("b", StateDraining, 1)}, nil, nil)
-	_, known := directory.Before("a")
+	_, known := directory.PreviousIncarnation("a")
 	assert.Assert(t, !known)
 	directory.Update([]Worker{born("a", StateReady, 2), born("b", StateReady, 2)}, nil, nil)
-	before, known := directory.Before("a")
+	before, known := directory.PreviousIncarnation("a")
 	assert.Assert(t, known)
-	assert.Equal(t, before.Life(), Life{ID: "a", Born: 1})
-	before, _ = directory.Before("b")
+	assert.Equal(t, before.Incarnation(), Incarnation{ID: "a", StartTime: 1})
+	before, _ = directory.PreviousIncarnation("b")
 	assert.Equal(t, before.State, StateDraining)
 	directory.Update(nil, []ID{"a"}, nil)
 	directory.Update([]Worker{born("a", StateReady, 3)}, nil, nil)
-	_, known = directory.Before("a")
+	_, known = directory.PreviousIncarnation("a")
 	assert.Assert(t, !known)
 }
 
@@ -72,10 +72,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Update([]Worker{born("a", StateReady, 1)}, nil, nil)
-		directory.Settle(time.Now().Add(time.Second))
+		directory.BeginSettling(time.Now().Add(time.Second))
 		assert.DeepEqual(t, directory.Update(nil, []ID{"a"}, nil).Kept, []ID{"a"})
 		directory.Update([]Worker{born("a", StateReady, 2)}, nil, nil)
-		assert.Equal(t, directory.Kept(), 0)
+		assert.Equal(t, directory.KeptCount(), 0)
 		time.Sleep(2 * time.Second)
 		_, known := directory.Get("a")
 		assert.Assert(t, known)
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -33,11 +33,11 @@
 	// WarmAt is when it stops being slow after its start.
 	WarmAt time.Time
 	// Born is when this life of the worker began; zero if that is not told.
-	Born Born
+	StartTime StartTime
 }
 
 // Life returns the life that the announcement is of.
-func (w Worker) Life() Life { return Life{ID: w.ID, Born: w.Born} }
+func (w Worker) Incarnation() Incarnation { return Incarnation{ID: w.ID, StartTime: w.StartTime} }
 
 // Directory is the list of workers. It is safe for concurrent use.
 type Directory struct {
@@ -56,7 +56,7 @@
 	// drainingSince is when the first process heard that a worker drains.
 	drainingSince map[ID]time.Time
 	// leaving are the lives that say in their answers that they leave, and since when that is known.
-	leaving map[Life]time.Time
+	leaving map[Incarnation]time.Time
 	// unreadable are the workers whose entries stand, but name no worker now.
 	unreadable map[ID]bool
 	// before are the lives of announced workers that the present ones replaced.
@@ -87,7 +87,7 @@
 		byService:     map[routing.ServiceName][]Worker{},
 		goneAt:        map[ID]time.Time{},
 		drainingSince: map[ID]time.Time{},
-		leaving:       map[Life]time.Time{},
+		leaving:       map[Incarnation]time.Time{},
 		before:        map[ID]Worker{},
 		unreadable:    map[ID]bool{},
 		kept:          map[ID]kept{},
@@ -104,7 +104,7 @@
 
 // ListedSince returns since when what a list tells may stand, if all was known at a time before:
 // a list does not tell when what is new in it happened.
-func (d *Directory) ListedSince(since time.Time) time.Time {
+func (d *Directory) EarliestListChange(since time.Time) time.Time {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	learned := clock.Now().Add(-listAge)
@@ -116,7 +116,7 @@
 
 // Replace sets the whole list, and returns which entries went with that: since is the last time
 // at which all was known before.
-func (d *Directory) Replace(list []Worker, learned Learned, since time.Time) Vanished {
+func (d *Directory) Replace(list []Worker, learned LearnedTimes, since time.Time) Vanished {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
@@ -139,13 +139,13 @@
 		}
 	}
 	d.byID, d.listed = fresh, true
-	d.noteDraining(func(id ID) time.Time { return learned.of(id, now) })
+	d.noteDraining(func(id ID) time.Time { return learned.at(id, now) })
 	d.index()
 	return vanished
 }
 
 // Update adds, changes and removes workers, and returns which entries went with that.
-func (d *Directory) Update(changed []Worker, gone []ID, learned Learned) Vanished {
+func (d *Directory) Update(changed []Worker, gone []ID, learned LearnedTimes) Vanished {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
@@ -157,11 +157,11 @@
 	}
 	var vanished Vanished
 	for _, id := range gone {
-		if _, known := d.byID[id]; known && !d.vanish(id, learned.of(id, now), &vanished) {
+		if _, known := d.byID[id]; known && !d.vanish(id, learned.at(id, now), &vanished) {
 			delete(d.byID, id)
 		}
 	}
-	d.noteDraining(func(id ID) time.Time { return learned.of(id, now) })
+	d.noteDraining(func(id ID) time.Time { return learned.at(id, now) })
 	d.index()
 	return vanished
 }
@@ -169,7 +169,7 @@
 // beginLife forgets what was noted of a worker that has started again: that it drained ended with
 // the life before, and a drain of this one counts from its own beginning. The caller holds mu.
 func (d *Directory) beginLife(worker Worker) {
-	if before, known := d.byID[worker.ID]; known && before.Born != worker.Born {
+	if before, known := d.byID[worker.ID]; known && before.StartTime != worker.StartTime {
 		delete(d.drainingSince, worker.ID)
 		d.before[worker.ID] = before
 	}
@@ -235,7 +235,7 @@
 
 // Before returns the life of an announced worker that its present one replaced, as it was
 // announced last; false if there is none, or its entry went first.
-func (d *Directory) Before(id ID) (Worker, bool) {
+func (d *Directory) PreviousIncarnation(id ID) (Worker, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	worker, known := d.before[id]
@@ -271,7 +271,7 @@
 
 // Of returns the workers of a service in no order, and the list's version. The
 // slice must not be changed.
-func (d *Directory) Of(service routing.ServiceName) ([]Worker, uint64) {
+func (d *Directory) ByService(service routing.ServiceName) ([]Worker, uint64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.byService[service], d.version
@@ -293,7 +293,7 @@
 }
 
 // Cold returns how many workers warm up.
-func (d *Directory) Cold() int {
+func (d *Directory) ColdCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	count, now := 0, clock.Now()
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -40,7 +40,7 @@
 
 // toldLate brings news that the first process has known for some time.
 func toldLate(d *Directory, age time.Duration) {
-	d.Update([]Worker{worker("a", StateDraining)}, nil, Learned{"a": time.Now().Add(-age)})
+	d.Update([]Worker{worker("a", StateDraining)}, nil, LearnedTimes{"a": time.Now().Add(-age)})
 }
 
 // listedAfterACut finds a draining worker 5 s after all was known last.
@@ -51,7 +51,7 @@
 
 // listed finds a draining worker in a list, if all was known at a time before.
 func listed(d *Directory, since time.Time) {
-	d.Replace([]Worker{worker("a", StateDraining)}, Learned{"a": d.ListedSince(since)}, since)
+	d.Replace([]Worker{worker("a", StateDraining)}, LearnedTimes{"a": d.EarliestListChange(since)}, since)
 }
 
 func toldThenListed(d *Directory) {
@@ -72,7 +72,7 @@
 		assert.Equal(t, directory.Count(), 0)
 		directory.Update([]Worker{worker("a", StateReady)}, nil, nil)
 		assert.Equal(t, directory.GoneFor("a"), time.Duration(0))
-		list, _ := directory.Of("s")
+		list, _ := directory.ByService("s")
 		assert.Equal(t, len(list), 1)
 	})
 }
@@ -103,7 +103,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				directory := NewDirectory()
 				directory.Replace([]Worker{ready}, nil, time.Now())
-				directory.Settle(time.Now().Add(SettleTime))
+				directory.BeginSettling(time.Now().Add(SettleTime))
 				c.learn(directory)
 				_, known := directory.Get("a")
 				assert.Equal(t, known, c.soon)
@@ -139,14 +139,14 @@
 				directory.OnExpired(func(ids []ID) { expired = append(expired, ids...) })
 				directory.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
 				if c.settling {
-					directory.Settle(time.Now().Add(SettleTime))
+					directory.BeginSettling(time.Now().Add(SettleTime))
 				}
 				assert.DeepEqual(t, c.learn(directory), c.want)
-				assert.Equal(t, directory.Kept(), len(c.expired))
+				assert.Equal(t, directory.KeptCount(), len(c.expired))
 				time.Sleep(SettleTime)
 				synctest.Wait()
 				assert.DeepEqual(t, expired, c.expired)
-				assert.Equal(t, directory.Kept(), 0)
+				assert.Equal(t, directory.KeptCount(), 0)
 			})
 		})
 	}
@@ -168,11 +168,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
-		directory.Settle(time.Now().Add(SettleTime))
+		directory.BeginSettling(time.Now().Add(SettleTime))
 		directory.Replace(nil, nil, time.Now())
 		for range 5 {
 			time.Sleep(SettleTime / 2)
-			directory.Settle(time.Now().Add(SettleTime))
+			directory.BeginSettling(time.Now().Add(SettleTime))
 			directory.Replace(nil, nil, time.Now())
 		}
 		synctest.Wait()
@@ -187,15 +187,15 @@
 		settle func(d *Directory, now time.Time)
 		kept   time.Duration
 	}{
-		"of others":            {settle: func(d *Directory, now time.Time) { d.SettleTold(now.Add(SettleTime), time.Second) }, kept: time.Second},
-		"of others, soon over": {settle: func(d *Directory, now time.Time) { d.SettleTold(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
-		"its own":              {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(SettleTime)) }, kept: SettleTime},
+		"of others":            {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
+		"of others, soon over": {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
+		"its own":              {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
 		"both": {settle: func(d *Directory, now time.Time) {
-			d.SettleTold(now.Add(time.Second), time.Second)
-			d.Settle(now.Add(2 * time.Second))
+			d.BeginPeerSettling(now.Add(time.Second), time.Second)
+			d.BeginSettling(now.Add(2 * time.Second))
 		}, kept: 2 * time.Second},
-		"its own has passed":      {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(-time.Second)) }},
-		"its own is counted anew": {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(time.Second)); d.Settle(now) }},
+		"its own has passed":      {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(-time.Second)) }},
+		"its own is counted anew": {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(time.Second)); d.BeginSettling(now) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -235,14 +235,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("lapses", StateReady)}, nil, time.Now())
-		directory.Settle(clock.Now().Add(time.Hour))
+		directory.BeginSettling(clock.Now().Add(time.Hour))
 		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"lapses"}, nil)
-		directory.Settle(clock.Now())
+		directory.BeginSettling(clock.Now())
 		directory.Update(nil, []ID{"leaves"}, nil)
 		defer clock.Suspend(8 * time.Second)()
 		assert.Equal(t, directory.DrainingFor("drains"), 8*time.Second)
 		assert.Equal(t, directory.GoneFor("leaves"), 8*time.Second)
 		directory.Expire()
-		assert.Equal(t, directory.Kept(), 0)
+		assert.Equal(t, directory.KeptCount(), 0)
 	})
 }
