--- a/internal/facts/member.go
+++ b/internal/facts/member.go
@@ -14,12 +14,12 @@
 	// leads says that this process follows nobody, who would have to be told.
 	leads bool
 	// untold are the keys of facts that the followed process is to be told.
-	untold map[workers.Life]struct{}
+	untold map[workers.Incarnation]struct{}
 }
 
 // NewReplica returns a member that knows nothing.
 func NewReplica[F Fact[F]]() *Replica[F] {
-	return &Replica[F]{book: NewTable[F](), untold: map[workers.Life]struct{}{}}
+	return &Replica[F]{book: NewTable[F](), untold: map[workers.Incarnation]struct{}{}}
 }
 
 // Book returns what the member knows.
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -57,7 +57,7 @@
 	unpreventable bool
 	// incarnation identifies the run of the worker; zero if it does not report it. previousFence is
 	// the highest fence of its earlier incarnations.
-	incarnation   workers.Born
+	incarnation   workers.StartTime
 	previousFence Fence
 	// unaware means that no leader can have informed this incarnation of a higher fence yet.
 	unaware bool
@@ -78,7 +78,7 @@
 	// partitioned means that the worker was partitioned while the order was delayed.
 	partitioned bool
 	// incarnation is the worker's incarnation that the sender knew.
-	incarnation workers.Born
+	incarnation workers.StartTime
 }
 
 // modelWrite is a record that is being written to the store.
@@ -95,7 +95,7 @@
 	storeUnreachable, dead bool
 	write                  *modelWrite
 	// incarnations are the workers' incarnations that the leader was notified of.
-	incarnations [modelWorkerCount]workers.Born
+	incarnations [modelWorkerCount]workers.StartTime
 }
 
 // model is a state that is reached by a path of choices.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -54,7 +54,7 @@
 	Address string
 	// Incarnation identifies the run of the worker's process that is meant; zero if it is not
 	// known. A restarted worker holds no keys and has seen no fences.
-	Incarnation workers.Born
+	Incarnation workers.StartTime
 }
 
 // Grant gives keys to a worker for a limited time.
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -74,7 +74,7 @@
 
 // keepBack says how much of an answer is kept back until it is whole, and for how long.
 func (c *call) answerBuffering() (most int64, hold time.Duration) {
-	if c.route.Class == routing.BulkDown {
+	if c.route.Class == routing.BulkDownload {
 		return maxBufferedDownload, time.Duration(downloadBufferShare * float64(c.route.Target))
 	}
 	return maxBufferedAnswer, 0
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -114,7 +114,7 @@
 
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	s := newSizes()
-	small, bulk := &routing.Route{Name: "a"}, &routing.Route{Name: "b", Class: routing.BulkDown}
+	small, bulk := &routing.Route{Name: "a"}, &routing.Route{Name: "b", Class: routing.BulkDownload}
 	assert.Equal(t, s.expected(small), float64(defaultSmallBytes))
 	assert.Equal(t, s.expected(bulk), float64(defaultBulkBytes))
 	for range 200 {
--- a/internal/proxy/notices.go
+++ b/internal/proxy/notices.go
@@ -19,7 +19,7 @@
 	if result.Leaving {
 		c.proxy.Metrics.recordNotice(c.service.Name, noticeLeaving)
 		if c.proxy.OnWorkerLeaving != nil {
-			c.proxy.OnWorkerLeaving(to.info().Life())
+			c.proxy.OnWorkerLeaving(to.info().Incarnation())
 		}
 	}
 	c.recordBackoff(to, result)
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -16,7 +16,7 @@
 func (p *Proxy) SetTopology(places topology.Map) {
 	p.fleet.topology = places
 	p.fleet.crossing = singleRegionPolicy
-	if places.Regions() > 1 {
+	if places.RegionCount() > 1 {
 		p.fleet.crossing = multiRegionPolicy
 	}
 }
--- a/internal/workerlimit/book.go
+++ b/internal/workerlimit/book.go
@@ -18,9 +18,9 @@
 func NewTable() Table { return Table{facts.NewTable[Fact]()} }
 
 // Fact returns what is known of a worker's limit; false if it never named one.
-func (b Table) Fact(life workers.Life) (Fact, bool) {
-	fact, known := b.Table.Fact(workers.Life{ID: life.ID})
-	if !known || !fact.Worker.MayBe(life) {
+func (b Table) Fact(life workers.Incarnation) (Fact, bool) {
+	fact, known := b.Table.Fact(workers.Incarnation{ID: life.ID})
+	if !known || !fact.Worker.MayEqual(life) {
 		return Fact{}, false
 	}
 	return fact, true
@@ -28,7 +28,7 @@
 
 // Rate returns how many requests a second a worker takes from all routers together; false if it
 // names no limit.
-func (b Table) Rate(life workers.Life) (perSecond float64, limited bool) {
+func (b Table) Rate(life workers.Incarnation) (perSecond float64, limited bool) {
 	if b.ActiveCount() == 0 {
 		return 0, false
 	}
