--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -105,15 +105,15 @@
 // List returns all items under a prefix, and the revision to watch from: that of the first page,
 // since what changed while the others were read is told by the changes after it.
 func List(ctx context.Context, store Store, prefix string) ([]Item, Revision, error) {
-	var reading PartialList
-	for !reading.Done {
-		page, err := store.ListPage(ctx, prefix, reading.After)
+	var list PartialList
+	for !list.Done {
+		page, err := store.ListPage(ctx, prefix, list.After)
 		if err != nil {
 			return nil, 0, err
 		}
-		reading.Add(page)
+		list.Add(page)
 	}
-	return reading.Items, reading.At, nil
+	return list.Items, list.At, nil
 }
 
 // Reading is a list of which some pages were read. The zero value has none. It goes on after a
--- a/internal/coord/follow.go
+++ b/internal/coord/follow.go
@@ -13,16 +13,16 @@
 const (
 	// watchSlack is added until a silent watch is given up.
 	watchSlack = 500 * time.Millisecond
-	// followPause is the wait after a failed call, and longestPause after many.
-	followPause  = 250 * time.Millisecond
-	longestPause = time.Second
+	// retryDelay is the wait after a failed call, and maxRetryDelay after many.
+	retryDelay    = 250 * time.Millisecond
+	maxRetryDelay = time.Second
 	// pageTimeout bounds one page of a list. A list has as many as it needs: what bounded it
 	// as a whole would begin a long one on a slow link again and again.
 	pageTimeout = 1500 * time.Millisecond
-	// catchUpWait is how long a watch may stay silent that reads what has changed.
-	catchUpWait = 20 * time.Millisecond
-	// pauseLook is the pause between looks whether following is paused still.
-	pauseLook = 50 * time.Millisecond
+	// catchUpTimeout is how long a watch may stay silent that reads what has changed.
+	catchUpTimeout = 20 * time.Millisecond
+	// pausePollInterval is the pause between looks whether following is paused still.
+	pausePollInterval = 50 * time.Millisecond
 )
 
 // View receives what is under a prefix. Calls come from one goroutine.
@@ -74,10 +74,10 @@
 // Follow keeps a view up to date until ctx ends.
 func Follow(ctx context.Context, store Store, prefix string, view View, options Options) {
 	follower := &follower{store: store, prefix: prefix, view: view, options: options}
-	follower.backoff = clock.Backoff{First: followPause, Longest: longestPause}
+	follower.backoff = clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
 	for ctx.Err() == nil {
 		if err := follower.step(ctx); err != nil && ctx.Err() == nil {
-			follower.fail(ctx, err)
+			follower.handleFailure(ctx, err)
 		}
 	}
 }
@@ -90,57 +90,57 @@
 	at      Revision
 	listed  bool
 	// reading is a list that was begun.
-	reading PartialList
+	partial PartialList
 	// asked says that others were waited for.
-	asked bool
-	lost  bool
+	awaited     bool
+	unavailable bool
 	// hurries says that the next watch is to answer at once.
-	hurries bool
+	pollNext bool
 	// began is when the first page of the list was sent for.
-	began time.Time
+	listSentAt time.Time
 	// sent is when the last call was sent, and away a time at which the service was away:
 	// when the last call that failed was sent, or was refused.
-	sent, away time.Time
-	backoff    clock.Backoff
+	sentAt, unavailableAt time.Time
+	backoff               clock.Backoff
 }
 
 // step lists or watches once.
 func (f *follower) step(ctx context.Context) error {
-	if !f.listed && !f.toldAll(ctx) {
+	if !f.listed && !f.receiveInitialState(ctx) {
 		return f.list(ctx)
 	}
 	if f.options.Paused != nil && f.options.Paused() {
-		return f.pause(ctx)
+		return f.waitWhilePaused(ctx)
 	}
-	if f.hurries { // an answer tells soon what the call before has missed
-		return f.watchFor(ctx, catchUpWait)
+	if f.pollNext { // an answer tells soon what the call before has missed
+		return f.watch(ctx, catchUpTimeout)
 	}
-	return f.watchFor(ctx, f.options.WatchTimeout())
+	return f.watch(ctx, f.options.WatchTimeout())
 }
 
 // pause waits until following goes on, or what has changed is to be read.
-func (f *follower) pause(ctx context.Context) error {
-	ticker := time.NewTicker(pauseLook)
+func (f *follower) waitWhilePaused(ctx context.Context) error {
+	ticker := time.NewTicker(pausePollInterval)
 	defer ticker.Stop()
 	for f.options.Paused() {
 		select {
 		case <-f.options.Resync:
-			return f.watchFor(ctx, catchUpWait)
+			return f.watch(ctx, catchUpTimeout)
 		case <-ticker.C:
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	f.hurries = f.options.PollAfterPause != nil && f.options.PollAfterPause()
+	f.pollNext = f.options.PollAfterPause != nil && f.options.PollAfterPause()
 	return nil
 }
 
 // toldAll waits once, before the first list, whether others tell all that there is.
-func (f *follower) toldAll(ctx context.Context) bool {
-	if f.asked || f.options.AwaitInitialState == nil {
+func (f *follower) receiveInitialState(ctx context.Context) bool {
+	if f.awaited || f.options.AwaitInitialState == nil {
 		return false
 	}
-	f.asked = true
+	f.awaited = true
 	if f.options.AwaitInitialState(ctx) {
 		f.listed, f.at = true, f.options.CoveredRevision()
 	}
@@ -149,71 +149,71 @@
 
 // list reads a page of a list, the first or the next one, and takes the list with its last page.
 func (f *follower) list(ctx context.Context) error {
-	if f.reading.After != "" && f.options.AwaitRelayedList != nil && f.options.AwaitRelayedList(ctx, f.reading.At) {
-		f.reading = PartialList{}
+	if f.partial.After != "" && f.options.AwaitRelayedList != nil && f.options.AwaitRelayedList(ctx, f.partial.At) {
+		f.partial = PartialList{}
 		f.listed, f.at = true, max(f.at, f.options.CoveredRevision())
 		return nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	f.sent = clock.Now()
-	if f.reading.After == "" {
-		f.began = f.sent
+	f.sentAt = clock.Now()
+	if f.partial.After == "" {
+		f.listSentAt = f.sentAt
 	}
-	page, err := f.store.ListPage(bounded, f.prefix, f.reading.After)
+	page, err := f.store.ListPage(bounded, f.prefix, f.partial.After)
 	if err != nil {
 		return err
 	}
-	f.regain()
-	f.reading.Add(page)
-	if f.reading.Done {
-		f.take(f.reading)
+	f.markAvailable()
+	f.partial.Add(page)
+	if f.partial.Done {
+		f.finishList(f.partial)
 	}
 	return nil
 }
 
 // take takes a list that was read whole: all that changed since its first page was sent for is
 // still to be read.
-func (f *follower) take(list PartialList) {
-	f.reading = PartialList{}
+func (f *follower) finishList(list PartialList) {
+	f.partial = PartialList{}
 	f.at, f.listed = max(f.at, list.At), true
 	f.view.Snapshot(list.Items, list.At)
-	f.reached(f.began)
+	f.reportSynced(f.listSentAt)
 }
 
 // reached tells that all is known as of a time.
-func (f *follower) reached(at time.Time) {
+func (f *follower) reportSynced(at time.Time) {
 	if f.options.OnSynced != nil {
 		f.options.OnSynced(at)
 	}
 }
 
 // watchFor waits for changes for some time.
-func (f *follower) watchFor(ctx context.Context, wait time.Duration) error {
+func (f *follower) watch(ctx context.Context, wait time.Duration) error {
 	if f.options.CoveredRevision != nil {
 		f.at = max(f.at, f.options.CoveredRevision())
 	}
 	bounded, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
-	renewed := f.watchRenewal(bounded, cancel)
-	f.sent = clock.Now()
+	resyncRequested := f.cancelOnResync(bounded, cancel)
+	f.sentAt = clock.Now()
 	events, at, err := f.store.Watch(bounded, f.prefix, f.at, wait)
 	switch {
-	case errors.Is(err, ErrNoHistory), err != nil && renewed.Load():
+	case errors.Is(err, ErrNoHistory), err != nil && resyncRequested.Load():
 		f.listed = false
 		return nil
 	case err != nil: // what a watch has lost is told by the next from the same revision
-		f.hurries = true
+		f.pollNext = true
 		return err
 	}
-	f.hurries = false
-	f.regain()
+	f.pollNext = false
+	f.markAvailable()
 	f.at = max(f.at, at)
-	answered := clock.Now()
+	returnedAt := clock.Now()
 	if len(events) > 0 {
 		f.view.Changed(events, f.at)
 	}
-	f.reached(answered)
+	f.reportSynced(returnedAt)
 	if len(events) > 0 {
 		clock.Sleep(ctx, f.options.BatchDelay())
 	}
@@ -221,44 +221,44 @@
 }
 
 // watchRenewal cancels the watch when it is to be renewed.
-func (f *follower) watchRenewal(ctx context.Context, cancel context.CancelFunc) *atomic.Bool {
-	renewed := &atomic.Bool{}
+func (f *follower) cancelOnResync(ctx context.Context, cancel context.CancelFunc) *atomic.Bool {
+	requested := &atomic.Bool{}
 	if f.options.Resync == nil {
-		return renewed
+		return requested
 	}
 	go func() {
 		select {
 		case <-f.options.Resync:
-			renewed.Store(true)
+			requested.Store(true)
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	return renewed
+	return requested
 }
 
-func (f *follower) regain() {
+func (f *follower) markAvailable() {
 	f.backoff.Reset()
-	if f.lost {
-		f.lost = false
-		f.view.Regained(f.away)
+	if f.unavailable {
+		f.unavailable = false
+		f.view.Regained(f.unavailableAt)
 	}
 }
 
-func (f *follower) fail(ctx context.Context, err error) {
-	f.away = f.sent
+func (f *follower) handleFailure(ctx context.Context, err error) {
+	f.unavailableAt = f.sentAt
 	if errors.Is(err, ErrRefused) {
-		f.away = clock.Now()
+		f.unavailableAt = clock.Now()
 	}
 	if f.options.OnFailure != nil {
-		f.options.OnFailure(f.away)
+		f.options.OnFailure(f.unavailableAt)
 	}
-	took, first := clock.Since(f.sent), !f.lost
+	took, first := clock.Since(f.sentAt), !f.unavailable
 	if first {
-		f.lost = true
+		f.unavailable = true
 		f.view.Lost(err)
 	}
-	if first && took >= longestPause { // a silent watch was pause enough
+	if first && took >= maxRetryDelay { // a silent watch was pause enough
 		return
 	}
 	f.backoff.SleepRest(ctx, took)
--- a/internal/coord/memory/memory.go
+++ b/internal/coord/memory/memory.go
@@ -26,14 +26,14 @@
 	items    map[string]coord.Item
 	history  []coord.Event
 	// oldest is the revision up to which the history is forgotten.
-	oldest   coord.Revision
-	leases   map[coord.LeaseID]*lease
-	next     coord.LeaseID
-	changed  chan struct{}
-	down     bool
-	deaf     bool
-	loseNext int
-	lateBy   time.Duration
+	discardedUpTo coord.Revision
+	leases        map[coord.LeaseID]*lease
+	lastLease     coord.LeaseID
+	changed       chan struct{}
+	down          bool
+	watchesSilent bool
+	loseCount     int
+	applyDelay    time.Duration
 	// Calls counts the calls that arrived, by name.
 	Calls map[string]int
 	// PageItems is how many items a page of a list has; zero: all.
@@ -65,27 +65,27 @@
 func (s *Store) SetWatchesSilent(deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.watchesSilent = deaf
 }
 
 // LoseAnswers loses the answers of the next changes. With lateBy they are done
 // that much later, if their conditions still hold.
-func (s *Store) LoseAnswers(count int, lateBy time.Duration) {
+func (s *Store) LoseAnswers(count int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext, s.lateBy = count, lateBy
+	s.loseCount, s.applyDelay = count, delay
 }
 
 // Forget drops the history.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.oldest = nil, s.revision
+	s.history, s.discardedUpTo = nil, s.revision
 }
 
 // arrive counts a call and waits for ever, or until ctx ends, if the store is
 // down. The caller holds mu.
-func (s *Store) arrive(ctx context.Context, name string) error {
+func (s *Store) beginCall(ctx context.Context, name string) error {
 	s.Calls[name]++
 	if !s.down {
 		return nil
@@ -100,7 +100,7 @@
 func (s *Store) Get(ctx context.Context, key string) (coord.Item, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "get"); err != nil {
+	if err := s.beginCall(ctx, "get"); err != nil {
 		return coord.Item{}, false, err
 	}
 	item, found := s.items[key]
@@ -111,7 +111,7 @@
 func (s *Store) ListPage(ctx context.Context, prefix, after string) (coord.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "list"); err != nil {
+	if err := s.beginCall(ctx, "list"); err != nil {
 		return coord.Page{}, err
 	}
 	page := coord.Page{At: s.revision}
@@ -131,22 +131,22 @@
 func (s *Store) Watch(ctx context.Context, prefix string, after coord.Revision, wait time.Duration) ([]coord.Event, coord.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "watch"); err != nil {
+	if err := s.beginCall(ctx, "watch"); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if s.deaf || s.down {
+		if s.watchesSilent || s.down {
 			s.mu.Unlock()
 			<-ctx.Done()
 			s.mu.Lock()
 			return nil, 0, ErrDown
 		}
-		if after < s.oldest {
+		if after < s.discardedUpTo {
 			return nil, 0, coord.ErrNoHistory
 		}
-		if events := s.since(prefix, after); len(events) > 0 {
+		if events := s.eventsAfter(prefix, after); len(events) > 0 {
 			return events, s.revision, nil
 		}
 		changed := s.changed
@@ -164,7 +164,7 @@
 	}
 }
 
-func (s *Store) since(prefix string, after coord.Revision) []coord.Event {
+func (s *Store) eventsAfter(prefix string, after coord.Revision) []coord.Event {
 	var events []coord.Event
 	for _, event := range s.history {
 		if event.Revision > after && strings.HasPrefix(event.Key, prefix) {
@@ -178,13 +178,13 @@
 func (s *Store) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "commit"); err != nil {
+	if err := s.beginCall(ctx, "commit"); err != nil {
 		return 0, err
 	}
-	if s.loseNext > 0 {
-		s.loseNext--
-		if s.lateBy > 0 {
-			time.AfterFunc(s.lateBy, func() {
+	if s.loseCount > 0 {
+		s.loseCount--
+		if s.applyDelay > 0 {
+			time.AfterFunc(s.applyDelay, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				_, _ = s.apply(txn)
@@ -202,8 +202,8 @@
 
 // apply does a transaction. The caller holds mu.
 func (s *Store) apply(txn coord.Txn) (coord.Revision, error) {
-	for _, demanded := range txn.Conditions {
-		if s.items[demanded.Key].Revision != demanded.Revision {
+	for _, condition := range txn.Conditions {
+		if s.items[condition.Key].Revision != condition.Revision {
 			return 0, coord.ErrConflict
 		}
 	}
@@ -221,7 +221,7 @@
 	for _, key := range txn.Removes {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return s.revision, nil
 }
 
@@ -233,7 +233,7 @@
 	s.history = append(s.history, coord.Event{Item: coord.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -242,12 +242,12 @@
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (coord.LeaseID, time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "lease"); err != nil {
+	if err := s.beginCall(ctx, "lease"); err != nil {
 		return 0, 0, err
 	}
-	s.next++
-	id := s.next
-	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.end(id) })}
+	s.lastLease++
+	id := s.lastLease
+	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.endLease(id) })}
 	return id, ttl, nil
 }
 
@@ -255,7 +255,7 @@
 func (s *Store) KeepLease(ctx context.Context, id coord.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.arrive(ctx, "keep"); err != nil {
+	if err := s.beginCall(ctx, "keep"); err != nil {
 		return err
 	}
 	kept := s.leases[id]
@@ -269,16 +269,16 @@
 // EndLease implements coord.Store.
 func (s *Store) EndLease(ctx context.Context, id coord.LeaseID) error {
 	s.mu.Lock()
-	if err := s.arrive(ctx, "end"); err != nil {
+	if err := s.beginCall(ctx, "end"); err != nil {
 		s.mu.Unlock()
 		return err
 	}
 	s.mu.Unlock()
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-func (s *Store) end(id coord.LeaseID) {
+func (s *Store) endLease(id coord.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ended := s.leases[id]
@@ -293,5 +293,5 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
--- a/internal/coord/memory/timeoutstore.go
+++ b/internal/coord/memory/timeoutstore.go
@@ -15,7 +15,7 @@
 
 // Commit implements coord.Store.
 func (b TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
-	limited, cancel := context.WithTimeout(ctx, b.CommitTimeout)
+	bounded, cancel := context.WithTimeout(ctx, b.CommitTimeout)
 	defer cancel()
-	return b.Store.Commit(limited, txn)
+	return b.Store.Commit(bounded, txn)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -32,17 +32,17 @@
 	// LeaseTTL is how long the lease lasts without renewal, unless the service
 	// takes only longer ones.
 	LeaseTTL = 1500 * time.Millisecond
-	// renewEvery is the pause between renewals, which do not wait for one another.
-	renewEvery = 400 * time.Millisecond
+	// renewInterval is the pause between renewals, which do not wait for one another.
+	renewInterval = 400 * time.Millisecond
 	// authorityMargin is kept from the end of the lease.
 	authorityMargin = 150 * time.Millisecond
-	// callTimeout bounds one renewal.
-	callTimeout = 1200 * time.Millisecond
-	// anotherWait is how long one wait for another leader lasts, and anotherPause is
-	// the pause after one that failed, longestPause after many.
-	anotherWait  = 700 * time.Millisecond
-	anotherPause = 300 * time.Millisecond
-	longestPause = time.Second
+	// renewTimeout bounds one renewal.
+	renewTimeout = 1200 * time.Millisecond
+	// watchTimeout is how long one wait for another leader lasts, and retryDelay is
+	// the pause after one that failed, maxRetryDelay after many.
+	watchTimeout  = 700 * time.Millisecond
+	retryDelay    = 300 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // Leader is what the service says of the leader.
@@ -100,7 +100,7 @@
 // AwaitAnother waits until the service no longer names a leader; false if ctx ends
 // first. Waits are short: a watch that the service has lost unseen tells nothing.
 func (e *Election) AwaitLeaderChange(ctx context.Context, leader Leader) bool {
-	backoff := clock.Backoff{First: anotherPause, Longest: longestPause}
+	backoff := clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
 	after := leader.Revision
 	for ctx.Err() == nil {
 		changed, at, err := e.watchLeader(ctx, leader, after)
@@ -120,9 +120,9 @@
 // watchLeader waits a moment for a change of the leader's key after a revision, and
 // returns the revision up to which there was none.
 func (e *Election) watchLeader(ctx context.Context, leader Leader, after coord.Revision) (changed bool, at coord.Revision, err error) {
-	bounded, cancel := context.WithTimeout(ctx, anotherWait+anotherPause)
+	bounded, cancel := context.WithTimeout(ctx, watchTimeout+retryDelay)
 	defer cancel()
-	events, at, err := e.store.Watch(bounded, e.LeaderKey(), after, anotherWait)
+	events, at, err := e.store.Watch(bounded, e.LeaderKey(), after, watchTimeout)
 	if !errors.Is(err, coord.ErrNoHistory) {
 		return len(events) > 0, at, err
 	}
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	before, beforeRevision, err := e.renewers(ctx)
+	previous, renewersRevision, err := e.renewers(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -150,47 +150,47 @@
 	if err != nil {
 		return nil, err
 	}
-	won := Leader{Address: e.address, Process: e.process, Nonce: e.nonce(), Term: term + 1}
-	value, err := json.Marshal(won)
+	leader := Leader{Address: e.address, Process: e.process, Nonce: e.nonce(), Term: term + 1}
+	value, err := json.Marshal(leader)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	won.Revision, err = e.store.Commit(ctx, coord.Txn{
+	leader.Revision, err = e.store.Commit(ctx, coord.Txn{
 		Conditions: []coord.Condition{
 			{Key: e.LeaderKey(), Revision: replace}, {Key: e.termKey(), Revision: termRevision},
-			{Key: e.renewersKey(), Revision: beforeRevision},
+			{Key: e.renewersKey(), Revision: renewersRevision},
 		},
 		Puts: []coord.Put{
 			{Key: e.LeaderKey(), Value: value, Lease: lease},
-			{Key: e.termKey(), Value: []byte(strconv.FormatInt(int64(won.Term), 10))},
-			{Key: e.renewersKey(), Value: encodeRenewers(append(before, Renewer{Address: e.address, Process: e.process}))},
+			{Key: e.termKey(), Value: []byte(strconv.FormatInt(int64(leader.Term), 10))},
+			{Key: e.renewersKey(), Value: encodeRenewers(append(previous, Renewer{Address: e.address, Process: e.process}))},
 		},
 	})
-	if err != nil && !e.wonAnyway(ctx, err, &won) {
+	if err != nil && !e.resolveCommit(ctx, err, &leader) {
 		_ = e.store.EndLease(ctx, lease)
-		return nil, lost(err)
+		return nil, campaignError(err)
 	}
-	tenure := newTenure(e.store, won, lease, ttl, sent)
-	tenure.PreviousRenewers = before
+	tenure := newTenure(e.store, leader, lease, ttl, sent)
+	tenure.PreviousRenewers = previous
 	tenure.renewersKey, tenure.leaderKey = e.renewersKey(), e.LeaderKey()
-	tenure.renewersRevision = won.Revision
+	tenure.renewersRevision = leader.Revision
 	return tenure, nil
 }
 
 // wonAnyway resolves a commit whose outcome is unknown.
-func (e *Election) wonAnyway(ctx context.Context, err error, won *Leader) bool {
+func (e *Election) resolveCommit(ctx context.Context, err error, candidate *Leader) bool {
 	if errors.Is(err, coord.ErrConflict) || errors.Is(err, coord.ErrRefused) || errors.Is(err, coord.ErrNoLease) {
 		return false
 	}
 	leader, found, err := e.CurrentLeader(ctx)
-	if err != nil || !found || leader.Nonce != won.Nonce {
+	if err != nil || !found || leader.Nonce != candidate.Nonce {
 		return false
 	}
-	won.Revision = leader.Revision
+	candidate.Revision = leader.Revision
 	return true
 }
 
-func lost(err error) error {
+func campaignError(err error) error {
 	if errors.Is(err, coord.ErrConflict) {
 		return ErrOtherLeader
 	}
@@ -218,18 +218,18 @@
 	lease            coord.LeaseID
 	ttl              time.Duration
 
-	mu    sync.Mutex
-	until time.Time
+	mu             sync.Mutex
+	authorityUntil time.Time
 	// reached is when the last call was sent that was answered.
-	reached time.Time
-	ended   bool
-	done    chan struct{}
+	lastContact time.Time
+	ended       bool
+	done        chan struct{}
 }
 
 func newTenure(store coord.Store, leader Leader, lease coord.LeaseID, ttl time.Duration, sent time.Time) *Tenure {
 	return &Tenure{
 		Leader: leader, store: store, lease: lease, ttl: ttl,
-		until: sent.Add(ttl - authorityMargin), reached: sent, done: make(chan struct{}),
+		authorityUntil: sent.Add(ttl - authorityMargin), lastContact: sent, done: make(chan struct{}),
 	}
 }
 
@@ -237,14 +237,14 @@
 func (t *Tenure) AuthorityUntil() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.until
+	return t.authorityUntil
 }
 
 // Reached returns when the last call was sent that the service has answered.
 func (t *Tenure) LastContact() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.reached
+	return t.lastContact
 }
 
 // Ended is closed once the service says that the lease is over.
@@ -252,7 +252,7 @@
 
 // Keep renews the lease until ctx ends or the lease is over.
 func (t *Tenure) KeepAlive(ctx context.Context) {
-	ticker := time.NewTicker(renewEvery)
+	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -267,7 +267,7 @@
 }
 
 func (t *Tenure) renew(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, callTimeout)
+	bounded, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	sent := clock.Now()
 	err := t.store.KeepLease(bounded, t.lease)
@@ -275,13 +275,13 @@
 	defer t.mu.Unlock()
 	switch {
 	case err == nil:
-		t.reached = sent
-		if until := sent.Add(t.ttl - authorityMargin); until.After(t.until) {
-			t.until = until
+		t.lastContact = sent
+		if until := sent.Add(t.ttl - authorityMargin); until.After(t.authorityUntil) {
+			t.authorityUntil = until
 		}
 	case errors.Is(err, coord.ErrNoLease) && !t.ended:
 		t.ended = true
-		t.until = time.Time{}
+		t.authorityUntil = time.Time{}
 		close(t.done)
 	}
 }
@@ -289,7 +289,7 @@
 // Resign ends the tenure, so that another may lead at once.
 func (t *Tenure) Resign(ctx context.Context) {
 	t.mu.Lock()
-	t.until = time.Time{}
+	t.authorityUntil = time.Time{}
 	if !t.ended {
 		t.ended = true
 		close(t.done)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestOneOfTwoLeads(t *testing.T) {
+func TestOnlyOneCandidateIsElected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		first, second := candidate(store, "a"), candidate(store, "b")
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestAnEndedLeaderIsReplacedBeforeItsLeaseEnds(t *testing.T) {
+func TestEndedLeaderIsReplacedBeforeLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		_, err := candidate(store, "a").Campaign(t.Context(), 0)
@@ -60,7 +60,7 @@
 	})
 }
 
-func TestALostAnswerIsResolvedByReading(t *testing.T) {
+func TestLostResponseIsResolvedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		store.LoseAnswers(1, 0)
@@ -76,7 +76,7 @@
 
 // A commit that is done late wins nothing for a process that has given up: the
 // term has moved on.
-func TestALateCommitDoesNotUnseatTheNextLeader(t *testing.T) {
+func TestDelayedCommitDoesNotReplaceNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		store.LoseAnswers(1, 3*time.Second)
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestAuthorityEndsBeforeTheLeaseInAnOutage(t *testing.T) {
+func TestAuthorityEndsBeforeLeaseInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
@@ -122,7 +122,7 @@
 // Found on a day of Tawila (trouble-1, seed 12): the leader was cut from the service,
 // and those who waited for another one heard nothing of it for 2.8 s: one long watch
 // had been lost unseen.
-func TestAnotherLeaderIsNoticedAlthoughAWatchWasLost(t *testing.T) {
+func TestLeaderChangeIsNoticedAfterDroppedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		_, err := candidate(store, "a").Campaign(t.Context(), 0)
@@ -147,7 +147,7 @@
 // Found on trouble-1 of tlb-gateway-large: the history between the leader's election and
 // now was gone, so each wait ended at once, and 94 processes asked 1,200 times in two
 // seconds.
-func TestWaitingForAnotherLeaderOutlastsForgottenHistory(t *testing.T) {
+func TestAwaitLeaderChangeSurvivesDiscardedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
@@ -161,7 +161,7 @@
 		store.ForgetHistory()
 		noticed := make(chan bool, 1)
 		go func() { noticed <- waiting.AwaitLeaderChange(t.Context(), leader) }()
-		time.Sleep(7 * anotherWait)
+		time.Sleep(7 * watchTimeout)
 		synctest.Wait()
 		select {
 		case <-noticed:
@@ -175,7 +175,7 @@
 }
 
 // The lease goes on to end while a leader's machine is suspended, though its steady clock stands.
-func TestASuspendedLeadersAuthorityEnds(t *testing.T) {
+func TestSuspensionEndsAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tenure, err := candidate(memory.New(), "a").Campaign(t.Context(), 0)
 		assert.NilError(t, err)
--- a/internal/election/renewers.go
+++ b/internal/election/renewers.go
@@ -37,14 +37,14 @@
 // encodeRenewers writes each process once.
 func encodeRenewers(list []Renewer) []byte {
 	seen := map[Renewer]bool{}
-	once := make([]Renewer, 0, len(list))
+	unique := make([]Renewer, 0, len(list))
 	for _, one := range list {
 		if !seen[one] {
 			seen[one] = true
-			once = append(once, one)
+			unique = append(unique, one)
 		}
 	}
-	value, err := json.Marshal(once)
+	value, err := json.Marshal(unique)
 	if err != nil {
 		panic(err) // it is plain data
 	}
@@ -66,13 +66,13 @@
 	case err == nil:
 		t.renewersRevision = revision
 	case errors.Is(err, coord.ErrConflict):
-		t.reread(ctx)
+		t.refreshRevision(ctx)
 	}
 	return err
 }
 
 // reread learns the revision of a record that an earlier try has written after all.
-func (t *Tenure) reread(ctx context.Context) {
+func (t *Tenure) refreshRevision(ctx context.Context) {
 	if item, found, err := t.store.Get(ctx, t.renewersKey); err == nil && found {
 		t.renewersRevision = item.Revision
 	}
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -13,7 +13,7 @@
 )
 
 // bounded gives a write up before it is done late.
-func bounded(t *testing.T, tenure *Tenure, list ...Renewer) error {
+func storeWithTimeout(t *testing.T, tenure *Tenure, list ...Renewer) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	return tenure.StoreRenewers(ctx, list)
@@ -21,7 +21,7 @@
 
 // A process gets leave once it is stored. A write that is done seconds later must not
 // take it off the record again: the next leader would not ask it to stop.
-func TestAWriteThatIsDoneLateTakesNoStandbyOffTheRecord(t *testing.T) {
+func TestDelayedWriteDoesNotRemoveStandby(t *testing.T) {
 	first, second := Renewer{Address: "x:1", Process: "x"}, Renewer{Address: "y:1", Process: "y"}
 	for name, late := range map[string]time.Duration{"lost": 0, "late": time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -30,8 +30,8 @@
 				tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
 				assert.NilError(t, err)
 				store.LoseAnswers(1, late)
-				assert.Assert(t, bounded(t, tenure, first) != nil, "it had no answer")
-				for tries := 0; bounded(t, tenure, second) != nil; tries++ {
+				assert.Assert(t, storeWithTimeout(t, tenure, first) != nil, "it had no answer")
+				for tries := 0; storeWithTimeout(t, tenure, second) != nil; tries++ {
 					assert.Assert(t, tries < 2)
 				}
 				time.Sleep(2 * time.Second)
@@ -45,7 +45,7 @@
 
 // A list of standbys that can't be read kept any process from leading: the next leader outwaits
 // what they may do, as if it knew of none.
-func TestAListOfStandbysThatCantBeReadIsUnknown(t *testing.T) {
+func TestUnreadableRenewersListCountsAsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		one := candidate(store, "a")
@@ -55,7 +55,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(tenure.PreviousRenewers), 0)
 		stored := Renewer{Address: "x:1", Process: "x"}
-		assert.NilError(t, bounded(t, tenure, stored))
+		assert.NilError(t, storeWithTimeout(t, tenure, stored))
 		list, _, err := one.renewers(t.Context())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, list, []Renewer{stored})
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -25,17 +25,17 @@
 
 // Times of the keeper.
 const (
-	tick      = 50 * time.Millisecond
-	planEvery = 200 * time.Millisecond
-	// gaugeEvery is the pause between looks at the books for metrics.
-	gaugeEvery = time.Second
+	tick         = 50 * time.Millisecond
+	planInterval = 200 * time.Millisecond
+	// metricsInterval is the pause between looks at the books for metrics.
+	metricsInterval = time.Second
 	// settleTime is how long the first list of workers must stand still.
 	settleTime = 1200 * time.Millisecond
-	// settleLimit is the longest that the first owners wait for that.
-	settleLimit = 4 * time.Second
-	// goneGrace is how long a worker whose entry went keeps its keys: entries
+	// maxSettleTime is the longest that the first owners wait for that.
+	maxSettleTime = 4 * time.Second
+	// removedGrace is how long a worker whose entry went keeps its keys: entries
 	// come back when the service was only disturbed.
-	goneGrace = 700 * time.Millisecond
+	removedGrace = 700 * time.Millisecond
 	// unreadableGrace is the same where the entry stands, but was written by somebody else: the
 	// worker writes its own again about every second, and the news takes a moment.
 	unreadableGrace = 1500 * time.Millisecond
@@ -44,14 +44,14 @@
 	grantTimeout = 600 * time.Millisecond
 	// releaseTimeout includes the work that still runs on the keys.
 	releaseTimeout = 1500 * time.Millisecond
-	// deafAfter is for how long the key-value service may not answer until the
+	// storeTimeout is for how long the key-value service may not answer until the
 	// other processes are told to look for changes themselves.
-	deafAfter = 1100 * time.Millisecond
-	// unreadAfter is the same for what the process follows there: a watch that is silent
+	storeTimeout = 1100 * time.Millisecond
+	// staleAfter is the same for what the process follows there: a watch that is silent
 	// answers after 1.5 s, and one that was lost unseen is given up after 2 s.
-	unreadAfter = 2200 * time.Millisecond
-	// loadPause is the wait after a failed read of a record.
-	loadPause = 150 * time.Millisecond
+	staleAfter = 2200 * time.Millisecond
+	// retryDelay is the wait after a failed read of a record.
+	retryDelay = 150 * time.Millisecond
 )
 
 // Keeper keeps the owners of all keyed services while its process leads.
@@ -91,49 +91,49 @@
 }
 
 // tenancy is one tenure's work.
-type tenancy struct {
+type tenureKeeper struct {
 	*Keeper
-	ctx      context.Context
-	tenure   *election.Tenure
-	services map[routing.ServiceName]*service
-	answers  chan answer
-	writes   chan written
-	loaded   chan loaded
-	renewers chan renewersStored
-	standbys standbys
-	until    time.Time
-	began    time.Time
+	ctx        context.Context
+	tenure     *election.Tenure
+	services   map[routing.ServiceName]*service
+	replies    chan orderResult
+	writes     chan writeResult
+	loaded     chan loadResult
+	renewers   chan storeRenewersResult
+	standbys   standbys
+	holdsUntil time.Time
+	startedAt  time.Time
 	// refreshed looks for how long the machine was suspended since the last look.
-	refreshed func() time.Duration
+	suspendedFor func() time.Duration
 	// listChanged is when the list of workers last changed.
 	listChanged time.Time
 }
 
 // answer is the end of an order.
-type answer struct {
-	of    *service
-	order owner.Order
-	reply owner.Reply
+type orderResult struct {
+	service *service
+	order   owner.Order
+	reply   owner.Reply
 }
 
 // Lead keeps the owners until ctx ends or the tenure is over. until is when all
 // holds that earlier leaders gave have surely ended.
-func (k *Keeper) Lead(ctx context.Context, tenure *election.Tenure, until time.Time) {
-	bounded, cancel := context.WithCancel(ctx)
+func (k *Keeper) Lead(ctx context.Context, tenure *election.Tenure, holdsUntil time.Time) {
+	tenureCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t := &tenancy{
-		Keeper: k, ctx: bounded, tenure: tenure, until: until, began: clock.Now(), listChanged: clock.Now(),
+	t := &tenureKeeper{
+		Keeper: k, ctx: tenureCtx, tenure: tenure, holdsUntil: holdsUntil, startedAt: clock.Now(), listChanged: clock.Now(),
 		services: map[routing.ServiceName]*service{},
-		answers:  make(chan answer, 64), writes: make(chan written, 8), loaded: make(chan loaded, 8),
-		renewers: make(chan renewersStored, 1), refreshed: clock.Refresh,
+		replies:  make(chan orderResult, 64), writes: make(chan writeResult, 8), loaded: make(chan loadResult, 8),
+		renewers: make(chan storeRenewersResult, 1), suspendedFor: clock.Refresh,
 	}
 	k.Hub.Open(tenure.Leader.Term)
 	defer k.Hub.Close()
-	defer k.Metrics.ended()
+	defer k.Metrics.reset()
 	t.run()
 }
 
-func (t *tenancy) run() {
+func (t *tenureKeeper) run() {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -152,21 +152,21 @@
 		case <-changed:
 			t.listChanged = clock.Now()
 		case report := <-t.Reports:
-			t.measure(clock.Now(), report)
-		case done := <-t.answers:
-			t.answered(done)
+			t.handleReport(clock.Now(), report)
+		case done := <-t.replies:
+			t.handleReply(done)
 		case done := <-t.writes:
-			t.written(done)
+			t.handleWritten(done)
 		case done := <-t.loaded:
-			t.take(done)
+			t.handleLoaded(done)
 		case done := <-t.renewers:
-			t.renewersWritten(done)
+			t.handleRenewersStored(done)
 		}
 	}
 }
 
 // step does what is due. It returns false once the tenure is over.
-func (t *tenancy) step(now time.Time) bool {
+func (t *tenureKeeper) step(now time.Time) bool {
 	authority := t.tenure.AuthorityUntil()
 	if now.After(authority.Add(t.Times.RenewalGrace)) {
 		return false
@@ -176,59 +176,59 @@
 	}
 	renewOnly := now.After(authority)
 	t.Hub.SetLeadershipUncertain(renewOnly)
-	t.Hub.SetStoreUnreachable(t.deaf(now))
+	t.Hub.SetStoreUnreachable(t.storeUnreachable(now))
 	t.Hub.SetMandateLimit(authority.Add(t.Times.RenewalGrace))
 	if !renewOnly {
-		t.ensure()
-		t.appoint(now)
+		t.loadNewServices()
+		t.appointStandbys(now)
 	}
-	for _, of := range t.services {
-		if of.book == nil {
+	for _, svc := range t.services {
+		if svc.ledger == nil {
 			continue
 		}
-		t.tellLives(now, of)
+		t.observeIncarnations(now, svc)
 		if !renewOnly {
-			t.plan(now, of)
-			t.store(of)
+			t.plan(now, svc)
+			t.storeRecord(svc)
 		}
-		of.book.SetDelegations(t.Hub.Mandates(of.name))
-		for _, order := range of.book.Due(now, renewOnly) {
-			go t.send(of, order)
+		svc.ledger.SetDelegations(t.Hub.Mandates(svc.name))
+		for _, order := range svc.ledger.Due(now, renewOnly) {
+			go t.send(svc, order)
 		}
-		t.publish(of)
-		t.gauge(now, of)
+		t.publish(svc)
+		t.updateMetrics(now, svc)
 	}
 	return true
 }
 
 // deaf reports whether the routers are to read changes themselves: the service has not
 // answered lately, or what this process follows there has not come.
-func (t *tenancy) deaf(now time.Time) bool {
-	if now.Sub(t.tenure.LastContact()) > deafAfter {
+func (t *tenureKeeper) storeUnreachable(now time.Time) bool {
+	if now.Sub(t.tenure.LastContact()) > storeTimeout {
 		return true
 	}
-	return t.SyncedAt != nil && now.Sub(t.SyncedAt()) > unreadAfter
+	return t.SyncedAt != nil && now.Sub(t.SyncedAt()) > staleAfter
 }
 
 // ensure begins to load the books of keyed services that are new.
-func (t *tenancy) ensure() {
+func (t *tenureKeeper) loadNewServices() {
 	config := t.Config()
 	if config == nil {
 		return
 	}
-	for name, described := range config.Services {
-		if described.Keyed && t.services[name] == nil {
+	for name, service := range config.Services {
+		if service.Keyed && t.services[name] == nil {
 			t.services[name] = newService(name)
-			go t.load(name)
+			go t.loadRecord(name)
 		}
 	}
 }
 
 // send sends one order and reports its end.
-func (t *tenancy) send(of *service, order owner.Order) {
+func (t *tenureKeeper) send(svc *service, order owner.Order) {
 	var reply owner.Reply
-	began := clock.Now()
-	if t.refreshed() > 0 { // decided before the machine was suspended: others may lead by now
+	start := clock.Now()
+	if t.suspendedFor() > 0 { // decided before the machine was suspended: others may lead by now
 		reply.Outcome = owner.OutcomeUnreachable
 	} else if order.Release {
 		bounded, cancel := context.WithTimeout(t.ctx, releaseTimeout)
@@ -239,20 +239,20 @@
 		defer cancel()
 		reply = t.Orders.Grant(bounded, order.Target, order.Grant)
 	}
-	t.Metrics.answered(of.name, order, reply.Outcome, clock.Since(began))
+	t.Metrics.observeOrder(svc.name, order, reply.Outcome, clock.Since(start))
 	if reply.Leaving && t.OnWorkerLeaving != nil {
 		t.OnWorkerLeaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
 	}
 	select {
-	case t.answers <- answer{of: of, order: order, reply: reply}:
+	case t.replies <- orderResult{service: svc, order: order, reply: reply}:
 	case <-t.ctx.Done():
 	}
 }
 
-func (t *tenancy) answered(done answer) {
-	done.of.book.HandleReply(clock.Now(), done.order, done.reply)
+func (t *tenureKeeper) handleReply(done orderResult) {
+	done.service.ledger.HandleReply(clock.Now(), done.order, done.reply)
 	if done.reply.Outcome != owner.OutcomeDone {
-		t.Log.Line(decision.KindOrderFailed).Str("service", string(done.of.name)).
+		t.Log.Line(decision.KindOrderFailed).Str("service", string(done.service.name)).
 			Str("worker", string(done.order.Target.ID)).Bool("release", done.order.Release).
 			Int("from", done.order.Keys.From).Int("to", done.order.Keys.To).
 			Int64("fence", int64(done.order.Fence)).Str("outcome", string(done.reply.Outcome)).Msg("")
@@ -261,50 +261,50 @@
 
 // gauge shows the state of a book now and then: looking through all of it at each step
 // would cost as much as the step.
-func (t *tenancy) gauge(now time.Time, of *service) {
-	if now.Before(of.nextGauge) {
+func (t *tenureKeeper) updateMetrics(now time.Time, svc *service) {
+	if now.Before(svc.nextGauge) {
 		return
 	}
-	of.nextGauge = now.Add(gaugeEvery)
-	t.Metrics.book(of.name, of.book.SpanCount(), of.book.MinHoldRemaining(now))
+	svc.nextGauge = now.Add(metricsInterval)
+	t.Metrics.setLedger(svc.name, svc.ledger.SpanCount(), svc.ledger.MinHoldRemaining(now))
 }
 
 // publish tells the routers of changed owners.
-func (t *tenancy) publish(of *service) {
-	if version := of.book.HoldsVersion(); version != of.publishedHolds {
-		of.publishedHolds = version
-		t.Hub.PublishHolds(of.name, version, of.book.Holds())
+func (t *tenureKeeper) publish(svc *service) {
+	if version := svc.ledger.HoldsVersion(); version != svc.publishedHolds {
+		svc.publishedHolds = version
+		t.Hub.PublishHolds(svc.name, version, svc.ledger.Holds())
 	}
-	if of.book.AssignmentVersion() == of.published {
+	if svc.ledger.AssignmentVersion() == svc.publishedAssignment {
 		return
 	}
-	of.published = of.book.AssignmentVersion()
-	owners := of.book.Assignment()
-	t.Table.Replace(t.tenure.Leader.Term, of.name, owners)
-	t.Hub.Publish(of.name, owners)
+	svc.publishedAssignment = svc.ledger.AssignmentVersion()
+	owners := svc.ledger.Assignment()
+	t.Table.Replace(t.tenure.Leader.Term, svc.name, owners)
+	t.Hub.Publish(svc.name, owners)
 }
 
 // measure takes what the routers saw.
-func (t *tenancy) measure(now time.Time, report peerlink.Report) {
+func (t *tenureKeeper) handleReport(now time.Time, report peerlink.Report) {
 	for name, pairs := range report.Keys {
-		of := t.services[name]
-		if of == nil {
+		svc := t.services[name]
+		if svc == nil {
 			continue
 		}
 		counts := map[int]int{}
 		for index := 0; index+1 < len(pairs); index += 2 {
 			counts[pairs[index]] += pairs[index+1]
 		}
-		of.loads.Add(now, counts)
+		svc.loads.Add(now, counts)
 	}
 	for id, sum := range report.ResponseTimes {
 		if worker, known := t.Workers.Get(id); known && t.services[worker.Service] != nil && sum[0] > 0 {
-			t.services[worker.Service].measured(now, worker, sum[0], time.Duration(sum[1])*time.Millisecond)
+			t.services[worker.Service].addResponseTimes(now, worker, sum[0], time.Duration(sum[1])*time.Millisecond)
 		}
 	}
 	for id, sum := range report.Backoffs {
 		if worker, known := t.Workers.Get(id); known && t.services[worker.Service] != nil {
-			t.services[worker.Service].backedOff(now, id, sum[0], time.Duration(sum[1])*time.Millisecond)
+			t.services[worker.Service].addBackoffs(now, id, sum[0], time.Duration(sum[1])*time.Millisecond)
 		}
 	}
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -23,42 +23,42 @@
 )
 
 // obeying are workers that do every order at once.
-type obeying struct {
+type obeyingWorkers struct {
 	mu     sync.Mutex
 	grants map[workers.ID][]owner.Grant
 	// leaving says that it leaves.
 	leaving workers.ID
 }
 
-func (o *obeying) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
+func (o *obeyingWorkers) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.grants[to.ID] = append(o.grants[to.ID], grant)
 	return owner.Reply{Outcome: owner.OutcomeDone, Leaving: to.ID == o.leaving}
 }
 
-func (o *obeying) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
+func (o *obeyingWorkers) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
 	return owner.Reply{Outcome: owner.OutcomeDone, Handover: "h"}
 }
 
 // bench is a keeper with all that it needs.
-type bench struct {
+type testBench struct {
 	t        *testing.T
 	store    *memory.Store
 	election *election.Election
 	keeper   *Keeper
-	orders   *obeying
+	orders   *obeyingWorkers
 	count    int
 }
 
-func (b *bench) nonce() string {
+func (b *testBench) nonce() string {
 	b.count++
 	return fmt.Sprintf("nonce-%d", b.count)
 }
 
-func play(t *testing.T, run func(b *bench)) {
+func runBench(t *testing.T, run func(b *testBench)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{t: t, store: memory.New(), orders: &obeying{grants: map[workers.ID][]owner.Grant{}}}
+		b := &testBench{t: t, store: memory.New(), orders: &obeyingWorkers{grants: map[workers.ID][]owner.Grant{}}}
 		config, err := routing.Build(1, nil, map[routing.ServiceName]*routing.Service{"s": {Name: "s", Keyed: true}}, routing.Limits{})
 		assert.NilError(t, err)
 		store := memory.TimeoutStore{Store: b.store, CommitTimeout: time.Second}
@@ -79,7 +79,7 @@
 }
 
 // announce replaces the list of workers.
-func (b *bench) announce(ids ...workers.ID) {
+func (b *testBench) announce(ids ...workers.ID) {
 	var list []workers.Worker
 	for _, id := range ids {
 		list = append(list, workers.Worker{ID: id, Service: "s", Address: string(id), Slots: 2, State: workers.StateReady})
@@ -88,7 +88,7 @@
 }
 
 // lead leads for some time.
-func (b *bench) lead(length time.Duration, meanwhile func()) {
+func (b *testBench) lead(length time.Duration, meanwhile func()) {
 	tenure, err := b.election.Campaign(b.t.Context(), 0)
 	assert.NilError(b.t, err)
 	ctx, cancel := context.WithTimeout(b.t.Context(), length)
@@ -104,7 +104,7 @@
 	time.Sleep(3 * time.Second) // all that was under way ends
 }
 
-func (b *bench) owner(key int) workers.ID {
+func (b *testBench) owner(key int) workers.ID {
 	held, known := b.keeper.Table.Lookup("s", key)
 	if !known || held.Moving {
 		return ""
@@ -112,7 +112,7 @@
 	return held.Worker
 }
 
-func (b *bench) stored() []owner.Owner {
+func (b *testBench) stored() []owner.Owner {
 	item, found, err := b.store.Get(b.t.Context(), RecordKey("cell/", "s"))
 	assert.NilError(b.t, err)
 	assert.Assert(b.t, found)
@@ -121,8 +121,8 @@
 	return owners
 }
 
-func TestKeysGetOwnersAndTheRecordNamesThem(t *testing.T) {
-	play(t, func(b *bench) {
+func TestInitialOwnersAreStored(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(4*time.Second, nil)
 		assert.Equal(t, b.owner(0), workers.ID("w1"))
 		assert.Equal(t, b.owner(owner.KeyCount-1), workers.ID("w2"))
@@ -130,8 +130,8 @@
 	})
 }
 
-func TestNoGrantGoesOutBeforeItsRecordIsStored(t *testing.T) {
-	play(t, func(b *bench) {
+func TestNoGrantBeforeRecordIsStored(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.store.LoseAnswers(0, 0)
 		b.lead(4*time.Second, func() {
 			time.Sleep(time.Second) // before the first owners are chosen
@@ -145,9 +145,9 @@
 	})
 }
 
-func TestALostAnswerOfARecordWriteIsResolved(t *testing.T) {
+func TestLostRecordWriteResponseIsResolved(t *testing.T) {
 	for _, late := range []time.Duration{0, 500 * time.Millisecond} {
-		play(t, func(b *bench) {
+		runBench(t, func(b *testBench) {
 			b.lead(8*time.Second, func() {
 				time.Sleep(100 * time.Millisecond)
 				b.store.LoseAnswers(1, late)
@@ -158,8 +158,8 @@
 	}
 }
 
-func TestTheNextLeaderRenewsWhatIsHeld(t *testing.T) {
-	play(t, func(b *bench) {
+func TestNextLeaderRenewsHolds(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(4*time.Second, nil)
 		before := len(b.orders.grants["w1"])
 		b.announce("w1", "w2", "w3")
@@ -169,8 +169,8 @@
 	})
 }
 
-func TestALeavingWorkersKeysMove(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysOfRemovedWorkerMove(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(10*time.Second, func() {
 			time.Sleep(5 * time.Second)
 			b.announce("w1")
@@ -184,8 +184,8 @@
 	})
 }
 
-func TestKeysLeaveAnEvacuatedZone(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysMoveOutOfEvacuatedZone(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		near := workers.Worker{ID: "w1", Service: "s", Address: "w1", Zone: "near", Slots: 2, State: workers.StateReady}
 		far := workers.Worker{ID: "w2", Service: "s", Address: "w2", Zone: "far", Slots: 2, State: workers.StateReady}
 		b.keeper.Workers.Replace([]workers.Worker{near, far}, nil, time.Now())
@@ -210,7 +210,7 @@
 }
 
 // A cold worker bears a rate that its slots do not show.
-func TestAColdWorkerIsTakenToBearLittle(t *testing.T) {
+func TestColdWorkerHasReducedCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
 		warmAt   time.Time
@@ -232,8 +232,8 @@
 }
 
 // Nobody asked for the keys of a worker that said that it leaves, and they stayed.
-func TestKeysLeaveAWorkerThatSaysToALeaderThatItLeaves(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysMoveFromWorkerThatReportsLeaving(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.orders.leaving = "w1"
 		b.keeper.OnWorkerLeaving = func(life workers.Life) { b.keeper.Workers.Leaves(life, time.Now()) }
 		b.lead(6*time.Second, nil)
@@ -243,15 +243,15 @@
 	})
 }
 
-func TestAWorkerThatAsksRoutersForBackoffsIsTakenToBearLess(t *testing.T) {
-	play(t, func(b *bench) {
-		t := &tenancy{Keeper: b.keeper}
+func TestBackoffsReduceCapacity(t *testing.T) {
+	runBench(t, func(b *testBench) {
+		t := &tenureKeeper{Keeper: b.keeper}
 		of, now := newService("s"), time.Now()
 		worker, _ := b.keeper.Workers.Get("w1")
 		before := t.candidate(now, of, worker)
-		of.backedOff(now, "w1", 1, 3*time.Second) // the only router there is
+		of.addBackoffs(now, "w1", 1, 3*time.Second) // the only router there is
 		during := t.candidate(now.Add(time.Second), of, worker)
-		assert.Equal(b.t, during.Capacity, leastCapacity*before.Capacity)
+		assert.Equal(b.t, during.Capacity, minCapacityShare*before.Capacity)
 		assert.Assert(b.t, during.Limited && during.Cold)
 		later := t.candidate(now.Add(4*time.Second), of, worker)
 		assert.Equal(b.t, later.Capacity, before.Capacity)
@@ -261,8 +261,8 @@
 	})
 }
 
-func TestAnOutageMovesNothingAndRenewsForAWhile(t *testing.T) {
-	play(t, func(b *bench) {
+func TestOutageMovesNoKeysAndKeepsRenewing(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(8*time.Second, func() {
 			time.Sleep(4 * time.Second)
 			b.store.SetDown(true)
@@ -282,7 +282,7 @@
 
 // A process that has just started may lead by a list of which others had lapsed while
 // the store was away.
-func TestANewLeaderWaitsForEntriesThatMayHaveLapsed(t *testing.T) {
+func TestNewLeaderWaitsForExpiredEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		lead time.Duration
 		want workers.ID
@@ -291,7 +291,7 @@
 		"when all had the time": {lead: 5 * time.Second, want: "w1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				b.lead(4*time.Second, nil)
 				b.keeper.Workers = workers.NewDirectory()
 				b.announce("w1")
@@ -304,27 +304,27 @@
 
 // Suspected on trouble-3 of tawila-gw-large: the leader renewed its lease, but what it
 // followed in the service did not come, and all relied on it.
-func TestALeaderThatReadsNothingSaysSo(t *testing.T) {
+func TestStoreUnreachable(t *testing.T) {
 	for name, test := range map[string]struct {
 		readBefore, leaseBefore time.Duration
 		unknown                 bool
 		deaf                    bool
 	}{
 		"all well":                     {readBefore: 1500 * time.Millisecond},
-		"a watch was lost":             {readBefore: unreadAfter + time.Millisecond, deaf: true},
-		"no renewal was answered":      {leaseBefore: deafAfter + time.Millisecond, deaf: true},
+		"a watch was lost":             {readBefore: staleAfter + time.Millisecond, deaf: true},
+		"no renewal was answered":      {leaseBefore: storeTimeout + time.Millisecond, deaf: true},
 		"what was read is not counted": {unknown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				tenure, err := b.election.Campaign(b.t.Context(), 0)
 				assert.NilError(t, err)
 				if !test.unknown {
 					read := time.Now().Add(test.leaseBefore - test.readBefore)
 					b.keeper.SyncedAt = func() time.Time { return read }
 				}
-				one := &tenancy{Keeper: b.keeper, tenure: tenure}
-				assert.Equal(t, one.deaf(time.Now().Add(test.leaseBefore)), test.deaf)
+				one := &tenureKeeper{Keeper: b.keeper, tenure: tenure}
+				assert.Equal(t, one.storeUnreachable(time.Now().Add(test.leaseBefore)), test.deaf)
 			})
 		})
 	}
--- a/internal/keeper/metrics.go
+++ b/internal/keeper/metrics.go
@@ -12,11 +12,11 @@
 
 // Metrics are the leader's counters.
 type Metrics struct {
-	orders   *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	spans    *prometheus.GaugeVec
-	holdLeft *prometheus.GaugeVec
-	moves    *prometheus.CounterVec
+	orders           *prometheus.CounterVec
+	latency          *prometheus.HistogramVec
+	keyRanges        *prometheus.GaugeVec
+	minHoldRemaining *prometheus.GaugeVec
+	moves            *prometheus.CounterVec
 }
 
 // orderBuckets are upper bounds in seconds.
@@ -31,40 +31,40 @@
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "shalefork_router_order_seconds", Help: "Time until an order was answered or given up.", Buckets: orderBuckets,
 		}, []string{"service", "order"}),
-		spans: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		keyRanges: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "shalefork_router_key_runs", Help: "Runs of keys in the leader's book.",
 		}, []string{"service"}),
-		holdLeft: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		minHoldRemaining: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "shalefork_router_hold_left_seconds", Help: "Shortest time for which an owner surely holds its keys without another renewal.",
 		}, []string{"service"}),
 		moves: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_moves_total", Help: "Moves of keys that were planned; forced: their owner is lost or leaves.",
 		}, []string{"service", "forced"}),
 	}
-	registerer.MustRegister(metrics.orders, metrics.latency, metrics.spans, metrics.holdLeft, metrics.moves)
+	registerer.MustRegister(metrics.orders, metrics.latency, metrics.keyRanges, metrics.minHoldRemaining, metrics.moves)
 	return metrics
 }
 
-func (m *Metrics) answered(of routing.ServiceName, order owner.Order, outcome owner.Outcome, took time.Duration) {
+func (m *Metrics) observeOrder(service routing.ServiceName, order owner.Order, outcome owner.Outcome, took time.Duration) {
 	kind := "grant"
 	if order.Release {
 		kind = "release"
 	}
-	m.orders.WithLabelValues(string(of), kind, string(outcome)).Inc()
-	m.latency.WithLabelValues(string(of), kind).Observe(took.Seconds())
+	m.orders.WithLabelValues(string(service), kind, string(outcome)).Inc()
+	m.latency.WithLabelValues(string(service), kind).Observe(took.Seconds())
 }
 
-func (m *Metrics) book(of routing.ServiceName, spans int, left time.Duration) {
-	m.spans.WithLabelValues(string(of)).Set(float64(spans))
-	m.holdLeft.WithLabelValues(string(of)).Set(left.Seconds())
+func (m *Metrics) setLedger(service routing.ServiceName, spans int, left time.Duration) {
+	m.keyRanges.WithLabelValues(string(service)).Set(float64(spans))
+	m.minHoldRemaining.WithLabelValues(string(service)).Set(left.Seconds())
 }
 
-func (m *Metrics) moved(of routing.ServiceName, forced bool) {
-	m.moves.WithLabelValues(string(of), strconv.FormatBool(forced)).Inc()
+func (m *Metrics) countMove(service routing.ServiceName, forced bool) {
+	m.moves.WithLabelValues(string(service), strconv.FormatBool(forced)).Inc()
 }
 
 // ended forgets the books of a leader that leads no longer.
-func (m *Metrics) ended() {
-	m.spans.Reset()
-	m.holdLeft.Reset()
+func (m *Metrics) reset() {
+	m.keyRanges.Reset()
+	m.minHoldRemaining.Reset()
 }
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -12,89 +12,89 @@
 )
 
 // plan chooses owners, at first or anew.
-func (t *tenancy) plan(now time.Time, of *service) {
-	if now.Before(of.nextPlan) || of.writing {
+func (t *tenureKeeper) plan(now time.Time, svc *service) {
+	if now.Before(svc.nextPlan) || svc.writing {
 		return
 	}
-	of.nextPlan = now.Add(planEvery)
-	candidates := t.candidates(now, of)
+	svc.nextPlan = now.Add(planInterval)
+	candidates := t.candidates(now, svc)
 	t.Hub.SetBackoffs(t.backoffs(now))
-	if of.book.Empty() {
-		t.first(now, of, candidates)
+	if svc.ledger.Empty() {
+		t.assignInitial(now, svc, candidates)
 		return
 	}
-	for _, one := range of.book.Plan(candidates, of.loads.Rates(now), t.rules(now, of)) {
-		t.tellMove(now, of, one)
+	for _, move := range svc.ledger.Plan(candidates, svc.loads.Rates(now), t.rules(now, svc)) {
+		t.recordMove(now, svc, move)
 	}
 }
 
 // tellMove counts a planned move and writes a line.
-func (t *tenancy) tellMove(now time.Time, of *service, one owner.Move) {
-	if !one.Forced {
-		of.moved(now)
+func (t *tenureKeeper) recordMove(now time.Time, svc *service, move owner.Move) {
+	if !move.Forced {
+		svc.addBalanceMove(now)
 	}
-	t.Metrics.moved(of.name, one.Forced)
-	t.Log.Line(decision.KindMoved).Str("service", string(of.name)).Int("from", one.Keys.From).Int("to", one.Keys.To).
-		Str("old", string(one.From)).Str("worker", string(one.To)).Bool("forced", one.Forced).
-		Float64("rate", one.Rate).Float64("old_load", one.FromLoad).Float64("load", one.ToLoad).
-		Float64("capacity", t.capacity(now, of, one.To)).Uint64("change", of.book.RecordVersion()).Msg("")
+	t.Metrics.countMove(svc.name, move.Forced)
+	t.Log.Line(decision.KindMoved).Str("service", string(svc.name)).Int("from", move.Keys.From).Int("to", move.Keys.To).
+		Str("old", string(move.From)).Str("worker", string(move.To)).Bool("forced", move.Forced).
+		Float64("rate", move.Rate).Float64("old_load", move.FromLoad).Float64("load", move.ToLoad).
+		Float64("capacity", t.capacity(now, svc, move.To)).Uint64("change", svc.ledger.RecordVersion()).Msg("")
 }
 
 // first deals the keys out once the list of workers stands still.
-func (t *tenancy) first(now time.Time, of *service, candidates []owner.Candidate) {
-	settled := now.Sub(t.listChanged) >= settleTime || now.Sub(t.began) >= settleLimit
+func (t *tenureKeeper) assignInitial(now time.Time, svc *service, candidates []owner.Candidate) {
+	settled := now.Sub(t.listChanged) >= settleTime || now.Sub(t.startedAt) >= maxSettleTime
 	if len(candidates) == 0 || !settled {
 		return
 	}
-	owners := owner.InitialOwners(candidates, t.places(of))
+	owners := owner.InitialOwners(candidates, t.placementRules(svc))
 	if owners == nil {
 		return
 	}
-	of.book.Assign(now, owners)
-	t.Log.Line(decision.KindAssigned).Str("service", string(of.name)).Int("candidates", len(candidates)).Msg("")
+	svc.ledger.Assign(now, owners)
+	t.Log.Line(decision.KindAssigned).Str("service", string(svc.name)).Int("candidates", len(candidates)).Msg("")
 }
 
 // rules are what the configuration allows, as far as loads are known and moves are
 // left.
-func (t *tenancy) rules(now time.Time, of *service) owner.Rules {
-	rules := owner.Rules{Placement: t.places(of), Balance: of.loads.Ready(now), MaxMoves: math.MaxInt}
-	if described := t.described(of); described != nil {
-		rules.ChurnWeight = described.ChurnWeight
-		if described.MovesPerMinute > 0 {
-			rules.MaxMoves = max(0, described.MovesPerMinute-of.movesSince(now.Add(-time.Minute)))
+func (t *tenureKeeper) rules(now time.Time, svc *service) owner.Rules {
+	rules := owner.Rules{Placement: t.placementRules(svc), Balance: svc.loads.Ready(now), MaxMoves: math.MaxInt}
+	if config := t.serviceConfig(svc); config != nil {
+		rules.ChurnWeight = config.ChurnWeight
+		if config.MovesPerMinute > 0 {
+			rules.MaxMoves = max(0, config.MovesPerMinute-svc.balanceMovesSince(now.Add(-time.Minute)))
 		}
 	}
 	return rules
 }
 
 // described returns the service in the configuration; nil if it is gone.
-func (t *tenancy) described(of *service) *routing.Service {
+func (t *tenureKeeper) serviceConfig(svc *service) *routing.Service {
 	if config := t.Config(); config != nil {
-		return config.Services[of.name]
+		return config.Services[svc.name]
 	}
 	return nil
 }
 
 // places returns where the service's keys may be held: where all routes to it must be served in
 // some regions, only there, since an owner elsewhere could not be asked.
-func (t *tenancy) places(of *service) []owner.PlacementRule {
+func (t *tenureKeeper) placementRules(svc *service) []owner.PlacementRule {
 	config := t.Config()
-	if config == nil || config.Services[of.name] == nil {
+	if config == nil || config.Services[svc.name] == nil {
 		return nil
 	}
-	described := config.Services[of.name]
-	places := make([]owner.PlacementRule, 0, len(described.Places))
-	for _, one := range described.Places {
-		places = append(places, owner.PlacementRule{Keys: owner.KeyRange{From: one.From, To: one.To}, Zones: one.Zones})
+	described := config.Services[svc.name]
+	rules := make([]owner.PlacementRule, 0, len(described.Places))
+	for _, place := range described.Places {
+		rules = append(rules, owner.PlacementRule{Keys: owner.KeyRange{From: place.From, To: place.To}, Zones: place.Zones})
 	}
-	if regions, bound := config.RegionsOf(of.name); bound && t.Regions.Regions() > 1 {
-		return owner.RestrictToZones(places, t.zones(regions))
+	if regions, bound := config.RegionsOf(svc.name); bound && t.Regions.Regions() > 1 {
+		return owner.RestrictToZones(rules, t.zoneNames(regions))
 	}
-	return places
+	return rules
 }
 
 // zones returns the names of some regions' zones.
-func (t *tenancy) zones(regions []topology.Region) []string {
+func (t *tenureKeeper) zoneNames(regions []topology.Region) []string {
 	var names []string
 	for _, zone := range t.Regions.Zones(regions) {
 		names = append(names, string(zone))
@@ -103,13 +103,13 @@
 }
 
 // moved notes a move for balance.
-func (s *service) moved(now time.Time) {
-	s.movesSince(now.Add(-time.Minute))
-	s.moves = append(s.moves, now)
+func (s *service) addBalanceMove(now time.Time) {
+	s.balanceMovesSince(now.Add(-time.Minute))
+	s.balanceMoves = append(s.balanceMoves, now)
 }
 
 // movesSince counts the moves for balance since a time and forgets older ones.
-func (s *service) movesSince(since time.Time) int {
-	s.moves = slices.DeleteFunc(s.moves, func(at time.Time) bool { return at.Before(since) })
-	return len(s.moves)
+func (s *service) balanceMovesSince(since time.Time) int {
+	s.balanceMoves = slices.DeleteFunc(s.balanceMoves, func(at time.Time) bool { return at.Before(since) })
+	return len(s.balanceMoves)
 }
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -13,8 +13,8 @@
 )
 
 // A record that can't be read left the keys of its service without owners for good.
-func TestARecordThatCantBeReadIsMadeAnewOnceAllHoldsHaveEnded(t *testing.T) {
-	play(t, func(b *bench) {
+func TestUnreadableRecordIsRebuiltAfterHoldsExpire(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		_, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: RecordKey("cell/", "s"), Value: []byte("{")}}})
 		assert.NilError(b.t, err)
 		tenure, err := b.election.Campaign(b.t.Context(), 0)
@@ -38,8 +38,8 @@
 }
 
 // A worker that starts again gets its keys under a higher fence, and its speed is measured anew.
-func TestAWorkerThatStartsAgainGetsItsKeysAnew(t *testing.T) {
-	play(t, func(b *bench) {
+func TestRestartedWorkerGetsKeysUnderHigherFence(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, Born: 1}
 		b.keeper.Workers.Replace([]workers.Worker{first}, nil, clock.Now())
 		b.lead(6*time.Second, func() {
@@ -60,7 +60,7 @@
 
 // Keys stay for longer with a worker whose entry another writer has overwritten: its own comes
 // back with its next heartbeat.
-func TestKeysStayWhereAnEntryIsOverwritten(t *testing.T) {
+func TestKeysStayWhileEntryIsUnreadable(t *testing.T) {
 	for name, test := range map[string]struct {
 		unreadable, stays bool
 	}{
@@ -68,7 +68,7 @@
 		"its entry is gone":        {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				var before, after workers.ID
 				done := make(chan struct{})
 				b.lead(8*time.Second, func() {
--- a/internal/keeper/regioncut_test.go
+++ b/internal/keeper/regionoutage_test.go
@@ -14,35 +14,35 @@
 	"github.com/shalefork/shalefork/ownership"
 )
 
-// cutAt says which way nothing passes between the leader's region and the other one.
-type cutAt int
+// cut says which way nothing passes between the leader's region and the other one.
+type cut int
 
 const (
-	uncut cutAt = iota
+	notCut cut = iota
 	cutBoth
 	// cutAnswers lets orders through, and none of their answers.
 	cutAnswers
 )
 
-// orderWait is after which an order without an answer is given up here.
-const orderWait = 600 * time.Millisecond
+// orderTimeout is after which an order without an answer is given up here.
+const orderTimeout = 600 * time.Millisecond
 
 // holding are workers that hold what they are granted; those in the other region may be cut off.
-type holding struct {
+type holdingWorkers struct {
 	mu      sync.Mutex
 	holders map[workers.ID]*ownership.Holder
 	far     map[workers.ID]bool
-	cut     cutAt
+	cut     cut
 }
 
-func (h *holding) setCut(cut cutAt) {
+func (h *holdingWorkers) setCut(cut cut) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cut = cut
 }
 
 // reach returns a worker if orders reach it, and whether its answers are lost.
-func (h *holding) reach(id workers.ID) (to *ownership.Holder, lost bool) {
+func (h *holdingWorkers) lookUp(id workers.ID) (to *ownership.Holder, lost bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.far[id] && h.cut == cutBoth {
@@ -51,16 +51,16 @@
 	return h.holders[id], h.far[id] && h.cut == cutAnswers
 }
 
-func (h *holding) reply(to *ownership.Holder, lost bool) owner.Reply {
+func (h *holdingWorkers) reply(to *ownership.Holder, lost bool) owner.Reply {
 	if lost || to == nil {
-		time.Sleep(orderWait)
+		time.Sleep(orderTimeout)
 		return owner.Reply{Outcome: owner.OutcomeUnanswered}
 	}
 	return owner.Reply{Outcome: owner.OutcomeDone}
 }
 
-func (h *holding) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
-	holder, lost := h.reach(to.ID)
+func (h *holdingWorkers) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
+	holder, lost := h.lookUp(to.ID)
 	if holder != nil {
 		outcome := holder.Grant(ownership.Now(), ownership.Grant{
 			Keys: ownership.Keys{From: grant.Keys.From, To: grant.Keys.To}, Fence: int64(grant.Fence), Hold: grant.Hold,
@@ -72,8 +72,8 @@
 	return h.reply(holder, lost)
 }
 
-func (h *holding) Release(ctx context.Context, to owner.Target, keys owner.KeyRange, fence owner.Fence) owner.Reply {
-	holder, lost := h.reach(to.ID)
+func (h *holdingWorkers) Release(ctx context.Context, to owner.Target, keys owner.KeyRange, fence owner.Fence) owner.Reply {
+	holder, lost := h.lookUp(to.ID)
 	if holder != nil {
 		_ = holder.Release(ctx, ownership.Keys{From: keys.From, To: keys.To}, int64(fence))
 	}
@@ -81,7 +81,7 @@
 }
 
 // count returns how many workers hold a key.
-func (h *holding) count(key int) int {
+func (h *holdingWorkers) count(key int) int {
 	count := 0
 	for _, one := range h.holders {
 		if one.Holds(ownership.Now(), key) {
@@ -94,7 +94,7 @@
 // A region that the leader does not reach keeps its keys until their holds end; then they are
 // given to workers that are reached. No key ever has two holders, and all have one within 2 s of
 // the end of the cut.
-func TestARegionIsCutOffFromTheLeader(t *testing.T) {
+func TestRegionCutOffFromLeader(t *testing.T) {
 	const (
 		settled = 6 * time.Second
 		backIn  = 2 * time.Second
@@ -103,7 +103,7 @@
 		keyStep = 4096
 	)
 	for name, test := range map[string]struct {
-		cut   cutAt
+		cut   cut
 		lasts time.Duration
 	}{
 		"both ways, 2 s":     {cutBoth, 2 * time.Second},
@@ -114,8 +114,8 @@
 		"answers only, 60 s": {cutAnswers, 60 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
-				orders := &holding{holders: map[workers.ID]*ownership.Holder{}, far: map[workers.ID]bool{}}
+			runBench(t, func(b *testBench) {
+				orders := &holdingWorkers{holders: map[workers.ID]*ownership.Holder{}, far: map[workers.ID]bool{}}
 				var list []workers.Worker
 				for _, one := range []workers.Worker{{ID: "w1", Zone: "a1"}, {ID: "w2", Zone: "a1"}, {ID: "w3", Zone: "b1"}} {
 					one.Service, one.Address, one.Slots, one.State = "s", string(one.ID), 2, workers.StateReady
@@ -144,7 +144,7 @@
 					}
 					least, _ = holders()
 					assert.Check(t, least == 1, "at the end of the cut all keys are held")
-					orders.setCut(uncut)
+					orders.setCut(notCut)
 					for healed := time.Now(); time.Since(healed) < backIn; time.Sleep(look) {
 						_, most := holders()
 						assert.Check(t, most <= 1, "%s after the heal", time.Since(healed))
--- a/internal/keeper/regions_test.go
+++ b/internal/keeper/regions_test.go
@@ -13,7 +13,7 @@
 )
 
 // boundTo is a configuration whose only route to service s is bound to regions.
-func (b *bench) boundTo(version routing.Version, regions ...topology.Region) *routing.Config {
+func (b *testBench) configBoundTo(version routing.Version, regions ...topology.Region) *routing.Config {
 	route := &routing.Route{
 		Name: "r", Prefix: "/", Timeout: time.Second, Regions: regions,
 		Parts: []routing.Part{{Service: "s", Weight: 1}},
@@ -26,15 +26,15 @@
 
 // A version that binds a service's only route to a region moves the keys that are owned
 // outside, and new owners stand inside.
-func TestKeysOfABoundServiceMoveInside(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysMoveIntoRequiredRegion(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.keeper.Regions = topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
 		b.keeper.Workers.Replace([]workers.Worker{
 			{ID: "w1", Service: "s", Address: "w1", Zone: "a1", Slots: 2, State: workers.StateReady},
 			{ID: "w2", Service: "s", Address: "w2", Zone: "b1", Slots: 2, State: workers.StateReady},
 		}, nil, time.Now())
 		var config atomic.Pointer[routing.Config]
-		config.Store(b.boundTo(1))
+		config.Store(b.configBoundTo(1))
 		b.keeper.Config = config.Load
 		owners := func() map[workers.ID]bool {
 			found := map[workers.ID]bool{}
@@ -46,7 +46,7 @@
 		b.lead(20*time.Second, func() {
 			time.Sleep(8 * time.Second)
 			assert.Check(t, len(owners()) == 2, "%v", owners())
-			config.Store(b.boundTo(2, "b"))
+			config.Store(b.configBoundTo(2, "b"))
 			time.Sleep(8 * time.Second)
 			assert.Check(t, len(owners()) == 1 && owners()["w2"], "%v", owners())
 		})
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -13,9 +13,9 @@
 const (
 	// standbyCount is how many processes may renew for a leader that is lost.
 	standbyCount = 2
-	// appointEvery is the pause between looks whether they are linked still.
-	appointEvery   = time.Second
-	appointTimeout = time.Second
+	// appointInterval is the pause between looks whether they are linked still.
+	appointInterval = time.Second
+	appointTimeout  = time.Second
 )
 
 // standbys are the processes that the leader lets renew.
@@ -28,22 +28,22 @@
 	appointed []string
 }
 
-// renewersStored is the end of storing the processes that may renew.
-type renewersStored struct {
+// storeRenewersResult is the end of storing the processes that may renew.
+type storeRenewersResult struct {
 	list []election.Renewer
 	err  error
 }
 
 // appoint chooses standbys. A process gets no leave before it is stored, so that the
 // next leader knows of it.
-func (t *tenancy) appoint(now time.Time) {
+func (t *tenureKeeper) appointStandbys(now time.Time) {
 	if t.standbys.storing || now.Before(t.standbys.next) {
 		return
 	}
-	t.standbys.next = now.Add(appointEvery)
+	t.standbys.next = now.Add(appointInterval)
 	wanted := chooseStandbys(t.Hub.Peers(), t.Zone, t.Regions)
 	list := []election.Renewer{{Address: t.tenure.Leader.Address, Process: t.tenure.Leader.Process}}
-	if now.Before(t.until) {
+	if now.Before(t.holdsUntil) {
 		list = append(list, t.Unresolved...)
 	}
 	missing := false
@@ -55,7 +55,7 @@
 		missing = missing || !slices.Contains(t.standbys.stored, renewer)
 	}
 	if !missing {
-		t.grantLeaves(processes)
+		t.grantMandates(processes)
 		return
 	}
 	// Those that had a leave keep their place until it has ended.
@@ -69,26 +69,26 @@
 }
 
 // grantLeaves appoints processes that are stored.
-func (t *tenancy) grantLeaves(processes []string) {
+func (t *tenureKeeper) grantMandates(processes []string) {
 	if !slices.Equal(processes, t.standbys.appointed) {
 		t.standbys.appointed = processes
 		t.Hub.AppointStandbys(processes)
 	}
 }
 
-func (t *tenancy) storeRenewers(list []election.Renewer) {
+func (t *tenureKeeper) storeRenewers(list []election.Renewer) {
 	bounded, cancel := context.WithTimeout(t.ctx, appointTimeout)
 	defer cancel()
 	err := t.tenure.StoreRenewers(bounded, list)
 	select {
-	case t.renewers <- renewersStored{list: list, err: err}:
+	case t.renewers <- storeRenewersResult{list: list, err: err}:
 	case <-t.ctx.Done():
 	}
 }
 
 // renewersWritten takes the end of a write. What is not known to be stored is written
 // again at the next look.
-func (t *tenancy) renewersWritten(done renewersStored) {
+func (t *tenureKeeper) handleRenewersStored(done storeRenewersResult) {
 	t.standbys.storing = false
 	if done.err == nil {
 		t.standbys.stored = done.list
--- a/internal/keeper/standbys_test.go
+++ b/internal/keeper/standbys_test.go
@@ -12,7 +12,7 @@
 // twoRegions are z of the zones z1 and z2, and y of y1 and y2.
 var twoRegions = topology.New(map[topology.Zone]topology.Region{"z1": "z", "z2": "z", "y1": "y", "y2": "y"})
 
-func TestStandbysStandInOtherZonesWhereTheyCan(t *testing.T) {
+func TestStandbysPreferOtherZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers   []peerlink.Peer
 		regions topology.Map
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -88,14 +88,14 @@
 		file: "internal/clock/steady.go",
 		old:  "func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }",
 		new:  "func Now() time.Time { return time.Now() }",
-		pkg:  "./internal/election", test: "TestASuspendedLeadersAuthorityEnds",
+		pkg:  "./internal/election", test: "TestSuspensionEndsAuthority",
 	},
 	{
 		name: "order-from-before-a-suspension-sent",
 		file: "internal/keeper/keeper.go",
-		old:  "	if t.refreshed() > 0 {",
-		new:  "	if t.refreshed() < 0 {",
-		pkg:  "./internal/keeper", test: "TestAnOrderFromBeforeASuspensionIsNotSent",
+		old:  "	if t.suspendedFor() > 0 {",
+		new:  "	if t.suspendedFor() < 0 {",
+		pkg:  "./internal/keeper", test: "TestOrderFromBeforeSuspensionIsNotSent",
 	},
 	{
 		name: "suspended-router-relies-on-what-it-was-told",
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -22,7 +22,7 @@
 		file: "internal/keeper/service.go",
 		old:  " || t.Workers.Evacuated(worker.Zone) {",
 		new:  " {",
-		pkg:  "./internal/keeper", test: "TestKeysLeaveAnEvacuatedZone",
+		pkg:  "./internal/keeper", test: "TestKeysMoveOutOfEvacuatedZone",
 	},
 	{
 		name: "older-word-undoes-an-evacuation",
@@ -85,21 +85,21 @@
 		file: "internal/registry/verify.go",
 		old:  "\tcase entry.ProposedBy == entry.ApprovedBy:",
 		new:  "\tcase false:",
-		pkg:  "./internal/registry", test: "TestRolledVersionIsInForceForThoseWhoTrustItsOperators",
+		pkg:  "./internal/registry", test: "TestInForceVerifiesSignatures",
 	},
 	{
 		name: "bundle-signature-not-verified",
 		file: "internal/registry/verify.go",
 		old:  "\tif err := bundle.Verify(signer.Key, purpose, used, signature); err != nil {",
 		new:  "\tif err := bundle.Verify(signer.Key, purpose, used, signature); err != nil && false {",
-		pkg:  "./internal/registry", test: "TestRolledVersionIsInForceForThoseWhoTrustItsOperators",
+		pkg:  "./internal/registry", test: "TestInForceVerifiesSignatures",
 	},
 	{
 		name: "lost-watch-not-noticed",
 		file: "internal/coord/follow.go",
 		old:  "context.WithTimeout(ctx, wait+watchSlack)",
 		new:  "context.WithTimeout(ctx, wait+time.Hour)",
-		pkg:  "./internal/coord", test: "TestFollowNoticesAWatchThatWasLostUnseen",
+		pkg:  "./internal/coord", test: "TestFollowDetectsDroppedWatch",
 	},
 	{
 		name: "older-list-undoes-what-the-leader-told",
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -97,9 +97,9 @@
 	{
 		name: "leader-does-not-count-backoffs",
 		file: "internal/keeper/service.go",
-		old:  "	if backoffs := of.backoffs[worker.ID]; backoffs != nil {",
-		new:  "	if backoffs := of.backoffs[worker.ID]; backoffs != nil && false {",
-		pkg:  "./internal/keeper", test: "TestAWorkerThatAsksRoutersForBackoffsIsTakenToBearLess",
+		old:  "	if backoffs := svc.backoffs[worker.ID]; backoffs != nil {",
+		new:  "	if backoffs := svc.backoffs[worker.ID]; backoffs != nil && false {",
+		pkg:  "./internal/keeper", test: "TestBackoffsReduceCapacity",
 	},
 	{
 		name: "keys-of-a-limited-worker-overload-another",
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -42,7 +42,7 @@
 		file: "internal/election/renewers.go",
 		old:  "{Key: t.renewersKey, Revision: t.renewersRevision},",
 		new:  "",
-		pkg:  "./internal/election", test: "TestAWriteThatIsDoneLateTakesNoStandbyOffTheRecord",
+		pkg:  "./internal/election", test: "TestDelayedWriteDoesNotRemoveStandby",
 	},
 	{
 		name: "holds-of-the-leader-before-forgotten",
@@ -103,9 +103,9 @@
 	{
 		name: "authority-counted-from-the-answer",
 		file: "internal/election/election.go",
-		old:  "\t\tif until := sent.Add(t.ttl - authorityMargin); until.After(t.until) {",
-		new:  "\t\tif until := sent.Add(time.Hour); until.After(t.until) {",
-		pkg:  "./internal/election", test: "TestAuthorityEndsBeforeTheLeaseInAnOutage",
+		old:  "\t\tif until := sent.Add(t.ttl - authorityMargin); until.After(t.authorityUntil) {",
+		new:  "\t\tif until := sent.Add(time.Hour); until.After(t.authorityUntil) {",
+		pkg:  "./internal/election", test: "TestAuthorityEndsBeforeLeaseInOutage",
 	},
 	{
 		name: "grant-below-the-fence",
@@ -133,6 +133,6 @@
 		file: "internal/owner/dispatch.go",
 		old:  "	if one.change > b.stored || b.ended[one.owner] {",
 		new:  "	if b.ended[one.owner] {",
-		pkg:  "./internal/keeper", test: "TestNoGrantGoesOutBeforeItsRecordIsStored",
+		pkg:  "./internal/keeper", test: "TestNoGrantBeforeRecordIsStored",
 	},
 }
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -42,7 +42,7 @@
 		file: "internal/keeper/plan.go",
 		old:  "bound && t.Regions.Regions() > 1 {",
 		new:  "bound && false {",
-		pkg:  "./internal/keeper", test: "TestKeysOfABoundServiceMoveInside",
+		pkg:  "./internal/keeper", test: "TestKeysMoveIntoRequiredRegion",
 	},
 	{
 		name: "far-processes-campaign-as-early",
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -10,18 +10,18 @@
 
 // Defaults of what a bundle leaves out.
 const (
-	// noDeadline holds requests of services without one.
-	noDeadline = 24 * time.Hour
-	// targetShare of the deadline is the time within which an answer is worth most.
-	targetShare = 4
-	// longestTarget bounds it for services with long deadlines.
-	longestTarget = time.Second
+	// defaultDeadline holds requests of services without one.
+	defaultDeadline = 24 * time.Hour
+	// targetDivisor of the deadline is the time within which an answer is worth most.
+	targetDivisor = 4
+	// maxTarget bounds it for services with long deadlines.
+	maxTarget = time.Second
 	// attempts is the most workers that one request is sent to.
-	attempts       = 2
-	defaultBody    = 1 << 20
-	defaultQueue   = 256
-	defaultMoves   = 12
-	defaultRetries = 0.1
+	maxAttempts      = 2
+	defaultBodyBytes = 1 << 20
+	defaultQueue     = 256
+	defaultMoves     = 12
+	defaultRetries   = 0.1
 )
 
 // Compiled is what the routers need of all bundles in force.
@@ -58,7 +58,7 @@
 	compiled := &routing.Service{
 		Name:       name,
 		Keyed:      service.Kind == bundle.KindKeyed,
-		BodyBytes:  orDefault(limits.MaxBodyBytes, defaultBody),
+		BodyBytes:  orDefault(limits.MaxBodyBytes, defaultBodyBytes),
 		Queue:      orDefault(limits.Queue, defaultQueue),
 		HedgeAfter: limits.HedgeAfter.Std(),
 		RetryRatio: orDefault(limits.RetryRatio, defaultRetries),
@@ -68,7 +68,7 @@
 	}
 	if compiled.Keyed {
 		compiled.Key = keyReader(service)
-		compiled.Places = places(service)
+		compiled.Places = partitionPlaces(service)
 		compiled.ChurnWeight = service.Placement.ChurnWeight
 		compiled.MovesPerMinute = orDefault(service.Placement.MovesPerMinute, defaultMoves)
 	}
@@ -86,7 +86,7 @@
 	name := routing.ServiceName(one.ServiceName(service))
 	deadline := service.Limits.Deadline.Std()
 	if deadline == 0 {
-		deadline = noDeadline
+		deadline = defaultDeadline
 	}
 	prefix := service.Route.PathPrefix
 	if prefix == "" {
@@ -97,14 +97,14 @@
 		Host:       service.Route.Host,
 		Prefix:     prefix,
 		Repeatable: service.Repeatable,
-		Class:      classes[service.Bodies],
+		Class:      bodyClasses[service.Bodies],
 		Public:     service.Public,
 		Open:       len(one.Tenants) == 0,
 		Scope:      routing.Scope(one.Team),
 		Regions:    compileRegions(service.Regions),
 		Timeout:    deadline,
-		Target:     min(deadline/targetShare, longestTarget),
-		Attempts:   attempts,
+		Target:     min(deadline/targetDivisor, maxTarget),
+		Attempts:   maxAttempts,
 		Parts:      []routing.Part{{Service: name, Weight: 1}},
 	}
 }
--- a/internal/registry/compile_test.go
+++ b/internal/registry/compile_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestCompile(t *testing.T) {
-	made := read(t, text)
-	rival := read(t, strings.NewReplacer("team: tawila", "team: rival", "version: 1", "version: 4", "/tables/", "/books/", "tawila.example", "rival.example").Replace(text))
+	made := parseBundle(t, bundleText)
+	rival := parseBundle(t, strings.NewReplacer("team: tawila", "team: rival", "version: 1", "version: 4", "/tables/", "/books/", "tawila.example", "rival.example").Replace(bundleText))
 	compiled, err := Compile([]bundle.Bundle{made, rival})
 	assert.NilError(t, err)
 	assert.Equal(t, int(compiled.Config.Version), 5, "it rises with each team's version")
@@ -24,7 +24,7 @@
 	assert.Equal(t, tables.HedgeAfter, 150*time.Millisecond)
 	assert.Equal(t, tables.RetryRatio, 0.2)
 	assert.Equal(t, tables.Queue, 7)
-	assert.Equal(t, tables.BodyBytes, int64(defaultBody))
+	assert.Equal(t, tables.BodyBytes, int64(defaultBodyBytes))
 	assert.Equal(t, tables.MovesPerMinute, 3)
 	assert.Equal(t, tables.ChurnWeight, 0.5)
 	route := compiled.Config.Match("anything.example", "/tables/7/tonight")
@@ -42,9 +42,9 @@
 }
 
 // The keys of a partition have numbers of their own, and only its zones hold them.
-func TestPartitionsHaveTheirOwnKeysAndZones(t *testing.T) {
-	service := read(t, text).Services[0]
-	list := places(service)
+func TestPartitionsHaveSeparateKeysAndZones(t *testing.T) {
+	service := parseBundle(t, bundleText).Services[0]
+	list := partitionPlaces(service)
 	assert.Equal(t, len(list), 2)
 	assert.Equal(t, list[0].From, 0)
 	assert.Equal(t, list[1].To, owner.KeyCount-1)
@@ -54,7 +54,7 @@
 		"r":        {"casa-a", "casa-b"},
 		"r-\u00e9": {"casa-b"},
 	} {
-		got, found := number(service, key)
+		got, found := keyNumber(service, key)
 		assert.Assert(t, found)
 		for _, place := range list {
 			if place.From <= got && got <= place.To {
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -15,23 +15,23 @@
 // block returns the numbers of the keys of one of a service's partitions, which
 // share all numbers evenly in the order of their names: a new order in the file
 // moves no key.
-func block(service bundle.Service, of bundle.PartitionName) (first, last int) {
+func keyBlock(service bundle.Service, of bundle.PartitionName) (first, last int) {
 	names := make([]bundle.PartitionName, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
 		names = append(names, partition.Name)
 	}
 	slices.Sort(names)
-	place := slices.Index(names, of)
-	return place * owner.KeyCount / len(names), (place+1)*owner.KeyCount/len(names) - 1
+	index := slices.Index(names, of)
+	return index * owner.KeyCount / len(names), (index+1)*owner.KeyCount/len(names) - 1
 }
 
 // number returns the number of a key: in the block of its partition, by its hash.
-func number(service bundle.Service, key string) (int, bool) {
+func keyNumber(service bundle.Service, key string) (int, bool) {
 	partition, found := service.PartitionOf(key)
 	if !found {
 		return 0, false
 	}
-	first, last := block(service, partition.Name)
+	first, last := keyBlock(service, partition.Name)
 	return first + int(xxh3.HashString(key)%uint64(last-first+1)), true
 }
 
@@ -43,7 +43,7 @@
 		if !found {
 			return 0, false
 		}
-		return number(service, key)
+		return keyNumber(service, key)
 	}
 }
 
@@ -76,8 +76,8 @@
 
 // isAmbiguous reports whether a path has segments that a server may drop or join.
 func isAmbiguous(segments []string) bool {
-	for place, segment := range segments {
-		last := place == len(segments)-1
+	for index, segment := range segments {
+		last := index == len(segments)-1
 		if segment == "." || segment == ".." || (segment == "" && !last) {
 			return true
 		}
@@ -93,10 +93,10 @@
 }
 
 // places returns the zones that may hold each block of keys.
-func places(service bundle.Service) []routing.Place {
+func partitionPlaces(service bundle.Service) []routing.Place {
 	list := make([]routing.Place, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
-		first, last := block(service, partition.Name)
+		first, last := keyBlock(service, partition.Name)
 		place := routing.Place{From: first, To: last}
 		for _, zone := range partition.Zones {
 			place.Zones = append(place.Zones, string(zone))
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -38,7 +38,7 @@
 
 // with returns the record under another head, without bundles of versions that
 // are over, and with one more bundle if it is given.
-func (r Record) with(head lifecycle.Head, added *bundle.Bundle) Record {
+func (r Record) withHead(head lifecycle.Head, added *bundle.Bundle) Record {
 	kept := maps.Clone(r.Bundles)
 	if kept == nil {
 		kept = map[bundle.Version]bundle.Bundle{}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -20,8 +20,8 @@
 // step may be tried again.
 var ErrUnavailable = errs.New("the key-value service does not answer")
 
-// tryPause is the wait before a step is tried again.
-const tryPause = 100 * time.Millisecond
+// retryDelay is the wait before a step is tried again.
+const retryDelay = 100 * time.Millisecond
 
 // Operator is one who takes steps, with the key to sign with.
 type Operator struct {
@@ -138,18 +138,18 @@
 func (r *Registry) step(ctx context.Context, team bundle.TeamName, added *bundle.Bundle,
 	take func(Record) (lifecycle.Head, lifecycle.Outcome)) (lifecycle.Outcome, error) {
 	for {
-		outcome, err := r.once(ctx, team, added, take)
+		outcome, err := r.tryStep(ctx, team, added, take)
 		if err == nil || (!errors.Is(err, ErrUnavailable) && !errors.Is(err, coord.ErrConflict)) {
 			return outcome, err
 		}
-		clock.Sleep(ctx, tryPause)
+		clock.Sleep(ctx, retryDelay)
 		if ctx.Err() != nil {
 			return lifecycle.Outcome{}, ErrUnavailable
 		}
 	}
 }
 
-func (r *Registry) once(ctx context.Context, team bundle.TeamName, added *bundle.Bundle,
+func (r *Registry) tryStep(ctx context.Context, team bundle.TeamName, added *bundle.Bundle,
 	take func(Record) (lifecycle.Head, lifecycle.Outcome)) (lifecycle.Outcome, error) {
 	before, revision, err := r.read(ctx, team)
 	if err != nil {
@@ -159,7 +159,7 @@
 	if outcome.Kind != lifecycle.Changed {
 		return outcome, nil
 	}
-	value, err := json.Marshal(before.with(head, added))
+	value, err := json.Marshal(before.withHead(head, added))
 	if err != nil {
 		return lifecycle.Outcome{}, Error.Wrap(err)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -20,7 +20,7 @@
 	"github.com/shalefork/shalefork/internal/strictyaml"
 )
 
-const text = `team: tawila
+const bundleText = `team: tawila
 version: 1
 cell: casablanca
 zones: [casa-a, casa-b]
@@ -48,7 +48,7 @@
       - {name: d, address: "127.0.0.1:4", zone: casa-b, slots: 2, connections: 130, leaving: true}
 `
 
-func read(t *testing.T, text string) bundle.Bundle {
+func parseBundle(t *testing.T, text string) bundle.Bundle {
 	t.Helper()
 	made, problems := bundle.Read("bundle.yaml", []byte(text))
 	assert.Equal(t, strictyaml.Format(problems), "")
@@ -63,7 +63,7 @@
 var salma, youssef, karim = operator("salma"), operator("youssef"), operator("karim")
 
 // known are the operators that routers trust.
-func known(operators ...Operator) Signers {
+func trusted(operators ...Operator) Signers {
 	signers := Signers{}
 	for _, one := range operators {
 		signers[one.Name] = Signer{Key: one.Key.Public().(ed25519.PublicKey)}
@@ -72,7 +72,7 @@
 }
 
 // rolled puts a version into force.
-func rolled(t *testing.T, bundles *Registry, made bundle.Bundle) {
+func rollOut(t *testing.T, bundles *Registry, made bundle.Bundle) {
 	t.Helper()
 	for _, step := range []func() (lifecycle.Outcome, error){
 		func() (lifecycle.Outcome, error) { return bundles.Propose(t.Context(), salma, made) },
@@ -85,10 +85,10 @@
 	}
 }
 
-func TestRolledVersionIsInForceForThoseWhoTrustItsOperators(t *testing.T) {
+func TestInForceVerifiesSignatures(t *testing.T) {
 	bundles := New(memory.New(), "own/")
-	first := read(t, text)
-	rolled(t, bundles, first)
+	first := parseBundle(t, bundleText)
+	rollOut(t, bundles, first)
 	second := first
 	second.Version++
 	_, err := bundles.Propose(t.Context(), salma, second)
@@ -100,22 +100,22 @@
 		change  func(*Record)
 		problem string
 	}{
-		"trusted":             {signers: known(salma, youssef)},
-		"proposer unknown":    {signers: known(youssef), problem: "no operator of the team"},
-		"approver unknown":    {signers: known(salma), problem: "no operator of the team"},
-		"operator of another": {signers: limited(known(salma, youssef), "youssef", "rival"), problem: "no operator of the team"},
-		"another's key":       {signers: Signers{"salma": known(karim)["karim"], "youssef": known(youssef)["youssef"]}, problem: "signature does not match"},
-		"content changed": {signers: known(salma, youssef), problem: "signature does not match", change: func(r *Record) {
+		"trusted":             {signers: trusted(salma, youssef)},
+		"proposer unknown":    {signers: trusted(youssef), problem: "no operator of the team"},
+		"approver unknown":    {signers: trusted(salma), problem: "no operator of the team"},
+		"operator of another": {signers: limitedToTeam(trusted(salma, youssef), "youssef", "rival"), problem: "no operator of the team"},
+		"another's key":       {signers: Signers{"salma": trusted(karim)["karim"], "youssef": trusted(youssef)["youssef"]}, problem: "signature does not match"},
+		"content changed": {signers: trusted(salma, youssef), problem: "signature does not match", change: func(r *Record) {
 			changed := r.Bundles[1]
 			changed.Cell = "elsewhere"
 			r.Bundles[1] = changed
 		}},
-		"content missing":    {signers: known(salma, youssef), problem: "not stored", change: func(r *Record) { delete(r.Bundles, 1) }},
-		"content of another": {signers: known(salma, youssef), problem: "holds version 2", change: func(r *Record) { r.Bundles[1] = r.Bundles[2] }},
-		"approved by proposer": {signers: known(salma, youssef), problem: "approved by its proposer", change: func(r *Record) {
+		"content missing":    {signers: trusted(salma, youssef), problem: "not stored", change: func(r *Record) { delete(r.Bundles, 1) }},
+		"content of another": {signers: trusted(salma, youssef), problem: "holds version 2", change: func(r *Record) { r.Bundles[1] = r.Bundles[2] }},
+		"approved by proposer": {signers: trusted(salma, youssef), problem: "approved by its proposer", change: func(r *Record) {
 			r.Head.Entries[0].ProposedBy = "youssef"
 		}},
-		"approval stands for the roll": {signers: known(salma, youssef), problem: "roll by salma", change: func(r *Record) {
+		"approval stands for the roll": {signers: trusted(salma, youssef), problem: "roll by salma", change: func(r *Record) {
 			r.Head.Entries[0].RollSignature = r.Head.Entries[0].ProposalSignature
 		}},
 	} {
@@ -138,7 +138,7 @@
 	}
 }
 
-func limited(signers Signers, name lifecycle.OperatorName, team bundle.TeamName) Signers {
+func limitedToTeam(signers Signers, name lifecycle.OperatorName, team bundle.TeamName) Signers {
 	signer := signers[name]
 	signer.Teams = []bundle.TeamName{team}
 	signers[name] = signer
@@ -147,18 +147,18 @@
 
 func TestNothingIsInForceBeforeTheFirstRoll(t *testing.T) {
 	bundles := New(memory.New(), "own/")
-	_, err := bundles.Propose(t.Context(), salma, read(t, text))
+	_, err := bundles.Propose(t.Context(), salma, parseBundle(t, bundleText))
 	assert.NilError(t, err)
 	record, err := bundles.Read(t.Context(), "tawila")
 	assert.NilError(t, err)
-	used, err := record.InForce(known(salma, youssef))
+	used, err := record.InForce(trusted(salma, youssef))
 	assert.NilError(t, err)
 	assert.Assert(t, used == nil)
 }
 
-func TestOfTwoOperatorsOneWinsAndTheOtherIsTold(t *testing.T) {
+func TestConflictingProposalIsRejected(t *testing.T) {
 	bundles := New(memory.New(), "own/")
-	mine := read(t, text)
+	mine := parseBundle(t, bundleText)
 	theirs := mine
 	theirs.Cell = "rabat"
 	first, err := bundles.Propose(t.Context(), salma, mine)
@@ -173,10 +173,10 @@
 	assert.Equal(t, outcome.Kind, lifecycle.Conflict, "other content was reviewed than proposed")
 }
 
-func TestRacingWritersEachTakeEffectOnce(t *testing.T) {
+func TestConcurrentProposalsTakeEffectOnce(t *testing.T) {
 	store := memory.New()
 	results := make(chan lifecycle.Outcome, 8)
-	made := read(t, text)
+	made := parseBundle(t, bundleText)
 	for index := range 8 {
 		by := salma
 		if index%2 == 1 {
@@ -199,14 +199,14 @@
 
 // A write whose answer is lost, and that is done now or later, is no conflict with
 // itself.
-func TestLostAnswersAreResolved(t *testing.T) {
+func TestLostWriteResponsesAreResolved(t *testing.T) {
 	for name, lateBy := range map[string]time.Duration{"done": 0, "done late": 50 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
 				store.LoseAnswers(1, lateBy)
-				bundles := New(bounded{store}, "own/")
-				outcome, err := bundles.Propose(t.Context(), salma, read(t, text))
+				bundles := New(timeoutStore{store}, "own/")
+				outcome, err := bundles.Propose(t.Context(), salma, parseBundle(t, bundleText))
 				assert.NilError(t, err)
 				assert.Equal(t, outcome.Kind, lifecycle.Unchanged)
 				record, err := bundles.Read(t.Context(), "tawila")
@@ -218,17 +218,17 @@
 }
 
 // bounded gives calls up, as a client does.
-type bounded struct {
+type timeoutStore struct {
 	coord.Store
 }
 
-func (b bounded) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
+func (b timeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
 	short, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return b.Store.Commit(short, txn)
 }
 
-func TestOutageIsTold(t *testing.T) {
+func TestOutageReturnsErrUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		store.SetDown(true)
@@ -239,10 +239,10 @@
 	})
 }
 
-func TestRoutesAndAddressesBelongToOneTeam(t *testing.T) {
+func TestRouteOfAnotherTeamConflicts(t *testing.T) {
 	bundles := New(memory.New(), "own/")
-	rolled(t, bundles, read(t, text))
-	rival := read(t, text)
+	rollOut(t, bundles, parseBundle(t, bundleText))
+	rival := parseBundle(t, bundleText)
 	rival.Team = "rival"
 	outcome, err := bundles.Propose(t.Context(), salma, rival)
 	assert.NilError(t, err)
@@ -250,11 +250,11 @@
 	assert.Assert(t, cmp.Contains(outcome.Message, "services[0].route: expected one that no other team has; tawila has it"))
 }
 
-func TestContentOfVersionsThatAreOverIsDropped(t *testing.T) {
+func TestBundlesOfReplacedVersionsAreDropped(t *testing.T) {
 	bundles := New(memory.New(), "own/")
-	made := read(t, text)
+	made := parseBundle(t, bundleText)
 	for range 4 {
-		rolled(t, bundles, made)
+		rollOut(t, bundles, made)
 		made.Version++
 	}
 	record, err := bundles.Read(t.Context(), "tawila")
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -7,7 +7,7 @@
 )
 
 // classes of bodies as routes have them.
-var classes = map[bundle.Bodies]routing.BodyClass{
+var bodyClasses = map[bundle.Bodies]routing.BodyClass{
 	"":                    routing.Small,
 	bundle.BodiesSmall:    routing.Small,
 	bundle.BodiesBulkUp:   routing.BulkUp,
--- a/internal/registry/tenants_test.go
+++ b/internal/registry/tenants_test.go
@@ -17,14 +17,14 @@
 	t.Helper()
 	digest, err := tenant.Digest(key).MarshalText()
 	assert.NilError(t, err)
-	return read(t, text+"tenants:\n  - {name: metro, key_digests: ["+string(digest)+"], priority: 2, rate: 17.5, burst: 5, regions: [west]}\n")
+	return parseBundle(t, text+"tenants:\n  - {name: metro, key_digests: ["+string(digest)+"], priority: 2, rate: 17.5, burst: 5, regions: [west]}\n")
 }
 
 func TestTenantsOfABundle(t *testing.T) {
-	public := strings.Replace(text, "route: {path_prefix: /bookings/", "public: true\n    regions: [west, east]\n    bodies: bulk-up\n    route: {path_prefix: /bookings/", 1)
+	public := strings.Replace(bundleText, "route: {path_prefix: /bookings/", "public: true\n    regions: [west, east]\n    bodies: bulk-up\n    route: {path_prefix: /bookings/", 1)
 	mine := withTenant(t, public, "k-1")
-	rival := withTenant(t, strings.NewReplacer("team: tawila", "team: rival", "/tables/", "/books/", "tawila.example", "rival.example").Replace(text), "k-2")
-	open := read(t, strings.NewReplacer("team: tawila", "team: open", "/tables/", "/open/", "tawila.example", "open.example").Replace(text))
+	rival := withTenant(t, strings.NewReplacer("team: tawila", "team: rival", "/tables/", "/books/", "tawila.example", "rival.example").Replace(bundleText), "k-2")
+	open := parseBundle(t, strings.NewReplacer("team: tawila", "team: open", "/tables/", "/open/", "tawila.example", "open.example").Replace(bundleText))
 	compiled, err := Compile([]bundle.Bundle{mine, rival, open})
 	assert.NilError(t, err)
 	assert.Equal(t, len(compiled.Config.Tenants), 2)
@@ -40,8 +40,8 @@
 	assert.Assert(t, compiled.Config.Match("x", "/open/7").Open, "a team without tenants asks for no key")
 }
 
-func TestWithoutTenantsNobodyNeedsAKey(t *testing.T) {
-	compiled, err := Compile([]bundle.Bundle{read(t, text)})
+func TestCompileWithoutTenants(t *testing.T) {
+	compiled, err := Compile([]bundle.Bundle{parseBundle(t, bundleText)})
 	assert.NilError(t, err)
 	assert.Assert(t, compiled.Config.Tenants == nil)
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -26,7 +26,7 @@
 	renewalTimeout = 600 * time.Millisecond
 	// patience is how long a leader is lost until its holds are renewed: another may
 	// lead at once.
-	patience = 400 * time.Millisecond
+	renewalDelay = 400 * time.Millisecond
 )
 
 // Standby is safe for concurrent use.
@@ -37,22 +37,22 @@
 	// Workers are the announced workers; nil: their lives are not known.
 	Workers *workers.Directory
 
-	began time.Time
-	mu    sync.Mutex
+	startedAt time.Time
+	mu        sync.Mutex
 	// appointed says that the leader wants stamps.
-	appointed bool
-	lost      bool
-	lostAt    time.Time
+	appointed    bool
+	leaderLost   bool
+	leaderLostAt time.Time
 	// stopped is the term before which all leaves have ended.
-	stopped  owner.Term
-	services map[routing.ServiceName]*owner.Standby
-	renewing bool
+	revokedTerm owner.Term
+	services    map[routing.ServiceName]*owner.Standby
+	renewing    bool
 }
 
 // New returns a standby of no leader yet.
 func New(orders owner.OrderSender, times owner.Config, log *decision.Log) *Standby {
 	return &Standby{
-		Orders: orders, Times: times, Log: log, began: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
+		Orders: orders, Times: times, Log: log, startedAt: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
 	}
 }
 
@@ -61,19 +61,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = mandate != nil
-	s.stop(term)
-	s.setLost(false)
+	s.revoke(term)
+	s.setLeaderLost(false)
 	if mandate == nil || mandate.Stamp == 0 {
 		return
 	}
 	left := time.Duration(mandate.Stamp+mandate.RemainingMillis) * time.Millisecond
-	until := s.began.Add(left)
-	for _, told := range mandate.Services {
-		holds, ok := told.Holds()
+	until := s.startedAt.Add(left)
+	for _, described := range mandate.Services {
+		holds, ok := described.Holds()
 		if !ok {
 			continue
 		}
-		s.of(told.Service).SetHolds(term, told.Version, holds, until)
+		s.forService(described.Service).SetHolds(term, described.Version, holds, until)
 	}
 	for _, service := range s.services {
 		service.ExtendUntil(term, until)
@@ -81,11 +81,11 @@
 }
 
 // of returns the standby of a service. The caller holds mu.
-func (s *Standby) of(service routing.ServiceName) *owner.Standby {
+func (s *Standby) forService(service routing.ServiceName) *owner.Standby {
 	known := s.services[service]
 	if known == nil {
 		known = owner.NewStandby(s.Times)
-		known.Revoke(s.stopped)
+		known.Revoke(s.revokedTerm)
 		s.services[service] = known
 	}
 	return known
@@ -96,15 +96,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = false
-	s.setLost(true)
+	s.setLeaderLost(true)
 }
 
 // setLost is called with mu held.
-func (s *Standby) setLost(lost bool) {
-	if lost && !s.lost {
-		s.lostAt = clock.Now()
+func (s *Standby) setLeaderLost(lost bool) {
+	if lost && !s.leaderLost {
+		s.leaderLostAt = clock.Now()
 	}
-	s.lost = lost
+	s.leaderLost = lost
 	for _, service := range s.services {
 		if lost {
 			service.LeaderLost()
@@ -118,11 +118,11 @@
 func (s *Standby) Revoke(term owner.Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stop(term)
+	s.revoke(term)
 }
 
-func (s *Standby) stop(term owner.Term) {
-	s.stopped = max(s.stopped, term)
+func (s *Standby) revoke(term owner.Term) {
+	s.revokedTerm = max(s.revokedTerm, term)
 	for _, service := range s.services {
 		service.Revoke(term)
 	}
@@ -135,7 +135,7 @@
 	if !s.appointed {
 		return
 	}
-	report.Stamp = max(1, clock.Since(s.began).Milliseconds())
+	report.Stamp = max(1, clock.Since(s.startedAt).Milliseconds())
 	report.HoldVersions = map[routing.ServiceName]uint64{}
 	for name, service := range s.services {
 		report.HoldVersions[name] = service.HoldsVersion()
@@ -154,12 +154,12 @@
 func (s *Standby) step(ctx context.Context, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if (!s.lost && !s.renewing) || (s.lost && now.Sub(s.lostAt) < patience) {
+	if (!s.leaderLost && !s.renewing) || (s.leaderLost && now.Sub(s.leaderLostAt) < renewalDelay) {
 		return
 	}
 	renewing := false
 	for name, service := range s.services {
-		s.tellLives(name, service)
+		s.observeIncarnations(name, service)
 		renewing = renewing || service.Renewing(now)
 		for _, renewal := range service.Due(now) {
 			go s.send(ctx, service, renewal)
@@ -172,7 +172,7 @@
 }
 
 // tellLives drops the holds of workers that have started again. The caller holds mu.
-func (s *Standby) tellLives(name routing.ServiceName, service *owner.Standby) {
+func (s *Standby) observeIncarnations(name routing.ServiceName, service *owner.Standby) {
 	if s.Workers == nil {
 		return
 	}
