--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper drives the books of ownership in the process that leads: it
-// loads and stores them, plans moves by measured load, and sends orders.
+// Package keeper assigns the keys of keyed services to workers in the process that leads: it loads
+// and stores the ownership records, plans moves by measured load, and sends orders to workers.
 package keeper
 
 import (
@@ -23,41 +23,42 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("keeper")
 
-// Times of the keeper.
+// Intervals and timeouts of the keeper.
 const (
 	tick         = 50 * time.Millisecond
 	planInterval = 200 * time.Millisecond
-	// metricsInterval is the pause between looks at the books for metrics.
+	// metricsInterval is the interval at which the metrics of a ledger are updated.
 	metricsInterval = time.Second
-	// settleTime is how long the first list of workers must stand still.
+	// settleTime is how long the list of workers must be unchanged before initial owners are
+	// assigned.
 	settleTime = 1200 * time.Millisecond
-	// maxSettleTime is the longest that the first owners wait for that.
+	// maxSettleTime is the longest delay of the initial assignment by settleTime.
 	maxSettleTime = 4 * time.Second
-	// removedGrace is how long a worker whose entry went keeps its keys: entries
-	// come back when the service was only disturbed.
+	// removedGrace is how long a worker whose entry was removed keeps its keys: entries come back
+	// after a short disturbance of the key-value service.
 	removedGrace = 700 * time.Millisecond
-	// unreadableGrace is the same where the entry stands, but was written by somebody else: the
-	// worker writes its own again about every second, and the news takes a moment.
+	// unreadableGrace is the same for an entry that another writer has overwritten: the worker
+	// rewrites its entry about every second, and the change takes a moment to arrive.
 	unreadableGrace = 1500 * time.Millisecond
-	// failingAfter is how long a worker must fail all orders to lose its keys.
+	// failingAfter is how long all orders to a worker must fail before it loses its keys.
 	failingAfter = time.Second
 	grantTimeout = 600 * time.Millisecond
-	// releaseTimeout includes the work that still runs on the keys.
+	// releaseTimeout includes the time of requests that still run on the keys.
 	releaseTimeout = 1500 * time.Millisecond
-	// storeTimeout is for how long the key-value service may not answer until the
-	// other processes are told to look for changes themselves.
+	// storeTimeout is how long the key-value service may not respond before the other processes are
+	// notified to read changes themselves.
 	storeTimeout = 1100 * time.Millisecond
-	// staleAfter is the same for what the process follows there: a watch that is silent
-	// answers after 1.5 s, and one that was lost unseen is given up after 2 s.
+	// staleAfter is the same for the data that this process follows there: a watch without changes
+	// returns after 1.5 s, and one that the service dropped without notice is given up after 2 s.
 	staleAfter = 2200 * time.Millisecond
-	// retryDelay is the wait after a failed read of a record.
+	// retryDelay is the delay after a failed read or write of a record.
 	retryDelay = 150 * time.Millisecond
 )
 
-// Keeper keeps the owners of all keyed services while its process leads.
+// Keeper manages the owners of the keys of all keyed services while its process leads.
 type Keeper struct {
-	// ReadUpTo returns as of when this process has read all changes of configuration and
-	// workers. Nil: not known.
+	// SyncedAt returns the time as of which this process has read all changes of configuration and
+	// workers. It is nil if that is not known.
 	SyncedAt func() time.Time
 	Store    coord.Store
 	Prefix   string
@@ -70,27 +71,28 @@
 	Log      *decision.Log
 	Metrics  *Metrics
 	Times    owner.Config
-	// Nonce returns a text that is never used twice.
+	// Nonce returns a unique string.
 	Nonce func() string
-	// Zone of this process's machine, and Regions those of all zones.
+	// Zone is the zone of this process's machine. Regions maps all zones to their regions.
 	Zone    string
 	Regions topology.Map
-	// Limits returns how many requests a second a worker takes that names a limit. Nil: none does.
+	// Limits returns the requests per second that a worker accepts if it has announced a limit. It
+	// is nil if no worker does.
 	Limits func(workers.Life) (perSecond float64, limited bool)
-	// Leaving is called with the workers that say with an answer to an order that they leave. Nil:
-	// nobody wants to know.
+	// OnWorkerLeaving is called for a worker that reports in its reply to an order that it is
+	// leaving. It may be nil.
 	OnWorkerLeaving func(workers.Life)
-	// Unresolved are processes that may renew what earlier leaders gave until it has
-	// all ended, since they did not answer.
+	// Unresolved are processes that did not reply when asked to stop. They may renew holds granted by
+	// earlier leaders until all of those have expired.
 	Unresolved []election.Renewer
 }
 
-// RecordKey is where a service's book is stored.
+// RecordKey returns the key of a service's ownership record.
 func RecordKey(prefix string, service routing.ServiceName) string {
 	return prefix + "keys/" + string(service)
 }
 
-// tenancy is one tenure's work.
+// tenureKeeper is the state of a Keeper during one tenure.
 type tenureKeeper struct {
 	*Keeper
 	ctx        context.Context
@@ -103,21 +105,21 @@
 	standbys   standbys
 	holdsUntil time.Time
 	startedAt  time.Time
-	// refreshed looks for how long the machine was suspended since the last look.
+	// suspendedFor checks for how long the machine was suspended since the last check.
 	suspendedFor func() time.Duration
-	// listChanged is when the list of workers last changed.
+	// listChanged is the time of the last change of the list of workers.
 	listChanged time.Time
 }
 
-// answer is the end of an order.
+// orderResult is an order with the reply to it.
 type orderResult struct {
 	service *service
 	order   owner.Order
 	reply   owner.Reply
 }
 
-// Lead keeps the owners until ctx ends or the tenure is over. until is when all
-// holds that earlier leaders gave have surely ended.
+// Lead manages the owners until ctx ends or the tenure is over. At holdsUntil all holds granted by
+// earlier leaders have expired.
 func (k *Keeper) Lead(ctx context.Context, tenure *election.Tenure, holdsUntil time.Time) {
 	tenureCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -165,7 +167,7 @@
 	}
 }
 
-// step does what is due. It returns false once the tenure is over.
+// step performs the work that is due. It returns false once the tenure is over.
 func (t *tenureKeeper) step(now time.Time) bool {
 	authority := t.tenure.AuthorityUntil()
 	if now.After(authority.Add(t.Times.RenewalGrace)) {
@@ -201,8 +203,8 @@
 	return true
 }
 
-// deaf reports whether the routers are to read changes themselves: the service has not
-// answered lately, or what this process follows there has not come.
+// storeUnreachable reports whether the routers must read changes themselves: the key-value service
+// has not answered recently, or the data that this process follows there is out of date.
 func (t *tenureKeeper) storeUnreachable(now time.Time) bool {
 	if now.Sub(t.tenure.LastContact()) > storeTimeout {
 		return true
@@ -210,7 +212,7 @@
 	return t.SyncedAt != nil && now.Sub(t.SyncedAt()) > staleAfter
 }
 
-// ensure begins to load the books of keyed services that are new.
+// loadNewServices starts to load the records of keyed services that are new in the configuration.
 func (t *tenureKeeper) loadNewServices() {
 	config := t.Config()
 	if config == nil {
@@ -224,11 +226,11 @@
 	}
 }
 
-// send sends one order and reports its end.
+// send sends one order and passes on the reply.
 func (t *tenureKeeper) send(svc *service, order owner.Order) {
 	var reply owner.Reply
 	start := clock.Now()
-	if t.suspendedFor() > 0 { // decided before the machine was suspended: others may lead by now
+	if t.suspendedFor() > 0 { // the order predates a suspension: another process may lead by now
 		reply.Outcome = owner.OutcomeUnreachable
 	} else if order.Release {
 		bounded, cancel := context.WithTimeout(t.ctx, releaseTimeout)
@@ -259,17 +261,17 @@
 	}
 }
 
-// gauge shows the state of a book now and then: looking through all of it at each step
-// would cost as much as the step.
+// updateMetrics updates the metrics of a ledger once per metricsInterval: computing them takes a
+// pass over the whole ledger, which costs as much as a step.
 func (t *tenureKeeper) updateMetrics(now time.Time, svc *service) {
-	if now.Before(svc.nextGauge) {
+	if now.Before(svc.nextMetrics) {
 		return
 	}
-	svc.nextGauge = now.Add(metricsInterval)
+	svc.nextMetrics = now.Add(metricsInterval)
 	t.Metrics.setLedger(svc.name, svc.ledger.SpanCount(), svc.ledger.MinHoldRemaining(now))
 }
 
-// publish tells the routers of changed owners.
+// publish sends changed holds to the standbys and changed owners to the routers.
 func (t *tenureKeeper) publish(svc *service) {
 	if version := svc.ledger.HoldsVersion(); version != svc.publishedHolds {
 		svc.publishedHolds = version
@@ -284,7 +286,7 @@
 	t.Hub.Publish(svc.name, owners)
 }
 
-// measure takes what the routers saw.
+// handleReport records the loads, response times and backoffs that a router reports.
 func (t *tenureKeeper) handleReport(now time.Time, report peerlink.Report) {
 	for name, pairs := range report.Keys {
 		svc := t.services[name]
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -22,11 +22,11 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// obeying are workers that do every order at once.
+// obeyingWorkers simulates workers that execute every order at once.
 type obeyingWorkers struct {
 	mu     sync.Mutex
 	grants map[workers.ID][]owner.Grant
-	// leaving says that it leaves.
+	// leaving is a worker that reports that it is leaving.
 	leaving workers.ID
 }
 
@@ -41,7 +41,7 @@
 	return owner.Reply{Outcome: owner.OutcomeDone, Handover: "h"}
 }
 
-// bench is a keeper with all that it needs.
+// testBench is a keeper with its dependencies.
 type testBench struct {
 	t        *testing.T
 	store    *memory.Store
@@ -87,7 +87,7 @@
 	b.keeper.Workers.Replace(list, nil, time.Now())
 }
 
-// lead leads for some time.
+// lead lets the keeper lead for some time, and runs meanwhile concurrently.
 func (b *testBench) lead(length time.Duration, meanwhile func()) {
 	tenure, err := b.election.Campaign(b.t.Context(), 0)
 	assert.NilError(b.t, err)
@@ -101,7 +101,7 @@
 	limited, stop := context.WithTimeout(b.t.Context(), time.Second)
 	defer stop()
 	tenure.Resign(limited)
-	time.Sleep(3 * time.Second) // all that was under way ends
+	time.Sleep(3 * time.Second) // pending calls end
 }
 
 func (b *testBench) owner(key int) workers.ID {
@@ -134,7 +134,7 @@
 	runBench(t, func(b *testBench) {
 		b.store.LoseAnswers(0, 0)
 		b.lead(4*time.Second, func() {
-			time.Sleep(time.Second) // before the first owners are chosen
+			time.Sleep(time.Second) // before the initial owners are assigned
 			b.store.SetDown(true)
 			time.Sleep(700 * time.Millisecond)
 			b.orders.mu.Lock()
@@ -165,7 +165,7 @@
 		b.announce("w1", "w2", "w3")
 		b.lead(2*time.Second, nil)
 		assert.Assert(t, len(b.orders.grants["w1"]) > before)
-		assert.Equal(t, len(b.orders.grants["w3"]), 0, "nothing moves without a load that asks for it")
+		assert.Equal(t, len(b.orders.grants["w3"]), 0, "no keys move without load")
 	})
 }
 
@@ -200,7 +200,7 @@
 			b.keeper.Workers.SetEvacuated([]string{"near", "far"}, time.Now())
 			time.Sleep(2 * time.Second)
 			for _, key := range keys {
-				assert.Equal(t, b.owner(key), workers.ID("w2"), "no worker is left elsewhere")
+				assert.Equal(t, b.owner(key), workers.ID("w2"), "no other zone has workers")
 			}
 		})
 		for _, held := range b.stored() {
@@ -209,7 +209,7 @@
 	})
 }
 
-// A cold worker bears a rate that its slots do not show.
+// While a worker is cold, the rate that it can run is less than its slots suggest.
 func TestColdWorkerHasReducedCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -217,10 +217,10 @@
 		coldRate float64
 		want     float64
 	}{
-		"warm":                     {warmAt: now, coldRate: 4, want: 25},
-		"cold, bears any number":   {warmAt: now.Add(time.Second), want: 12.5},
-		"cold, bears a few":        {warmAt: now.Add(time.Second), coldRate: 4, want: 4},
-		"cold, bears more than is": {warmAt: now.Add(time.Second), coldRate: 40, want: 12.5},
+		"warm":                               {warmAt: now, coldRate: 4, want: 25},
+		"cold, no cold rate":                 {warmAt: now.Add(time.Second), want: 12.5},
+		"cold, cold rate below its capacity": {warmAt: now.Add(time.Second), coldRate: 4, want: 4},
+		"cold, cold rate above its capacity": {warmAt: now.Add(time.Second), coldRate: 40, want: 12.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			of := newService("s")
@@ -231,7 +231,8 @@
 	}
 }
 
-// Nobody asked for the keys of a worker that said that it leaves, and they stayed.
+// A worker that receives no requests reports that it is leaving only in its replies to the leader's
+// orders. Without handling those, its keys stayed with it.
 func TestKeysMoveFromWorkerThatReportsLeaving(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		b.orders.leaving = "w1"
@@ -255,7 +256,7 @@
 		assert.Assert(b.t, during.Limited && during.Cold)
 		later := t.candidate(now.Add(4*time.Second), of, worker)
 		assert.Equal(b.t, later.Capacity, before.Capacity)
-		assert.Assert(b.t, !later.Limited && later.Cold, "most ask again: it gets no more keys for now")
+		assert.Assert(b.t, !later.Limited && later.Cold, "most workers request another backoff, so it gets no more keys for now")
 		assert.Equal(b.t, t.candidate(now.Add(time.Minute), of, worker), before)
 		assert.Equal(b.t, len(of.backoffs), 0)
 	})
@@ -272,7 +273,7 @@
 			b.orders.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			b.orders.mu.Lock()
-			assert.Assert(t, len(b.orders.grants["w2"]) > before, "its keys are still renewed")
+			assert.Assert(t, len(b.orders.grants["w2"]) > before, "the holds of its keys must still be renewed")
 			b.orders.mu.Unlock()
 			assert.Equal(t, b.owner(owner.KeyCount-1), workers.ID("w2"))
 			b.store.SetDown(false)
@@ -280,15 +281,15 @@
 	})
 }
 
-// A process that has just started may lead by a list of which others had lapsed while
-// the store was away.
+// A process that has just started may lead with a list of workers in which entries are missing that
+// expired while the store was unreachable.
 func TestNewLeaderWaitsForExpiredEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		lead time.Duration
 		want workers.ID
 	}{
-		"at first":              {lead: 2 * time.Second, want: "w2"},
-		"when all had the time": {lead: 5 * time.Second, want: "w1"},
+		"at first":               {lead: 2 * time.Second, want: "w2"},
+		"after the grace period": {lead: 5 * time.Second, want: "w1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runBench(t, func(b *testBench) {
@@ -302,18 +303,18 @@
 	}
 }
 
-// Suspected on trouble-3 of tawila-gw-large: the leader renewed its lease, but what it
-// followed in the service did not come, and all relied on it.
+// Guards against a leader that still renews its lease but no longer receives the changes that it
+// follows in the key-value service, while all other processes rely on it.
 func TestStoreUnreachable(t *testing.T) {
 	for name, test := range map[string]struct {
 		readBefore, leaseBefore time.Duration
 		unknown                 bool
-		deaf                    bool
+		unreachable             bool
 	}{
-		"all well":                     {readBefore: 1500 * time.Millisecond},
-		"a watch was lost":             {readBefore: staleAfter + time.Millisecond, deaf: true},
-		"no renewal was answered":      {leaseBefore: storeTimeout + time.Millisecond, deaf: true},
-		"what was read is not counted": {unknown: true},
+		"reachable":               {readBefore: 1500 * time.Millisecond},
+		"a watch was dropped":     {readBefore: staleAfter + time.Millisecond, unreachable: true},
+		"no renewal was answered": {leaseBefore: storeTimeout + time.Millisecond, unreachable: true},
+		"sync time unknown":       {unknown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runBench(t, func(b *testBench) {
@@ -324,7 +325,7 @@
 					b.keeper.SyncedAt = func() time.Time { return read }
 				}
 				one := &tenureKeeper{Keeper: b.keeper, tenure: tenure}
-				assert.Equal(t, one.storeUnreachable(time.Now().Add(test.leaseBefore)), test.deaf)
+				assert.Equal(t, one.storeUnreachable(time.Now().Add(test.leaseBefore)), test.unreachable)
 			})
 		})
 	}
--- a/internal/keeper/metrics.go
+++ b/internal/keeper/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Metrics are the leader's counters.
+// Metrics are the metrics of the leader.
 type Metrics struct {
 	orders           *prometheus.CounterVec
 	latency          *prometheus.HistogramVec
@@ -19,10 +19,10 @@
 	moves            *prometheus.CounterVec
 }
 
-// orderBuckets are upper bounds in seconds.
+// orderBuckets are the upper bounds of the histogram buckets for order latency, in seconds.
 var orderBuckets = []float64{0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 0.6, 1.5}
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them with registerer.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -63,7 +63,7 @@
 	m.moves.WithLabelValues(string(service), strconv.FormatBool(forced)).Inc()
 }
 
-// ended forgets the books of a leader that leads no longer.
+// reset removes the ledger metrics when the process no longer leads.
 func (m *Metrics) reset() {
 	m.keyRanges.Reset()
 	m.minHoldRemaining.Reset()
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -11,7 +11,7 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// plan chooses owners, at first or anew.
+// plan assigns the initial owners of a service, or plans moves between owners.
 func (t *tenureKeeper) plan(now time.Time, svc *service) {
 	if now.Before(svc.nextPlan) || svc.writing {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// tellMove counts a planned move and writes a line.
+// recordMove counts and logs a planned move.
 func (t *tenureKeeper) recordMove(now time.Time, svc *service, move owner.Move) {
 	if !move.Forced {
 		svc.addBalanceMove(now)
@@ -40,7 +40,7 @@
 		Float64("capacity", t.capacity(now, svc, move.To)).Uint64("change", svc.ledger.RecordVersion()).Msg("")
 }
 
-// first deals the keys out once the list of workers stands still.
+// assignInitial assigns the initial owners once the list of workers has settled.
 func (t *tenureKeeper) assignInitial(now time.Time, svc *service, candidates []owner.Candidate) {
 	settled := now.Sub(t.listChanged) >= settleTime || now.Sub(t.startedAt) >= maxSettleTime
 	if len(candidates) == 0 || !settled {
@@ -54,8 +54,8 @@
 	t.Log.Line(decision.KindAssigned).Str("service", string(svc.name)).Int("candidates", len(candidates)).Msg("")
 }
 
-// rules are what the configuration allows, as far as loads are known and moves are
-// left.
+// rules returns the rules for planning moves: those of the configuration, with balancing only once
+// loads are ready, and with the moves that remain of the limit per minute.
 func (t *tenureKeeper) rules(now time.Time, svc *service) owner.Rules {
 	rules := owner.Rules{Placement: t.placementRules(svc), Balance: svc.loads.Ready(now), MaxMoves: math.MaxInt}
 	if config := t.serviceConfig(svc); config != nil {
@@ -67,7 +67,7 @@
 	return rules
 }
 
-// described returns the service in the configuration; nil if it is gone.
+// serviceConfig returns the service's configuration; nil if it has been removed.
 func (t *tenureKeeper) serviceConfig(svc *service) *routing.Service {
 	if config := t.Config(); config != nil {
 		return config.Services[svc.name]
@@ -75,8 +75,9 @@
 	return nil
 }
 
-// places returns where the service's keys may be held: where all routes to it must be served in
-// some regions, only there, since an owner elsewhere could not be asked.
+// placementRules returns the zones that may own the service's keys. If all routes to the service are
+// restricted to regions, owners are restricted to these regions too, since no request could be sent
+// to an owner elsewhere.
 func (t *tenureKeeper) placementRules(svc *service) []owner.PlacementRule {
 	config := t.Config()
 	if config == nil || config.Services[svc.name] == nil {
@@ -93,7 +94,7 @@
 	return rules
 }
 
-// zones returns the names of some regions' zones.
+// zoneNames returns the names of the zones in the given regions.
 func (t *tenureKeeper) zoneNames(regions []topology.Region) []string {
 	var names []string
 	for _, zone := range t.Regions.Zones(regions) {
@@ -102,13 +103,13 @@
 	return names
 }
 
-// moved notes a move for balance.
+// addBalanceMove records a move that was planned for balance.
 func (s *service) addBalanceMove(now time.Time) {
 	s.balanceMovesSince(now.Add(-time.Minute))
 	s.balanceMoves = append(s.balanceMoves, now)
 }
 
-// movesSince counts the moves for balance since a time and forgets older ones.
+// balanceMovesSince counts the moves for balance since a time and discards older ones.
 func (s *service) balanceMovesSince(since time.Time) int {
 	s.balanceMoves = slices.DeleteFunc(s.balanceMoves, func(at time.Time) bool { return at.Before(since) })
 	return len(s.balanceMoves)
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A record that can't be read left the keys of its service without owners for good.
+// A record that can't be decoded left the keys of its service without owners permanently.
 func TestUnreadableRecordIsRebuiltAfterHoldsExpire(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		_, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: RecordKey("cell/", "s"), Value: []byte("{")}}})
@@ -24,7 +24,7 @@
 		go b.keeper.Lead(b.t.Context(), tenure, until)
 		time.Sleep(4900 * time.Millisecond)
 		b.orders.mu.Lock()
-		assert.Equal(b.t, len(b.orders.grants), 0, "others may hold keys still")
+		assert.Equal(b.t, len(b.orders.grants), 0, "other workers may still hold keys")
 		b.orders.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		assert.Assert(b.t, b.owner(7) != "")
@@ -37,7 +37,7 @@
 	})
 }
 
-// A worker that starts again gets its keys under a higher fence, and its speed is measured anew.
+// A worker that restarts must get its keys again under a higher fence.
 func TestRestartedWorkerGetsKeysUnderHigherFence(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, Born: 1}
@@ -58,8 +58,8 @@
 	})
 }
 
-// Keys stay for longer with a worker whose entry another writer has overwritten: its own comes
-// back with its next heartbeat.
+// Keys stay longer with a worker whose entry was overwritten by another writer than with one whose
+// entry was removed: the worker restores its entry with its next heartbeat.
 func TestKeysStayWhileEntryIsUnreadable(t *testing.T) {
 	for name, test := range map[string]struct {
 		unreadable, stays bool
--- a/internal/keeper/record.go
+++ b/internal/keeper/record.go
@@ -12,16 +12,17 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// loaded is the end of reading a record.
+// loadResult is the result of reading a record.
 type loadResult struct {
 	name  routing.ServiceName
 	item  coord.Item
 	found bool
-	// rebuilt says that the record can't be read, and all that it may have named has ended.
+	// rebuilt is true if the record could not be decoded and all holds that it may have named have
+	// expired.
 	rebuilt bool
 }
 
-// load reads a service's record, again until it is read.
+// loadRecord reads a service's record and retries until it succeeds.
 func (t *tenureKeeper) loadRecord(name routing.ServiceName) {
 	for t.ctx.Err() == nil {
 		item, found, err := t.Store.Get(t.ctx, RecordKey(t.Prefix, name))
@@ -39,14 +40,14 @@
 	}
 }
 
-// take begins to keep a service whose record was read.
+// handleLoaded starts to manage a service whose record was read.
 func (t *tenureKeeper) handleLoaded(done loadResult) {
 	svc := t.services[done.name]
 	ledger := owner.NewLedger(t.Times, t.tenure.Leader.Term)
 	if done.found && !done.rebuilt {
 		if err := ledger.Load(clock.Now(), done.item.Value, t.holdsUntil); err != nil {
 			t.Log.Line(decision.KindRecord).Str("service", string(done.name)).Err(err).
-				Float64("waits", max(0, clock.Until(t.holdsUntil)).Seconds()).Msg("can't be read; it is made anew")
+				Float64("waits", max(0, clock.Until(t.holdsUntil)).Seconds()).Msg("the record can't be decoded; it is rebuilt once all holds have expired")
 			go t.rebuild(done)
 			return
 		}
@@ -57,9 +58,9 @@
 		Int64("revision", int64(svc.revision)).Int64("term", int64(t.tenure.Leader.Term)).Msg("loaded")
 }
 
-// rebuild takes a record that can't be read to be empty, once all holds that it may have named
-// have surely ended. Keys of a service whose record was spoiled had no owner under any leader
-// without it.
+// rebuild replaces a record that can't be decoded by an empty one once all holds that it may have
+// named have expired. Without this, a corrupt record left the service's keys without owners under
+// every leader.
 func (t *tenureKeeper) rebuild(done loadResult) {
 	clock.Sleep(t.ctx, clock.Until(t.holdsUntil))
 	done.rebuilt = true
@@ -69,7 +70,7 @@
 	}
 }
 
-// written is the end of storing a record.
+// writeResult is the result of storing a record.
 type writeResult struct {
 	service  *service
 	version  uint64
@@ -77,7 +78,7 @@
 	lost     bool
 }
 
-// store writes the record if it has changed.
+// storeRecord writes the record if it has changed.
 func (t *tenureKeeper) storeRecord(svc *service) {
 	version := svc.ledger.RecordVersion()
 	if svc.writing || version == svc.ledger.StoredVersion() {
@@ -86,13 +87,13 @@
 	writeID := t.Nonce()
 	value, err := svc.ledger.Encode(t.tenure.Leader.Term, writeID)
 	if err != nil {
-		panic(err) // a book is plain data
+		panic(err) // a ledger is plain data, which always encodes
 	}
 	svc.writing = true
 	go t.write(svc, version, writeID, value, svc.revision)
 }
 
-// write tries until the outcome of the write is known.
+// write stores a record and retries until the outcome of the write is known.
 func (t *tenureKeeper) write(svc *service, version uint64, writeID string, value []byte, revision coord.Revision) {
 	key := RecordKey(t.Prefix, svc.name)
 	done := writeResult{service: svc, version: version}
@@ -123,7 +124,8 @@
 	}
 }
 
-// resolve reads whether an earlier try of the write was done after all.
+// resolveConflict reads the record to find out whether an earlier attempt of this write was applied
+// after all. lost is true if another process has written it.
 func (t *tenureKeeper) resolveConflict(key, writeID string) (revision coord.Revision, lost bool) {
 	for t.ctx.Err() == nil {
 		item, found, err := t.Store.Get(t.ctx, key)
@@ -141,7 +143,7 @@
 func (t *tenureKeeper) handleWritten(done writeResult) {
 	done.service.writing = false
 	if done.lost {
-		t.Log.Line(decision.KindRecord).Str("service", string(done.service.name)).Msg("another leader has written")
+		t.Log.Line(decision.KindRecord).Str("service", string(done.service.name)).Msg("another leader has written the record; resigning")
 		t.tenure.Resign(context.WithoutCancel(t.ctx))
 		return
 	}
--- a/internal/keeper/regionoutage_test.go
+++ b/internal/keeper/regionoutage_test.go
@@ -14,20 +14,21 @@
 	"github.com/shalefork/shalefork/ownership"
 )
 
-// cut says which way nothing passes between the leader's region and the other one.
+// cut is the direction in which messages between the leader's region and the other one are lost.
 type cut int
 
 const (
 	notCut cut = iota
 	cutBoth
-	// cutAnswers lets orders through, and none of their answers.
-	cutAnswers
+	// cutReplies delivers orders, but none of the replies to them.
+	cutReplies
 )
 
-// orderTimeout is after which an order without an answer is given up here.
+// orderTimeout is how long an order waits for a reply in this test.
 const orderTimeout = 600 * time.Millisecond
 
-// holding are workers that hold what they are granted; those in the other region may be cut off.
+// holdingWorkers simulates workers that hold the keys they are granted. Those in the other region can
+// be cut off.
 type holdingWorkers struct {
 	mu      sync.Mutex
 	holders map[workers.ID]*ownership.Holder
@@ -41,14 +42,14 @@
 	h.cut = cut
 }
 
-// reach returns a worker if orders reach it, and whether its answers are lost.
+// lookUp returns a worker if orders reach it, and whether its replies are lost.
 func (h *holdingWorkers) lookUp(id workers.ID) (to *ownership.Holder, lost bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.far[id] && h.cut == cutBoth {
 		return nil, true
 	}
-	return h.holders[id], h.far[id] && h.cut == cutAnswers
+	return h.holders[id], h.far[id] && h.cut == cutReplies
 }
 
 func (h *holdingWorkers) reply(to *ownership.Holder, lost bool) owner.Reply {
@@ -91,15 +92,15 @@
 	return count
 }
 
-// A region that the leader does not reach keeps its keys until their holds end; then they are
-// given to workers that are reached. No key ever has two holders, and all have one within 2 s of
-// the end of the cut.
+// Workers in a region that the leader can't reach keep their keys until their holds expire; then the
+// keys go to reachable workers. No key may ever have two holders, and each has one within 2 s after
+// the region is reachable again.
 func TestRegionCutOffFromLeader(t *testing.T) {
 	const (
 		settled = 6 * time.Second
 		backIn  = 2 * time.Second
 		look    = 20 * time.Millisecond
-		// keyStep is the distance of the keys that are looked at.
+		// keyStep is the distance between the keys that are checked.
 		keyStep = 4096
 	)
 	for name, test := range map[string]struct {
@@ -109,9 +110,9 @@
 		"both ways, 2 s":     {cutBoth, 2 * time.Second},
 		"both ways, 10 s":    {cutBoth, 10 * time.Second},
 		"both ways, 60 s":    {cutBoth, 60 * time.Second},
-		"answers only, 2 s":  {cutAnswers, 2 * time.Second},
-		"answers only, 10 s": {cutAnswers, 10 * time.Second},
-		"answers only, 60 s": {cutAnswers, 60 * time.Second},
+		"replies only, 2 s":  {cutReplies, 2 * time.Second},
+		"replies only, 10 s": {cutReplies, 10 * time.Second},
+		"replies only, 60 s": {cutReplies, 60 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runBench(t, func(b *testBench) {
@@ -136,21 +137,21 @@
 				b.lead(settled+test.lasts+backIn+time.Second, func() {
 					time.Sleep(settled)
 					least, _ := holders()
-					assert.Check(t, least == 1, "all keys are held before the cut")
+					assert.Check(t, least == 1, "all keys must be held before the cut")
 					orders.setCut(test.cut)
 					for began := time.Now(); time.Since(began) < test.lasts; time.Sleep(look) {
 						_, most := holders()
-						assert.Check(t, most <= 1, "%s after the cut", time.Since(began))
+						assert.Check(t, most <= 1, "%s after the cut began", time.Since(began))
 					}
 					least, _ = holders()
-					assert.Check(t, least == 1, "at the end of the cut all keys are held")
+					assert.Check(t, least == 1, "all keys must be held at the end of the cut")
 					orders.setCut(notCut)
 					for healed := time.Now(); time.Since(healed) < backIn; time.Sleep(look) {
 						_, most := holders()
-						assert.Check(t, most <= 1, "%s after the heal", time.Since(healed))
+						assert.Check(t, most <= 1, "%s after the cut ended", time.Since(healed))
 					}
 					least, _ = holders()
-					assert.Check(t, least == 1, "all keys are held after the heal")
+					assert.Check(t, least == 1, "all keys must be held after the cut ends")
 				})
 			})
 		})
--- a/internal/keeper/regions_test.go
+++ b/internal/keeper/regions_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// boundTo is a configuration whose only route to service s is bound to regions.
+// configBoundTo returns a configuration whose only route to service s is restricted to regions.
 func (b *testBench) configBoundTo(version routing.Version, regions ...topology.Region) *routing.Config {
 	route := &routing.Route{
 		Name: "r", Prefix: "/", Timeout: time.Second, Regions: regions,
@@ -24,8 +24,8 @@
 	return config
 }
 
-// A version that binds a service's only route to a region moves the keys that are owned
-// outside, and new owners stand inside.
+// After a new configuration restricts a service's only route to a region, keys owned by workers
+// outside the region move to workers inside it.
 func TestKeysMoveIntoRequiredRegion(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		b.keeper.Regions = topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -15,38 +15,39 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Measuring workers' speed.
+// Constants for estimating the capacity of workers.
 const (
-	// defaultWorkTime is a request's time at a worker of which nothing is known yet.
+	// defaultWorkTime is the assumed work time of a request before any worker was measured.
 	defaultWorkTime = 80 * time.Millisecond
-	// coldFactor is how much slower a worker is taken to be while it warms up.
+	// coldFactor is the assumed factor by which a worker is slower while it warms up.
 	coldFactor = 2
 )
 
-// service is one keyed service under the keeper.
+// service is the state of one keyed service.
 type service struct {
 	name                routing.ServiceName
 	ledger              *owner.Ledger // nil until loaded
 	loads               *owner.Loads
 	publishedAssignment uint64
-	// publishedHolds is the version of the holds that standbys were told.
+	// publishedHolds is the version of the holds that was last sent to standbys.
 	publishedHolds uint64
 	nextPlan       time.Time
-	nextGauge      time.Time
-	// work is what was measured of each worker.
+	nextMetrics    time.Time
+	// workTimes estimates the work time of requests at each worker.
 	workTimes map[workers.ID]*estimate.Work
-	// backoffs are those that each worker has asked routers for.
+	// backoffs are the backoffs that each worker has requested from routers.
 	backoffs map[workers.ID]*estimate.Backoffs
-	// coldRate is how many requests a second a cold worker bears; zero: any number.
+	// coldRate is how many requests per second a cold worker can run; zero means no such limit.
 	coldRate float64
-	// usual is the mean time of work over the workers that were measured.
+	// meanWorkTime is the mean work time over the workers that were measured.
 	meanWorkTime time.Duration
-	// revision of the stored record.
+	// revision is the revision of the stored record.
 	revision coord.Revision
 	writing  bool
-	// seen is the version of the list of workers whose lives the book was told of.
+	// workersVersion is the version of the list of workers whose incarnations were last passed to the
+	// ledger.
 	workersVersion uint64
-	// moves are when keys were moved for balance lately.
+	// balanceMoves are the times of recent moves for balance.
 	balanceMoves []time.Time
 }
 
@@ -57,10 +58,10 @@
 	}
 }
 
-// measured takes a number of answers and the sum of their times at a worker.
+// addResponseTimes records a number of responses of a worker and the sum of their response times.
 func (s *service) addResponseTimes(now time.Time, worker workers.Worker, answers int, took time.Duration) {
 	if now.Before(worker.WarmAt) {
-		return // it is slower than it will be
+		return // a worker that warms up is slower than it will be later
 	}
 	work := s.workTimes[worker.ID]
 	if work == nil {
@@ -70,7 +71,8 @@
 	work.Add(now, answers, took)
 }
 
-// backedOff takes how many backoffs a worker has asked routers for, and the sum of their times.
+// addBackoffs records how many backoffs a worker has requested from routers, and the sum of their
+// durations.
 func (s *service) addBackoffs(now time.Time, worker workers.ID, count int, sum time.Duration) {
 	backoffs := s.backoffs[worker]
 	if backoffs == nil {
@@ -80,7 +82,7 @@
 	backoffs.Add(now, count, sum)
 }
 
-// measureUsual averages the times of work over the announced workers, and forgets the
+// updateMeanWorkTime averages the work times of the announced workers and drops the measurements of
 // others.
 func (s *service) updateMeanWorkTime(now time.Time, directory *workers.Directory) {
 	total, count := time.Duration(0), 0
@@ -98,7 +100,8 @@
 	}
 }
 
-// tellLives tells the book of workers that have started again, and forgets how fast they were.
+// observeIncarnations passes the workers' incarnations to the ledger, and drops the measurements of
+// workers that have restarted.
 func (t *tenureKeeper) observeIncarnations(now time.Time, svc *service) {
 	list, version := t.Workers.Of(svc.name)
 	if version == svc.workersVersion {
@@ -112,11 +115,11 @@
 		delete(svc.workTimes, worker.ID)
 		delete(svc.backoffs, worker.ID)
 		t.Log.Line(decision.KindWorker).Str("worker", string(worker.ID)).Str("state", string(worker.State)).
-			Str("service", string(svc.name)).Msg("has started again; it gets its keys anew")
+			Str("service", string(svc.name)).Msg("the worker has restarted; its keys are granted to it again")
 	}
 }
 
-// candidates lists the workers that may hold keys now.
+// candidates returns the workers that may own keys now.
 func (t *tenureKeeper) candidates(now time.Time, svc *service) []owner.Candidate {
 	if config := t.serviceConfig(svc); config != nil {
 		svc.coldRate = config.ColdRate
@@ -140,9 +143,8 @@
 	return candidates
 }
 
-// mayComeBack reports whether a worker that is not announced keeps its keys for now. An
-// entry may be back soon, and a process that has just begun to lead may have read a
-// list of which others had lapsed.
+// inGracePeriod reports whether a worker that is not announced keeps its keys for now. Its entry may
+// come back soon, and a new leader may have read the list while some entries had expired.
 func (t *tenureKeeper) inGracePeriod(now time.Time, svc *service, id workers.ID) bool {
 	if _, announced := t.Workers.Get(id); announced || svc.ledger.Failing(now, id, failingAfter) {
 		return false
@@ -157,7 +159,8 @@
 	return now.Sub(t.startedAt) < workers.SettleTime
 }
 
-// assumedSlots is what a worker of which nothing is announced is taken to have.
+// assumedSlots returns the number of slots that is assumed for a worker that is not announced: the
+// most of any worker in the list.
 func assumedSlots(list []workers.Worker) int {
 	slots := 1
 	for _, one := range list {
@@ -166,14 +169,14 @@
 	return slots
 }
 
-// capacity returns how many requests a second a worker can run.
+// capacity returns how many requests per second a worker can run.
 func (t *tenureKeeper) capacity(now time.Time, svc *service, id workers.ID) float64 {
 	worker, _ := t.Workers.Get(id)
 	return t.candidate(now, svc, worker).Capacity
 }
 
-// candidate describes a worker. A limit that it names caps its capacity, and what routers may not send
-// it, since it has asked them for backoffs, lowers it.
+// candidate returns a worker as a candidate for keys. A limit that the worker has announced caps its
+// capacity, and backoffs that it has requested from routers reduce it.
 func (t *tenureKeeper) candidate(now time.Time, svc *service, worker workers.Worker) owner.Candidate {
 	candidate := svc.candidate(now, worker)
 	if backoffs := svc.backoffs[worker.ID]; backoffs != nil {
@@ -188,7 +191,7 @@
 	return candidate
 }
 
-// backoffs describes those that owners of keys have asked for, for operators.
+// backoffs returns the backoffs that owners of keys have requested, for display to operators.
 func (t *tenureKeeper) backoffs(now time.Time) []peerlink.BackoffShare {
 	var list []peerlink.BackoffShare
 	for _, svc := range t.services {
@@ -202,11 +205,11 @@
 	return list
 }
 
-// minCapacityShare is the share of a worker's capacity that it has left where all routers back off.
+// minCapacityShare is the share of its capacity that a worker keeps when all routers back off.
 const minCapacityShare = 0.02
 
-// lessen lowers a worker's capacity by the share of routers that back off. For as long as it has asked
-// for backoffs lately it gets no more keys.
+// reduceCapacity lowers a worker's capacity by the share of routers that back off. A worker that has
+// requested backoffs recently gets no more keys.
 func (t *tenureKeeper) reduceCapacity(now time.Time, svc *service, candidate *owner.Candidate, backoffs *estimate.Backoffs) {
 	if !backoffs.Lately(now) {
 		delete(svc.backoffs, candidate.ID)
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// standbyCount is how many processes may renew for a leader that is lost.
+	// standbyCount is the number of processes that may renew holds after the leader is lost.
 	standbyCount = 2
-	// appointInterval is the pause between looks whether they are linked still.
+	// appointInterval is the interval at which the choice of standbys is reviewed.
 	appointInterval = time.Second
 	appointTimeout  = time.Second
 )
 
-// standbys are the processes that the leader lets renew.
+// standbys tracks the processes that the leader permits to renew holds.
 type standbys struct {
 	next time.Time
-	// stored are the processes of the record; storing says that it is being written.
+	// stored are the processes in the stored list of renewers. storing is true while it is written.
 	stored  []election.Renewer
 	storing bool
-	// appointed are the processes that get leaves.
+	// appointed are the processes that get mandates.
 	appointed []string
 }
 
-// storeRenewersResult is the end of storing the processes that may renew.
+// storeRenewersResult is the result of storing the list of renewers.
 type storeRenewersResult struct {
 	list []election.Renewer
 	err  error
 }
 
-// appoint chooses standbys. A process gets no leave before it is stored, so that the
-// next leader knows of it.
+// appointStandbys chooses standbys. A process gets a mandate only after it is stored in the list of
+// renewers, so that the next leader knows of it.
 func (t *tenureKeeper) appointStandbys(now time.Time) {
 	if t.standbys.storing || now.Before(t.standbys.next) {
 		return
@@ -58,7 +58,7 @@
 		t.grantMandates(processes)
 		return
 	}
-	// Those that had a leave keep their place until it has ended.
+	// Processes whose mandate is still valid stay in the list.
 	for _, one := range t.standbys.stored {
 		if t.Hub.HasMandate(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
@@ -68,7 +68,7 @@
 	go t.storeRenewers(list)
 }
 
-// grantLeaves appoints processes that are stored.
+// grantMandates appoints processes that are stored as renewers.
 func (t *tenureKeeper) grantMandates(processes []string) {
 	if !slices.Equal(processes, t.standbys.appointed) {
 		t.standbys.appointed = processes
@@ -86,8 +86,8 @@
 	}
 }
 
-// renewersWritten takes the end of a write. What is not known to be stored is written
-// again at the next look.
+// handleRenewersStored handles the result of a write. A list that is not known to be stored is
+// written again after appointInterval.
 func (t *tenureKeeper) handleRenewersStored(done storeRenewersResult) {
 	t.standbys.storing = false
 	if done.err == nil {
@@ -96,9 +96,9 @@
 	}
 }
 
-// chooseStandbys takes the strongest processes, of zones of their own where it can, and those of
-// the leader's region first: it was won near the store, which the next leader needs, and what
-// standbys are told need not cross between regions.
+// chooseStandbys chooses the strongest processes, where possible in different zones, and those of
+// the leader's region first: the leader was elected near the store, which the next leader needs too,
+// and updates to standbys then need not cross between regions.
 func chooseStandbys(peers []peerlink.Peer, ownZone string, regions topology.Map) []peerlink.Peer {
 	var chosen []peerlink.Peer
 	zones := map[string]bool{ownZone: true}
--- a/internal/keeper/standbys_test.go
+++ b/internal/keeper/standbys_test.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// twoRegions are z of the zones z1 and z2, and y of y1 and y2.
+// twoRegions maps zones z1 and z2 to region z, and y1 and y2 to region y.
 var twoRegions = topology.New(map[topology.Zone]topology.Region{"z1": "z", "z2": "z", "y1": "y", "y2": "y"})
 
 func TestStandbysPreferOtherZones(t *testing.T) {
@@ -18,15 +18,15 @@
 		regions topology.Map
 		chosen  []string
 	}{
-		"nobody":        {},
-		"one":           {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}}, chosen: []string{"a"}},
-		"only the same": {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z1"}, {Process: "c", Zone: "z1"}}, chosen: []string{"a", "b"}},
-		"others":        {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z2"}, {Process: "c", Zone: "z2"}, {Process: "d", Zone: "z3"}}, chosen: []string{"b", "d"}},
-		"the own region": {
+		"none":            {},
+		"one":             {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}}, chosen: []string{"a"}},
+		"all in one zone": {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z1"}, {Process: "c", Zone: "z1"}}, chosen: []string{"a", "b"}},
+		"other zones":     {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z2"}, {Process: "c", Zone: "z2"}, {Process: "d", Zone: "z3"}}, chosen: []string{"b", "d"}},
+		"leader's region first": {
 			peers:   []peerlink.Peer{{Process: "a", Zone: "y1"}, {Process: "b", Zone: "z1"}, {Process: "c", Zone: "y2"}, {Process: "d", Zone: "z2"}, {Process: "e", Zone: "z2"}},
 			regions: twoRegions, chosen: []string{"d", "b"},
 		},
-		"too few in the own region": {
+		"too few in the leader's region": {
 			peers: []peerlink.Peer{{Process: "a", Zone: "y1"}, {Process: "b", Zone: "z2"}}, regions: twoRegions, chosen: []string{"b", "a"},
 		},
 	} {
--- a/internal/keeper/suspend_test.go
+++ b/internal/keeper/suspend_test.go
@@ -10,7 +10,7 @@
 	"github.com/shalefork/shalefork/internal/owner"
 )
 
-// granted returns how many grants went out.
+// grantCount returns the number of grants sent.
 func (b *testBench) grantCount() int {
 	b.orders.mu.Lock()
 	defer b.orders.mu.Unlock()
@@ -21,9 +21,9 @@
 	return count
 }
 
-// A leader whose machine was suspended for longer than its lease sends no order when it wakes:
-// another may lead by then. Its steady clock stood, by which the lease is good still; the store is
-// away, so that nobody tells it.
+// A leader whose machine was suspended for longer than its lease must send no orders after it
+// resumes, since another process may lead by then. Its monotonic clock did not advance, so the lease
+// still appears valid, and the store is unreachable, so nothing reports that the lease has expired.
 func TestResumedLeaderSendsNoOrders(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		b.lead(12*time.Second, func() {
@@ -40,7 +40,7 @@
 	})
 }
 
-// An order that was decided before a suspension is not sent after it.
+// An order that was planned before a suspension must not be sent after it.
 func TestOrderFromBeforeSuspensionIsNotSent(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		t1 := &tenureKeeper{Keeper: b.keeper, ctx: b.t.Context(), replies: make(chan orderResult, 2)}
