--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,8 +1,8 @@
-// Package election makes one process the leader, by a lease in the key-value
-// service, and numbers the leaders by terms.
+// Package election elects one process as the leader by a lease in the key-value service. Leaders are
+// numbered by terms.
 //
-// A tenure is trusted only until its lease would have ended had the last renewal
-// that was answered arrived the moment it was sent.
+// The authority of a tenure is computed as if the last renewal that was answered had arrived at the
+// moment it was sent, so that the authority never outlasts the lease.
 package election
 
 import (
@@ -24,41 +24,41 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("election")
 
-// ErrOtherLeader: another process leads.
+// ErrOtherLeader is returned if another process leads.
 var ErrOtherLeader = errs.New("another process leads")
 
-// Times of the lease.
+// Intervals and timeouts of the lease.
 const (
-	// LeaseTTL is how long the lease lasts without renewal, unless the service
-	// takes only longer ones.
+	// LeaseTTL is how long the lease lasts without renewal, unless the service grants only longer
+	// leases.
 	LeaseTTL = 1500 * time.Millisecond
-	// renewInterval is the pause between renewals, which do not wait for one another.
+	// renewInterval is the interval between renewals. A renewal does not wait for the previous one.
 	renewInterval = 400 * time.Millisecond
-	// authorityMargin is kept from the end of the lease.
+	// authorityMargin is how long before the end of the lease the authority ends.
 	authorityMargin = 150 * time.Millisecond
 	// renewTimeout bounds one renewal.
 	renewTimeout = 1200 * time.Millisecond
-	// watchTimeout is how long one wait for another leader lasts, and retryDelay is
-	// the pause after one that failed, maxRetryDelay after many.
+	// watchTimeout is the duration of one watch for a change of the leader. retryDelay is the delay
+	// after a failed watch, maxRetryDelay the longest delay after repeated failures.
 	watchTimeout  = 700 * time.Millisecond
 	retryDelay    = 300 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// Leader is what the service says of the leader.
+// Leader is the leader as stored in the key-value service.
 type Leader struct {
-	// Address of its peer port.
+	// Address is the address of its peer port.
 	Address string `json:"address"`
-	// Process is unique to the life of the process that leads.
+	// Process is an ID unique to one run of the leading process.
 	Process string `json:"process"`
-	// Nonce is unique to the attempt that won.
+	// Nonce is unique to the campaign that won.
 	Nonce string     `json:"nonce"`
 	Term  owner.Term `json:"term"`
-	// Revision of the leader's key.
+	// Revision is the revision of the leader key.
 	Revision coord.Revision `json:"-"`
 }
 
-// Election is one cell's election.
+// Election is the election of the leader of one cell.
 type Election struct {
 	store   coord.Store
 	prefix  string
@@ -69,19 +69,18 @@
 	TTL time.Duration
 }
 
-// New returns an election whose keys stand under a prefix, for a process with
-// the given peer address and a name that is unique to its life. nonce returns a
-// text that is never used twice.
+// New returns an election whose keys are stored under prefix, for a process with the given peer
+// address. process is an ID unique to one run of the process, and nonce returns a unique string.
 func New(store coord.Store, prefix, address, process string, nonce func() string) *Election {
 	return &Election{store: store, prefix: prefix, address: address, process: process, nonce: nonce, TTL: LeaseTTL}
 }
 
-// LeaderKey is the key that names the leader.
+// LeaderKey returns the key under which the leader is stored.
 func (e *Election) LeaderKey() string { return e.prefix + "leader" }
 
 func (e *Election) termKey() string { return e.prefix + "term" }
 
-// Look returns the leader; false if there is none.
+// CurrentLeader returns the leader; false if there is none.
 func (e *Election) CurrentLeader(ctx context.Context) (Leader, bool, error) {
 	item, found, err := e.store.Get(ctx, e.LeaderKey())
 	if err != nil || !found {
@@ -97,8 +96,9 @@
 	return leader, Error.Wrap(err)
 }
 
-// AwaitAnother waits until the service no longer names a leader; false if ctx ends
-// first. Waits are short: a watch that the service has lost unseen tells nothing.
+// AwaitLeaderChange waits until the leader key differs from the given leader's; false if ctx ends
+// first. It uses short watches, since a watch that the service dropped without notice reports no
+// change.
 func (e *Election) AwaitLeaderChange(ctx context.Context, leader Leader) bool {
 	backoff := clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
 	after := leader.Revision
@@ -117,8 +117,8 @@
 	return false
 }
 
-// watchLeader waits a moment for a change of the leader's key after a revision, and
-// returns the revision up to which there was none.
+// watchLeader watches the leader key for a short time and reports whether it changed after a
+// revision. If not, at is the revision up to which it is unchanged.
 func (e *Election) watchLeader(ctx context.Context, leader Leader, after coord.Revision) (changed bool, at coord.Revision, err error) {
 	bounded, cancel := context.WithTimeout(ctx, watchTimeout+retryDelay)
 	defer cancel()
@@ -126,16 +126,15 @@
 	if !errors.Is(err, coord.ErrNoHistory) {
 		return len(events) > 0, at, err
 	}
-	// The service no longer keeps what happened after that revision: the key itself
-	// shows whether it was changed.
+	// The service no longer keeps the changes after that revision. The revision of the key shows
+	// whether it was changed.
 	items, at, err := coord.List(bounded, e.store, e.LeaderKey())
 	unchanged := slices.ContainsFunc(items, func(one coord.Item) bool { return one.Revision == leader.Revision })
 	return !unchanged, at, err
 }
 
-// Campaign tries once to become the leader. replace is the revision of the
-// leader's key that may be replaced; zero: there must be none. The error is
-// ErrOtherLeader if another process leads.
+// Campaign tries once to become the leader. replace is the revision of the leader key that may be
+// replaced; with zero, the key must not exist. The error is ErrOtherLeader if another process leads.
 func (e *Election) Campaign(ctx context.Context, replace coord.Revision) (*Tenure, error) {
 	term, termRevision, err := e.term(ctx)
 	if err != nil {
@@ -177,7 +176,7 @@
 	return tenure, nil
 }
 
-// wonAnyway resolves a commit whose outcome is unknown.
+// resolveCommit finds out whether a commit with an unknown outcome was applied.
 func (e *Election) resolveCommit(ctx context.Context, err error, candidate *Leader) bool {
 	if errors.Is(err, coord.ErrConflict) || errors.Is(err, coord.ErrRefused) || errors.Is(err, coord.ErrNoLease) {
 		return false
@@ -206,13 +205,15 @@
 	return owner.Term(term), item.Revision, Error.Wrap(err)
 }
 
-// Tenure is one process's time as the leader. It is safe for concurrent use.
+// Tenure is the time during which one process is the leader. It is safe for concurrent use, except
+// for StoreRenewers.
 type Tenure struct {
 	Leader Leader
-	// Before are the processes that may still renew what earlier leaders gave.
+	// PreviousRenewers are the processes that may still renew holds granted by earlier leaders.
 	PreviousRenewers       []Renewer
 	renewersKey, leaderKey string
-	// renewersRevision is that of the record of renewers. One call at a time uses it.
+	// renewersRevision is the revision of the stored list of renewers. It is used by one call at a
+	// time.
 	renewersRevision coord.Revision
 	store            coord.Store
 	lease            coord.LeaseID
@@ -220,7 +221,7 @@
 
 	mu             sync.Mutex
 	authorityUntil time.Time
-	// reached is when the last call was sent that was answered.
+	// lastContact is when the last lease call that was answered was sent.
 	lastContact time.Time
 	ended       bool
 	done        chan struct{}
@@ -233,24 +234,25 @@
 	}
 }
 
-// Until returns when the tenure's authority ends if it is not renewed.
+// AuthorityUntil returns when the authority of the tenure ends unless the lease is renewed.
 func (t *Tenure) AuthorityUntil() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.authorityUntil
 }
 
-// Reached returns when the last call was sent that the service has answered.
+// LastContact returns when the last lease call that the service answered was sent.
 func (t *Tenure) LastContact() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastContact
 }
 
-// Ended is closed once the service says that the lease is over.
+// Ended returns a channel that is closed once the service reports that the lease has expired, or the
+// process resigns.
 func (t *Tenure) Ended() <-chan struct{} { return t.done }
 
-// Keep renews the lease until ctx ends or the lease is over.
+// KeepAlive renews the lease until ctx ends or the tenure has ended.
 func (t *Tenure) KeepAlive(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -286,7 +288,7 @@
 	}
 }
 
-// Resign ends the tenure, so that another may lead at once.
+// Resign ends the tenure, so that another process can lead at once.
 func (t *Tenure) Resign(ctx context.Context) {
 	t.mu.Lock()
 	t.authorityUntil = time.Time{}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -14,7 +14,7 @@
 	"github.com/shalefork/shalefork/internal/owner"
 )
 
-// candidate returns an election of one process.
+// candidate returns the election as seen by one process.
 func candidate(store *memory.Store, name string) *Election {
 	count := 0
 	return New(store, "cell/", name+":1", "process-"+name, func() string {
@@ -55,8 +55,8 @@
 		_, err = other.Campaign(t.Context(), leader.Revision)
 		assert.NilError(t, err)
 		_, err = candidate(store, "c").Campaign(t.Context(), leader.Revision)
-		assert.ErrorIs(t, err, ErrOtherLeader, "it replaced another leader's key")
-		time.Sleep(2 * LeaseTTL) // the first one's lease ends
+		assert.ErrorIs(t, err, ErrOtherLeader, "the key belongs to a later leader")
+		time.Sleep(2 * LeaseTTL) // the lease of the first leader expires
 	})
 }
 
@@ -74,8 +74,8 @@
 	})
 }
 
-// A commit that is done late wins nothing for a process that has given up: the
-// term has moved on.
+// A commit that is applied after its process gave up must not replace the next leader. The term has
+// increased by then, so its condition fails.
 func TestDelayedCommitDoesNotReplaceNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
@@ -112,16 +112,15 @@
 		assert.Assert(t, tenure.AuthorityUntil().Sub(down) < LeaseTTL)
 		store.SetDown(false)
 		select {
-		case <-tenure.Ended(): // the lease ran out meanwhile
+		case <-tenure.Ended(): // the lease expired during the outage
 		case <-time.After(3 * time.Second):
-			t.Fatal("the end of the lease went unnoticed")
+			t.Fatal("the end of the lease was not noticed")
 		}
 	})
 }
 
-// Found on a day of Tawila (trouble-1, seed 12): the leader was cut from the service,
-// and those who waited for another one heard nothing of it for 2.8 s: one long watch
-// had been lost unseen.
+// When the leader was cut off from the service, the processes that waited for another leader noticed
+// its end 2.8 s late: the service had dropped their one long watch without notice.
 func TestLeaderChangeIsNoticedAfterDroppedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
@@ -139,14 +138,13 @@
 		store.SetWatchesSilent(true)
 		time.Sleep(LeaseTTL)
 		store.SetWatchesSilent(false)
-		lapsed := time.Now()
-		assert.Assert(t, (<-noticed).Sub(lapsed) < 1500*time.Millisecond)
+		expired := time.Now()
+		assert.Assert(t, (<-noticed).Sub(expired) < 1500*time.Millisecond)
 	})
 }
 
-// Found on trouble-1 of tlb-gateway-large: the history between the leader's election and
-// now was gone, so each wait ended at once, and 94 processes asked 1,200 times in two
-// seconds.
+// When the service had discarded the history since the leader's election, each watch ended at once,
+// and 94 processes made 1,200 calls in two seconds.
 func TestAwaitLeaderChangeSurvivesDiscardedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
@@ -174,7 +172,8 @@
 	})
 }
 
-// The lease goes on to end while a leader's machine is suspended, though its steady clock stands.
+// The lease expires while the leader's machine is suspended, although its monotonic clock does not
+// advance.
 func TestSuspensionEndsAuthority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tenure, err := candidate(memory.New(), "a").Campaign(t.Context(), 0)
--- a/internal/election/renewers.go
+++ b/internal/election/renewers.go
@@ -8,18 +8,18 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// Renewer is a process that may renew what workers hold: a leader or a standby of one.
-// All of them are stored, so that the next leader knows whom to ask to stop.
+// Renewer is a process that may renew the holds of workers: a leader or one of its standbys. All of
+// them are stored, so that the next leader knows which processes to ask to stop.
 type Renewer struct {
-	// Address at which it answers the other processes.
+	// Address is the address of its peer port.
 	Address string `json:"address"`
-	// Process is unique to the life of the process.
+	// Process is an ID unique to one run of the process.
 	Process string `json:"process"`
 }
 
 func (e *Election) renewersKey() string { return e.prefix + "renewers" }
 
-// renewers returns the stored processes, and the revision of the record.
+// renewers returns the stored list of renewers and its revision.
 func (e *Election) renewers(ctx context.Context) ([]Renewer, coord.Revision, error) {
 	item, found, err := e.store.Get(ctx, e.renewersKey())
 	if err != nil || !found {
@@ -27,14 +27,14 @@
 	}
 	var list []Renewer
 	if json.Unmarshal(item.Value, &list) != nil {
-		// Who may renew is not known, as if the record were not there: the next leader outwaits
-		// all that may have been given, and stores a list of its own.
+		// A list that can't be decoded counts as empty, like a missing one: the next leader waits for
+		// all holds to expire and stores a list of its own.
 		return nil, item.Revision, nil
 	}
 	return list, item.Revision, nil
 }
 
-// encodeRenewers writes each process once.
+// encodeRenewers encodes the list without duplicates.
 func encodeRenewers(list []Renewer) []byte {
 	seen := map[Renewer]bool{}
 	unique := make([]Renewer, 0, len(list))
@@ -46,14 +46,14 @@
 	}
 	value, err := json.Marshal(unique)
 	if err != nil {
-		panic(err) // it is plain data
+		panic(err) // the list is plain data, which always encodes
 	}
 	return value
 }
 
-// StoreRenewers replaces the stored processes, as long as the tenure lasts and the record
-// is as it was last known: a write without an answer that is done seconds later must not
-// undo a newer one. After an error they may be stored all the same. It is not safe for
+// StoreRenewers replaces the stored list, on condition that the tenure lasts and the list still has
+// its last known revision: a write without a response that is applied seconds later must not undo a
+// newer one. After an error the list may be stored nevertheless. StoreRenewers is not safe for
 // concurrent use.
 func (t *Tenure) StoreRenewers(ctx context.Context, list []Renewer) error {
 	revision, err := t.store.Commit(ctx, coord.Txn{
@@ -71,7 +71,8 @@
 	return err
 }
 
-// reread learns the revision of a record that an earlier try has written after all.
+// refreshRevision reads the revision of the list, which an earlier attempt may have written after
+// all.
 func (t *Tenure) refreshRevision(ctx context.Context) {
 	if item, found, err := t.store.Get(ctx, t.renewersKey); err == nil && found {
 		t.renewersRevision = item.Revision
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -12,15 +12,15 @@
 	"github.com/shalefork/shalefork/internal/coord/memory"
 )
 
-// bounded gives a write up before it is done late.
+// storeWithTimeout gives up a write before its delayed application.
 func storeWithTimeout(t *testing.T, tenure *Tenure, list ...Renewer) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	return tenure.StoreRenewers(ctx, list)
 }
 
-// A process gets leave once it is stored. A write that is done seconds later must not
-// take it off the record again: the next leader would not ask it to stop.
+// A standby gets its mandate once it is stored in the list. A delayed write must not remove it from
+// the list again, or the next leader would not ask it to stop.
 func TestDelayedWriteDoesNotRemoveStandby(t *testing.T) {
 	first, second := Renewer{Address: "x:1", Process: "x"}, Renewer{Address: "y:1", Process: "y"}
 	for name, late := range map[string]time.Duration{"lost": 0, "late": time.Second} {
@@ -30,7 +30,7 @@
 				tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
 				assert.NilError(t, err)
 				store.LoseAnswers(1, late)
-				assert.Assert(t, storeWithTimeout(t, tenure, first) != nil, "it had no answer")
+				assert.Assert(t, storeWithTimeout(t, tenure, first) != nil, "the write gets no response")
 				for tries := 0; storeWithTimeout(t, tenure, second) != nil; tries++ {
 					assert.Assert(t, tries < 2)
 				}
@@ -43,8 +43,8 @@
 	}
 }
 
-// A list of standbys that can't be read kept any process from leading: the next leader outwaits
-// what they may do, as if it knew of none.
+// A list of renewers that can't be decoded prevented every process from becoming the leader. It must
+// count as empty: the next leader then waits for all holds to expire.
 func TestUnreadableRenewersListCountsAsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,9 +1,9 @@
-// Package standby runs a process's part as a standby of the leader: it keeps what the
-// leader says is held, and renews it when the leader is lost, so that keys stay served
-// while the key-value service is away too and nobody else can lead.
+// Package standby implements a process's role as a standby of the leader: it stores the holds that
+// the leader reports, and renews them when the leader is lost, so that keys stay served if the
+// key-value service is unreachable too and no other process can lead.
 //
-// What may be renewed and until when is decided by owner.Standby; the next leader
-// learns from the key-value service which processes are standbys and asks them to stop.
+// owner.Standby decides what may be renewed and until when. The next leader reads from the key-value
+// service which processes are standbys and asks them to stop.
 package standby
 
 import (
@@ -20,43 +20,44 @@
 )
 
 const (
-	// tick is the pause between looks for renewals that are due.
+	// tick is the interval between checks for renewals that are due.
 	tick = 50 * time.Millisecond
 	// renewalTimeout bounds one renewal.
 	renewalTimeout = 600 * time.Millisecond
-	// patience is how long a leader is lost until its holds are renewed: another may
-	// lead at once.
+	// renewalDelay is the delay between the loss of the leader and the first renewal: another process
+	// may become the leader at once.
 	renewalDelay = 400 * time.Millisecond
 )
 
-// Standby is safe for concurrent use.
+// Standby renews the holds of all services for a lost leader. It is safe for concurrent use.
 type Standby struct {
 	Orders owner.OrderSender
 	Times  owner.Config
 	Log    *decision.Log
-	// Workers are the announced workers; nil: their lives are not known.
+	// Workers are the announced workers. It is nil if their incarnations are not known.
 	Workers *workers.Directory
 
 	startedAt time.Time
 	mu        sync.Mutex
-	// appointed says that the leader wants stamps.
+	// appointed is true if the leader has appointed this process and needs stamps in its reports.
 	appointed    bool
 	leaderLost   bool
 	leaderLostAt time.Time
-	// stopped is the term before which all leaves have ended.
+	// revokedTerm is the term before which all mandates are revoked.
 	revokedTerm owner.Term
 	services    map[routing.ServiceName]*owner.Standby
 	renewing    bool
 }
 
-// New returns a standby of no leader yet.
+// New returns a standby that has no leader yet.
 func New(orders owner.OrderSender, times owner.Config, log *decision.Log) *Standby {
 	return &Standby{
 		Orders: orders, Times: times, Log: log, startedAt: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
 	}
 }
 
-// Heard takes what the leader of a term says; mandate is nil for all but standbys.
+// HandleUpdate handles an update from the leader of a term. mandate is nil unless this process is
+// one of its standbys.
 func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Mandate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// of returns the standby of a service. The caller holds mu.
+// forService returns the standby of a service. The caller holds mu.
 func (s *Standby) forService(service routing.ServiceName) *owner.Standby {
 	known := s.services[service]
 	if known == nil {
@@ -91,7 +92,7 @@
 	return known
 }
 
-// Lost tells that the leader is no longer heard.
+// LeaderLost records that no updates from the leader are received any more.
 func (s *Standby) LeaderLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,7 @@
 	s.setLeaderLost(true)
 }
 
-// setLost is called with mu held.
+// setLeaderLost records whether the leader is lost. The caller holds mu.
 func (s *Standby) setLeaderLost(lost bool) {
 	if lost && !s.leaderLost {
 		s.leaderLostAt = clock.Now()
@@ -114,7 +115,7 @@
 	}
 }
 
-// Stop ends all that leaders before a term allowed, for good.
+// Revoke permanently revokes the mandates given by leaders before a term.
 func (s *Standby) Revoke(term owner.Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +129,8 @@
 	}
 }
 
-// Tell adds to a report what the leader of a standby needs.
+// AddToReport adds the stamp and the versions of known holds to a report, if this process is a
+// standby.
 func (s *Standby) AddToReport(report *peerlink.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +144,7 @@
 	}
 }
 
-// Run renews what is due until ctx ends.
+// Run sends due renewals until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, tick)
@@ -171,7 +173,7 @@
 	}
 }
 
-// tellLives drops the holds of workers that have started again. The caller holds mu.
+// observeIncarnations drops the holds of workers that have restarted. The caller holds mu.
 func (s *Standby) observeIncarnations(name routing.ServiceName, service *owner.Standby) {
 	if s.Workers == nil {
 		return
@@ -182,12 +184,12 @@
 	}
 }
 
-// send sends one renewal and takes its end.
+// send sends one renewal and handles its outcome.
 func (s *Standby) send(ctx context.Context, service *owner.Standby, renewal owner.Renewal) {
 	bounded, cancel := context.WithTimeout(ctx, renewalTimeout)
 	defer cancel()
 	reply := owner.Reply{Outcome: owner.OutcomeUnreachable}
-	if clock.Refresh() == 0 { // else it was decided before the machine was suspended
+	if clock.Refresh() == 0 { // otherwise the renewal predates a suspension of the machine
 		reply = s.Orders.Grant(bounded, renewal.Target, renewal.Grant)
 	}
 	s.mu.Lock()
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -16,7 +16,7 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// counting does all orders and counts the grants.
+// countingOrders accepts all grants and counts them.
 type countingOrders struct {
 	grants atomic.Int32
 }
@@ -30,7 +30,8 @@
 	return owner.Reply{Outcome: owner.OutcomeInvalid}
 }
 
-// leave lets the standby renew one run of keys for some time after a stamp of its own.
+// mandate permits a standby to renew the hold of one key range for some time after a stamp that it
+// sent.
 func mandate(stamp, left time.Duration) *peerlink.Mandate {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
 	return &peerlink.Mandate{
@@ -46,14 +47,14 @@
 		least   int32
 		most    int32
 	}{
-		"the leader is heard":        {mandate: mandate(time.Second, 6*time.Second), then: func(*Standby) {}},
-		"the leader is lost":         {mandate: mandate(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
-		"little is left":             {mandate: mandate(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
-		"told long after its stamp":  {mandate: mandate(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
-		"no standby":                 {then: (*Standby).LeaderLost},
-		"asked to stop":              {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
-		"suspended beyond its leave": {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
-		"found again":                {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
+		"the leader is present":    {mandate: mandate(time.Second, 6*time.Second), then: func(*Standby) {}},
+		"the leader is lost":       {mandate: mandate(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
+		"short mandate":            {mandate: mandate(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
+		"mandate is late":          {mandate: mandate(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
+		"not a standby":            {then: (*Standby).LeaderLost},
+		"asked to stop":            {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
+		"suspended beyond mandate": {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
+		"leader found again":       {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -84,7 +85,7 @@
 		s := New(&countingOrders{}, owner.DefaultConfig(10*time.Second), log)
 		var report peerlink.Report
 		s.AddToReport(&report)
-		assert.Assert(t, report.Empty(), "it is no standby")
+		assert.Assert(t, report.Empty(), "not a standby yet")
 		time.Sleep(time.Second)
 		s.HandleUpdate(3, mandate(time.Second, time.Second))
 		s.AddToReport(&report)
