--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -1,9 +1,7 @@
-// Package coord is the narrow interface to the key-value service that keeps
-// what must last: versioned items, watches by revision, transactions under a
-// condition, and leases.
+// Package coord is a narrow interface to the key-value service that stores persistent state:
+// versioned items, watches by revision, conditional transactions, and leases.
 //
-// Implementations: platform/ speaks to a real service, coord/memory is a twin
-// in memory for tests.
+// Package platform implements it for a real service, coord/memory in memory for tests.
 package coord
 
 import (
@@ -13,71 +11,71 @@
 	"github.com/zeebo/errs"
 )
 
-// Revision counts the changes of the whole service. Zero stands for "absent"
-// in a condition.
+// Revision counts the changes of the whole service. In a condition, zero means that the key does not
+// exist.
 type Revision int64
 
-// LeaseID names a lease. Zero: none.
+// LeaseID identifies a lease. Zero means no lease.
 type LeaseID int64
 
-// Item is one key with its value as it was last written.
+// Item is a key with its last written value.
 type Item struct {
 	Key string
-	// Value is any bytes.
+	// Value is an arbitrary byte string.
 	Value []byte
-	// Revision of the last change.
+	// Revision is the revision of the last change.
 	Revision Revision
-	// Lease that the item ends with, or zero.
+	// Lease is the lease with which the item expires, or zero.
 	Lease LeaseID
 }
 
 // Event is one change of an item.
 type Event struct {
 	Item
-	// Deleted says that the item is gone; Value is then empty.
+	// Deleted is true if the item was deleted. Value is then empty.
 	Deleted bool
 }
 
-// Condition demands that a key has a revision; zero: that it does not exist.
+// Condition requires that a key has a revision, or with zero that it does not exist.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put writes one key.
+// Put is the write of one key.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Txn is a change that is done whole if all conditions hold, else not at all.
+// Txn is a transaction: all of its changes are applied if all conditions hold, otherwise none.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
 	Removes    []string
 }
 
-// Errors of a store. Any other error of a changing call leaves its outcome
-// unknown: it may have been done, or may be done seconds later.
+// Errors of a store. After any other error of a call that changes data, the outcome is unknown: the
+// change may have been applied, or may be applied seconds later.
 var (
-	// ErrConflict: a condition of the transaction does not hold.
+	// ErrConflict means that a condition of the transaction does not hold.
 	ErrConflict = errs.New("a condition of the transaction does not hold")
-	// ErrNoHistory: the events after the asked revision are no longer kept.
-	ErrNoHistory = errs.New("the history is gone")
-	// ErrNoLease: the lease is over.
-	ErrNoLease = errs.New("the lease is over")
-	// ErrRefused: the service refused the call and did nothing.
+	// ErrNoHistory means that the events after the requested revision are no longer kept.
+	ErrNoHistory = errs.New("the events after the requested revision are no longer kept")
+	// ErrNoLease means that the lease has ended.
+	ErrNoLease = errs.New("the lease has ended")
+	// ErrRefused means that the service refused the call and changed nothing.
 	ErrRefused = errs.New("the service refused the call")
 )
 
 // Page is a part of the items under a prefix.
 type Page struct {
-	// Items in the order of their keys.
+	// Items are sorted by key.
 	Items []Item
 	// At is the revision of the service at which the page was read.
 	At Revision
-	// More says that items follow; the next page begins after the last key of this one.
+	// More is true if further items follow; the next page begins after the last key of this one.
 	More bool
 }
 
@@ -85,25 +83,25 @@
 type Store interface {
 	// Get returns an item; found is false if there is none.
 	Get(ctx context.Context, key string) (item Item, found bool, err error)
-	// ListPage returns the items under a prefix whose keys come after one; empty: from the
-	// first. Pages are no snapshot (see List).
+	// ListPage returns a page of the items under a prefix whose keys follow after, or from the first
+	// key if after is empty. Several pages do not form a snapshot (see List).
 	ListPage(ctx context.Context, prefix, after string) (Page, error)
-	// Watch waits at most wait for changes under a prefix after a revision. The
-	// next watch goes on from at. ErrNoHistory: list anew.
+	// Watch waits at most wait for changes under a prefix after a revision. The next watch continues
+	// from at. After ErrNoHistory the items must be listed again.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (events []Event, at Revision, err error)
-	// Commit does a transaction.
+	// Commit applies a transaction.
 	Commit(ctx context.Context, txn Txn) (Revision, error)
-	// GrantLease opens a lease, which counts from the arrival of the call, and
-	// returns the time that holds.
+	// GrantLease creates a lease, whose time counts from the arrival of the call, and returns the
+	// TTL that applies.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, time.Duration, error)
 	// KeepLease renews a lease from the arrival of the call.
 	KeepLease(ctx context.Context, lease LeaseID) error
-	// EndLease ends a lease and removes its keys.
+	// EndLease ends a lease and deletes its keys.
 	EndLease(ctx context.Context, lease LeaseID) error
 }
 
-// List returns all items under a prefix, and the revision to watch from: that of the first page,
-// since what changed while the others were read is told by the changes after it.
+// List returns all items under a prefix, and the revision to watch from. That is the revision of the
+// first page: watching from it returns all changes made while the other pages were read.
 func List(ctx context.Context, store Store, prefix string) ([]Item, Revision, error) {
 	var list PartialList
 	for !list.Done {
@@ -116,18 +114,18 @@
 	return list.Items, list.At, nil
 }
 
-// Reading is a list of which some pages were read. The zero value has none. It goes on after a
-// page that failed, so that a list that takes long is not begun again.
+// PartialList is a list of which some pages were read. The zero value has none. After a failed page,
+// reading continues with that page, so that a long list is not restarted.
 type PartialList struct {
 	Items []Item
-	// At is the revision of the first page, and After is where the next one begins.
+	// At is the revision of the first page. The next page begins after the key After.
 	At    Revision
 	After string
-	// Done says that there are no more pages.
+	// Done is true if there are no more pages.
 	Done bool
 }
 
-// Add takes the next page.
+// Add appends the next page.
 func (r *PartialList) Add(page Page) {
 	if r.After == "" {
 		r.At = page.At
--- a/internal/coord/follow.go
+++ b/internal/coord/follow.go
@@ -9,69 +9,74 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// Times of following a prefix.
+// Intervals and timeouts of following a prefix.
 const (
-	// watchSlack is added until a silent watch is given up.
+	// watchSlack is how long after its timeout a watch without a response is given up.
 	watchSlack = 500 * time.Millisecond
-	// retryDelay is the wait after a failed call, and maxRetryDelay after many.
+	// retryDelay is the delay after a failed call, maxRetryDelay the longest delay after repeated
+	// failures.
 	retryDelay    = 250 * time.Millisecond
 	maxRetryDelay = time.Second
-	// pageTimeout bounds one page of a list. A list has as many as it needs: what bounded it
-	// as a whole would begin a long one on a slow link again and again.
+	// pageTimeout bounds the read of one page of a list. A timeout for the whole list would restart
+	// a long list on a slow link again and again.
 	pageTimeout = 1500 * time.Millisecond
-	// catchUpTimeout is how long a watch may stay silent that reads what has changed.
+	// catchUpTimeout is the timeout of a watch that only reads past changes.
 	catchUpTimeout = 20 * time.Millisecond
-	// pausePollInterval is the pause between looks whether following is paused still.
+	// pausePollInterval is the interval of checking whether following is still paused.
 	pausePollInterval = 50 * time.Millisecond
 )
 
-// View receives what is under a prefix. Calls come from one goroutine.
+// View receives the items under a prefix. Its methods are called by one goroutine.
 type View interface {
-	// Snapshot replaces all.
+	// Snapshot replaces all items.
 	Snapshot(items []Item, at Revision)
 	// Changed applies events in order.
 	Changed(events []Event, at Revision)
-	// Lost and Regained tell whether the service answers. since is when the last call that
-	// failed found it away: it may have answered others since then.
+	// Lost is called when the service becomes unavailable.
 	Lost(err error)
+	// Regained is called when the service is available again. since is a time at which the last failed
+	// call found it unavailable; it may have answered other processes since then.
 	Regained(since time.Time)
 }
 
-// Options of following a prefix.
+// Options are the options of Follow. Fields may be nil unless stated otherwise.
 type Options struct {
-	// Wait is how long the next watch may stay silent. Each watch is a priced
-	// call, and one that the service lost unseen is noticed only after the wait.
+	// WatchTimeout returns how long the next watch waits for changes. It is required. Each watch is a
+	// billed call, and a watch that the service dropped without notice is detected only after the
+	// timeout.
 	WatchTimeout func() time.Duration
-	// Gather is the pause after changes, so that many of them cost one call.
+	// BatchDelay returns the delay after changes, during which further changes accumulate, so that
+	// many cost one call. It is required.
 	BatchDelay func() time.Duration
-	// Renew gives up a waiting watch and lists anew; while following is paused, it
-	// reads what has changed.
+	// Resync cancels a pending watch and lists again. While following is paused, it reads the
+	// changes since the last read.
 	Resync <-chan struct{}
-	// Paused says that another process tells of changes: nothing is watched. Nil:
-	// never.
+	// Paused reports whether following is paused because another process sends the changes. Nothing
+	// is watched meanwhile. Nil means never.
 	Paused func() bool
-	// Hurry reports whether the first watch after a pause is to answer at once, since others wait
-	// to hear as of when all is known. Nil: never.
+	// PollAfterPause reports whether the first watch after a pause must return at once, since other
+	// processes wait for this one to report how current its data is. Nil means never.
 	PollAfterPause func() bool
-	// Reached is called after each call that was answered, with a time as of which all
-	// is known. Nil: nobody wants to know.
+	// OnSynced is called after each watch that was answered and each completed list, with a time as
+	// of which all changes are known. It may be nil.
 	OnSynced func(at time.Time)
-	// Failed is called after each call that failed, with a time at which the service was
-	// away for this process. Nil: nobody wants to know.
+	// OnFailure is called after each call that failed, with a time at which the service was
+	// unavailable to this process. It may be nil.
 	OnFailure func(at time.Time)
-	// Covered is the revision up to which the view knows all changes, which may come
-	// from elsewhere meanwhile. Nil: what was read here.
+	// CoveredRevision returns the revision up to which the view knows all changes, including those
+	// received from other processes. If it is nil, only the changes read here count. It is required
+	// with AwaitInitialState and AwaitRelayedList.
 	CoveredRevision func() Revision
-	// Told waits, before the first list, whether others tell all that there is, up to the
-	// revision Covered; nil: nobody does.
+	// AwaitInitialState waits, before the first list, for other processes to send all items up to
+	// CoveredRevision, and reports whether they did. Nil means that no process sends them.
 	AwaitInitialState func(ctx context.Context) bool
-	// More waits, once the first page of a list shows that others follow, for whether others tell
-	// all that there is as of that page's revision, or a later one; false: the pages are to be
-	// read. Nil: they are read at once.
+	// AwaitRelayedList waits, after a first page that has further pages, for other processes to send
+	// all items as of that page's revision or a later one. If it returns false, the other pages must
+	// be read. Nil means that they are read at once.
 	AwaitRelayedList func(ctx context.Context, at Revision) bool
 }
 
-// Follow keeps a view up to date until ctx ends.
+// Follow keeps a view up to date with the items under a prefix until ctx ends.
 func Follow(ctx context.Context, store Store, prefix string, view View, options Options) {
 	follower := &follower{store: store, prefix: prefix, view: view, options: options}
 	follower.backoff = clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
@@ -89,22 +94,22 @@
 	options Options
 	at      Revision
 	listed  bool
-	// reading is a list that was begun.
+	// partial is a list that is being read.
 	partial PartialList
-	// asked says that others were waited for.
+	// awaited is true once AwaitInitialState was called.
 	awaited     bool
 	unavailable bool
-	// hurries says that the next watch is to answer at once.
+	// pollNext is true if the next watch must return within catchUpTimeout.
 	pollNext bool
-	// began is when the first page of the list was sent for.
+	// listSentAt is when the request for the first page of the list was sent.
 	listSentAt time.Time
-	// sent is when the last call was sent, and away a time at which the service was away:
-	// when the last call that failed was sent, or was refused.
+	// sentAt is when the last call was sent. unavailableAt is a time at which the service was
+	// unavailable: when the last failed call was sent, or when it was refused.
 	sentAt, unavailableAt time.Time
 	backoff               clock.Backoff
 }
 
-// step lists or watches once.
+// step reads one page of a list, watches once, or waits while following is paused.
 func (f *follower) step(ctx context.Context) error {
 	if !f.listed && !f.receiveInitialState(ctx) {
 		return f.list(ctx)
@@ -112,13 +117,13 @@
 	if f.options.Paused != nil && f.options.Paused() {
 		return f.waitWhilePaused(ctx)
 	}
-	if f.pollNext { // an answer tells soon what the call before has missed
+	if f.pollNext { // a short watch returns soon what the previous call has missed
 		return f.watch(ctx, catchUpTimeout)
 	}
 	return f.watch(ctx, f.options.WatchTimeout())
 }
 
-// pause waits until following goes on, or what has changed is to be read.
+// waitWhilePaused waits until the pause ends, or until Resync is signalled and then reads the changes.
 func (f *follower) waitWhilePaused(ctx context.Context) error {
 	ticker := time.NewTicker(pausePollInterval)
 	defer ticker.Stop()
@@ -135,7 +140,8 @@
 	return nil
 }
 
-// toldAll waits once, before the first list, whether others tell all that there is.
+// receiveInitialState waits once, before the first list, for other processes to send all items. It
+// reports whether they did.
 func (f *follower) receiveInitialState(ctx context.Context) bool {
 	if f.awaited || f.options.AwaitInitialState == nil {
 		return false
@@ -147,7 +153,7 @@
 	return f.listed
 }
 
-// list reads a page of a list, the first or the next one, and takes the list with its last page.
+// list reads the first or next page of a list, and passes the list to the view after the last page.
 func (f *follower) list(ctx context.Context) error {
 	if f.partial.After != "" && f.options.AwaitRelayedList != nil && f.options.AwaitRelayedList(ctx, f.partial.At) {
 		f.partial = PartialList{}
@@ -172,8 +178,8 @@
 	return nil
 }
 
-// take takes a list that was read whole: all that changed since its first page was sent for is
-// still to be read.
+// finishList passes a complete list to the view. It is current only as of the request for its first
+// page: later changes must still be read.
 func (f *follower) finishList(list PartialList) {
 	f.partial = PartialList{}
 	f.at, f.listed = max(f.at, list.At), true
@@ -181,14 +187,14 @@
 	f.reportSynced(f.listSentAt)
 }
 
-// reached tells that all is known as of a time.
+// reportSynced reports that all changes are known as of a time.
 func (f *follower) reportSynced(at time.Time) {
 	if f.options.OnSynced != nil {
 		f.options.OnSynced(at)
 	}
 }
 
-// watchFor waits for changes for some time.
+// watch waits for changes for some time.
 func (f *follower) watch(ctx context.Context, wait time.Duration) error {
 	if f.options.CoveredRevision != nil {
 		f.at = max(f.at, f.options.CoveredRevision())
@@ -202,7 +208,7 @@
 	case errors.Is(err, ErrNoHistory), err != nil && resyncRequested.Load():
 		f.listed = false
 		return nil
-	case err != nil: // what a watch has lost is told by the next from the same revision
+	case err != nil: // the next watch from the same revision returns the changes that this one missed
 		f.pollNext = true
 		return err
 	}
@@ -220,7 +226,7 @@
 	return nil
 }
 
-// watchRenewal cancels the watch when it is to be renewed.
+// cancelOnResync cancels a watch when Resync is signalled. The returned flag is then true.
 func (f *follower) cancelOnResync(ctx context.Context, cancel context.CancelFunc) *atomic.Bool {
 	requested := &atomic.Bool{}
 	if f.options.Resync == nil {
@@ -258,7 +264,7 @@
 		f.unavailable = true
 		f.view.Lost(err)
 	}
-	if first && took >= maxRetryDelay { // a silent watch was pause enough
+	if first && took >= maxRetryDelay { // the watch that timed out was delay enough
 		return
 	}
 	f.backoff.SleepRest(ctx, took)
--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -14,13 +14,13 @@
 	"github.com/shalefork/shalefork/internal/coord/memory"
 )
 
-// recorded is a view that keeps what it is told.
+// recordingView is a view that records the calls of its methods.
 type recordingView struct {
 	values    map[string]string
 	snapshots int
 	lost      int
 	regained  int
-	// away is when the service was away last, as it was told with regained.
+	// unavailableAt is the time last passed to Regained.
 	unavailableAt time.Time
 }
 
@@ -49,7 +49,7 @@
 	r.unavailableAt = since
 }
 
-// elapse lets time pass and all that is due in it happen.
+// advance advances the virtual time and waits until all goroutines are blocked.
 func advance(length time.Duration) {
 	time.Sleep(length)
 	synctest.Wait()
@@ -61,7 +61,7 @@
 	assert.NilError(t, err)
 }
 
-// follow runs a test in virtual time with a follower of "a/".
+// runFollow runs a test in virtual time while the prefix "a/" is followed.
 func runFollow(t *testing.T, wait time.Duration, play func(t *testing.T, store *memory.Store, view *recordingView, renew chan struct{})) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
@@ -93,12 +93,12 @@
 	})
 }
 
-// Found by hunts of both deployments: a watch that the service lost unseen kept
-// a process on an old configuration for as long as the watch might be silent.
+// A watch that the service had dropped without notice left a process with an old configuration for
+// the whole timeout of the watch.
 func TestFollowDetectsDroppedWatch(t *testing.T) {
 	runFollow(t, 1500*time.Millisecond, func(t *testing.T, store *memory.Store, view *recordingView, _ chan struct{}) {
 		store.SetWatchesSilent(true)
-		put(t, store, "a/wake", "sets the waiting watch deaf")
+		put(t, store, "a/wake", "silences the pending watch")
 		put(t, store, "a/1", "new")
 		advance(time.Second)
 		store.SetWatchesSilent(false)
@@ -109,8 +109,8 @@
 	})
 }
 
-// One lost watch after the other cost a list each, which has 20 pages with 10,000 workers, and what is
-// followed counted as unread meanwhile: hundreds of processes began to read it for themselves.
+// Each dropped watch cost a list, which has 20 pages with 10,000 workers. The followed data counted as
+// out of date meanwhile, so hundreds of processes began to read it themselves.
 func TestDroppedWatchNeedsNoList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, view := memory.New(), &recordingView{}
@@ -129,9 +129,9 @@
 			},
 		})
 		advance(time.Second)
-		for round := range 5 { // each watch is lost that waits, and the next one answers at once
+		for round := range 5 { // the pending watch is dropped, and the next one returns at once
 			store.SetWatchesSilent(true)
-			put(t, store, "b/wake", "sets the waiting watch deaf")
+			put(t, store, "b/wake", "silences the pending watch")
 			put(t, store, "a/1", fmt.Sprint(round))
 			synctest.Wait()
 			store.SetWatchesSilent(false)
@@ -146,7 +146,7 @@
 func TestFollowListsAgainAfterErrNoHistory(t *testing.T) {
 	runFollow(t, 1500*time.Millisecond, func(t *testing.T, store *memory.Store, view *recordingView, _ chan struct{}) {
 		store.SetWatchesSilent(true)
-		put(t, store, "a/wake", "sets the waiting watch deaf")
+		put(t, store, "a/wake", "silences the pending watch")
 		put(t, store, "a/1", "new")
 		store.ForgetHistory()
 		store.SetWatchesSilent(false)
@@ -168,8 +168,8 @@
 	})
 }
 
-// While another process tells of changes nothing is watched but on request; after that
-// the watch goes on where the view stands.
+// While another process sends the changes, nothing is watched unless Resync is signalled. After the
+// pause, watching continues from the last known revision.
 func TestPausedFollowReadsOnlyOnResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, view, renew := memory.New(), &recordingView{}, make(chan struct{}, 1)
@@ -191,7 +191,7 @@
 		assert.Equal(t, view.values["a/1"], "")
 		renew <- struct{}{}
 		advance(time.Second)
-		assert.Equal(t, view.values["a/1"], "x", "read anew on request")
+		assert.Equal(t, view.values["a/1"], "x", "Resync must read the changes")
 		assert.Equal(t, store.Calls["watch"]+store.Calls["list"], calls+1)
 		put(t, store, "a/1", "y")
 		paused.Store(false)
@@ -200,10 +200,10 @@
 	})
 }
 
-// A relay whose leader does not reach the service is followed by others, whose patience is shorter
-// than a silent watch.
+// The followers of a relay whose leader does not reach the service wait for a shorter time than a
+// watch without changes takes.
 func TestPollAfterPause(t *testing.T) {
-	for name, hurries := range map[string]bool{"others wait": true, "nobody waits": false} {
+	for name, followers := range map[string]bool{"followers wait": true, "no followers": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
@@ -215,7 +215,7 @@
 					WatchTimeout:   func() time.Duration { return 700 * time.Millisecond },
 					BatchDelay:     func() time.Duration { return 0 },
 					Paused:         paused.Load,
-					PollAfterPause: func() bool { return hurries },
+					PollAfterPause: func() bool { return followers },
 					OnSynced:       func(time.Time) { reached.Add(1) },
 				})
 				advance(100 * time.Millisecond)
@@ -224,7 +224,7 @@
 				before := reached.Load()
 				paused.Store(false)
 				advance(100 * time.Millisecond)
-				assert.Equal(t, reached.Load() > before, hurries)
+				assert.Equal(t, reached.Load() > before, followers)
 			})
 		})
 	}
@@ -245,7 +245,7 @@
 	})
 }
 
-// refusing is a service that answers each call with a refusal while it is told to.
+// refusingStore is a service that refuses all lists and watches while refuses is set.
 type refusingStore struct {
 	*memory.Store
 	refuses atomic.Bool
@@ -265,8 +265,9 @@
 	return r.Store.Watch(ctx, prefix, after, wait)
 }
 
-// Whoever waits after the service's return counts from when it was surely away, which is no
-// later than its return and no more than one try before the first answer.
+// Waits that begin with the service's return count from the time passed to Regained, at which the
+// service was certainly unavailable. That time must not be after its return, nor further before the
+// first answer than one attempt.
 func TestRegainedReportsLastFailure(t *testing.T) {
 	for name, away := range map[string]func(store *refusingStore, is bool){
 		"silent":  func(store *refusingStore, is bool) { store.SetDown(is) },
@@ -298,10 +299,10 @@
 	}
 }
 
-// slow is a service that fails some pages of a list.
+// failingPagesStore is a service that fails some pages of a list.
 type failingPagesStore struct {
 	*memory.Store
-	// fails are the calls for pages that fail, counted from one.
+	// fails contains the numbers of the page requests that fail, counted from one.
 	fails map[int]bool
 	pages int
 }
@@ -314,8 +315,8 @@
 	return s.Store.ListPage(ctx, prefix, after)
 }
 
-// A list over a slow link was begun again whenever it took longer than one call may, and never
-// ended: each of its pages may take that long now, and one that fails is asked for again.
+// When one timeout bounded a whole list, a list over a slow link was restarted again and again and
+// never ended. Now the timeout applies to each page, and a failed page is requested again.
 func TestListResumesAfterFailedPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, view := &failingPagesStore{Store: memory.New(), fails: map[int]bool{2: true, 4: true}}, &recordingView{}
@@ -338,9 +339,9 @@
 	})
 }
 
-// Once a list shows that it has more pages, a process waits for others to tell it.
+// When a list has more pages than one, a process waits for others to send the list.
 func TestAwaitRelayedListSkipsRemainingPages(t *testing.T) {
-	for name, told := range map[string]bool{"told": true, "nobody tells": false} {
+	for name, sent := range map[string]bool{"list is sent": true, "list is not sent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store, view := memory.New(), &recordingView{}
@@ -354,14 +355,14 @@
 					WatchTimeout:    func() time.Duration { return time.Second },
 					BatchDelay:      func() time.Duration { return 0 },
 					CoveredRevision: func() coord.Revision { return 5 },
-					Paused:          func() bool { return told },
+					Paused:          func() bool { return sent },
 					AwaitRelayedList: func(_ context.Context, at coord.Revision) bool {
 						assert.Check(t, at == 5)
-						return told
+						return sent
 					},
 				})
 				advance(time.Second)
-				if told {
+				if sent {
 					assert.Equal(t, store.Calls["list"], 1)
 					assert.Equal(t, view.snapshots, 0)
 					return
--- a/internal/coord/memory/memory.go
+++ b/internal/coord/memory/memory.go
@@ -1,7 +1,6 @@
-// Package memory is a twin in memory of the key-value service, with the faults
-// that a real one has: outages, answers that are lost, changes that are done
-// late, watches that are lost unseen, history that is forgotten, and leases that
-// wait or run out meanwhile.
+// Package memory simulates the key-value service in memory, with the faults of a real one: outages,
+// lost responses, changes that are applied late, watches that never return, discarded history, and
+// leases that expire during an outage.
 package memory
 
 import (
@@ -16,16 +15,16 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// ErrDown: the call had no answer.
+// ErrDown is returned for a call that got no response.
 var ErrDown = errs.New("the store does not answer")
 
-// Store is the twin. It is safe for concurrent use.
+// Store is a simulated key-value service. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision coord.Revision
 	items    map[string]coord.Item
 	history  []coord.Event
-	// oldest is the revision up to which the history is forgotten.
+	// discardedUpTo is the revision up to which the history is discarded.
 	discardedUpTo coord.Revision
 	leases        map[coord.LeaseID]*lease
 	lastLease     coord.LeaseID
@@ -34,9 +33,9 @@
 	watchesSilent bool
 	loseCount     int
 	applyDelay    time.Duration
-	// Calls counts the calls that arrived, by name.
+	// Calls counts the received calls by name.
 	Calls map[string]int
-	// PageItems is how many items a page of a list has; zero: all.
+	// PageItems is the maximum number of items in a page of a list. With zero, a page has all items.
 	PageItems int
 }
 
@@ -53,38 +52,37 @@
 	}
 }
 
-// SetDown makes the store silent, or lets it answer again. Leases run on.
+// SetDown sets whether the store leaves calls unanswered. Leases still expire during an outage.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// SetDeaf makes watches hear nothing until it is lifted; a watch that waits
-// meanwhile never answers.
+// SetWatchesSilent sets whether watches receive no changes. A watch that begins or would receive a
+// change in this state never returns a result, even after the state has ended.
 func (s *Store) SetWatchesSilent(deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchesSilent = deaf
 }
 
-// LoseAnswers loses the answers of the next changes. With lateBy they are done
-// that much later, if their conditions still hold.
+// LoseAnswers drops the responses to the next count commits. If delay is not zero, the commits are
+// applied after that delay, provided that their conditions still hold.
 func (s *Store) LoseAnswers(count int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseCount, s.applyDelay = count, delay
 }
 
-// Forget drops the history.
+// ForgetHistory discards the history of changes.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.discardedUpTo = nil, s.revision
 }
 
-// arrive counts a call and waits for ever, or until ctx ends, if the store is
-// down. The caller holds mu.
+// beginCall counts a call. If the store is down, it blocks until ctx ends. The caller holds mu.
 func (s *Store) beginCall(ctx context.Context, name string) error {
 	s.Calls[name]++
 	if !s.down {
@@ -200,7 +198,7 @@
 	return s.apply(txn)
 }
 
-// apply does a transaction. The caller holds mu.
+// apply applies a transaction. The caller holds mu.
 func (s *Store) apply(txn coord.Txn) (coord.Revision, error) {
 	for _, condition := range txn.Conditions {
 		if s.items[condition.Key].Revision != condition.Revision {
--- a/internal/coord/memory/timeoutstore.go
+++ b/internal/coord/memory/timeoutstore.go
@@ -7,7 +7,7 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// Bounded is a store whose commits end after a time, as a real client's do.
+// TimeoutStore is a store whose commits are given up after CommitTimeout, as by a real client.
 type TimeoutStore struct {
 	coord.Store
 	CommitTimeout time.Duration
