--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -269,7 +269,7 @@
 // service was certainly unavailable. That time must not be after its return, nor further before the
 // first answer than one attempt.
 func TestRegainedReportsLastFailure(t *testing.T) {
-	for name, away := range map[string]func(store *refusingStore, is bool){
+	for name, setUnavailable := range map[string]func(store *refusingStore, is bool){
 		"silent":  func(store *refusingStore, is bool) { store.SetDown(is) },
 		"refuses": func(store *refusingStore, is bool) { store.refuses.Store(is) },
 	} {
@@ -283,9 +283,9 @@
 						BatchDelay:   func() time.Duration { return 0 },
 					})
 					advance(time.Second)
-					away(store, true)
+					setUnavailable(store, true)
 					advance(8*time.Second + phase)
-					away(store, false)
+					setUnavailable(store, false)
 					back := time.Now()
 					advance(4 * time.Second)
 					assert.Equal(t, view.regained, 1)
--- a/internal/coord/memory/memory.go
+++ b/internal/coord/memory/memory.go
@@ -61,10 +61,10 @@
 
 // SetWatchesSilent sets whether watches receive no changes. A watch that begins or would receive a
 // change in this state never returns a result, even after the state has ended.
-func (s *Store) SetWatchesSilent(deaf bool) {
+func (s *Store) SetWatchesSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchesSilent = deaf
+	s.watchesSilent = silent
 }
 
 // LoseAnswers drops the responses to the next count commits. If delay is not zero, the commits are
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -23,13 +23,13 @@
 // the list again, or the next leader would not ask it to stop.
 func TestDelayedWriteDoesNotRemoveStandby(t *testing.T) {
 	first, second := Renewer{Address: "x:1", Process: "x"}, Renewer{Address: "y:1", Process: "y"}
-	for name, late := range map[string]time.Duration{"lost": 0, "late": time.Second} {
+	for name, delay := range map[string]time.Duration{"lost": 0, "late": time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
 				tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
 				assert.NilError(t, err)
-				store.LoseAnswers(1, late)
+				store.LoseAnswers(1, delay)
 				assert.Assert(t, storeWithTimeout(t, tenure, first) != nil, "the write gets no response")
 				for tries := 0; storeWithTimeout(t, tenure, second) != nil; tries++ {
 					assert.Assert(t, tries < 2)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -146,11 +146,11 @@
 }
 
 func TestLostRecordWriteResponseIsResolved(t *testing.T) {
-	for _, late := range []time.Duration{0, 500 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 500 * time.Millisecond} {
 		runBench(t, func(b *testBench) {
 			b.lead(8*time.Second, func() {
 				time.Sleep(100 * time.Millisecond)
-				b.store.LoseAnswers(1, late)
+				b.store.LoseAnswers(1, delay)
 			})
 			assert.Equal(t, b.owner(0), workers.ID("w1"))
 			assert.Equal(t, len(b.stored()), 2)
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -8,15 +8,16 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Defaults of what a bundle leaves out.
+// Defaults for values that a bundle does not set, and fixed values of routes.
 const (
-	// defaultDeadline holds requests of services without one.
+	// defaultDeadline is the deadline of requests to services that set none.
 	defaultDeadline = 24 * time.Hour
-	// targetDivisor of the deadline is the time within which an answer is worth most.
+	// targetDivisor divides the deadline to get the target latency, within which a response has its
+	// highest value.
 	targetDivisor = 4
-	// maxTarget bounds it for services with long deadlines.
+	// maxTarget is the longest target latency, for services with long deadlines.
 	maxTarget = time.Second
-	// attempts is the most workers that one request is sent to.
+	// maxAttempts is the maximum number of workers to which one request is sent.
 	maxAttempts      = 2
 	defaultBodyBytes = 1 << 20
 	defaultQueue     = 256
@@ -24,14 +25,14 @@
 	defaultRetries   = 0.1
 )
 
-// Compiled is what the routers need of all bundles in force.
+// Compiled is the configuration and the workers of all bundles in force, as routers use them.
 type Compiled struct {
 	Config  *routing.Config
 	Workers []workers.Worker
 }
 
-// Compile turns the teams' bundles into routes, services and workers. Its version
-// is the sum of theirs, which rises whenever one of them does.
+// Compile compiles the teams' bundles to routes, services and workers. The version of the
+// configuration is the sum of their versions, which rises whenever one of them does.
 func Compile(bundles []bundle.Bundle) (Compiled, error) {
 	var version routing.Version
 	var routes []*routing.Route
--- a/internal/registry/compile_test.go
+++ b/internal/registry/compile_test.go
@@ -18,7 +18,7 @@
 	rival := parseBundle(t, strings.NewReplacer("team: tawila", "team: rival", "version: 1", "version: 4", "/tables/", "/books/", "tawila.example", "rival.example").Replace(bundleText))
 	compiled, err := Compile([]bundle.Bundle{made, rival})
 	assert.NilError(t, err)
-	assert.Equal(t, int(compiled.Config.Version), 5, "it rises with each team's version")
+	assert.Equal(t, int(compiled.Config.Version), 5, "the version must be the sum of the teams' versions")
 	tables := compiled.Config.Services["tawila/tables"]
 	assert.Assert(t, tables.Keyed)
 	assert.Equal(t, tables.HedgeAfter, 150*time.Millisecond)
@@ -28,7 +28,7 @@
 	assert.Equal(t, tables.MovesPerMinute, 3)
 	assert.Equal(t, tables.ChurnWeight, 0.5)
 	route := compiled.Config.Match("anything.example", "/tables/7/tonight")
-	assert.Equal(t, route.Name, "tawila/tables", "a route without a host takes any")
+	assert.Equal(t, route.Name, "tawila/tables", "a route without a host must match any host")
 	assert.Equal(t, route.Timeout, 800*time.Millisecond)
 	assert.Equal(t, compiled.Config.Match("rival.example", "/bookings/7").Name, "rival/bookings")
 	assert.Assert(t, compiled.Config.Match("another.example", "/bookings/7") == nil)
@@ -41,7 +41,7 @@
 	assert.Equal(t, states["tawila/tables/b"], workers.StateReady)
 }
 
-// The keys of a partition have numbers of their own, and only its zones hold them.
+// The keys of a partition have their own block of numbers, and only its zones may hold them.
 func TestPartitionsHaveSeparateKeysAndZones(t *testing.T) {
 	service := parseBundle(t, bundleText).Services[0]
 	list := partitionPlaces(service)
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -12,9 +12,8 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// block returns the numbers of the keys of one of a service's partitions, which
-// share all numbers evenly in the order of their names: a new order in the file
-// moves no key.
+// keyBlock returns the range of key numbers of one partition of a service. The partitions share all
+// numbers evenly in the order of their names, so that reordering them in the file moves no key.
 func keyBlock(service bundle.Service, of bundle.PartitionName) (first, last int) {
 	names := make([]bundle.PartitionName, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
@@ -25,7 +24,7 @@
 	return index * owner.KeyCount / len(names), (index+1)*owner.KeyCount/len(names) - 1
 }
 
-// number returns the number of a key: in the block of its partition, by its hash.
+// keyNumber returns the number of a key, chosen by its hash in the block of its partition.
 func keyNumber(service bundle.Service, key string) (int, bool) {
 	partition, found := service.PartitionOf(key)
 	if !found {
@@ -35,7 +34,7 @@
 	return first + int(xxh3.HashString(key)%uint64(last-first+1)), true
 }
 
-// keyReader returns how a request's key is read.
+// keyReader returns a function that reads the key number of a request.
 func keyReader(service bundle.Service) routing.KeyReader {
 	source := *service.Key
 	return func(request *http.Request) (int, bool) {
@@ -47,8 +46,7 @@
 	}
 }
 
-// readKey finds the key's text. A path or a query that can be read in two ways
-// has none.
+// readKey returns the key string of a request. An ambiguous path or query has no key.
 func readKey(source bundle.KeySource, request *http.Request) (string, bool) {
 	var key string
 	switch {
@@ -74,7 +72,7 @@
 	return key, key != ""
 }
 
-// isAmbiguous reports whether a path has segments that a server may drop or join.
+// isAmbiguous reports whether a path has segments that a server may remove or merge.
 func isAmbiguous(segments []string) bool {
 	for index, segment := range segments {
 		last := index == len(segments)-1
@@ -87,12 +85,12 @@
 
 func parseQuery(request *http.Request) (map[string][]string, error) {
 	if strings.Contains(request.URL.RawQuery, ";") {
-		return nil, Error.New("the query can be read in two ways")
+		return nil, Error.New("the query contains a semicolon, which servers parse differently")
 	}
 	return request.URL.Query(), nil
 }
 
-// places returns the zones that may hold each block of keys.
+// partitionPlaces returns the zones that may hold each partition's block of keys.
 func partitionPlaces(service bundle.Service) []routing.Place {
 	list := make([]routing.Place, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -1,9 +1,8 @@
-// Package registry keeps the teams' bundles in the key-value service, lets
-// operators propose, approve and roll versions of them, and turns what is in
-// force into routes, services and workers.
+// Package registry stores the teams' bundles in the key-value service, lets operators propose,
+// approve and roll versions of them, and compiles the versions in force to routes, services and
+// workers.
 //
-// A team has one record, changed only under the condition that nobody else has
-// changed it since it was read.
+// Each team has one record. It is written only on condition that it has not changed since it was read.
 package registry
 
 import (
@@ -19,25 +18,25 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("registry")
 
-// Prefix returns where the records stand, under the system's own prefix.
-func Prefix(own string) string { return own + "bundles/" }
+// Prefix returns the key prefix of the records, under the system's own prefix.
+func Prefix(systemPrefix string) string { return systemPrefix + "bundles/" }
 
-// Record is what is stored for a team.
+// Record is the stored record of a team.
 type Record struct {
 	Head lifecycle.Head `json:"head"`
-	// Bundles are the versions that may still come into force or are.
+	// Bundles are the versions that are in force or may still come into force.
 	Bundles map[bundle.Version]bundle.Bundle `json:"bundles"`
 }
 
-// Decode reads a stored record.
+// Decode decodes a stored record.
 func Decode(value []byte) (Record, error) {
 	var read Record
 	err := json.Unmarshal(value, &read)
 	return read, Error.Wrap(err)
 }
 
-// with returns the record under another head, without bundles of versions that
-// are over, and with one more bundle if it is given.
+// withHead returns the record with another head and, unless added is nil, one more bundle. It drops
+// the bundles of versions that were refused or replaced or that the head does not contain.
 func (r Record) withHead(head lifecycle.Head, added *bundle.Bundle) Record {
 	kept := maps.Clone(r.Bundles)
 	if kept == nil {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -16,31 +16,31 @@
 	"github.com/shalefork/shalefork/internal/strictyaml"
 )
 
-// ErrUnavailable says that the key-value service did not answer in time; the same
-// step may be tried again.
+// ErrUnavailable means that the key-value service did not answer in time. The same step may be
+// retried.
 var ErrUnavailable = errs.New("the key-value service does not answer")
 
-// retryDelay is the wait before a step is tried again.
+// retryDelay is the delay before a step is retried.
 const retryDelay = 100 * time.Millisecond
 
-// Operator is one who takes steps, with the key to sign with.
+// Operator is an operator who proposes, approves or rolls versions, with the key for signing.
 type Operator struct {
 	Name lifecycle.OperatorName
 	Key  ed25519.PrivateKey
 }
 
-// Registry is the teams' records in a store.
+// Registry gives access to the teams' records in a store.
 type Registry struct {
 	store  coord.Store
 	prefix string
 }
 
-// New returns the registry under the system's own prefix.
-func New(store coord.Store, own string) *Registry {
-	return &Registry{store: store, prefix: Prefix(own)}
+// New returns a registry whose records are stored under the system's own prefix.
+func New(store coord.Store, systemPrefix string) *Registry {
+	return &Registry{store: store, prefix: Prefix(systemPrefix)}
 }
 
-// Read returns a team's record; an empty one if there is none.
+// Read returns a team's record, or an empty one if there is none.
 func (r *Registry) Read(ctx context.Context, team bundle.TeamName) (Record, error) {
 	read, _, err := r.read(ctx, team)
 	return read, err
@@ -58,7 +58,7 @@
 	return read, item.Revision, err
 }
 
-// others returns the bundles of the other teams that may come into force.
+// others returns the bundles of other teams that are in force or may come into force.
 func (r *Registry) others(ctx context.Context, team bundle.TeamName) ([]bundle.Bundle, error) {
 	items, _, err := coord.List(ctx, r.store, r.prefix)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return bundles, nil
 }
 
-// Propose offers a bundle as its team's next version. It is refused if another
-// team has one of its routes or addresses.
+// Propose proposes a bundle as its team's next version. The outcome is a conflict if another team has
+// one of its routes or addresses.
 func (r *Registry) Propose(ctx context.Context, by Operator, offered bundle.Bundle) (lifecycle.Outcome, error) {
 	digest, err := bundle.Digest(offered)
 	if err != nil {
@@ -101,7 +101,7 @@
 	})
 }
 
-// Approve signs off the proposed version that has exactly this content.
+// Approve approves the proposed version if it has exactly the reviewed content.
 func (r *Registry) Approve(ctx context.Context, by Operator, reviewed bundle.Bundle) (lifecycle.Outcome, error) {
 	digest, err := bundle.Digest(reviewed)
 	if err != nil {
@@ -117,8 +117,8 @@
 	})
 }
 
-// Roll puts an approved version into force: routers use it as soon as they see the
-// record, and the service's answer says that it is stored.
+// Roll puts an approved version into force. If the outcome is OK, the record is stored, and routers
+// use the version as soon as they have read the record.
 func (r *Registry) Roll(ctx context.Context, by Operator, team bundle.TeamName, version bundle.Version) (lifecycle.Outcome, error) {
 	return r.step(ctx, team, nil, func(before Record) (lifecycle.Head, lifecycle.Outcome) {
 		signature, err := bundle.Sign(by.Key, bundle.PurposeRoll, before.Bundles[version])
@@ -133,8 +133,8 @@
 	})
 }
 
-// step takes one step until its outcome is known or ctx ends. A write whose answer
-// was lost is found done when the record is read again: steps may be repeated.
+// step retries a step until its outcome is known or ctx ends. Steps may be repeated: if the response
+// to a write was lost, reading the record again shows that it was applied.
 func (r *Registry) step(ctx context.Context, team bundle.TeamName, added *bundle.Bundle,
 	take func(Record) (lifecycle.Head, lifecycle.Outcome)) (lifecycle.Outcome, error) {
 	for {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -62,7 +62,7 @@
 
 var salma, youssef, karim = operator("salma"), operator("youssef"), operator("karim")
 
-// known are the operators that routers trust.
+// trusted returns the given operators as trusted signers.
 func trusted(operators ...Operator) Signers {
 	signers := Signers{}
 	for _, one := range operators {
@@ -71,7 +71,7 @@
 	return signers
 }
 
-// rolled puts a version into force.
+// rollOut puts a version into force.
 func rollOut(t *testing.T, bundles *Registry, made bundle.Bundle) {
 	t.Helper()
 	for _, step := range []func() (lifecycle.Outcome, error){
@@ -101,9 +101,9 @@
 		problem string
 	}{
 		"trusted":             {signers: trusted(salma, youssef)},
-		"proposer unknown":    {signers: trusted(youssef), problem: "no operator of the team"},
-		"approver unknown":    {signers: trusted(salma), problem: "no operator of the team"},
-		"operator of another": {signers: limitedToTeam(trusted(salma, youssef), "youssef", "rival"), problem: "no operator of the team"},
+		"proposer unknown":    {signers: trusted(youssef), problem: "not an operator of the team"},
+		"approver unknown":    {signers: trusted(salma), problem: "not an operator of the team"},
+		"operator of another": {signers: limitedToTeam(trusted(salma, youssef), "youssef", "rival"), problem: "not an operator of the team"},
 		"another's key":       {signers: Signers{"salma": trusted(karim)["karim"], "youssef": trusted(youssef)["youssef"]}, problem: "signature does not match"},
 		"content changed": {signers: trusted(salma, youssef), problem: "signature does not match", change: func(r *Record) {
 			changed := r.Bundles[1]
@@ -111,11 +111,11 @@
 			r.Bundles[1] = changed
 		}},
 		"content missing":    {signers: trusted(salma, youssef), problem: "not stored", change: func(r *Record) { delete(r.Bundles, 1) }},
-		"content of another": {signers: trusted(salma, youssef), problem: "holds version 2", change: func(r *Record) { r.Bundles[1] = r.Bundles[2] }},
+		"content of another": {signers: trusted(salma, youssef), problem: "stored as version 1 is version 2", change: func(r *Record) { r.Bundles[1] = r.Bundles[2] }},
 		"approved by proposer": {signers: trusted(salma, youssef), problem: "approved by its proposer", change: func(r *Record) {
 			r.Head.Entries[0].ProposedBy = "youssef"
 		}},
-		"approval stands for the roll": {signers: trusted(salma, youssef), problem: "roll by salma", change: func(r *Record) {
+		"proposal signature used for the roll": {signers: trusted(salma, youssef), problem: "roll by salma", change: func(r *Record) {
 			r.Head.Entries[0].RollSignature = r.Head.Entries[0].ProposalSignature
 		}},
 	} {
@@ -170,7 +170,7 @@
 	assert.Equal(t, second.Status.ProposedBy, lifecycle.OperatorName("salma"))
 	outcome, err := bundles.Approve(t.Context(), karim, theirs)
 	assert.NilError(t, err)
-	assert.Equal(t, outcome.Kind, lifecycle.Conflict, "other content was reviewed than proposed")
+	assert.Equal(t, outcome.Kind, lifecycle.Conflict, "the reviewed content differs from the proposed one")
 }
 
 func TestConcurrentProposalsTakeEffectOnce(t *testing.T) {
@@ -197,14 +197,14 @@
 	assert.Equal(t, kinds[lifecycle.Unchanged], 3, "%v", kinds)
 }
 
-// A write whose answer is lost, and that is done now or later, is no conflict with
-// itself.
+// A retried write must not conflict with an earlier attempt that was applied, at once or later, but
+// whose response was lost.
 func TestLostWriteResponsesAreResolved(t *testing.T) {
-	for name, lateBy := range map[string]time.Duration{"done": 0, "done late": 50 * time.Millisecond} {
+	for name, delay := range map[string]time.Duration{"applied": 0, "applied late": 50 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
-				store.LoseAnswers(1, lateBy)
+				store.LoseAnswers(1, delay)
 				bundles := New(timeoutStore{store}, "own/")
 				outcome, err := bundles.Propose(t.Context(), salma, parseBundle(t, bundleText))
 				assert.NilError(t, err)
@@ -217,7 +217,7 @@
 	}
 }
 
-// bounded gives calls up, as a client does.
+// timeoutStore gives up commits after a second, as a client does.
 type timeoutStore struct {
 	coord.Store
 }
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -6,7 +6,7 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// classes of bodies as routes have them.
+// bodyClasses maps the bodies of a bundle's service to the body class of its route.
 var bodyClasses = map[bundle.Bodies]routing.BodyClass{
 	"":                    routing.Small,
 	bundle.BodiesSmall:    routing.Small,
@@ -14,7 +14,7 @@
 	bundle.BodiesBulkDown: routing.BulkDown,
 }
 
-// compileTenants returns the tenants of all teams, each in the scope of its team.
+// compileTenants compiles the tenants of all teams, each in the scope of its team.
 func compileTenants(bundles []bundle.Bundle) map[routing.TenantName]*routing.Tenant {
 	tenants := map[routing.TenantName]*routing.Tenant{}
 	for _, one := range bundles {
@@ -37,7 +37,7 @@
 	}
 	for _, text := range described.KeyDigests {
 		var digest routing.KeyDigest
-		if err := digest.UnmarshalText([]byte(text)); err == nil { // it was checked
+		if err := digest.UnmarshalText([]byte(text)); err == nil { // digests are validated when a bundle is checked
 			compiled.Keys = append(compiled.Keys, digest)
 		}
 	}
--- a/internal/registry/tenants_test.go
+++ b/internal/registry/tenants_test.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// withTenant returns a bundle's text with a tenant that holds a key.
+// withTenant parses a bundle's text after adding a tenant with the given API key.
 func withTenant(t *testing.T, text, key string) bundle.Bundle {
 	t.Helper()
 	digest, err := tenant.Digest(key).MarshalText()
@@ -37,7 +37,7 @@
 	assert.Equal(t, bookings.Class, routing.BulkUp)
 	assert.DeepEqual(t, bookings.Regions, []topology.Region{"west", "east"})
 	assert.Equal(t, tables.Scope, routing.Scope("tawila"))
-	assert.Assert(t, compiled.Config.Match("x", "/open/7").Open, "a team without tenants asks for no key")
+	assert.Assert(t, compiled.Config.Match("x", "/open/7").Open, "a team without tenants must not require a key")
 }
 
 func TestCompileWithoutTenants(t *testing.T) {
