--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -341,7 +341,7 @@
 
 // When a list has more pages than one, a process waits for others to send the list.
 func TestAwaitRelayedListSkipsRemainingPages(t *testing.T) {
-	for name, sent := range map[string]bool{"list is sent": true, "list is not sent": false} {
+	for name, sent := range map[string]bool{"told": true, "the list is not sent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store, view := memory.New(), &recordingView{}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -311,7 +311,7 @@
 		unknown                 bool
 		unreachable             bool
 	}{
-		"reachable":               {readBefore: 1500 * time.Millisecond},
+		"store is reachable":      {readBefore: 1500 * time.Millisecond},
 		"a watch was dropped":     {readBefore: staleAfter + time.Millisecond, unreachable: true},
 		"no renewal was answered": {leaseBefore: storeTimeout + time.Millisecond, unreachable: true},
 		"sync time unknown":       {unknown: true},
--- a/internal/keeper/standbys_test.go
+++ b/internal/keeper/standbys_test.go
@@ -18,10 +18,10 @@
 		regions topology.Map
 		chosen  []string
 	}{
-		"none":            {},
+		"nobody":          {},
 		"one":             {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}}, chosen: []string{"a"}},
 		"all in one zone": {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z1"}, {Process: "c", Zone: "z1"}}, chosen: []string{"a", "b"}},
-		"other zones":     {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z2"}, {Process: "c", Zone: "z2"}, {Process: "d", Zone: "z3"}}, chosen: []string{"b", "d"}},
+		"others":          {peers: []peerlink.Peer{{Process: "a", Zone: "z1"}, {Process: "b", Zone: "z2"}, {Process: "c", Zone: "z2"}, {Process: "d", Zone: "z3"}}, chosen: []string{"b", "d"}},
 		"leader's region first": {
 			peers:   []peerlink.Peer{{Process: "a", Zone: "y1"}, {Process: "b", Zone: "z1"}, {Process: "c", Zone: "y2"}, {Process: "d", Zone: "z2"}, {Process: "e", Zone: "z2"}},
 			regions: twoRegions, chosen: []string{"d", "b"},
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -200,7 +200,7 @@
 // A retried write must not conflict with an earlier attempt that was applied, at once or later, but
 // whose response was lost.
 func TestLostWriteResponsesAreResolved(t *testing.T) {
-	for name, delay := range map[string]time.Duration{"applied": 0, "applied late": 50 * time.Millisecond} {
+	for name, delay := range map[string]time.Duration{"done": 0, "applied late": 50 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
