--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -78,10 +78,10 @@
 	Regions topology.Map
 	// Limits returns the requests per second that a worker accepts if it has announced a limit. It
 	// is nil if no worker does.
-	Limits func(workers.Life) (perSecond float64, limited bool)
+	Limits func(workers.Incarnation) (perSecond float64, limited bool)
 	// OnWorkerLeaving is called for a worker that reports in its reply to an order that it is
 	// leaving. It may be nil.
-	OnWorkerLeaving func(workers.Life)
+	OnWorkerLeaving func(workers.Incarnation)
 	// Unresolved are processes that did not reply when asked to stop. They may renew holds granted by
 	// earlier leaders until all of those have expired.
 	Unresolved []election.Renewer
@@ -179,7 +179,7 @@
 	renewOnly := now.After(authority)
 	t.Hub.SetLeadershipUncertain(renewOnly)
 	t.Hub.SetStoreUnreachable(t.storeUnreachable(now))
-	t.Hub.SetMandateLimit(authority.Add(t.Times.RenewalGrace))
+	t.Hub.SetDelegationLimit(authority.Add(t.Times.RenewalGrace))
 	if !renewOnly {
 		t.loadNewServices()
 		t.appointStandbys(now)
@@ -193,7 +193,7 @@
 			t.plan(now, svc)
 			t.storeRecord(svc)
 		}
-		svc.ledger.SetDelegations(t.Hub.Mandates(svc.name))
+		svc.ledger.SetDelegations(t.Hub.Delegations(svc.name))
 		for _, order := range svc.ledger.Due(now, renewOnly) {
 			go t.send(svc, order)
 		}
@@ -243,7 +243,7 @@
 	}
 	t.Metrics.observeOrder(svc.name, order, reply.Outcome, clock.Since(start))
 	if reply.Leaving && t.OnWorkerLeaving != nil {
-		t.OnWorkerLeaving(workers.Life{ID: order.Target.ID, Born: order.Target.Incarnation})
+		t.OnWorkerLeaving(workers.Incarnation{ID: order.Target.ID, StartTime: order.Target.Incarnation})
 	}
 	select {
 	case t.replies <- orderResult{service: svc, order: order, reply: reply}:
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -84,11 +84,11 @@
 		return nil
 	}
 	described := config.Services[svc.name]
-	rules := make([]owner.PlacementRule, 0, len(described.Places))
-	for _, place := range described.Places {
+	rules := make([]owner.PlacementRule, 0, len(described.Placement))
+	for _, place := range described.Placement {
 		rules = append(rules, owner.PlacementRule{Keys: owner.KeyRange{From: place.From, To: place.To}, Zones: place.Zones})
 	}
-	if regions, bound := config.RegionsOf(svc.name); bound && t.Regions.Regions() > 1 {
+	if regions, bound := config.AllowedRegions(svc.name); bound && t.Regions.RegionCount() > 1 {
 		return owner.RestrictToZones(rules, t.zoneNames(regions))
 	}
 	return rules
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -40,11 +40,11 @@
 // A worker that restarts must get its keys again under a higher fence.
 func TestRestartedWorkerGetsKeysUnderHigherFence(t *testing.T) {
 	runBench(t, func(b *testBench) {
-		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, Born: 1}
+		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, StartTime: 1}
 		b.keeper.Workers.Replace([]workers.Worker{first}, nil, clock.Now())
 		b.lead(6*time.Second, func() {
 			time.Sleep(4 * time.Second)
-			first.Born = 2
+			first.StartTime = 2
 			b.keeper.Workers.Update([]workers.Worker{first}, nil, nil)
 		})
 		var fences []owner.Fence
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -103,13 +103,13 @@
 // observeIncarnations passes the workers' incarnations to the ledger, and drops the measurements of
 // workers that have restarted.
 func (t *tenureKeeper) observeIncarnations(now time.Time, svc *service) {
-	list, version := t.Workers.Of(svc.name)
+	list, version := t.Workers.ByService(svc.name)
 	if version == svc.workersVersion {
 		return
 	}
 	svc.workersVersion = version
 	for _, worker := range list {
-		if !svc.ledger.ObserveIncarnation(now, worker.Life(), worker.Address) {
+		if !svc.ledger.ObserveIncarnation(now, worker.Incarnation(), worker.Address) {
 			continue
 		}
 		delete(svc.workTimes, worker.ID)
@@ -125,7 +125,7 @@
 		svc.coldRate = config.ColdRate
 	}
 	svc.updateMeanWorkTime(now, t.Workers)
-	list, _ := t.Workers.Of(svc.name)
+	list, _ := t.Workers.ByService(svc.name)
 	var candidates []owner.Candidate
 	for _, worker := range list {
 		if worker.State != workers.StateReady || svc.ledger.Failing(now, worker.ID, failingAfter) || t.Workers.Evacuated(worker.Zone) {
@@ -185,7 +185,7 @@
 	if t.Limits == nil {
 		return candidate
 	}
-	if perSecond, limited := t.Limits(worker.Life()); limited {
+	if perSecond, limited := t.Limits(worker.Incarnation()); limited {
 		candidate.Capacity, candidate.Limited = min(candidate.Capacity, perSecond), true
 	}
 	return candidate
@@ -196,7 +196,7 @@
 	var list []peerlink.BackoffShare
 	for _, svc := range t.services {
 		for id, one := range svc.backoffs {
-			if left := one.Left(now); left > 0 {
+			if left := one.Remaining(now); left > 0 {
 				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
 			}
 		}
@@ -211,7 +211,7 @@
 // reduceCapacity lowers a worker's capacity by the share of routers that back off. A worker that has
 // requested backoffs recently gets no more keys.
 func (t *tenureKeeper) reduceCapacity(now time.Time, svc *service, candidate *owner.Candidate, backoffs *estimate.Backoffs) {
-	if !backoffs.Lately(now) {
+	if !backoffs.IsRecent(now) {
 		delete(svc.backoffs, candidate.ID)
 		return
 	}
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -60,7 +60,7 @@
 	}
 	// Processes whose mandate is still valid stay in the list.
 	for _, one := range t.standbys.stored {
-		if t.Hub.HasMandate(one.Process, now) && !slices.Contains(list, one) {
+		if t.Hub.HasDelegation(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
 		}
 	}
--- a/internal/peerlink/meter.go
+++ b/internal/peerlink/meter.go
@@ -9,30 +9,31 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Meter counts what a process sees, for its reports. It is safe for concurrent
+// Meter counts requests, responses and backoffs for a process's reports. It is safe for concurrent
 // use.
 type Meter struct {
-	mu    sync.Mutex
-	keys  map[routing.ServiceName]map[int]int
-	times map[workers.ID][2]int
-	// backoffs are, by worker, for how many backoffs it has asked, and their sum in milliseconds.
+	mu            sync.Mutex
+	keyCounts     map[routing.ServiceName]map[int]int
+	responseTimes map[workers.ID][2]int
+	// backoffs are, by worker, the number of backoffs that it requested and their sum in
+	// milliseconds.
 	backoffs map[workers.ID][2]int
-	// timesAt is when times were last taken.
-	timesAt time.Time
+	// responseTimesTakenAt is when responseTimes were last taken.
+	responseTimesTakenAt time.Time
 }
 
-// timesEvery is the pause between reports of workers' times, which change slowly;
-// bytes between zones are dear.
-const timesEvery = 600 * time.Millisecond
+// responseTimesInterval is the pause between reports of response times. They change slowly, and
+// traffic between zones is expensive.
+const responseTimesInterval = 600 * time.Millisecond
 
-// NewMeter returns a meter that has counted nothing.
+// NewMeter returns an empty meter.
 func NewMeter() *Meter {
 	return &Meter{
-		keys: map[routing.ServiceName]map[int]int{}, times: map[workers.ID][2]int{}, backoffs: map[workers.ID][2]int{},
+		keyCounts: map[routing.ServiceName]map[int]int{}, responseTimes: map[workers.ID][2]int{}, backoffs: map[workers.ID][2]int{},
 	}
 }
 
-// Asked counts a request for a key.
+// CountRequest counts a request for a key.
 func (m *Meter) CountRequest(service routing.ServiceName, key int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,36 +42,35 @@
 
 // count counts requests for a key. The caller holds mu.
 func (m *Meter) count(service routing.ServiceName, key, requests int) {
-	counts := m.keys[service]
+	counts := m.keyCounts[service]
 	if counts == nil {
 		counts = map[int]int{}
-		m.keys[service] = counts
+		m.keyCounts[service] = counts
 	}
 	counts[key] += requests
 }
 
-// Served counts an answer of a worker whose request did not wait there.
-func (m *Meter) CountResponse(worker workers.ID, took time.Duration) {
+// CountResponse counts a response of a worker to a request that did not wait there.
+func (m *Meter) CountResponse(worker workers.ID, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	add(m.times, worker, 1, int(took.Milliseconds()))
+	addSum(m.responseTimes, worker, 1, int(duration.Milliseconds()))
 }
 
-// BackedOff counts that a worker has asked this process to send it nothing for a time, or for so much
-// longer.
-func (m *Meter) CountBackoff(worker workers.ID, longer time.Duration) {
+// CountBackoff counts a request of a worker to send it nothing for a time, or for that much longer.
+func (m *Meter) CountBackoff(worker workers.ID, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	add(m.backoffs, worker, 1, int(longer.Milliseconds()))
+	addSum(m.backoffs, worker, 1, int(duration.Milliseconds()))
 }
 
-// add counts events and the sum of their times at a worker.
-func add(sums map[workers.ID][2]int, worker workers.ID, count, millis int) {
+// addSum adds a number of events and the sum of their times to those of a worker.
+func addSum(sums map[workers.ID][2]int, worker workers.ID, count, millis int) {
 	sum := sums[worker]
 	sums[worker] = [2]int{sum[0] + count, sum[1] + millis}
 }
 
-// Add adds what another process has counted.
+// AddReport adds the counts of another process.
 func (m *Meter) AddReport(report Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,35 +79,36 @@
 			m.count(service, pairs[index], pairs[index+1])
 		}
 	}
-	for worker, seen := range report.ResponseTimes {
-		add(m.times, worker, seen[0], seen[1])
+	for worker, sum := range report.ResponseTimes {
+		addSum(m.responseTimes, worker, sum[0], sum[1])
 	}
-	for worker, seen := range report.Backoffs {
-		add(m.backoffs, worker, seen[0], seen[1])
+	for worker, sum := range report.Backoffs {
+		addSum(m.backoffs, worker, sum[0], sum[1])
 	}
 }
 
-// Take returns what was counted and begins anew.
+// Take returns the counts and resets them. Response times are included at most every
+// responseTimesInterval.
 func (m *Meter) Take() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	report := Report{}
-	if now := clock.Now(); now.Sub(m.timesAt) >= timesEvery {
-		report.ResponseTimes, m.times, m.timesAt = m.times, map[workers.ID][2]int{}, now
+	if now := clock.Now(); now.Sub(m.responseTimesTakenAt) >= responseTimesInterval {
+		report.ResponseTimes, m.responseTimes, m.responseTimesTakenAt = m.responseTimes, map[workers.ID][2]int{}, now
 	}
 	if len(m.backoffs) > 0 {
 		report.Backoffs, m.backoffs = m.backoffs, map[workers.ID][2]int{}
 	}
-	if len(m.keys) > 0 {
+	if len(m.keyCounts) > 0 {
 		report.Keys = map[routing.ServiceName][]int{}
 	}
-	for service, counts := range m.keys {
+	for service, counts := range m.keyCounts {
 		pairs := make([]int, 0, 2*len(counts))
 		for key, count := range counts {
 			pairs = append(pairs, key, count)
 		}
 		report.Keys[service] = pairs
 	}
-	m.keys = map[routing.ServiceName]map[int]int{}
+	m.keyCounts = map[routing.ServiceName]map[int]int{}
 	return report
 }
--- a/internal/peerlink/pack.go
+++ b/internal/peerlink/pack.go
@@ -7,10 +7,10 @@
 	"io"
 )
 
-// maxUnpacked bounds what a packed message may hold.
-const maxUnpacked = 16 << 20
+// maxUnpackedBytes limits the size of an unpacked message.
+const maxUnpackedBytes = 16 << 20
 
-// pack writes a value as compressed JSON.
+// pack encodes a value as compressed JSON.
 func pack(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return packed.Bytes()
 }
 
-// unpack reads such a value.
+// unpack decodes a value that was encoded by pack.
 func unpack(packed []byte, into any) error {
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/peerlink/standbys_test.go
+++ b/internal/peerlink/standbys_test.go
@@ -16,18 +16,18 @@
 )
 
 func TestStandbyReceivesHoldsAndAcknowledgesThem(t *testing.T) {
-	hub, reports, address := leading(t, 3)
+	hub, reports, address := newLeadingHub(t, 3)
 	go func() {
-		for range reports { // nobody else takes them
+		for range reports { // the reports are not used
 		}
 	}()
 	limit := time.Now().Add(time.Minute)
-	hub.SetMandateLimit(limit)
+	hub.SetDelegationLimit(limit)
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 1 << 40}}
 	hub.PublishHolds("s", 5, holds)
 
 	var version atomic.Uint64
-	heard := make(chan []owner.Hold, 8)
+	received := make(chan []owner.Hold, 8)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	follower := Follower{
@@ -37,14 +37,14 @@
 			return Report{Stamp: 1, HoldVersions: map[routing.ServiceName]uint64{"s": version.Load()}}
 		},
 		OnUpdate: func(update Update) {
-			if update.Mandate == nil {
+			if update.Delegation == nil {
 				return
 			}
-			for _, told := range update.Mandate.Services {
-				got, ok := told.Holds()
+			for _, message := range update.Delegation.Services {
+				got, ok := message.Holds()
 				assert.Check(t, ok)
-				version.Store(told.Version)
-				heard <- got
+				version.Store(message.Version)
+				received <- got
 			}
 		},
 	}
@@ -55,90 +55,91 @@
 		}
 		return poll.Success()
 	})
-	assert.Equal(t, len(hub.Mandates("s")), 0, "no leave before it is appointed")
+	assert.Equal(t, len(hub.Delegations("s")), 0, "no delegation before the appointment")
 	hub.AppointStandbys([]string{"p"})
-	assert.DeepEqual(t, <-heard, holds)
+	assert.DeepEqual(t, <-received, holds)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		given := hub.Mandates("s")
-		if len(given) == 1 && given[0].KnownVersion == 5 && given[0].Until.Equal(limit) && given[0].LastRenewal.IsZero() {
+		delegations := hub.Delegations("s")
+		if len(delegations) == 1 && delegations[0].KnownVersion == 5 && delegations[0].Until.Equal(limit) && delegations[0].LastRenewal.IsZero() {
 			return poll.Success()
 		}
-		return poll.Continue("%+v", given)
+		return poll.Continue("%+v", delegations)
 	})
-	assert.Assert(t, hub.HasMandate("p", time.Now()))
+	assert.Assert(t, hub.HasDelegation("p", time.Now()))
 
 	stop()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if given := hub.Mandates("s"); given[0].LastRenewal.IsZero() {
-			return poll.Continue("it is not known to be alone")
+		if delegations := hub.Delegations("s"); delegations[0].LastRenewal.IsZero() {
+			return poll.Continue("the link is not lost yet")
 		}
 		return poll.Success()
 	})
 	hub.PublishHolds("s", 6, nil)
-	assert.Equal(t, hub.Mandates("s")[0].KnownVersion, uint64(5), "it can't have heard that nothing is held now")
+	assert.Equal(t, hub.Delegations("s")[0].KnownVersion, uint64(5), "it can't have received the empty holds")
 }
 
-// All that is held is told now and then only: fences may change at each of the leader's
-// steps, and on the grown sites that cost 40 MB a day.
+// All holds are sent only at intervals: fences may change at each step of the leader, and sending
+// them each time cost 40 MB a day on the grown sites.
 func TestHoldUpdatesAreRateLimited(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
 	s.limit = now.Add(time.Minute)
 	s.appointed["p"] = true
-	one := &link{hello: Hello{Process: "p"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	told := 0
+	l := &link{hello: Hello{Process: "p"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	sent := 0
 	for step := range 60 {
-		s.holds["s"] = heldNow{version: uint64(step + 1)}
+		s.holds["s"] = currentHolds{version: uint64(step + 1)}
 		at := now.Add(time.Duration(step) * 50 * time.Millisecond)
-		mandate := s.mandate(one, at)
-		assert.Assert(t, mandate.RemainingMillis > 0, "the leave goes on")
-		told += len(mandate.Services)
+		delegation := s.extend(l, at)
+		assert.Assert(t, delegation.RemainingMillis > 0, "the delegation is extended")
+		sent += len(delegation.Services)
 	}
-	assert.Equal(t, told, 3)
+	assert.Equal(t, sent, 3)
 }
 
-// Found by the soak of real processes (seed 514): two standbys were replaced by stronger ones
-// while they had a leave of 9 s and stayed linked; they heard of no hold's end from then on.
-func TestReplacedStandbyReceivesHoldsUntilItsMandateEnds(t *testing.T) {
+// Found by the soak test with real processes (seed 514): two standbys were replaced by stronger
+// ones while they had a delegation for 9 s and stayed linked. From then on, they did not learn of
+// holds that ended.
+func TestReplacedStandbyReceivesHoldsUntilItsDelegationEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
 	s.limit = now.Add(9 * time.Second)
 	s.appointed["p"] = true
-	one := &link{hello: Hello{Process: "p"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	s.holds["s"] = heldNow{version: 1}
-	assert.Equal(t, len(s.mandate(one, now).Services), 1)
+	l := &link{hello: Hello{Process: "p"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	s.holds["s"] = currentHolds{version: 1}
+	assert.Equal(t, len(s.extend(l, now).Services), 1)
 	s.appointed["p"] = false
-	s.holds["s"], s.limit = heldNow{version: 2}, now.Add(12*time.Second)
-	mandate := s.mandate(one, now.Add(2*time.Second))
-	assert.Equal(t, len(mandate.Services), 1)
-	assert.Equal(t, mandate.RemainingMillis, int64(7000), "the leave gets no longer")
-	assert.Assert(t, s.mandate(one, now.Add(9*time.Second)) == nil)
+	s.holds["s"], s.limit = currentHolds{version: 2}, now.Add(12*time.Second)
+	delegation := s.extend(l, now.Add(2*time.Second))
+	assert.Equal(t, len(delegation.Services), 1)
+	assert.Equal(t, delegation.RemainingMillis, int64(7000), "the delegation is not extended")
+	assert.Assert(t, s.extend(l, now.Add(9*time.Second)) == nil)
 }
 
-// A standby that starts again under its node name and address is another process: it has no leave,
-// and that of the process before is still waited for.
+// A standby that restarts with the same node name and address is another process: it has no
+// delegation, and the leader still waits for the delegation of the previous process.
 func TestRestartedRouterIsADifferentStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s standbys
 	s.reset()
 	s.limit = now.Add(9 * time.Second)
 	s.appointed["p1"] = true
-	before := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p1"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	s.mandate(before, now)
-	s.lost(before)
-	after := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p2"}, stamp: 1, holds: map[routing.ServiceName]uint64{}}
-	assert.Assert(t, s.mandate(after, now.Add(time.Second)) == nil)
-	left := s.mandates("s", now.Add(time.Second))
-	assert.Equal(t, len(left), 1)
-	assert.Equal(t, left[0].Until, s.limit)
+	before := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p1"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	s.extend(before, now)
+	s.markLinkLost(before)
+	after := &link{hello: Hello{Node: "n", Address: "a:1", Process: "p2"}, stamp: 1, holdVersions: map[routing.ServiceName]uint64{}}
+	assert.Assert(t, s.extend(after, now.Add(time.Second)) == nil)
+	delegations := s.ownerDelegations("s", now.Add(time.Second))
+	assert.Equal(t, len(delegations), 1)
+	assert.Equal(t, delegations[0].Until, s.limit)
 }
 
-// A worker that starts again at another address was named to followers by its first address for as
+// A worker that restarted at another address was sent to followers with its first address for as
 // long as their links lasted.
 func TestChangedWorkerAddressIsSent(t *testing.T) {
-	hub, _, address := leading(t, 3)
+	hub, _, address := newLeadingHub(t, 3)
 	at := func(address string) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: "w", Address: address}}
 	}
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -69,7 +69,7 @@
 	}
 	if compiled.Keyed {
 		compiled.Key = keyReader(service)
-		compiled.Places = partitionPlaces(service)
+		compiled.Placement = partitionPlaces(service)
 		compiled.ChurnWeight = service.Placement.ChurnWeight
 		compiled.MovesPerMinute = orDefault(service.Placement.MovesPerMinute, defaultMoves)
 	}
@@ -106,7 +106,7 @@
 		Timeout:    deadline,
 		Target:     min(deadline/targetDivisor, maxTarget),
 		Attempts:   maxAttempts,
-		Parts:      []routing.Part{{Service: name, Weight: 1}},
+		Services:   []routing.WeightedService{{Service: name, Weight: 1}},
 	}
 }
 
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -91,16 +91,16 @@
 }
 
 // partitionPlaces returns the zones that may hold each partition's block of keys.
-func partitionPlaces(service bundle.Service) []routing.Place {
-	list := make([]routing.Place, 0, len(service.Partitions))
+func partitionPlaces(service bundle.Service) []routing.PlacementRule {
+	list := make([]routing.PlacementRule, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
 		first, last := keyBlock(service, partition.Name)
-		place := routing.Place{From: first, To: last}
+		place := routing.PlacementRule{From: first, To: last}
 		for _, zone := range partition.Zones {
 			place.Zones = append(place.Zones, string(zone))
 		}
 		list = append(list, place)
 	}
-	slices.SortFunc(list, func(a, b routing.Place) int { return a.From - b.From })
+	slices.SortFunc(list, func(a, b routing.PlacementRule) int { return a.From - b.From })
 	return list
 }
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -237,12 +237,12 @@
 	go r.keepSuspects(tenureCtx, tenure)
 	go r.quotas.coordinate(tenureCtx, tenure)
 	r.limits.lead(tenure)
-	r.leaving.member.Lead(true)
+	r.leaving.member.SetLeading(true)
 	r.leaderStoreUnreachable.Store(false) // it referred to the previous leader
 	r.nodes.Store(int32(r.hub.Nodes()))
 	r.keeper.Lead(tenureCtx, tenure, until)
 	r.limits.stopLeading() // before another process may lead
-	r.leaving.member.Lead(false)
+	r.leaving.member.SetLeading(false)
 	resign, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
 	tenure.Resign(resign)
@@ -268,7 +268,7 @@
 // lease renewal and all reads and writes of the leader would cross regions, and a region that loses
 // the store would lose the leader with it. The latency of the fastest call indicates the region.
 func (r *Router) distanceDelay() time.Duration {
-	if r.zoneMap.Regions() <= 1 {
+	if r.zoneMap.RegionCount() <= 1 {
 		return 0
 	}
 	return min(maxDistanceDelay, distanceFactor*r.store.roundTrip())
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -50,8 +50,8 @@
 // It implements proxy.Limits.
 type workerLimits struct {
 	r      *Router
-	member *workerlimit.Member
-	book   workerlimit.Book
+	member *workerlimit.Limiter
+	book   workerlimit.Table
 	link   peerlink.PermitClient
 	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
@@ -63,9 +63,9 @@
 }
 
 func newWorkerLimits(r *Router) *workerLimits {
-	member := workerlimit.NewMember()
+	member := workerlimit.NewLimiter()
 	return &workerLimits{
-		r: r, member: member, book: member.Book(),
+		r: r, member: member, book: member.Table(),
 		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
@@ -75,16 +75,16 @@
 }
 
 // Count implements proxy.Limits.
-func (l *workerLimits) Count() int { return l.book.Holding() }
+func (l *workerLimits) Count() int { return l.book.ActiveCount() }
 
 // Limited implements proxy.Limits.
-func (l *workerLimits) Limited(worker workers.Life) bool {
+func (l *workerLimits) Limited(worker workers.Incarnation) bool {
 	_, limited := l.book.Rate(worker)
 	return limited
 }
 
 // Answered implements proxy.Limits.
-func (l *workerLimits) Answered(worker workers.Life, answer *upstream.Result) {
+func (l *workerLimits) Answered(worker workers.Incarnation, answer *upstream.Result) {
 	switch {
 	case answer.Limit.Naming == upstream.Limited:
 		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
@@ -99,13 +99,13 @@
 
 // learn records a fact that was observed here or reported by a follower.
 func (l *workerLimits) learn(fact workerlimit.Fact, seenBy string) {
-	if l.member.Learn(fact) {
+	if l.member.Add(fact) {
 		l.log(fact, seenBy)
 	}
 }
 
 // handleReports records facts reported by followers of this process.
-func (l *workerLimits) handleReports(reports []workerlimit.Told) {
+func (l *workerLimits) handleReports(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
 		l.learn(one.Fact(now), seenByPeer)
@@ -113,27 +113,27 @@
 }
 
 // handleUpdate applies facts received from the leader or a relay.
-func (l *workerLimits) handleUpdate(reports []workerlimit.Told) {
+func (l *workerLimits) handleUpdate(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
-		if fact := one.Fact(now); l.member.Hear(fact) {
+		if fact := one.Fact(now); l.member.ApplyUpdate(fact) {
 			l.log(fact, seenByPeer)
 		}
 	}
 }
 
 // report returns the facts to report to the leader.
-func (l *workerLimits) report() []workerlimit.Told {
-	var reports []workerlimit.Told
+func (l *workerLimits) report() []workerlimit.Message {
+	var reports []workerlimit.Message
 	now := clock.Now()
-	for _, fact := range l.member.Tell(maxLimitsPerReport) {
-		reports = append(reports, workerlimit.Tell(now, fact))
+	for _, fact := range l.member.TakeReport(maxLimitsPerReport) {
+		reports = append(reports, workerlimit.NewMessage(now, fact))
 	}
 	return reports
 }
 
 // Take implements proxy.Limits.
-func (l *workerLimits) Take(worker workers.Life, maxWait, timeout time.Duration) (time.Duration, bool) {
+func (l *workerLimits) Take(worker workers.Incarnation, maxWait, timeout time.Duration) (time.Duration, bool) {
 	fact, known := l.book.Fact(worker)
 	if !known || fact.Ended {
 		return 0, true
@@ -149,7 +149,7 @@
 	}
 	l.permits.WithLabelValues(outcome).Inc()
 	if permit.LimitEnded != nil {
-		l.handleUpdate([]workerlimit.Told{*permit.LimitEnded})
+		l.handleUpdate([]workerlimit.Message{*permit.LimitEnded})
 	}
 	return permit.Wait(), permit.Granted
 }
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
-		Limit: workerlimit.Tell(now, fact), MaxWaitMillis: maxWait.Milliseconds(),
+		Limit: workerlimit.NewMessage(now, fact), MaxWaitMillis: maxWait.Milliseconds(),
 	})
 	if err != nil {
 		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
@@ -190,12 +190,12 @@
 		return peerlink.Permit{}, false
 	}
 	permit, leading := l.member.Issue(now, fact, maxWait, !now.Before(tenure.AuthorityUntil()))
-	if permit.News {
+	if permit.Updated {
 		l.log(fact, seenByPeer)
 	}
 	message := peerlink.Permit{Granted: permit.Granted, WaitMillis: (permit.Wait + time.Millisecond - 1).Milliseconds()}
-	if permit.Ended != nil {
-		report := workerlimit.Tell(now, *permit.Ended)
+	if permit.LimitEnded != nil {
+		report := workerlimit.NewMessage(now, *permit.LimitEnded)
 		message.LimitEnded = &report
 	}
 	return message, leading
@@ -204,11 +204,11 @@
 // lead starts pacing the requests of all routers, for a tenure.
 func (l *workerLimits) lead(tenure *election.Tenure) {
 	l.tenure.Store(tenure)
-	l.member.Lead(true)
+	l.member.SetLeading(true)
 }
 
 // stopLeading stops pacing the requests of all routers.
-func (l *workerLimits) stopLeading() { l.member.Lead(false) }
+func (l *workerLimits) stopLeading() { l.member.SetLeading(false) }
 
 // run cleans up the recorded limits until ctx ends.
 func (l *workerLimits) run(ctx context.Context) {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -58,7 +58,7 @@
 
 // HandleUpdate handles an update from the leader of a term. mandate is nil unless this process is
 // one of its standbys.
-func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Mandate) {
+func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Delegation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = mandate != nil
@@ -178,9 +178,9 @@
 	if s.Workers == nil {
 		return
 	}
-	list, _ := s.Workers.Of(name)
+	list, _ := s.Workers.ByService(name)
 	for _, one := range list {
-		service.ObserveIncarnation(one.Life())
+		service.ObserveIncarnation(one.Incarnation())
 	}
 }
 
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -32,9 +32,9 @@
 
 // mandate permits a standby to renew the hold of one key range for some time after a stamp that it
 // sent.
-func mandate(stamp, left time.Duration) *peerlink.Mandate {
+func mandate(stamp, left time.Duration) *peerlink.Delegation {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
-	return &peerlink.Mandate{
+	return &peerlink.Delegation{
 		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
 		Services: []peerlink.ServiceHolds{peerlink.EncodeHolds("s", 5, holds)},
 	}
@@ -42,7 +42,7 @@
 
 func TestStandbyRenewsWithinMandate(t *testing.T) {
 	for name, c := range map[string]struct {
-		mandate *peerlink.Mandate
+		mandate *peerlink.Delegation
 		then    func(s *Standby)
 		least   int32
 		most    int32
