--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -341,7 +341,7 @@
 
 // When a list has more pages than one, a process waits for others to send the list.
 func TestAwaitRelayedListSkipsRemainingPages(t *testing.T) {
-	for name, sent := range map[string]bool{"told": true, "the list is not sent": false} {
+	for name, relayed := range map[string]bool{"told": true, "the list is not sent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store, view := memory.New(), &recordingView{}
@@ -355,14 +355,14 @@
 					WatchTimeout:    func() time.Duration { return time.Second },
 					BatchDelay:      func() time.Duration { return 0 },
 					CoveredRevision: func() coord.Revision { return 5 },
-					Paused:          func() bool { return sent },
+					Paused:          func() bool { return relayed },
 					AwaitRelayedList: func(_ context.Context, at coord.Revision) bool {
 						assert.Check(t, at == 5)
-						return sent
+						return relayed
 					},
 				})
 				advance(time.Second)
-				if sent {
+				if relayed {
 					assert.Equal(t, store.Calls["list"], 1)
 					assert.Equal(t, view.snapshots, 0)
 					return
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// When the leader was cut off from the service, the processes that waited for another leader noticed
-// its end 2.8 s late: the service had dropped their one long watch without notice.
+// When the leader was cut off from the service, the processes that waited for another leader did not
+// notice its end for 2.8 s: the service had dropped their one long watch without notice.
 func TestLeaderChangeIsNoticedAfterDroppedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -19,7 +19,7 @@
 	return tenure.StoreRenewers(ctx, list)
 }
 
-// A standby gets its mandate once it is stored in the list. A delayed write must not remove it from
+// A standby gets its delegation once it is stored in the list. A delayed write must not remove it from
 // the list again, or the next leader would not ask it to stop.
 func TestDelayedWriteDoesNotRemoveStandby(t *testing.T) {
 	first, second := Renewer{Address: "x:1", Process: "x"}, Renewer{Address: "y:1", Process: "y"}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -236,7 +236,7 @@
 func TestKeysMoveFromWorkerThatReportsLeaving(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		b.orders.leaving = "w1"
-		b.keeper.OnWorkerLeaving = func(life workers.Incarnation) { b.keeper.Workers.MarkLeaving(life, time.Now()) }
+		b.keeper.OnWorkerLeaving = func(incarnation workers.Incarnation) { b.keeper.Workers.MarkLeaving(incarnation, time.Now()) }
 		b.lead(6*time.Second, nil)
 		for _, held := range b.stored() {
 			assert.Equal(b.t, held.Worker, workers.ID("w2"))
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -83,10 +83,10 @@
 	if config == nil || config.Services[svc.name] == nil {
 		return nil
 	}
-	described := config.Services[svc.name]
-	rules := make([]owner.PlacementRule, 0, len(described.Placement))
-	for _, place := range described.Placement {
-		rules = append(rules, owner.PlacementRule{Keys: owner.KeyRange{From: place.From, To: place.To}, Zones: place.Zones})
+	serviceConfig := config.Services[svc.name]
+	rules := make([]owner.PlacementRule, 0, len(serviceConfig.Placement))
+	for _, rule := range serviceConfig.Placement {
+		rules = append(rules, owner.PlacementRule{Keys: owner.KeyRange{From: rule.From, To: rule.To}, Zones: rule.Zones})
 	}
 	if regions, bound := config.AllowedRegions(svc.name); bound && t.Regions.RegionCount() > 1 {
 		return owner.RestrictToZones(rules, t.zoneNames(regions))
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -24,7 +24,7 @@
 	// stored are the processes in the stored list of renewers. storing is true while it is written.
 	stored  []election.Renewer
 	storing bool
-	// appointed are the processes that get mandates.
+	// appointed are the processes that get delegations.
 	appointed []string
 }
 
@@ -34,7 +34,7 @@
 	err  error
 }
 
-// appointStandbys chooses standbys. A process gets a mandate only after it is stored in the list of
+// appointStandbys chooses standbys. A process gets a delegation only after it is stored in the list of
 // renewers, so that the next leader knows of it.
 func (t *tenureKeeper) appointStandbys(now time.Time) {
 	if t.standbys.storing || now.Before(t.standbys.next) {
@@ -55,10 +55,10 @@
 		missing = missing || !slices.Contains(t.standbys.stored, renewer)
 	}
 	if !missing {
-		t.grantMandates(processes)
+		t.grantDelegations(processes)
 		return
 	}
-	// Processes whose mandate is still valid stay in the list.
+	// Processes whose delegation is still valid stay in the list.
 	for _, one := range t.standbys.stored {
 		if t.Hub.HasDelegation(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
@@ -68,8 +68,8 @@
 	go t.storeRenewers(list)
 }
 
-// grantMandates appoints processes that are stored as renewers.
-func (t *tenureKeeper) grantMandates(processes []string) {
+// grantDelegations appoints processes that are stored as renewers.
+func (t *tenureKeeper) grantDelegations(processes []string) {
 	if !slices.Equal(processes, t.standbys.appointed) {
 		t.standbys.appointed = processes
 		t.Hub.AppointStandbys(processes)
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -69,7 +69,7 @@
 	}
 	if compiled.Keyed {
 		compiled.Key = keyReader(service)
-		compiled.Placement = partitionPlaces(service)
+		compiled.Placement = partitionPlacement(service)
 		compiled.ChurnWeight = service.Placement.ChurnWeight
 		compiled.MovesPerMinute = orDefault(service.Placement.MovesPerMinute, defaultMoves)
 	}
--- a/internal/registry/compile_test.go
+++ b/internal/registry/compile_test.go
@@ -44,7 +44,7 @@
 // The keys of a partition have their own block of numbers, and only its zones may hold them.
 func TestPartitionsHaveSeparateKeysAndZones(t *testing.T) {
 	service := parseBundle(t, bundleText).Services[0]
-	list := partitionPlaces(service)
+	list := partitionPlacement(service)
 	assert.Equal(t, len(list), 2)
 	assert.Equal(t, list[0].From, 0)
 	assert.Equal(t, list[1].To, owner.KeyCount-1)
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -90,16 +90,16 @@
 	return request.URL.Query(), nil
 }
 
-// partitionPlaces returns the zones that may hold each partition's block of keys.
-func partitionPlaces(service bundle.Service) []routing.PlacementRule {
+// partitionPlacement returns the zones that may hold each partition's block of keys.
+func partitionPlacement(service bundle.Service) []routing.PlacementRule {
 	list := make([]routing.PlacementRule, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
 		first, last := keyBlock(service, partition.Name)
-		place := routing.PlacementRule{From: first, To: last}
+		rule := routing.PlacementRule{From: first, To: last}
 		for _, zone := range partition.Zones {
-			place.Zones = append(place.Zones, string(zone))
+			rule.Zones = append(rule.Zones, string(zone))
 		}
-		list = append(list, place)
+		list = append(list, rule)
 	}
 	slices.SortFunc(list, func(a, b routing.PlacementRule) int { return a.From - b.From })
 	return list
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -18,26 +18,26 @@
 func compileTenants(bundles []bundle.Bundle) map[routing.TenantName]*routing.Tenant {
 	tenants := map[routing.TenantName]*routing.Tenant{}
 	for _, one := range bundles {
-		for _, described := range one.Tenants {
-			compiled := compileTenant(one, described)
+		for _, tenant := range one.Tenants {
+			compiled := compileTenant(one, tenant)
 			tenants[compiled.Name] = compiled
 		}
 	}
 	return tenants
 }
 
-func compileTenant(one bundle.Bundle, described bundle.Tenant) *routing.Tenant {
+func compileTenant(one bundle.Bundle, tenant bundle.Tenant) *routing.Tenant {
 	compiled := &routing.Tenant{
-		Name:     routing.TenantName(one.TenantName(described)),
+		Name:     routing.TenantName(one.TenantName(tenant)),
 		Scope:    routing.Scope(one.Team),
-		Priority: described.Priority,
-		Rate:     described.Rate,
-		Burst:    described.Burst,
-		Regions:  compileRegions(described.Regions),
+		Priority: tenant.Priority,
+		Rate:     tenant.Rate,
+		Burst:    tenant.Burst,
+		Regions:  compileRegions(tenant.Regions),
 	}
-	for _, text := range described.KeyDigests {
+	for _, text := range tenant.KeyDigests {
 		var digest routing.KeyDigest
-		if err := digest.UnmarshalText([]byte(text)); err == nil { // digests are validated when a bundle is checked
+		if err := digest.UnmarshalText([]byte(text)); err == nil { // validated with the bundle
 			compiled.Keys = append(compiled.Keys, digest)
 		}
 	}
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -43,7 +43,7 @@
 	appointed    bool
 	leaderLost   bool
 	leaderLostAt time.Time
-	// revokedTerm is the term before which all mandates are revoked.
+	// revokedTerm is the term before which all delegations are revoked.
 	revokedTerm owner.Term
 	services    map[routing.ServiceName]*owner.Standby
 	renewing    bool
@@ -56,25 +56,25 @@
 	}
 }
 
-// HandleUpdate handles an update from the leader of a term. mandate is nil unless this process is
+// HandleUpdate handles an update from the leader of a term. delegation is nil unless this process is
 // one of its standbys.
-func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Delegation) {
+func (s *Standby) HandleUpdate(term owner.Term, delegation *peerlink.Delegation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.appointed = mandate != nil
+	s.appointed = delegation != nil
 	s.revoke(term)
 	s.setLeaderLost(false)
-	if mandate == nil || mandate.Stamp == 0 {
+	if delegation == nil || delegation.Stamp == 0 {
 		return
 	}
-	left := time.Duration(mandate.Stamp+mandate.RemainingMillis) * time.Millisecond
+	left := time.Duration(delegation.Stamp+delegation.RemainingMillis) * time.Millisecond
 	until := s.startedAt.Add(left)
-	for _, described := range mandate.Services {
-		holds, ok := described.Holds()
+	for _, serviceHolds := range delegation.Services {
+		holds, ok := serviceHolds.Holds()
 		if !ok {
 			continue
 		}
-		s.forService(described.Service).SetHolds(term, described.Version, holds, until)
+		s.forService(serviceHolds.Service).SetHolds(term, serviceHolds.Version, holds, until)
 	}
 	for _, service := range s.services {
 		service.ExtendUntil(term, until)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Revoke permanently revokes the mandates given by leaders before a term.
+// Revoke permanently revokes the delegations given by leaders before a term.
 func (s *Standby) Revoke(term owner.Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -30,9 +30,9 @@
 	return owner.Reply{Outcome: owner.OutcomeInvalid}
 }
 
-// mandate permits a standby to renew the hold of one key range for some time after a stamp that it
+// delegation permits a standby to renew the hold of one key range for some time after a stamp that it
 // sent.
-func mandate(stamp, left time.Duration) *peerlink.Delegation {
+func delegation(stamp, left time.Duration) *peerlink.Delegation {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
 	return &peerlink.Delegation{
 		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
@@ -40,21 +40,21 @@
 	}
 }
 
-func TestStandbyRenewsWithinMandate(t *testing.T) {
+func TestStandbyRenewsWithinDelegation(t *testing.T) {
 	for name, c := range map[string]struct {
-		mandate *peerlink.Delegation
-		then    func(s *Standby)
-		least   int32
-		most    int32
+		delegation *peerlink.Delegation
+		then       func(s *Standby)
+		least      int32
+		most       int32
 	}{
-		"the leader is present":    {mandate: mandate(time.Second, 6*time.Second), then: func(*Standby) {}},
-		"the leader is lost":       {mandate: mandate(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
-		"short mandate":            {mandate: mandate(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
-		"mandate is late":          {mandate: mandate(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
-		"not a standby":            {then: (*Standby).LeaderLost},
-		"asked to stop":            {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
-		"suspended beyond mandate": {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
-		"leader found again":       {mandate: mandate(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
+		"the leader is present":       {delegation: delegation(time.Second, 6*time.Second), then: func(*Standby) {}},
+		"the leader is lost":          {delegation: delegation(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
+		"short delegation":            {delegation: delegation(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
+		"delegation is late":          {delegation: delegation(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
+		"not a standby":               {then: (*Standby).LeaderLost},
+		"asked to stop":               {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
+		"suspended beyond delegation": {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
+		"leader found again":          {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -66,7 +66,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				go s.Run(ctx)
 				time.Sleep(time.Second)
-				s.HandleUpdate(3, c.mandate)
+				s.HandleUpdate(3, c.delegation)
 				c.then(s)
 				time.Sleep(15 * time.Second)
 				stop()
@@ -87,7 +87,7 @@
 		s.AddToReport(&report)
 		assert.Assert(t, report.Empty(), "not a standby yet")
 		time.Sleep(time.Second)
-		s.HandleUpdate(3, mandate(time.Second, time.Second))
+		s.HandleUpdate(3, delegation(time.Second, time.Second))
 		s.AddToReport(&report)
 		assert.Equal(t, report.Stamp, int64(1000))
 		assert.Equal(t, report.HoldVersions["s"], uint64(5))
