--- a/internal/coord/memory/timeoutstore.go
+++ b/internal/coord/memory/timeoutstore.go
@@ -7,7 +7,7 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// Bounded is a store whose commits end after a time, as a real client's do.
+// TimeoutStore is a store whose commits are given up after CommitTimeout, as by a real client.
 type TimeoutStore struct {
 	coord.Store
 	CommitTimeout time.Duration
@@ -15,7 +15,7 @@
 
 // Commit implements coord.Store.
 func (b TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
-	limited, cancel := context.WithTimeout(ctx, b.CommitTimeout)
+	bounded, cancel := context.WithTimeout(ctx, b.CommitTimeout)
 	defer cancel()
-	return b.Store.Commit(limited, txn)
+	return b.Store.Commit(bounded, txn)
 }
--- a/internal/election/renewers_test.go
+++ b/internal/election/renewers_test.go
@@ -12,26 +12,26 @@
 	"github.com/shalefork/shalefork/internal/coord/memory"
 )
 
-// bounded gives a write up before it is done late.
-func bounded(t *testing.T, tenure *Tenure, list ...Renewer) error {
+// storeWithTimeout gives up a write before its delayed application.
+func storeWithTimeout(t *testing.T, tenure *Tenure, list ...Renewer) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	return tenure.StoreRenewers(ctx, list)
 }
 
-// A process gets leave once it is stored. A write that is done seconds later must not
-// take it off the record again: the next leader would not ask it to stop.
-func TestAWriteThatIsDoneLateTakesNoStandbyOffTheRecord(t *testing.T) {
+// A standby gets its delegation once it is stored in the list. A delayed write must not remove it from
+// the list again, or the next leader would not ask it to stop.
+func TestDelayedWriteDoesNotRemoveStandby(t *testing.T) {
 	first, second := Renewer{Address: "x:1", Process: "x"}, Renewer{Address: "y:1", Process: "y"}
-	for name, late := range map[string]time.Duration{"lost": 0, "late": time.Second} {
+	for name, delay := range map[string]time.Duration{"lost": 0, "late": time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
 				tenure, err := candidate(store, "a").Campaign(t.Context(), 0)
 				assert.NilError(t, err)
-				store.LoseAnswers(1, late)
-				assert.Assert(t, bounded(t, tenure, first) != nil, "it had no answer")
-				for tries := 0; bounded(t, tenure, second) != nil; tries++ {
+				store.LoseAnswers(1, delay)
+				assert.Assert(t, storeWithTimeout(t, tenure, first) != nil, "the write gets no response")
+				for tries := 0; storeWithTimeout(t, tenure, second) != nil; tries++ {
 					assert.Assert(t, tries < 2)
 				}
 				time.Sleep(2 * time.Second)
@@ -43,9 +43,9 @@
 	}
 }
 
-// A list of standbys that can't be read kept any process from leading: the next leader outwaits
-// what they may do, as if it knew of none.
-func TestAListOfStandbysThatCantBeReadIsUnknown(t *testing.T) {
+// A list of renewers that can't be decoded prevented every process from becoming the leader. It must
+// count as empty: the next leader then waits for all holds to expire.
+func TestUnreadableRenewersListCountsAsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		one := candidate(store, "a")
@@ -55,7 +55,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(tenure.PreviousRenewers), 0)
 		stored := Renewer{Address: "x:1", Process: "x"}
-		assert.NilError(t, bounded(t, tenure, stored))
+		assert.NilError(t, storeWithTimeout(t, tenure, stored))
 		list, _, err := one.renewers(t.Context())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, list, []Renewer{stored})
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -15,63 +15,65 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Measuring workers' speed.
+// Constants for estimating the capacity of workers.
 const (
-	// usualTime is a request's time at a worker of which nothing is known yet.
-	usualTime = 80 * time.Millisecond
-	// coldFactor is how much slower a worker is taken to be while it warms up.
+	// defaultWorkTime is the assumed work time of a request before any worker was measured.
+	defaultWorkTime = 80 * time.Millisecond
+	// coldFactor is the assumed factor by which a worker is slower while it warms up.
 	coldFactor = 2
 )
 
-// service is one keyed service under the keeper.
+// service is the state of one keyed service.
 type service struct {
-	name      routing.ServiceName
-	book      *owner.Ledger // nil until loaded
-	loads     *owner.Loads
-	published uint64
-	// publishedHolds is the version of the holds that standbys were told.
+	name                routing.ServiceName
+	ledger              *owner.Ledger // nil until loaded
+	loads               *owner.Loads
+	publishedAssignment uint64
+	// publishedHolds is the version of the holds that was last sent to standbys.
 	publishedHolds uint64
 	nextPlan       time.Time
-	nextGauge      time.Time
-	// work is what was measured of each worker.
-	work map[workers.ID]*estimate.Work
-	// backoffs are those that each worker has asked routers for.
+	nextMetrics    time.Time
+	// workTimes estimates the work time of requests at each worker.
+	workTimes map[workers.ID]*estimate.Work
+	// backoffs are the backoffs that each worker has requested from routers.
 	backoffs map[workers.ID]*estimate.Backoffs
-	// coldRate is how many requests a second a cold worker bears; zero: any number.
+	// coldRate is how many requests per second a cold worker can run; zero means no such limit.
 	coldRate float64
-	// usual is the mean time of work over the workers that were measured.
-	usual time.Duration
-	// revision of the stored record.
+	// meanWorkTime is the mean work time over the workers that were measured.
+	meanWorkTime time.Duration
+	// revision is the revision of the stored record.
 	revision coord.Revision
 	writing  bool
-	// seen is the version of the list of workers whose lives the book was told of.
-	seen uint64
-	// moves are when keys were moved for balance lately.
-	moves []time.Time
+	// workersVersion is the version of the list of workers whose incarnations were last passed to the
+	// ledger.
+	workersVersion uint64
+	// balanceMoves are the times of recent moves for balance.
+	balanceMoves []time.Time
 }
 
 func newService(name routing.ServiceName) *service {
 	return &service{
-		name: name, loads: owner.NewLoads(clock.Now()), work: map[workers.ID]*estimate.Work{},
-		backoffs: map[workers.ID]*estimate.Backoffs{}, usual: usualTime,
+		name: name, loads: owner.NewLoads(clock.Now()), workTimes: map[workers.ID]*estimate.Work{},
+		backoffs: map[workers.ID]*estimate.Backoffs{}, meanWorkTime: defaultWorkTime,
 	}
 }
 
-// measured takes a number of answers and the sum of their times at a worker.
-func (s *service) measured(now time.Time, worker workers.Worker, answers int, took time.Duration) {
+// addResponseTimes records a number of responses of a worker and the sum of their response times.
+func (s *service) addResponseTimes(now time.Time, worker workers.Worker, answers int, took time.Duration) {
 	if now.Before(worker.WarmAt) {
-		return // it is slower than it will be
+		return // a worker that warms up is slower than it will be later
 	}
-	work := s.work[worker.ID]
+	work := s.workTimes[worker.ID]
 	if work == nil {
 		work = estimate.NewWork(now)
-		s.work[worker.ID] = work
+		s.workTimes[worker.ID] = work
 	}
 	work.Add(now, answers, took)
 }
 
-// backedOff takes how many backoffs a worker has asked routers for, and the sum of their times.
-func (s *service) backedOff(now time.Time, worker workers.ID, count int, sum time.Duration) {
+// addBackoffs records how many backoffs a worker has requested from routers, and the sum of their
+// durations.
+func (s *service) addBackoffs(now time.Time, worker workers.ID, count int, sum time.Duration) {
 	backoffs := s.backoffs[worker]
 	if backoffs == nil {
 		backoffs = &estimate.Backoffs{}
@@ -80,85 +82,86 @@
 	backoffs.Add(now, count, sum)
 }
 
-// measureUsual averages the times of work over the announced workers, and forgets the
+// updateMeanWorkTime averages the work times of the announced workers and drops the measurements of
 // others.
-func (s *service) measureUsual(now time.Time, directory *workers.Directory) {
+func (s *service) updateMeanWorkTime(now time.Time, directory *workers.Directory) {
 	total, count := time.Duration(0), 0
-	for id, work := range s.work {
+	for id, work := range s.workTimes {
 		worker, announced := directory.Get(id)
 		if !announced {
-			delete(s.work, id)
+			delete(s.workTimes, id)
 			continue
 		}
-		total += work.Mean(now, worker.Slots, s.usual)
+		total += work.Mean(now, worker.Slots, s.meanWorkTime)
 		count++
 	}
 	if count > 0 {
-		s.usual = total / time.Duration(count)
+		s.meanWorkTime = total / time.Duration(count)
 	}
 }
 
-// tellLives tells the book of workers that have started again, and forgets how fast they were.
-func (t *tenancy) tellLives(now time.Time, of *service) {
-	list, version := t.Workers.ByService(of.name)
-	if version == of.seen {
+// observeIncarnations passes the workers' incarnations to the ledger, and drops the measurements of
+// workers that have restarted.
+func (t *tenureKeeper) observeIncarnations(now time.Time, svc *service) {
+	list, version := t.Workers.ByService(svc.name)
+	if version == svc.workersVersion {
 		return
 	}
-	of.seen = version
+	svc.workersVersion = version
 	for _, worker := range list {
-		if !of.book.ObserveIncarnation(now, worker.Incarnation(), worker.Address) {
+		if !svc.ledger.ObserveIncarnation(now, worker.Incarnation(), worker.Address) {
 			continue
 		}
-		delete(of.work, worker.ID)
-		delete(of.backoffs, worker.ID)
+		delete(svc.workTimes, worker.ID)
+		delete(svc.backoffs, worker.ID)
 		t.Log.Line(decision.KindWorker).Str("worker", string(worker.ID)).Str("state", string(worker.State)).
-			Str("service", string(of.name)).Msg("has started again; it gets its keys anew")
+			Str("service", string(svc.name)).Msg("the worker has restarted; its keys are granted to it again")
 	}
 }
 
-// candidates lists the workers that may hold keys now.
-func (t *tenancy) candidates(now time.Time, of *service) []owner.Candidate {
-	if described := t.described(of); described != nil {
-		of.coldRate = described.ColdRate
+// candidates returns the workers that may own keys now.
+func (t *tenureKeeper) candidates(now time.Time, svc *service) []owner.Candidate {
+	if config := t.serviceConfig(svc); config != nil {
+		svc.coldRate = config.ColdRate
 	}
-	of.measureUsual(now, t.Workers)
-	list, _ := t.Workers.ByService(of.name)
+	svc.updateMeanWorkTime(now, t.Workers)
+	list, _ := t.Workers.ByService(svc.name)
 	var candidates []owner.Candidate
 	for _, worker := range list {
-		if worker.State != workers.StateReady || of.book.Failing(now, worker.ID, failingAfter) || t.Workers.Evacuated(worker.Zone) {
+		if worker.State != workers.StateReady || svc.ledger.Failing(now, worker.ID, failingAfter) || t.Workers.Evacuated(worker.Zone) {
 			continue
 		}
-		candidates = append(candidates, t.candidate(now, of, worker))
+		candidates = append(candidates, t.candidate(now, svc, worker))
 	}
-	for _, holder := range of.book.OwnerTargets() {
-		if t.mayComeBack(now, of, holder.ID) {
-			lapsed := workers.Worker{ID: holder.ID, Address: holder.Address, Slots: usualSlots(list)}
-			candidates = append(candidates, t.candidate(now, of, lapsed))
+	for _, holder := range svc.ledger.OwnerTargets() {
+		if t.inGracePeriod(now, svc, holder.ID) {
+			expired := workers.Worker{ID: holder.ID, Address: holder.Address, Slots: assumedSlots(list)}
+			candidates = append(candidates, t.candidate(now, svc, expired))
 		}
 	}
 	slices.SortFunc(candidates, func(a, b owner.Candidate) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return candidates
 }
 
-// mayComeBack reports whether a worker that is not announced keeps its keys for now. An
-// entry may be back soon, and a process that has just begun to lead may have read a
-// list of which others had lapsed.
-func (t *tenancy) mayComeBack(now time.Time, of *service, id workers.ID) bool {
-	if _, announced := t.Workers.Get(id); announced || of.book.Failing(now, id, failingAfter) {
+// inGracePeriod reports whether a worker that is not announced keeps its keys for now. Its entry may
+// come back soon, and a new leader may have read the list while some entries had expired.
+func (t *tenureKeeper) inGracePeriod(now time.Time, svc *service, id workers.ID) bool {
+	if _, announced := t.Workers.Get(id); announced || svc.ledger.Failing(now, id, failingAfter) {
 		return false
 	}
-	at, gone := t.Workers.GoneAt(id)
-	if gone && t.Workers.Unreadable(id) {
-		return now.Sub(at) < unreadableGrace
+	removedAt, removed := t.Workers.GoneAt(id)
+	if removed && t.Workers.Unreadable(id) {
+		return now.Sub(removedAt) < unreadableGrace
 	}
-	if gone {
-		return now.Sub(at) < goneGrace
+	if removed {
+		return now.Sub(removedAt) < removedGrace
 	}
-	return now.Sub(t.began) < workers.SettleTime
+	return now.Sub(t.startedAt) < workers.SettleTime
 }
 
-// usualSlots is what a worker of which nothing is announced is taken to have.
-func usualSlots(list []workers.Worker) int {
+// assumedSlots returns the number of slots that is assumed for a worker that is not announced: the
+// most of any worker in the list.
+func assumedSlots(list []workers.Worker) int {
 	slots := 1
 	for _, one := range list {
 		slots = max(slots, one.Slots)
@@ -166,18 +169,18 @@
 	return slots
 }
 
-// capacity returns how many requests a second a worker can run.
-func (t *tenancy) capacity(now time.Time, of *service, id workers.ID) float64 {
+// capacity returns how many requests per second a worker can run.
+func (t *tenureKeeper) capacity(now time.Time, svc *service, id workers.ID) float64 {
 	worker, _ := t.Workers.Get(id)
-	return t.candidate(now, of, worker).Capacity
+	return t.candidate(now, svc, worker).Capacity
 }
 
-// candidate describes a worker. A limit that it names caps its capacity, and what routers may not send
-// it, since it has asked them for backoffs, lowers it.
-func (t *tenancy) candidate(now time.Time, of *service, worker workers.Worker) owner.Candidate {
-	candidate := of.candidate(now, worker)
-	if backoffs := of.backoffs[worker.ID]; backoffs != nil {
-		t.lessen(now, of, &candidate, backoffs)
+// candidate returns a worker as a candidate for keys. A limit that the worker has announced caps its
+// capacity, and backoffs that it has requested from routers reduce it.
+func (t *tenureKeeper) candidate(now time.Time, svc *service, worker workers.Worker) owner.Candidate {
+	candidate := svc.candidate(now, worker)
+	if backoffs := svc.backoffs[worker.ID]; backoffs != nil {
+		t.reduceCapacity(now, svc, &candidate, backoffs)
 	}
 	if t.Limits == nil {
 		return candidate
@@ -188,11 +191,11 @@
 	return candidate
 }
 
-// backoffs describes those that owners of keys have asked for, for operators.
-func (t *tenancy) backoffs(now time.Time) []peerlink.BackoffShare {
+// backoffs returns the backoffs that owners of keys have requested, for display to operators.
+func (t *tenureKeeper) backoffs(now time.Time) []peerlink.BackoffShare {
 	var list []peerlink.BackoffShare
-	for _, of := range t.services {
-		for id, one := range of.backoffs {
+	for _, svc := range t.services {
+		for id, one := range svc.backoffs {
 			if left := one.Remaining(now); left > 0 {
 				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
 			}
@@ -202,27 +205,27 @@
 	return list
 }
 
-// leastCapacity is the share of a worker's capacity that it has left where all routers back off.
-const leastCapacity = 0.02
+// minCapacityShare is the share of its capacity that a worker keeps when all routers back off.
+const minCapacityShare = 0.02
 
-// lessen lowers a worker's capacity by the share of routers that back off. For as long as it has asked
-// for backoffs lately it gets no more keys.
-func (t *tenancy) lessen(now time.Time, of *service, candidate *owner.Candidate, backoffs *estimate.Backoffs) {
+// reduceCapacity lowers a worker's capacity by the share of routers that back off. A worker that has
+// requested backoffs recently gets no more keys.
+func (t *tenureKeeper) reduceCapacity(now time.Time, svc *service, candidate *owner.Candidate, backoffs *estimate.Backoffs) {
 	if !backoffs.IsRecent(now) {
-		delete(of.backoffs, candidate.ID)
+		delete(svc.backoffs, candidate.ID)
 		return
 	}
 	candidate.Cold = true
 	if share := backoffs.Share(now, t.Hub.Nodes()); share > 0 {
-		candidate.Capacity *= max(leastCapacity, 1-share)
+		candidate.Capacity *= max(minCapacityShare, 1-share)
 		candidate.Limited = true
 	}
 }
 
 func (s *service) candidate(now time.Time, worker workers.Worker) owner.Candidate {
-	mean := s.usual
-	if work := s.work[worker.ID]; work != nil {
-		mean = work.Mean(now, worker.Slots, s.usual)
+	mean := s.meanWorkTime
+	if work := s.workTimes[worker.ID]; work != nil {
+		mean = work.Mean(now, worker.Slots, s.meanWorkTime)
 	}
 	candidate := owner.Candidate{ID: worker.ID, Address: worker.Address, Zone: worker.Zone}
 	candidate.Capacity = float64(worker.Slots) / max(mean, time.Millisecond).Seconds()
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// standbyCount is how many processes may renew for a leader that is lost.
+	// standbyCount is the number of processes that may renew holds after the leader is lost.
 	standbyCount = 2
-	// appointEvery is the pause between looks whether they are linked still.
-	appointEvery   = time.Second
-	appointTimeout = time.Second
+	// appointInterval is the interval at which the choice of standbys is reviewed.
+	appointInterval = time.Second
+	appointTimeout  = time.Second
 )
 
-// standbys are the processes that the leader lets renew.
+// standbys tracks the processes that the leader permits to renew holds.
 type standbys struct {
 	next time.Time
-	// stored are the processes of the record; storing says that it is being written.
+	// stored are the processes in the stored list of renewers. storing is true while it is written.
 	stored  []election.Renewer
 	storing bool
-	// appointed are the processes that get leaves.
+	// appointed are the processes that get delegations.
 	appointed []string
 }
 
-// renewersStored is the end of storing the processes that may renew.
-type renewersStored struct {
+// storeRenewersResult is the result of storing the list of renewers.
+type storeRenewersResult struct {
 	list []election.Renewer
 	err  error
 }
 
-// appoint chooses standbys. A process gets no leave before it is stored, so that the
-// next leader knows of it.
-func (t *tenancy) appoint(now time.Time) {
+// appointStandbys chooses standbys. A process gets a delegation only after it is stored in the list of
+// renewers, so that the next leader knows of it.
+func (t *tenureKeeper) appointStandbys(now time.Time) {
 	if t.standbys.storing || now.Before(t.standbys.next) {
 		return
 	}
-	t.standbys.next = now.Add(appointEvery)
+	t.standbys.next = now.Add(appointInterval)
 	wanted := chooseStandbys(t.Hub.Peers(), t.Zone, t.Regions)
 	list := []election.Renewer{{Address: t.tenure.Leader.Address, Process: t.tenure.Leader.Process}}
-	if now.Before(t.until) {
+	if now.Before(t.holdsUntil) {
 		list = append(list, t.Unresolved...)
 	}
 	missing := false
@@ -55,10 +55,10 @@
 		missing = missing || !slices.Contains(t.standbys.stored, renewer)
 	}
 	if !missing {
-		t.grantLeaves(processes)
+		t.grantDelegations(processes)
 		return
 	}
-	// Those that had a leave keep their place until it has ended.
+	// Processes whose delegation is still valid stay in the list.
 	for _, one := range t.standbys.stored {
 		if t.Hub.HasDelegation(one.Process, now) && !slices.Contains(list, one) {
 			list = append(list, one)
@@ -68,27 +68,27 @@
 	go t.storeRenewers(list)
 }
 
-// grantLeaves appoints processes that are stored.
-func (t *tenancy) grantLeaves(processes []string) {
+// grantDelegations appoints processes that are stored as renewers.
+func (t *tenureKeeper) grantDelegations(processes []string) {
 	if !slices.Equal(processes, t.standbys.appointed) {
 		t.standbys.appointed = processes
 		t.Hub.AppointStandbys(processes)
 	}
 }
 
-func (t *tenancy) storeRenewers(list []election.Renewer) {
+func (t *tenureKeeper) storeRenewers(list []election.Renewer) {
 	bounded, cancel := context.WithTimeout(t.ctx, appointTimeout)
 	defer cancel()
 	err := t.tenure.StoreRenewers(bounded, list)
 	select {
-	case t.renewers <- renewersStored{list: list, err: err}:
+	case t.renewers <- storeRenewersResult{list: list, err: err}:
 	case <-t.ctx.Done():
 	}
 }
 
-// renewersWritten takes the end of a write. What is not known to be stored is written
-// again at the next look.
-func (t *tenancy) renewersWritten(done renewersStored) {
+// handleRenewersStored handles the result of a write. A list that is not known to be stored is
+// written again after appointInterval.
+func (t *tenureKeeper) handleRenewersStored(done storeRenewersResult) {
 	t.standbys.storing = false
 	if done.err == nil {
 		t.standbys.stored = done.list
@@ -96,9 +96,9 @@
 	}
 }
 
-// chooseStandbys takes the strongest processes, of zones of their own where it can, and those of
-// the leader's region first: it was won near the store, which the next leader needs, and what
-// standbys are told need not cross between regions.
+// chooseStandbys chooses the strongest processes, where possible in different zones, and those of
+// the leader's region first: the leader was elected near the store, which the next leader needs too,
+// and updates to standbys then need not cross between regions.
 func chooseStandbys(peers []peerlink.Peer, ownZone string, regions topology.Map) []peerlink.Peer {
 	var chosen []peerlink.Peer
 	zones := map[string]bool{ownZone: true}
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -6,38 +6,38 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// classes of bodies as routes have them.
-var classes = map[bundle.Bodies]routing.BodyClass{
+// bodyClasses maps the bodies of a bundle's service to the body class of its route.
+var bodyClasses = map[bundle.Bodies]routing.BodyClass{
 	"":                    routing.Small,
 	bundle.BodiesSmall:    routing.Small,
 	bundle.BodiesBulkUp:   routing.BulkUpload,
 	bundle.BodiesBulkDown: routing.BulkDownload,
 }
 
-// compileTenants returns the tenants of all teams, each in the scope of its team.
+// compileTenants compiles the tenants of all teams, each in the scope of its team.
 func compileTenants(bundles []bundle.Bundle) map[routing.TenantName]*routing.Tenant {
 	tenants := map[routing.TenantName]*routing.Tenant{}
 	for _, one := range bundles {
-		for _, described := range one.Tenants {
-			compiled := compileTenant(one, described)
+		for _, tenant := range one.Tenants {
+			compiled := compileTenant(one, tenant)
 			tenants[compiled.Name] = compiled
 		}
 	}
 	return tenants
 }
 
-func compileTenant(one bundle.Bundle, described bundle.Tenant) *routing.Tenant {
+func compileTenant(one bundle.Bundle, tenant bundle.Tenant) *routing.Tenant {
 	compiled := &routing.Tenant{
-		Name:     routing.TenantName(one.TenantName(described)),
+		Name:     routing.TenantName(one.TenantName(tenant)),
 		Scope:    routing.Scope(one.Team),
-		Priority: described.Priority,
-		Rate:     described.Rate,
-		Burst:    described.Burst,
-		Regions:  compileRegions(described.Regions),
+		Priority: tenant.Priority,
+		Rate:     tenant.Rate,
+		Burst:    tenant.Burst,
+		Regions:  compileRegions(tenant.Regions),
 	}
-	for _, text := range described.KeyDigests {
+	for _, text := range tenant.KeyDigests {
 		var digest routing.KeyDigest
-		if err := digest.UnmarshalText([]byte(text)); err == nil { // it was checked
+		if err := digest.UnmarshalText([]byte(text)); err == nil { // validated with the bundle
 			compiled.Keys = append(compiled.Keys, digest)
 		}
 	}
