--- a/internal/estimate/backoffs.go
+++ b/internal/estimate/backoffs.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// backoffStep is to what the ends of backoffs are rounded, so that many of them take little room.
-	backoffStep = 100 * time.Millisecond
-	// backoffMemory is for how long after its last backoff a worker counts as short of room: most that
+	// backoffResolution is to what the ends of backoffs are rounded, so that many of them take little room.
+	backoffResolution = 100 * time.Millisecond
+	// recentBackoffTime is for how long after its last backoff a worker counts as short of room: most that
 	// ask for one ask again.
-	backoffMemory = 5 * time.Second
+	recentBackoffTime = 5 * time.Second
 )
 
 // Backoffs estimates which share of the processes sends nothing to a worker that has asked them for
@@ -54,7 +54,7 @@
 
 // Lately reports whether the worker has asked for a backoff that lasts, or has ended lately.
 func (b *Backoffs) IsRecent(now time.Time) bool {
-	return !b.last.IsZero() && now.Before(b.last.Add(backoffMemory))
+	return !b.last.IsZero() && now.Before(b.last.Add(recentBackoffTime))
 }
 
-func stepOf(at time.Time) int64 { return at.UnixNano() / int64(backoffStep) }
+func stepOf(at time.Time) int64 { return at.UnixNano() / int64(backoffResolution) }
--- a/internal/estimate/backoffs_test.go
+++ b/internal/estimate/backoffs_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheShareOfProcessesThatBackOff(t *testing.T) {
+func TestBackoffShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var b Backoffs
 	assert.Equal(t, b.Share(now, 10), 0.0)
@@ -22,7 +22,7 @@
 	assert.Equal(t, len(b.ends), 0)
 }
 
-func TestNoMoreThanAllProcessesBackOff(t *testing.T) {
+func TestBackoffShareIsAtMostOne(t *testing.T) {
 	var b Backoffs
 	now := time.Unix(1000, 0)
 	b.Add(now, 30, time.Minute)
--- a/internal/estimate/latency_test.go
+++ b/internal/estimate/latency_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLatencyForgetsAndNoticesSlowness(t *testing.T) {
+func TestLatencyMean(t *testing.T) {
 	const usual = 100 * time.Millisecond
 	repeat := func(count int, took time.Duration) []time.Duration {
 		list := make([]time.Duration, count)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestASlowWorkerThatIsAskedNothingIsExpectedToBeAsUsual(t *testing.T) {
+func TestExpectedLatencyOfIdleWorkerReturnsToPrior(t *testing.T) {
 	const usual, slow = 100 * time.Millisecond, 3 * time.Second
 	for name, answers := range map[string]int{"a few answers": 4, "many": 40} {
 		t.Run(name, func(t *testing.T) {
@@ -50,14 +50,14 @@
 			for range answers {
 				latency.Add(now, slow, usual)
 			}
-			assert.Equal(t, latency.Expected(now.Add(silentTime), usual), latency.Mean(usual))
-			assert.Assert(t, latency.Expected(now.Add(2*silentTime), usual) > slow/2, "one second says little")
+			assert.Equal(t, latency.Expected(now.Add(decayDelay), usual), latency.Mean(usual))
+			assert.Assert(t, latency.Expected(now.Add(2*decayDelay), usual) > slow/2, "one second says little")
 			assert.Assert(t, latency.Expected(now.Add(12*time.Second), usual) < 3*usual)
 		})
 	}
 }
 
-func TestLateIsTheShareBeyondALimit(t *testing.T) {
+func TestLateShare(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]struct {
 		spread      float64
--- a/internal/estimate/told.go
+++ b/internal/estimate/reported.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// toldMemory is the time constant with which what was told last gives way to the mean.
-	toldMemory = 300 * time.Millisecond
-	// meanMemory is that of the mean of what is told.
-	meanMemory = 2 * time.Second
-	// silentTime is how long nothing may be told before the mean is forgotten.
-	silentTime = time.Second
+	// reportDecay is the time constant with which what was told last gives way to the mean.
+	reportDecay = 300 * time.Millisecond
+	// meanDecay is that of the mean of what is told.
+	meanDecay = 2 * time.Second
+	// decayDelay is how long nothing may be told before the mean is forgotten.
+	decayDelay = time.Second
 )
 
 // Mean is the mean of figures of one kind that are told now and then, newer ones weighing
@@ -30,9 +30,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if passed := now.Sub(m.at); passed > 0 {
-		kept := math.Exp(-passed.Seconds() / meanMemory.Seconds())
-		m.sum *= kept
-		m.weight *= kept
+		decay := math.Exp(-passed.Seconds() / meanDecay.Seconds())
+		m.sum *= decay
+		m.weight *= decay
 		m.at = now
 	}
 	m.sum += figure
@@ -46,8 +46,8 @@
 	if m.weight == 0 {
 		return 0
 	}
-	silent := max(0, now.Sub(m.at)-silentTime)
-	return m.sum / m.weight * math.Exp(-silent.Seconds()/meanMemory.Seconds())
+	idle := max(0, now.Sub(m.at)-decayDelay)
+	return m.sum / m.weight * math.Exp(-idle.Seconds()/meanDecay.Seconds())
 }
 
 // Told is a figure that is told now and then, such as the load of a worker, and changes
@@ -72,5 +72,5 @@
 	if t.at.IsZero() {
 		return mean
 	}
-	return mean + (t.last-mean)*math.Exp(-now.Sub(t.at).Seconds()/toldMemory.Seconds())
+	return mean + (t.last-mean)*math.Exp(-now.Sub(t.at).Seconds()/reportDecay.Seconds())
 }
--- a/internal/estimate/told_test.go
+++ b/internal/estimate/reported_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTold(t *testing.T) {
+func TestReportedValue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const mean = 4.0
 	for name, c := range map[string]struct {
@@ -20,10 +20,10 @@
 	}{
 		"nothing":         {expected: mean},
 		"just now":        {told: true, figure: 10, expected: 10},
-		"a moment ago":    {told: true, figure: 10, age: toldMemory, expected: mean + 6/math.E},
-		"idle lately":     {told: true, age: toldMemory, expected: mean - mean/math.E},
+		"a moment ago":    {told: true, figure: 10, age: reportDecay, expected: mean + 6/math.E},
+		"idle lately":     {told: true, age: reportDecay, expected: mean - mean/math.E},
 		"too long ago":    {told: true, figure: 10, age: time.Minute, expected: mean},
-		"the same as all": {told: true, figure: mean, age: toldMemory, expected: mean},
+		"the same as all": {told: true, figure: mean, age: reportDecay, expected: mean},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var told ReportedValue
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestMeanOfWhatIsTold(t *testing.T) {
+func TestMeanOfReports(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var mean Mean
 	assert.Equal(t, mean.Get(now), 0.0)
@@ -47,10 +47,10 @@
 	}
 	assert.Assert(t, math.Abs(mean.Get(now)-4) < 1e-6, "%f", mean.Get(now))
 	for range 16 {
-		now = now.Add(meanMemory / 2)
+		now = now.Add(meanDecay / 2)
 		mean.Add(now, 1)
 	}
 	assert.Assert(t, mean.Get(now) < 1.1, "what was told long ago weighs little: %f", mean.Get(now))
-	assert.Equal(t, mean.Get(now.Add(silentTime)), mean.Get(now))
+	assert.Equal(t, mean.Get(now.Add(decayDelay)), mean.Get(now))
 	assert.Assert(t, mean.Get(now.Add(time.Minute)) < 0.01, "nothing was told for long")
 }
--- a/internal/estimate/work.go
+++ b/internal/estimate/work.go
@@ -18,15 +18,15 @@
 	keptBins = 12
 	// recentBins is how many of the newest show a worker that has changed.
 	recentBins = 3
-	// leastAnswers is how many answers of a bin tell anything.
-	leastAnswers = 3
+	// minAnswers is how many answers of a bin tell anything.
+	minAnswers = 3
 	// variation is the usual standard deviation of work, as a share of its mean.
-	variation = 0.9
+	workVariation = 0.9
 	// changeDeviations is how many standard deviations the recent bins must be away
 	// from all to stand for a worker that has changed.
 	changeDeviations = 3.0
-	// changeLeast is a difference, as a share, that is none.
-	changeLeast = 0.3
+	// minChange is a difference, as a share, that is none.
+	minChange = 0.3
 	// priorAnswers is how many answers what is usual counts for.
 	priorAnswers = 6.0
 	// bisections of the search for the time of work: an error below one in a million.
@@ -40,7 +40,7 @@
 // changes meanwhile misleads.
 type Work struct {
 	bins  [keptBins]bin
-	began time.Time
+	start time.Time
 }
 
 // bin are the answers of one time.
@@ -51,17 +51,17 @@
 }
 
 // judged is the time of work that a stretch of bins tells, in seconds, and its weight.
-type judged struct {
+type workEstimate struct {
 	work, weight float64
 	bins         int
 }
 
 // NewWork returns an estimate that knows nothing.
-func NewWork(now time.Time) *Work { return &Work{began: now} }
+func NewWork(now time.Time) *Work { return &Work{start: now} }
 
 // Add takes a number of answers and the sum of their times at the worker.
 func (w *Work) Add(now time.Time, answers int, took time.Duration) {
-	number := w.number(now)
+	number := w.binNumber(now)
 	into := &w.bins[number%keptBins]
 	if into.number != number {
 		*into = bin{number: number}
@@ -70,63 +70,63 @@
 	into.took += took
 }
 
-func (w *Work) number(now time.Time) int64 { return int64(max(0, now.Sub(w.began)) / binLength) }
+func (w *Work) binNumber(now time.Time) int64 { return int64(max(0, now.Sub(w.start)) / binLength) }
 
 // Mean returns the mean time of work at a worker with a number of slots. What is usual
 // stands for a worker that has hardly answered.
-func (w *Work) Mean(now time.Time, slots int, usual time.Duration) time.Duration {
-	newest := w.number(now)
-	whole := mean(w.judge(newest, keptBins, slots), judged{work: usual.Seconds(), weight: priorAnswers})
-	recent := w.judge(newest, recentBins, slots)
+func (w *Work) Mean(now time.Time, slots int, prior time.Duration) time.Duration {
+	newest := w.binNumber(now)
+	overall := weightedMean(w.estimates(newest, keptBins, slots), workEstimate{work: prior.Seconds(), weight: priorAnswers})
+	recent := w.estimates(newest, recentBins, slots)
 	if len(recent) > 0 {
-		lately := mean(recent)
-		chance := changeDeviations * variation / math.Sqrt(lately.weight)
-		if math.Abs(math.Log(lately.work/whole.work)) > changeLeast+chance {
-			return toDuration(lately.work)
+		recentMean := weightedMean(recent)
+		chance := changeDeviations * workVariation / math.Sqrt(recentMean.weight)
+		if math.Abs(math.Log(recentMean.work/overall.work)) > minChange+chance {
+			return toDuration(recentMean.work)
 		}
 	}
-	return toDuration(whole.work)
+	return toDuration(overall.work)
 }
 
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // judge returns what the last whole bins tell: steady times one by one.
-func (w *Work) judge(newest, count int64, slots int) []judged {
-	var list []judged
-	for _, one := range w.steady(newest, count) {
-		if one.answers < leastAnswers {
+func (w *Work) estimates(newest, count int64, slots int) []workEstimate {
+	var list []workEstimate
+	for _, one := range w.steadyPeriods(newest, count) {
+		if one.answers < minAnswers {
 			continue
 		}
 		answers := float64(one.answers)
 		rate := answers / (float64(one.bins) * binLength.Seconds())
-		list = append(list, judged{work: workOf(one.took.Seconds()/answers, rate, slots), weight: answers, bins: one.bins})
+		list = append(list, workEstimate{work: workFromResponseTime(one.took.Seconds()/answers, rate, slots), weight: answers, bins: one.bins})
 	}
 	return list
 }
 
 // stretch is a number of bins one after the other with about the same rate.
-type stretch struct {
+type steadyPeriod struct {
 	bins, answers int
 	took          time.Duration
 }
 
 // Differences of a bin from those before that chance explains.
 const (
-	steadyDeviations = 3.0
-	steadyLeast      = 3.0
+	steadyDeviations    = 3.0
+	minSteadyDifference = 3.0
 )
 
 // steady cuts the last whole bins into stretches.
-func (w *Work) steady(newest, count int64) []stretch {
-	var list []stretch
+func (w *Work) steadyPeriods(newest, count int64) []steadyPeriod {
+	var list []steadyPeriod
 	for number := max(0, newest-count); number < newest; number++ {
 		one := w.bins[number%keptBins]
 		if one.number != number {
 			one = bin{}
 		}
 		last := len(list) - 1
-		if last < 0 || !list[last].takes(one) {
-			list = append(list, stretch{})
+		if last < 0 || !list[last].hasRateOf(one) {
+			list = append(list, steadyPeriod{})
 			last++
 		}
 		list[last].bins++
@@ -137,15 +137,15 @@
 }
 
 // takes reports whether a bin has about the rate of a stretch.
-func (s stretch) takes(one bin) bool {
+func (s steadyPeriod) hasRateOf(one bin) bool {
 	expected := float64(s.answers) / float64(s.bins)
-	return math.Abs(float64(one.answers)-expected) <= steadyLeast+steadyDeviations*math.Sqrt(expected)
+	return math.Abs(float64(one.answers)-expected) <= minSteadyDifference+steadyDeviations*math.Sqrt(expected)
 }
 
 // mean returns the weighted mean of some estimates, with the weight of all. Stretches of
 // one bin are left out where there are longer ones: the load changed within them.
-func mean(list []judged, more ...judged) judged {
-	long := slices.DeleteFunc(slices.Clone(list), func(one judged) bool { return one.bins < 2 })
+func weightedMean(list []workEstimate, more ...workEstimate) workEstimate {
+	long := slices.DeleteFunc(slices.Clone(list), func(one workEstimate) bool { return one.bins < 2 })
 	if len(long) > 0 {
 		list = long
 	}
@@ -154,17 +154,17 @@
 		sum += one.weight * one.work
 		total += one.weight
 	}
-	return judged{work: sum / total, weight: total}
+	return workEstimate{work: sum / total, weight: total}
 }
 
-// workOf returns the mean time of work, in seconds, of a worker whose answers took some
+// workFromResponseTime returns the mean time of work, in seconds, of a worker whose answers took some
 // time at a rate: the work that, with the time that a queue of several servers adds at
 // that rate, comes to what was measured.
-func workOf(took, rate float64, slots int) float64 {
+func workFromResponseTime(took, rate float64, slots int) float64 {
 	least, most := 0.0, min(took, float64(slots)/max(rate, 1e-9))
 	for range bisections {
 		middle := (least + most) / 2
-		if middle+waiting(middle, rate, slots) > took {
+		if middle+queueingTime(middle, rate, slots) > took {
 			most = middle
 		} else {
 			least = middle
@@ -175,7 +175,7 @@
 
 // waiting approximates the mean time in the queue of a worker with several slots
 // (Sakasegawa 1977, for work that varies about as an exponential does).
-func waiting(work, rate float64, slots int) float64 {
+func queueingTime(work, rate float64, slots int) float64 {
 	count := float64(max(slots, 1))
 	busy := rate * work / count
 	if busy >= 1 {
--- a/internal/estimate/work_test.go
+++ b/internal/estimate/work_test.go
@@ -63,7 +63,7 @@
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func TestWorkIsFoundWhateverTheLoad(t *testing.T) {
+func TestWorkEstimateIsAccurateAtAnyLoad(t *testing.T) {
 	const usual = 60 * time.Millisecond
 	for name, c := range map[string]struct {
 		work, rate float64
@@ -97,7 +97,7 @@
 
 // A sudden load is no slower worker: the average of a time in which it began would show
 // long waits at a low rate.
-func TestASuddenLoadIsNoSlowness(t *testing.T) {
+func TestLoadSpikeIsNotSlowness(t *testing.T) {
 	for seed := range uint64(20) {
 		estimate := NewWork(at(0))
 		worker := newWorker(seed, 4, 16)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestAWorkerThatTurnsSlowIsSeenSoon(t *testing.T) {
+func TestSlowdownIsDetectedQuickly(t *testing.T) {
 	estimate := NewWork(at(0))
 	worker := newWorker(1, 4, 16)
 	worker.serve(estimate, 12, 25, 0.06)
@@ -119,7 +119,7 @@
 	assert.Assert(t, got > 130*time.Millisecond, "%v", got)
 }
 
-func TestNothingMeasuredIsTheUsual(t *testing.T) {
+func TestMeanWithoutAnswersIsThePrior(t *testing.T) {
 	estimate := NewWork(at(0))
 	assert.Equal(t, estimate.Mean(at(5), 4, time.Second), time.Second)
 }
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -18,8 +18,8 @@
 	services atomic.Pointer[map[routing.ServiceName][]owner.Owner]
 	changed  chan struct{}
 	// term of the leader whose word stands, and since when it stands.
-	term owner.Term
-	at   time.Time
+	term      owner.Term
+	updatedAt time.Time
 	// versions are the leader's own numbers of what stands, by service.
 	versions map[routing.ServiceName]uint64
 }
@@ -96,15 +96,15 @@
 func (c Change) apply(owners []owner.Owner) []owner.Owner {
 	switch {
 	case !c.Full:
-		return overlay(owners, runsOf(c.Owners), c.Owners)
+		return overlay(owners, keyRanges(c.Owners), c.Owners)
 	case c.Range != nil:
 		return overlay(owners, []owner.KeyRange{*c.Range}, c.Owners)
 	}
 	return slices.Clone(c.Owners)
 }
 
-// runsOf returns the keys of owners.
-func runsOf(owners []owner.Owner) []owner.KeyRange {
+// keyRanges returns the keys of owners.
+func keyRanges(owners []owner.Owner) []owner.KeyRange {
 	runs := make([]owner.KeyRange, 0, len(owners))
 	for _, one := range owners {
 		runs = append(runs, one.Keys)
@@ -114,7 +114,7 @@
 
 // overlay returns the owners with some runs of keys taken from them, and others given those that
 // change. All are in the order of their keys. It passes over each once, however many change.
-func overlay(owners []owner.Owner, taken []owner.KeyRange, changes []owner.Owner) []owner.Owner {
+func overlay(owners []owner.Owner, replaced []owner.KeyRange, changes []owner.Owner) []owner.Owner {
 	merged := make([]owner.Owner, 0, len(owners)+2*len(changes))
 	next := 0
 	add := func(one owner.Owner) {
@@ -126,15 +126,15 @@
 	}
 	index := 0
 	for _, one := range owners {
-		for index < len(taken) && taken[index].To < one.Keys.From {
+		for index < len(replaced) && replaced[index].To < one.Keys.From {
 			index++
 		}
 		from := one.Keys.From
-		for at := index; at < len(taken) && taken[at].From <= one.Keys.To; at++ {
-			if left := taken[at].From - 1; left >= from {
+		for at := index; at < len(replaced) && replaced[at].From <= one.Keys.To; at++ {
+			if left := replaced[at].From - 1; left >= from {
 				add(withKeys(one, from, left))
 			}
-			from = max(from, taken[at].To+1)
+			from = max(from, replaced[at].To+1)
 		}
 		if from <= one.Keys.To {
 			add(withKeys(one, from, one.Keys.To))
@@ -151,14 +151,14 @@
 
 // Within returns the owners of some keys, each run cut at their ends.
 func Clip(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
-	var within []owner.Owner
+	var clipped []owner.Owner
 	for _, one := range owners {
 		from, to := max(one.Keys.From, keys.From), min(one.Keys.To, keys.To)
 		if from <= to {
-			within = append(within, withKeys(one, from, to))
+			clipped = append(clipped, withKeys(one, from, to))
 		}
 	}
-	return within
+	return clipped
 }
 
 func (t *Table) update(term owner.Term, service routing.ServiceName, change func([]owner.Owner) []owner.Owner) {
@@ -177,7 +177,7 @@
 		clear(t.versions)
 	}
 	t.term = term
-	t.at = clock.Now()
+	t.updatedAt = clock.Now()
 	fresh := map[routing.ServiceName][]owner.Owner{}
 	for name, owners := range *t.services.Load() {
 		fresh[name] = owners
@@ -199,7 +199,7 @@
 func (t *Table) Age() (owner.Term, time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.term, clock.Since(t.at)
+	return t.term, clock.Since(t.updatedAt)
 }
 
 // Difference returns the runs of keys whose owner differs, as the new owners say.
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -35,7 +35,7 @@
 }
 
 // A follower that paints the differences has what the leader has.
-func TestDifferencesPaintedGiveTheNewOwners(t *testing.T) {
+func TestApplyingDifferenceYieldsNewOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
 		table := New()
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestWordsOfAnEarlierLeaderArePassedOver(t *testing.T) {
+func TestUpdatesOfEarlierLeaderAreIgnored(t *testing.T) {
 	whole := func(worker workers.ID) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: worker}}
 	}
@@ -78,7 +78,7 @@
 
 // A process that changes from one relay to another may hear there what it knows already,
 // or less.
-func TestAnOlderWordOverAnotherWayChangesNothing(t *testing.T) {
+func TestOutdatedChangesAreIgnored(t *testing.T) {
 	run := func(from, to int, worker workers.ID) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: from, To: to}, Worker: worker}}
 	}
@@ -106,7 +106,7 @@
 
 // Owners that are told in pieces are those that were told, whatever stood before; until the last
 // piece the table has the version of before, so that nobody takes it for whole.
-func TestOwnersAreToldInPieces(t *testing.T) {
+func TestOwnersArriveInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
 		table := New()
@@ -135,7 +135,7 @@
 }
 
 // A change of a few runs passes over the table once, not once a run.
-func BenchmarkManyChanges(b *testing.B) {
+func BenchmarkApplyManyChanges(b *testing.B) {
 	var owners []owner.Owner
 	for from := 0; from < owner.KeyCount; from += 16 {
 		owners = append(owners, owner.Owner{Keys: owner.KeyRange{From: from, To: from + 15}, Worker: "a"})
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -5,8 +5,8 @@
 	{
 		name: "drain-outlives-its-life",
 		file: "internal/workers/workers.go",
-		old:  "\t\tdelete(d.drainingSince, worker.ID)\n\t\td.before",
-		new:  "\t\td.before",
+		old:  "\t\tdelete(d.drainingSince, worker.ID)\n\t\td.previous",
+		new:  "\t\td.previous",
 		pkg:  "./internal/router", test: "TestWorkerViewIsCorrectInAnyEventOrder",
 	},
 	{
@@ -32,7 +32,7 @@
 	},
 	{
 		name: "overwritten-entry-waited-for",
-		file: "internal/workers/kept.go",
+		file: "internal/workers/settling.go",
 		old:  "StateReady || d.unreadable[id] {",
 		new:  "StateReady {",
 		pkg:  "./internal/router", test: "TestWorkerWithOverwrittenEntryIsNotUsed",
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -61,10 +61,10 @@
 	},
 	{
 		name: "wait-begins-anew-for-an-entry",
-		file: "internal/workers/kept.go",
+		file: "internal/workers/settling.go",
 		old:  "\tif _, already := d.kept[id]; already && !d.unreadable[id] {",
 		new:  "\tif _, already := d.kept[id]; false && already {",
-		pkg:  "./internal/workers", test: "TestAVanishedEntryIsWaitedForOnce",
+		pkg:  "./internal/workers", test: "TestRepeatedOutagesDoNotExtendTheWait",
 	},
 	{
 		name: "unknown-owner-used-without-end",
@@ -148,7 +148,7 @@
 		file: "internal/keytable/keytable.go",
 		old:  "	if change.Term < t.term || (change.Term == t.term && change.Version < t.versions[service]) {",
 		new:  "	if change.Term < t.term {",
-		pkg:  "./internal/keytable", test: "TestAnOlderWordOverAnotherWayChangesNothing",
+		pkg:  "./internal/keytable", test: "TestOutdatedChangesAreIgnored",
 	},
 	{
 		name: "relay-without-leader-followed-on",
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -13,16 +13,16 @@
 	{
 		name: "entry-ends-a-workers-word",
 		file: "internal/workers/workers.go",
-		old:  "	d.noteLeaving()\n	for id, worker := range d.byID {",
+		old:  "	d.applyLeaving()\n	for id, worker := range d.byID {",
 		new:  "	for id, worker := range d.byID {",
-		pkg:  "./internal/workers", test: "TestWhatDoesNotEndAWorkersOwnWordThatItLeaves",
+		pkg:  "./internal/workers", test: "TestLeavingEndsOnlyWithTheIncarnation",
 	},
 	{
 		name: "word-of-one-life-counts-for-another",
 		file: "internal/workers/leaving.go",
-		old:  "if !announced || !life.MayEqual(worker.Incarnation()) {",
+		old:  "if !announced || !incarnation.MayEqual(worker.Incarnation()) {",
 		new:  "if !announced {",
-		pkg:  "./internal/workers", test: "TestWhatDoesNotEndAWorkersOwnWordThatItLeaves",
+		pkg:  "./internal/workers", test: "TestLeavingEndsOnlyWithTheIncarnation",
 	},
 	{
 		name: "later-departure-replaces-the-first",
@@ -125,8 +125,8 @@
 	{
 		name: "slow-worker-is-never-asked-again",
 		file: "internal/estimate/latency.go",
-		old:  "	kept := math.Exp(-silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
-		new:  "	kept := math.Exp(0 * -silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
+		old:  "	decay := math.Exp(-idle.Seconds() / meanDecay.Seconds())\n	return toDuration((latencyPrior",
+		new:  "	decay := math.Exp(0 * -idle.Seconds() / meanDecay.Seconds())\n	return toDuration((latencyPrior",
 		pkg:  "./internal/proxy", test: "TestFormerlySlowWorkerIsTriedAgain",
 	},
 }
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -49,14 +49,14 @@
 		file: "internal/tenant/index.go",
 		old:  "	if caller.scope() != scope {",
 		new:  "	if false {",
-		pkg:  "./internal/tenant", test: "TestAKeyIsGoodInItsScope",
+		pkg:  "./internal/tenant", test: "TestKeyIsValidInItsScopeOnly",
 	},
 	{
 		name: "one-of-two-keys-taken",
 		file: "internal/tenant/index.go",
 		old:  "	if len(lines) > 1 {",
 		new:  "	if false {",
-		pkg:  "./internal/tenant", test: "TestCallersAreKnownByTheirKeys",
+		pkg:  "./internal/tenant", test: "TestCallersAreIdentifiedByKey",
 	},
 	{
 		name: "caller-told-that-its-key-was-good",
--- a/internal/routing/regions.go
+++ b/internal/routing/regions.go
@@ -8,9 +8,9 @@
 
 // RegionsOf returns the only regions in which a service can be asked for: those that any route
 // to it allows. bound is false if some route to it may be served anywhere, or none leads there.
-func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, bound bool) {
+func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, restricted bool) {
 	for _, route := range c.routes {
-		if !route.leadsTo(service) {
+		if !route.sendsTo(service) {
 			continue
 		}
 		if len(route.Regions) == 0 {
@@ -26,6 +26,6 @@
 }
 
 // leadsTo reports whether any of the route's requests go to a service.
-func (r *Route) leadsTo(service ServiceName) bool {
+func (r *Route) sendsTo(service ServiceName) bool {
 	return slices.ContainsFunc(r.Services, func(one WeightedService) bool { return one.Service == service && one.Weight > 0 })
 }
--- a/internal/routing/regions_test.go
+++ b/internal/routing/regions_test.go
@@ -8,7 +8,7 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-func TestRegionsOfAService(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	route := func(weight int, regions ...topology.Region) *Route {
 		return &Route{
 			Prefix: "/", Timeout: 1, Regions: regions,
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -135,7 +135,7 @@
 		byHost:   map[string][]*Route{},
 	}
 	for _, route := range routes {
-		if err := check(route, services); err != nil {
+		if err := validate(route, services); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(route.Host)
@@ -144,7 +144,7 @@
 	return config, nil
 }
 
-func check(route *Route, services map[ServiceName]*Service) error {
+func validate(route *Route, services map[ServiceName]*Service) error {
 	switch {
 	case !strings.HasPrefix(route.Prefix, "/"):
 		return Error.New("route %q: prefix %q must start with a slash", route.Name, route.Prefix)
@@ -175,16 +175,16 @@
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
-	if best := longest(c.byHost[strings.ToLower(host)], path); best != nil {
+	if best := longestPrefix(c.byHost[strings.ToLower(host)], path); best != nil {
 		return best
 	}
-	return longest(c.byHost[anyHost], path)
+	return longestPrefix(c.byHost[anyHost], path)
 }
 
 // anyHost is the host of routes that name none.
 const anyHost = ""
 
-func longest(routes []*Route, path string) *Route {
+func longestPrefix(routes []*Route, path string) *Route {
 	var best *Route
 	for _, route := range routes {
 		if strings.HasPrefix(path, route.Prefix) && (best == nil || len(route.Prefix) > len(best.Prefix)) {
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -29,19 +29,19 @@
 	defer s.mu.Unlock()
 	current := s.current[route]
 	if current == nil {
-		current = s.begin(route)
+		current = s.startRound(route)
 		s.current[route] = current
 	}
-	return route.Services[deal(route, current)].Service
+	return route.Services[nextService(route, current)].Service
 }
 
-// mostPassedOver bounds how many requests of a round are passed over, which takes a millisecond:
+// maxSkipped bounds how many requests of a round are passed over, which takes a millisecond:
 // all processes take a configuration at once, and weights of 2^40 held up each of them for hours
 // at the first request of the route.
-const mostPassedOver = 100_000
+const maxSkipped = 100_000
 
 // begin returns where a route's round begins.
-func (s *Splitter) begin(route *Route) []int {
+func (s *Splitter) startRound(route *Route) []int {
 	total := 0
 	for _, part := range route.Services {
 		total += part.Weight
@@ -50,14 +50,14 @@
 	if total <= 0 {
 		return current
 	}
-	for range s.start(min(total, mostPassedOver)) {
-		deal(route, current)
+	for range s.start(min(total, maxSkipped)) {
+		nextService(route, current)
 	}
 	return current
 }
 
 // deal returns the index of the next part.
-func deal(route *Route, current []int) int {
+func nextService(route *Route, current []int) int {
 	total, best := 0, 0
 	for index, part := range route.Services {
 		current[index] += part.Weight
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -8,7 +8,7 @@
 
 // Processes that see one request each deal them by the weights all the same, if their
 // rounds begin at all places alike.
-func TestManySplittersTogetherKeepTheWeights(t *testing.T) {
+func TestFirstPicksOfManySplittersFollowTheWeights(t *testing.T) {
 	for name, weights := range map[string][]int{
 		"halves":      {1, 1},
 		"most to one": {7, 3},
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestASplitterKeepsTheWeights(t *testing.T) {
+func TestSplitterFollowsTheWeights(t *testing.T) {
 	route := &Route{Services: []WeightedService{{Service: "a", Weight: 5}, {Service: "b", Weight: 1}}}
 	splitter := NewSplitter(func(int) int { return 4 })
 	dealt := map[ServiceName]int{}
@@ -50,7 +50,7 @@
 
 // A configuration is read by all processes within a second: weights of any size must not hold up
 // the first request of a route, which begins its round, for seconds at each of them.
-func TestHugeWeightsBeginARoundSoon(t *testing.T) {
+func TestHugeWeightsDoNotDelayTheFirstRequest(t *testing.T) {
 	route := &Route{Services: []WeightedService{{Service: "a", Weight: 1 << 40}, {Service: "b", Weight: 1 << 40}}}
 	splitter := NewSplitter(func(of int) int {
 		assert.Assert(t, of <= 100_000, "up to %d requests are passed over", of)
--- a/internal/routing/tenant_test.go
+++ b/internal/routing/tenant_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestATenantsPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	for name, test := range map[string]struct {
 		route  int
 		tenant *Tenant
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestDigestsHaveOneForm(t *testing.T) {
+func TestKeyDigestText(t *testing.T) {
 	var digest KeyDigest
 	assert.NilError(t, digest.UnmarshalText([]byte(strings.Repeat("8a", keyDigestBytes))))
 	text, err := digest.MarshalText()
@@ -39,7 +39,7 @@
 }
 
 // One key can't be two tenants'.
-func TestAKeyBelongsToOneTenant(t *testing.T) {
+func TestKeyBelongsToOneTenant(t *testing.T) {
 	key := KeyDigest{1}
 	_, err := (&Config{}).WithTenants(map[TenantName]*Tenant{"a": {Keys: []KeyDigest{key}}, "b": {Keys: []KeyDigest{key}}})
 	assert.ErrorContains(t, err, "has too")
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -61,16 +61,16 @@
 	Scope routing.Scope
 }
 
-// mostFormer is of how many keys that were taken away an index knows: enough for the largest
+// maxRevoked is of how many keys that were taken away an index knows: enough for the largest
 // tenant's at once, in half a megabyte. Those that went first are forgotten first.
-const mostFormer = 4096
+const maxRevoked = 4096
 
 // tag is the keyed hash of a digest. Lookups compare tags, whose bits a caller can't choose
 // without the secret, so the time that they take tells nothing about keys.
 type tag [sha256.Size]byte
 
 // holding is a key's digest and the tenant that holds it.
-type holding struct {
+type keyHolder struct {
 	digest routing.KeyDigest
 	tenant *routing.Tenant
 }
@@ -78,8 +78,8 @@
 // Index finds the tenants that hold API keys in one configuration. It is never changed after
 // NewIndex, and safe for concurrent use.
 type Index struct {
-	held   map[tag]holding
-	former map[tag]RevokedKey
+	active  map[tag]keyHolder
+	revoked map[tag]RevokedKey
 	// hashers are of type *hasher.
 	hashers *sync.Pool
 }
@@ -88,63 +88,63 @@
 // configuration before, made with the same secret; nil if there is none.
 func NewIndex(secret Secret, config *routing.Config, before *Index) *Index {
 	x := &Index{
-		held:    map[tag]holding{},
-		former:  map[tag]RevokedKey{},
+		active:  map[tag]keyHolder{},
+		revoked: map[tag]RevokedKey{},
 		hashers: &sync.Pool{New: func() any { return &hasher{keyed: hmac.New(sha256.New, secret[:])} }},
 	}
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
 	for _, one := range config.Tenants {
 		for _, digest := range one.Keys {
-			x.held[h.tag(digest)] = holding{digest: digest, tenant: one}
+			x.active[h.tag(digest)] = keyHolder{digest: digest, tenant: one}
 		}
 	}
 	if before != nil {
-		x.remember(before, config.Version)
+		x.addRevoked(before, config.Version)
 	}
 	return x
 }
 
 // remember notes which keys stand no longer, as of a version.
-func (x *Index) remember(before *Index, version routing.Version) {
-	for key, former := range before.former {
-		if _, back := x.held[key]; !back {
-			x.former[key] = former
+func (x *Index) addRevoked(before *Index, version routing.Version) {
+	for key, former := range before.revoked {
+		if _, back := x.active[key]; !back {
+			x.revoked[key] = former
 		}
 	}
-	for key, was := range before.held {
-		if _, stands := x.held[key]; !stands {
-			x.former[key] = RevokedKey{Tenant: was.tenant.Name, RevokedIn: version, Scope: was.tenant.Scope}
+	for key, was := range before.active {
+		if _, stands := x.active[key]; !stands {
+			x.revoked[key] = RevokedKey{Tenant: was.tenant.Name, RevokedIn: version, Scope: was.tenant.Scope}
 		}
 	}
-	x.forget()
+	x.pruneRevoked()
 }
 
-// forget drops the keys that went first until no more than mostFormer are left.
-func (x *Index) forget() {
-	if len(x.former) <= mostFormer {
+// forget drops the keys that went first until no more than maxRevoked are left.
+func (x *Index) pruneRevoked() {
+	if len(x.revoked) <= maxRevoked {
 		return
 	}
-	keys := make([]tag, 0, len(x.former))
-	for key := range x.former {
+	keys := make([]tag, 0, len(x.revoked))
+	for key := range x.revoked {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b tag) int { return int(x.former[a].RevokedIn) - int(x.former[b].RevokedIn) })
-	for _, key := range keys[:len(keys)-mostFormer] {
-		delete(x.former, key)
+	slices.SortFunc(keys, func(a, b tag) int { return int(x.revoked[a].RevokedIn) - int(x.revoked[b].RevokedIn) })
+	for _, key := range keys[:len(keys)-maxRevoked] {
+		delete(x.revoked, key)
 	}
 }
 
 // Keys returns how many keys are held.
-func (x *Index) KeyCount() int { return len(x.held) }
+func (x *Index) KeyCount() int { return len(x.active) }
 
 // Identify finds out who makes a request within a scope, by its headers.
 func (x *Index) Identify(header http.Header, scope routing.Scope) Caller {
-	key, finding := keyOf(header)
+	key, finding := keyFromHeader(header)
 	if finding != Authenticated {
 		return Caller{Result: finding}
 	}
-	caller := x.find(key)
+	caller := x.lookUp(key)
 	if caller.scope() != scope {
 		return Caller{Result: Unknown}
 	}
@@ -160,22 +160,22 @@
 }
 
 // find returns who holds a key.
-func (x *Index) find(key string) Caller {
+func (x *Index) lookUp(key string) Caller {
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
 	digest := Digest(key)
 	looked := h.tag(digest)
-	if held, found := x.held[looked]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
+	if held, found := x.active[looked]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
 		return Caller{Result: Authenticated, Tenant: held.tenant}
 	}
-	if former, known := x.former[looked]; known {
+	if former, known := x.revoked[looked]; known {
 		return Caller{Result: Revoked, RevokedKey: former}
 	}
 	return Caller{Result: Unknown}
 }
 
-// keyOf reads the key that a request shows; the finding is Proved where it shows one.
-func keyOf(header http.Header) (string, AuthResult) {
+// keyFromHeader reads the key that a request shows; the finding is Proved where it shows one.
+func keyFromHeader(header http.Header) (string, AuthResult) {
 	lines := header[Header]
 	if len(lines) == 0 {
 		return "", Missing
@@ -192,11 +192,11 @@
 }
 
 // Valid reports whether a text can be an API key.
-func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, odd) }
+func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, isInvalidKeyRune) }
 
 // odd reports whether a character can't be part of a key: a blank, a control character, or one
 // outside of ASCII.
-func odd(r rune) bool { return r <= ' ' || r > '~' }
+func isInvalidKeyRune(r rune) bool { return r <= ' ' || r > '~' }
 
 // hasher hashes digests under a secret. It is used by one goroutine at a time.
 type hasher struct {
--- a/internal/tenant/index_test.go
+++ b/internal/tenant/index_test.go
@@ -24,7 +24,7 @@
 	return config
 }
 
-func TestCallersAreKnownByTheirKeys(t *testing.T) {
+func TestCallersAreIdentifiedByKey(t *testing.T) {
 	x := NewIndex(Secret{1}, configOf(1, map[routing.TenantName][]string{"a": {"key-a1", "key-a2"}, "b": {"key-b"}, "none": nil}), nil)
 	for name, test := range map[string]struct {
 		lines   []string
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestKeysThatWereTakenAwayAreRemembered(t *testing.T) {
+func TestRevokedKeysAreRemembered(t *testing.T) {
 	secret := Secret{7}
 	step := func(before *Index, version routing.Version, keys ...string) *Index {
 		return NewIndex(secret, configOf(version, map[routing.TenantName][]string{"a": keys}), before)
@@ -91,15 +91,15 @@
 	assert.Equal(t, find(step(back, 11), "k1").RevokedKey.RevokedIn, routing.Version(11))
 }
 
-func TestNoMoreKeysAreRememberedThanTheBound(t *testing.T) {
-	keys := make([]string, 0, mostFormer+10)
-	for index := range mostFormer + 10 {
+func TestRememberedRevokedKeysAreBounded(t *testing.T) {
+	keys := make([]string, 0, maxRevoked+10)
+	for index := range maxRevoked + 10 {
 		keys = append(keys, fmt.Sprint("k", index))
 	}
 	first := NewIndex(Secret{}, configOf(1, map[routing.TenantName][]string{"a": keys}), nil)
 	second := NewIndex(Secret{}, configOf(2, map[routing.TenantName][]string{"a": keys[10:]}), first)
 	third := NewIndex(Secret{}, configOf(3, nil), second)
-	assert.Equal(t, len(third.former), mostFormer)
+	assert.Equal(t, len(third.revoked), maxRevoked)
 	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k0"}}, "").Result, Unknown, "went first")
 	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k20"}}, "").Result, Revoked)
 }
@@ -108,8 +108,8 @@
 func TestTagsDependOnTheSecret(t *testing.T) {
 	config := configOf(1, map[routing.TenantName][]string{"a": {"k"}})
 	one, other := NewIndex(Secret{1}, config, nil), NewIndex(Secret{2}, config, nil)
-	for key := range one.held {
-		_, same := other.held[key]
+	for key := range one.active {
+		_, same := other.active[key]
 		assert.Assert(t, !same)
 	}
 }
@@ -136,7 +136,7 @@
 func BenchmarkUnknownKeyOf20000(b *testing.B) { benchmarkIdentify(b, 20000, "unknown") }
 
 // A key is good on routes of its own scope only.
-func TestAKeyIsGoodInItsScope(t *testing.T) {
+func TestKeyIsValidInItsScopeOnly(t *testing.T) {
 	config := configOf(1, map[routing.TenantName][]string{"a": {"k"}})
 	config.Tenants["a"].Scope = "one"
 	first := NewIndex(Secret{}, config, nil)
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -25,14 +25,14 @@
 	}
 }
 
-func TestRegions(t *testing.T) {
+func TestRegionCountAndKnownZones(t *testing.T) {
 	assert.Equal(t, New(map[Zone]Region{"a1": "a", "a2": "a", "b1": "b"}).RegionCount(), 2)
 	assert.Equal(t, Map{}.RegionCount(), 1)
 	assert.Assert(t, !New(map[Zone]Region{"a1": "a"}).Known("b1"))
 	assert.Assert(t, Map{}.Known("b1"))
 }
 
-func TestZonesOfRegions(t *testing.T) {
+func TestZonesInRegions(t *testing.T) {
 	places := New(map[Zone]Region{"a2": "a", "a1": "a", "b1": "b", "c1": "c"})
 	assert.DeepEqual(t, places.Zones([]Region{"a", "c"}), []Zone{"a1", "a2", "c1"})
 	assert.Equal(t, len(places.Zones([]Region{"d"})), 0)
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -60,7 +60,7 @@
 // OnBytes sets what is called with the bytes of each read and write.
 func (c *Conn) OnBytes(count func(bytes int)) { c.count.Store(&count) }
 
-func (c *Conn) counted(bytes int) {
+func (c *Conn) addBytes(bytes int) {
 	if count := c.count.Load(); count != nil {
 		(*count)(bytes)
 	}
@@ -69,13 +69,13 @@
 // Read implements net.Conn.
 func (c *Conn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.counted(n)
+	c.addBytes(n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *Conn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
-	c.counted(n)
+	c.addBytes(n)
 	return n, err
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -33,7 +33,7 @@
 	none.Add(Keyed, "b1", 5)
 }
 
-func TestConnCountsBothWays(t *testing.T) {
+func TestConnCountsBothDirections(t *testing.T) {
 	near, far := net.Pipe()
 	counted := &Conn{Conn: near}
 	total := 0
--- a/internal/workers/evacuation.go
+++ b/internal/workers/evacuation.go
@@ -7,16 +7,16 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// assumedCold is for how long the workers of a zone that is taken back count as cold
+// assumedColdTime is for how long the workers of a zone that is taken back count as cold
 // although their entries do not say so yet: they write these about every second.
-const assumedCold = 1500 * time.Millisecond
+const assumedColdTime = 1500 * time.Millisecond
 
 // evacuations are since when zones' workers may have been to get no work.
 type evacuations map[string]time.Time
 
 // set replaces the evacuated zones, and returns whether that changed anything and which
 // were taken back.
-func (e evacuations) set(since time.Time, zones []string) (changed bool, back []string) {
+func (e evacuations) set(since time.Time, zones []string) (changed bool, restored []string) {
 	for _, zone := range zones {
 		if _, known := e[zone]; !known {
 			e[zone] = since
@@ -26,10 +26,10 @@
 	for zone := range e {
 		if !slices.Contains(zones, zone) {
 			delete(e, zone)
-			back = append(back, zone)
+			restored = append(restored, zone)
 		}
 	}
-	return changed || len(back) > 0, back
+	return changed || len(restored) > 0, restored
 }
 
 // SetEvacuated sets the zones whose workers are to get no work, and reports whether that
@@ -39,17 +39,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	changed, back := d.evacuations.set(since, zones)
+	changed, restored := d.evacuations.set(since, zones)
 	if !changed {
 		return false
 	}
 	for id, worker := range d.byID {
-		if slices.Contains(back, worker.Zone) && worker.WarmAt.Before(now.Add(assumedCold)) {
-			worker.WarmAt = now.Add(assumedCold)
+		if slices.Contains(restored, worker.Zone) && worker.WarmAt.Before(now.Add(assumedColdTime)) {
+			worker.WarmAt = now.Add(assumedColdTime)
 			d.byID[id] = worker
 		}
 	}
-	d.index()
+	d.rebuildIndex()
 	return true
 }
 
--- a/internal/workers/evacuation_test.go
+++ b/internal/workers/evacuation_test.go
@@ -14,7 +14,7 @@
 	return one
 }
 
-func TestEvacuatedZonesGetNoNewWork(t *testing.T) {
+func TestWorkersInEvacuatedZoneAreNotUsable(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones  []string
 		usable int
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestAnEvacuationCountsFromWhenItMayHaveBegun(t *testing.T) {
+func TestEvacuationTimeCountsFromEarliestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		assert.Assert(t, directory.SetEvacuated([]string{"a"}, time.Now()))
@@ -54,7 +54,7 @@
 
 // The workers of a zone may have turned cold before it is taken back, and say so only with
 // their next entries.
-func TestWorkersOfAZoneThatIsTakenBackCountAsCold(t *testing.T) {
+func TestWorkersOfRestoredZoneCountAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		longCold := inZone("2", "a")
@@ -63,7 +63,7 @@
 		directory.SetEvacuated([]string{"a"}, time.Now())
 		time.Sleep(time.Second)
 		directory.SetEvacuated(nil, time.Now())
-		for id, cold := range map[ID]time.Duration{"1": assumedCold, "2": time.Minute - time.Second} {
+		for id, cold := range map[ID]time.Duration{"1": assumedColdTime, "2": time.Minute - time.Second} {
 			known, _ := directory.Get(id)
 			assert.Equal(t, time.Until(known.WarmAt), cold, id)
 		}
--- a/internal/workers/life_test.go
+++ b/internal/workers/incarnation_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func born(id ID, state State, at StartTime) Worker {
+func workerStartedAt(id ID, state State, at StartTime) Worker {
 	one := worker(id, state)
 	one.StartTime = at
 	return one
@@ -16,23 +16,23 @@
 
 // A drain is one life's: another life that drains was taken to have done so for as long as the
 // first one, and got no requests although it was entitled to them.
-func TestADrainEndsWithItsLife(t *testing.T) {
+func TestDrainEndsWithItsIncarnation(t *testing.T) {
 	for name, test := range map[string]struct {
 		second Worker
 		listed bool
 		want   time.Duration
 	}{
-		"ready":                       {second: born("a", StateReady, 2)},
-		"ready, in a list":            {second: born("a", StateReady, 2), listed: true},
-		"draining again":              {second: born("a", StateDraining, 2), want: 300 * time.Millisecond},
-		"draining again, in a list":   {second: born("a", StateDraining, 2), listed: true, want: 300*time.Millisecond + listAge},
-		"draining, the same life":     {second: born("a", StateDraining, 1), want: 5300 * time.Millisecond},
-		"draining, by an older clock": {second: born("a", StateDraining, -7), want: 300 * time.Millisecond},
+		"ready":                       {second: workerStartedAt("a", StateReady, 2)},
+		"ready, in a list":            {second: workerStartedAt("a", StateReady, 2), listed: true},
+		"draining again":              {second: workerStartedAt("a", StateDraining, 2), want: 300 * time.Millisecond},
+		"draining again, in a list":   {second: workerStartedAt("a", StateDraining, 2), listed: true, want: 300*time.Millisecond + listAge},
+		"draining, the same life":     {second: workerStartedAt("a", StateDraining, 1), want: 5300 * time.Millisecond},
+		"draining, by an older clock": {second: workerStartedAt("a", StateDraining, -7), want: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				directory := NewDirectory()
-				directory.Update([]Worker{born("a", StateDraining, 1)}, nil, nil)
+				directory.Update([]Worker{workerStartedAt("a", StateDraining, 1)}, nil, nil)
 				time.Sleep(5 * time.Second)
 				if test.listed {
 					directory.Replace([]Worker{test.second}, LearnedTimes{"a": directory.EarliestListChange(time.Now())}, time.Now())
@@ -49,32 +49,32 @@
 }
 
 // What became of the life before is known while the worker is announced, unless its entry went.
-func TestTheLifeBeforeIsRemembered(t *testing.T) {
+func TestPreviousIncarnationIsRemembered(t *testing.T) {
 	directory := NewDirectory()
-	directory.Update([]Worker{born("a", StateReady, 1), born("b", StateDraining, 1)}, nil, nil)
+	directory.Update([]Worker{workerStartedAt("a", StateReady, 1), workerStartedAt("b", StateDraining, 1)}, nil, nil)
 	_, known := directory.PreviousIncarnation("a")
 	assert.Assert(t, !known)
-	directory.Update([]Worker{born("a", StateReady, 2), born("b", StateReady, 2)}, nil, nil)
+	directory.Update([]Worker{workerStartedAt("a", StateReady, 2), workerStartedAt("b", StateReady, 2)}, nil, nil)
 	before, known := directory.PreviousIncarnation("a")
 	assert.Assert(t, known)
 	assert.Equal(t, before.Incarnation(), Incarnation{ID: "a", StartTime: 1})
 	before, _ = directory.PreviousIncarnation("b")
 	assert.Equal(t, before.State, StateDraining)
 	directory.Update(nil, []ID{"a"}, nil)
-	directory.Update([]Worker{born("a", StateReady, 3)}, nil, nil)
+	directory.Update([]Worker{workerStartedAt("a", StateReady, 3)}, nil, nil)
 	_, known = directory.PreviousIncarnation("a")
 	assert.Assert(t, !known)
 }
 
 // A worker whose entry is waited for comes back as another life, and leaves: it is not waited for
 // as long as the first one.
-func TestAnotherLifeEndsTheWaitForTheFirst(t *testing.T) {
+func TestNewIncarnationEndsTheWaitForThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
-		directory.Update([]Worker{born("a", StateReady, 1)}, nil, nil)
+		directory.Update([]Worker{workerStartedAt("a", StateReady, 1)}, nil, nil)
 		directory.BeginSettling(time.Now().Add(time.Second))
 		assert.DeepEqual(t, directory.Update(nil, []ID{"a"}, nil).Kept, []ID{"a"})
-		directory.Update([]Worker{born("a", StateReady, 2)}, nil, nil)
+		directory.Update([]Worker{workerStartedAt("a", StateReady, 2)}, nil, nil)
 		assert.Equal(t, directory.KeptCount(), 0)
 		time.Sleep(2 * time.Second)
 		_, known := directory.Get("a")
--- a/internal/workers/leaving_test.go
+++ b/internal/workers/leaving_test.go
@@ -10,7 +10,7 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-func TestWhatDoesNotEndAWorkersOwnWordThatItLeaves(t *testing.T) {
+func TestLeavingEndsOnlyWithTheIncarnation(t *testing.T) {
 	first, second := Worker{ID: "w", Service: "s", State: StateReady, StartTime: 1}, Worker{ID: "w", Service: "s", State: StateReady, StartTime: 2}
 	unborn := Worker{ID: "w", Service: "s", State: StateReady}
 	for name, test := range map[string]struct {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAWordOfALifeThatWasNotKnownHoldsForOneLife(t *testing.T) {
+func TestLeavingWithoutStartTimeAppliesToOneIncarnation(t *testing.T) {
 	first, second := Worker{ID: "w", Service: "s", State: StateReady, StartTime: 1}, Worker{ID: "w", Service: "s", State: StateReady, StartTime: 2}
 	d := NewDirectory()
 	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
@@ -57,7 +57,7 @@
 	assert.Equal(t, worker.State, StateReady)
 }
 
-func TestAWorkerDrainsFromItsFirstWord(t *testing.T) {
+func TestDrainCountsFromFirstReport(t *testing.T) {
 	d := NewDirectory()
 	d.Replace([]Worker{{ID: "w", Service: "s", State: StateReady}}, nil, clock.Now())
 	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
@@ -66,16 +66,16 @@
 	assert.Assert(t, d.DrainingFor("w") >= time.Second)
 }
 
-func TestAWorkerThatIsNotAnnouncedIsKnownToLeave(t *testing.T) {
+func TestLeavingIsKnownForUnannouncedWorker(t *testing.T) {
 	d := NewDirectory()
 	d.MarkLeaving(Incarnation{ID: "w"}, clock.Now().Add(-time.Second))
 	assert.Assert(t, d.DrainingFor("w") >= time.Second)
 	assert.Equal(t, d.DrainingFor("other"), time.Duration(0))
 }
 
-func TestTheWordOfWorkersThatAreLongGoneIsForgotten(t *testing.T) {
+func TestLeavingIsForgottenLongAfterWorkerIsGone(t *testing.T) {
 	d := NewDirectory()
-	d.MarkLeaving(Incarnation{ID: "gone"}, clock.Now().Add(-2*goneMemory))
+	d.MarkLeaving(Incarnation{ID: "gone"}, clock.Now().Add(-2*goneRetention))
 	d.MarkLeaving(Incarnation{ID: "lately"}, clock.Now())
 	d.Replace(nil, nil, clock.Now())
 	assert.Equal(t, len(d.leaving), 1)
@@ -83,27 +83,27 @@
 
 // leavingModel is a directory, and which lives have said that they leave, since when.
 type leavingModel struct {
-	directory *Directory
-	said      map[Incarnation]time.Time
+	directory    *Directory
+	leavingSince map[Incarnation]time.Time
 }
 
-func drawLife(t *rapid.T) Incarnation {
+func drawIncarnation(t *rapid.T) Incarnation {
 	return Incarnation{ID: rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker"), StartTime: StartTime(rapid.IntRange(1, 3).Draw(t, "born"))}
 }
 
 func drawWorker(t *rapid.T) Worker {
-	life := drawLife(t)
+	life := drawIncarnation(t)
 	state := rapid.SampledFrom([]State{StateReady, StateReady, StateDraining}).Draw(t, "state")
 	return Worker{ID: life.ID, StartTime: life.StartTime, Service: "s", State: state}
 }
 
 // leaves lets a life say that it leaves, known since some time ago.
-func (m *leavingModel) leaves(t *rapid.T) {
-	life := drawLife(t)
+func (m *leavingModel) markLeaving(t *rapid.T) {
+	life := drawIncarnation(t)
 	since := clock.Now().Add(-time.Duration(rapid.IntRange(0, 5).Draw(t, "ago")) * time.Second)
 	m.directory.MarkLeaving(life, since)
-	if before, known := m.said[life]; !known || since.Before(before) {
-		m.said[life] = since
+	if before, known := m.leavingSince[life]; !known || since.Before(before) {
+		m.leavingSince[life] = since
 	}
 }
 
@@ -115,7 +115,7 @@
 		if !announced {
 			continue
 		}
-		since, said := m.said[worker.Incarnation()]
+		since, said := m.leavingSince[worker.Incarnation()]
 		if said && worker.State != StateDraining {
 			t.Fatalf("%v has said that it leaves, and is %s", worker.Incarnation(), worker.State)
 		}
@@ -131,11 +131,11 @@
 	}
 }
 
-func TestNoOrderOfEntriesAndWordsMakesALeavingWorkerUsable(t *testing.T) {
+func TestLeavingWorkerIsNotUsableInAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &leavingModel{directory: NewDirectory(), said: map[Incarnation]time.Time{}}
+		m := &leavingModel{directory: NewDirectory(), leavingSince: map[Incarnation]time.Time{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"a life says that it leaves": m.leaves,
+			"a life says that it leaves": m.markLeaving,
 			"an entry is written":        func(t *rapid.T) { m.directory.Update([]Worker{drawWorker(t)}, nil, nil) },
 			"an entry goes": func(t *rapid.T) {
 				m.directory.Update(nil, []ID{rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker")}, nil)
@@ -150,9 +150,9 @@
 	})
 }
 
-func TestALifeThatSaidNothingIsAsItsEntrySays(t *testing.T) {
+func TestOtherIncarnationsKeepTheStateOfTheirEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d, worker, other := NewDirectory(), drawWorker(t), drawLife(t)
+		d, worker, other := NewDirectory(), drawWorker(t), drawIncarnation(t)
 		d.MarkLeaving(other, clock.Now())
 		d.Update([]Worker{worker}, nil, nil)
 		got, _ := d.Get(worker.ID)
--- a/internal/workers/kept.go
+++ b/internal/workers/settling.go
@@ -11,16 +11,16 @@
 const SettleTime = 2200 * time.Millisecond
 
 // wait is a time in which entries that vanish may have lapsed only.
-type wait struct {
+type settling struct {
 	until time.Time
 	// each is for how long one entry is waited for at most.
-	each time.Duration
+	perEntry time.Duration
 }
 
 // deadline returns until when an entry that vanishes now is waited for; it has passed if
 // the entry is not.
-func (w wait) deadline(now time.Time) time.Time {
-	if longest := now.Add(w.each); longest.Before(w.until) {
+func (w settling) deadline(now time.Time) time.Time {
+	if longest := now.Add(w.perEntry); longest.Before(w.until) {
 		return longest
 	}
 	return w.until
@@ -39,23 +39,23 @@
 func (d *Directory) BeginSettling(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.own = wait{until: until, each: SettleTime}
+	d.own = settling{until: until, perEntry: SettleTime}
 }
 
 // SettleTold tells that another process, which tells of changes, did not reach the service.
 // each is for how long one worker is kept at most: who read all changes itself meanwhile
 // would else send requests to workers that left, for as long as the other waits.
-func (d *Directory) BeginPeerSettling(until time.Time, each time.Duration) {
+func (d *Directory) BeginPeerSettling(until time.Time, perEntry time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = wait{until: until, each: each}
+	d.peer = settling{until: until, perEntry: perEntry}
 }
 
 // EndSettling tells that the service was not away for others: entries that vanished are
 // gone.
 func (d *Directory) EndSettling() {
 	d.mu.Lock()
-	d.own, d.told = wait{}, wait{}
+	d.own, d.peer = settling{}, settling{}
 	for id, one := range d.kept {
 		one.until = time.Time{}
 		d.kept[id] = one
@@ -68,7 +68,7 @@
 func (d *Directory) SettlingLeft() time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	return max(0, clock.Until(d.own.until), clock.Until(d.told.until))
+	return max(0, clock.Until(d.own.until), clock.Until(d.peer.until))
 }
 
 // Kept returns how many workers are kept although their entries went.
@@ -80,23 +80,23 @@
 
 // OnExpired sets what is called with the workers whose entries did not come back in time.
 // It is set before the directory is used.
-func (d *Directory) OnExpired(call func([]ID)) { d.expired = call }
+func (d *Directory) OnExpired(call func([]ID)) { d.onExpired = call }
 
 // vanish notes that the entry of a known worker went, and reports whether the worker is
 // kept. learned is since when that is known. The caller holds mu.
-func (d *Directory) vanish(id ID, learned time.Time, vanished *Vanished) bool {
+func (d *Directory) handleVanished(id ID, learnedAt time.Time, vanished *Vanished) bool {
 	if _, already := d.kept[id]; already && !d.unreadable[id] {
 		return true
 	}
 	delete(d.kept, id)
 	now := clock.Now()
-	until := d.keptUntil(id, learned, now)
+	until := d.keptUntil(id, learnedAt, now)
 	if !now.Before(until) {
-		d.goneAt[id] = learned
+		d.goneAt[id] = learnedAt
 		vanished.Gone = append(vanished.Gone, id)
 		return false
 	}
-	d.kept[id] = kept{since: learned, until: until}
+	d.kept[id] = kept{since: learnedAt, until: until}
 	vanished.Kept = append(vanished.Kept, id)
 	time.AfterFunc(until.Sub(now), d.Expire)
 	return true
@@ -105,13 +105,13 @@
 // keptUntil returns until when a known worker is kept whose entry went, as is known since a
 // time. A process that was away itself cannot know when: its wait ends by when it was back. The
 // caller holds mu.
-func (d *Directory) keptUntil(id ID, learned, now time.Time) time.Time {
+func (d *Directory) keptUntil(id ID, learnedAt, now time.Time) time.Time {
 	if d.byID[id].State != StateReady || d.unreadable[id] {
 		return now // it left, or its entry stands and has not lapsed
 	}
-	own, told := d.own.deadline(now), d.told.deadline(learned)
-	if told.After(own) {
-		return told
+	own, peer := d.own.deadline(now), d.peer.deadline(learnedAt)
+	if peer.After(own) {
+		return peer
 	}
 	return own
 }
@@ -119,15 +119,15 @@
 // Expire takes workers to be gone whose entries did not come back in time. It is done when that
 // time is over, and is to be called after a suspension, in which timers stand.
 func (d *Directory) Expire() {
-	expired := d.dropKept()
-	if len(expired) > 0 && d.expired != nil {
-		d.expired(expired)
+	expired := d.removeExpired()
+	if len(expired) > 0 && d.onExpired != nil {
+		d.onExpired(expired)
 	}
 }
 
 // dropKept removes the kept workers whose time is over, and returns them. They are gone since
 // their entries went: what else may reach them for a while is counted from then.
-func (d *Directory) dropKept() []ID {
+func (d *Directory) removeExpired() []ID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var expired []ID
@@ -142,7 +142,7 @@
 		expired = append(expired, id)
 	}
 	if len(expired) > 0 {
-		d.index()
+		d.rebuildIndex()
 	}
 	return expired
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -51,8 +51,8 @@
 	goneAt map[ID]time.Time
 	// listed says that a list was read, and missed is since when a worker that never was in
 	// one is asked for.
-	listed bool
-	missed map[ID]time.Time
+	listed      bool
+	firstLookup map[ID]time.Time
 	// drainingSince is when the first process heard that a worker drains.
 	drainingSince map[ID]time.Time
 	// leaving are the lives that say in their answers that they leave, and since when that is known.
@@ -60,16 +60,16 @@
 	// unreadable are the workers whose entries stand, but name no worker now.
 	unreadable map[ID]bool
 	// before are the lives of announced workers that the present ones replaced.
-	before map[ID]Worker
+	previous map[ID]Worker
 	// own and told are the waits for entries that may have lapsed only, as this process and
 	// as others did not reach the service; kept are the workers that are waited for.
-	own, told   wait
+	own, peer   settling
 	kept        map[ID]kept
 	evacuations evacuations
 	changed     chan struct{}
 	// expired is called with the workers that are taken to be gone since their entries
 	// did not come back; nil: nobody wants to know.
-	expired func([]ID)
+	onExpired func([]ID)
 }
 
 // Vanished are the workers whose entries went with a change of the list.
@@ -88,10 +88,10 @@
 		goneAt:        map[ID]time.Time{},
 		drainingSince: map[ID]time.Time{},
 		leaving:       map[Incarnation]time.Time{},
-		before:        map[ID]Worker{},
+		previous:      map[ID]Worker{},
 		unreadable:    map[ID]bool{},
 		kept:          map[ID]kept{},
-		missed:        map[ID]time.Time{},
+		firstLookup:   map[ID]time.Time{},
 		evacuations:   evacuations{},
 		changed:       make(chan struct{}),
 	}
@@ -107,11 +107,11 @@
 func (d *Directory) EarliestListChange(since time.Time) time.Time {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	learned := clock.Now().Add(-listAge)
-	if d.listed && since.Before(learned) {
-		learned = since
+	earliest := clock.Now().Add(-listAge)
+	if d.listed && since.Before(earliest) {
+		earliest = since
 	}
-	return learned
+	return earliest
 }
 
 // Replace sets the whole list, and returns which entries went with that: since is the last time
@@ -125,7 +125,7 @@
 	}
 	fresh := map[ID]Worker{}
 	for _, worker := range list {
-		d.beginLife(worker)
+		d.resetRestarted(worker)
 		fresh[worker.ID] = worker
 		delete(d.kept, worker.ID)
 	}
@@ -134,13 +134,13 @@
 		if _, stays := fresh[id]; stays {
 			continue
 		}
-		if d.vanish(id, since, &vanished) {
+		if d.handleVanished(id, since, &vanished) {
 			fresh[id] = d.byID[id]
 		}
 	}
 	d.byID, d.listed = fresh, true
 	d.noteDraining(func(id ID) time.Time { return learned.at(id, now) })
-	d.index()
+	d.rebuildIndex()
 	return vanished
 }
 
@@ -150,34 +150,34 @@
 	defer d.mu.Unlock()
 	now := clock.Now()
 	for _, worker := range changed {
-		d.beginLife(worker)
+		d.resetRestarted(worker)
 		d.byID[worker.ID] = worker
 		delete(d.goneAt, worker.ID)
 		delete(d.kept, worker.ID)
 	}
 	var vanished Vanished
 	for _, id := range gone {
-		if _, known := d.byID[id]; known && !d.vanish(id, learned.at(id, now), &vanished) {
+		if _, known := d.byID[id]; known && !d.handleVanished(id, learned.at(id, now), &vanished) {
 			delete(d.byID, id)
 		}
 	}
 	d.noteDraining(func(id ID) time.Time { return learned.at(id, now) })
-	d.index()
+	d.rebuildIndex()
 	return vanished
 }
 
 // beginLife forgets what was noted of a worker that has started again: that it drained ended with
 // the life before, and a drain of this one counts from its own beginning. The caller holds mu.
-func (d *Directory) beginLife(worker Worker) {
+func (d *Directory) resetRestarted(worker Worker) {
 	if before, known := d.byID[worker.ID]; known && before.StartTime != worker.StartTime {
 		delete(d.drainingSince, worker.ID)
-		d.before[worker.ID] = before
+		d.previous[worker.ID] = before
 	}
 }
 
 // noteDraining notes since when workers drain that were not seen to before.
 func (d *Directory) noteDraining(since func(ID) time.Time) {
-	d.noteLeaving()
+	d.applyLeaving()
 	for id, worker := range d.byID {
 		if _, noted := d.drainingSince[id]; !noted && worker.State == StateDraining {
 			d.drainingSince[id] = since(id)
@@ -188,18 +188,18 @@
 			delete(d.drainingSince, id)
 		}
 	}
-	for id := range d.before {
+	for id := range d.previous {
 		if _, announced := d.byID[id]; !announced {
-			delete(d.before, id)
+			delete(d.previous, id)
 		}
 	}
 }
 
-// goneMemory is how long the end of an entry is remembered.
-const goneMemory = 2 * time.Minute
+// goneRetention is how long the end of an entry is remembered.
+const goneRetention = 2 * time.Minute
 
 // index sorts the workers by service.
-func (d *Directory) index() {
+func (d *Directory) rebuildIndex() {
 	d.byService = map[routing.ServiceName][]Worker{}
 	d.usable = map[routing.ServiceName][]Worker{}
 	for _, worker := range d.byID {
@@ -208,18 +208,18 @@
 			d.usable[worker.Service] = append(d.usable[worker.Service], worker)
 		}
 	}
-	forget(d.goneAt)
-	forget(d.missed)
-	d.forgetLeaving()
+	removeOld(d.goneAt)
+	removeOld(d.firstLookup)
+	d.pruneLeaving()
 	d.version++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 // forget removes what lies too long back.
-func forget(times map[ID]time.Time) {
+func removeOld(times map[ID]time.Time) {
 	for id, at := range times {
-		if clock.Since(at) > goneMemory {
+		if clock.Since(at) > goneRetention {
 			delete(times, id)
 		}
 	}
@@ -238,7 +238,7 @@
 func (d *Directory) PreviousIncarnation(id ID) (Worker, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	worker, known := d.before[id]
+	worker, known := d.previous[id]
 	return worker, known
 }
 
@@ -263,10 +263,10 @@
 	if at, gone := d.goneAt[id]; gone {
 		return clock.Since(at)
 	}
-	if _, noted := d.missed[id]; !noted {
-		d.missed[id] = clock.Now()
+	if _, noted := d.firstLookup[id]; !noted {
+		d.firstLookup[id] = clock.Now()
 	}
-	return clock.Since(d.missed[id])
+	return clock.Since(d.firstLookup[id])
 }
 
 // Of returns the workers of a service in no order, and the list's version. The
@@ -319,7 +319,7 @@
 	defer d.mu.RUnlock()
 	since, draining := d.drainingSince[id]
 	if _, announced := d.byID[id]; !announced {
-		since, draining = d.saidLeaving(id)
+		since, draining = d.leavingSince(id)
 	}
 	if !draining {
 		return 0
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -14,17 +14,17 @@
 	return Worker{ID: id, Service: "s", Address: string(id), Zone: "z", Slots: 2, State: state}
 }
 
-func TestDrainingCountsFromWhenItMayHaveBegun(t *testing.T) {
+func TestDrainTimeCountsFromEarliestStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		learn func(d *Directory)
 		want  time.Duration
 	}{
 		"told":                    {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
 		"found in a list":         {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
-		"told late":               {learn: func(d *Directory) { toldLate(d, time.Second) }, want: 1300 * time.Millisecond},
-		"told twice":              {learn: func(d *Directory) { toldLate(d, time.Second); toldLate(d, 0) }, want: 1300 * time.Millisecond},
-		"listed after a cut":      {learn: listedAfterACut, want: 5300 * time.Millisecond},
-		"told before it was read": {learn: toldThenListed, want: 300 * time.Millisecond},
+		"told late":               {learn: func(d *Directory) { updatedLate(d, time.Second) }, want: 1300 * time.Millisecond},
+		"told twice":              {learn: func(d *Directory) { updatedLate(d, time.Second); updatedLate(d, 0) }, want: 1300 * time.Millisecond},
+		"listed after a cut":      {learn: listedAfterDisconnect, want: 5300 * time.Millisecond},
+		"told before it was read": {learn: updatedThenListed, want: 300 * time.Millisecond},
 		"not draining":            {learn: func(d *Directory) { d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -38,13 +38,13 @@
 	}
 }
 
-// toldLate brings news that the first process has known for some time.
-func toldLate(d *Directory, age time.Duration) {
+// updatedLate brings news that the first process has known for some time.
+func updatedLate(d *Directory, age time.Duration) {
 	d.Update([]Worker{worker("a", StateDraining)}, nil, LearnedTimes{"a": time.Now().Add(-age)})
 }
 
-// listedAfterACut finds a draining worker 5 s after all was known last.
-func listedAfterACut(d *Directory) {
+// listedAfterDisconnect finds a draining worker 5 s after all was known last.
+func listedAfterDisconnect(d *Directory) {
 	d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
 	listed(d, time.Now().Add(-5*time.Second))
 }
@@ -54,7 +54,7 @@
 	d.Replace([]Worker{worker("a", StateDraining)}, LearnedTimes{"a": d.EarliestListChange(since)}, since)
 }
 
-func toldThenListed(d *Directory) {
+func updatedThenListed(d *Directory) {
 	d.Update([]Worker{worker("a", StateDraining)}, nil, nil)
 	d.Replace([]Worker{worker("a", StateDraining)}, nil, time.Now())
 }
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestEntriesThatLapsedWithTheServiceAreWaitedFor(t *testing.T) {
+func TestWorkersAreKeptWhenEntriesExpireDuringOutage(t *testing.T) {
 	ready, draining := worker("a", StateReady), worker("a", StateDraining)
 	for name, c := range map[string]struct {
 		learn func(d *Directory)
@@ -119,7 +119,7 @@
 }
 
 // Operators see from these which worker was kept on suspicion, and until when.
-func TestWhatVanishesIsReported(t *testing.T) {
+func TestVanishedEntriesAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		settling bool
 		learn    func(d *Directory) Vanished
@@ -164,7 +164,7 @@
 
 // A service that comes and goes begins the wait anew each time. A worker that left is not kept
 // for all of that.
-func TestAVanishedEntryIsWaitedForOnce(t *testing.T) {
+func TestRepeatedOutagesDoNotExtendTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestTheWaitOfOthersIsShorterForEachEntry(t *testing.T) {
+func TestPeerSettlingIsLimitedPerEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		settle func(d *Directory, now time.Time)
 		kept   time.Duration
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestAWorkerThatIsInNoListIsMissedFromWhenItIsAskedFor(t *testing.T) {
+func TestUnlistedWorkerIsGoneSinceItsFirstLookup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		assert.Equal(t, directory.GoneFor("a"), time.Duration(0))
@@ -231,7 +231,7 @@
 }
 
 // A worker goes on to leave while this machine is suspended.
-func TestTimesOfWorkersCountASuspension(t *testing.T) {
+func TestWorkerTimesIncludeSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("lapses", StateReady)}, nil, time.Now())
