--- a/internal/estimate/backoffs.go
+++ b/internal/estimate/backoffs.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// backoffResolution is to what the ends of backoffs are rounded, so that many of them take little room.
+	// backoffResolution is the granularity of stored backoff ends. It limits the memory that many
+	// backoffs take.
 	backoffResolution = 100 * time.Millisecond
-	// recentBackoffTime is for how long after its last backoff a worker counts as short of room: most that
-	// ask for one ask again.
+	// recentBackoffTime is how long after the end of its last backoff a worker still counts as
+	// short of capacity: most workers that ask for a backoff ask for another.
 	recentBackoffTime = 5 * time.Second
 )
 
-// Backoffs estimates which share of the processes sends nothing to a worker that has asked them for
-// backoffs. It is not safe for concurrent use.
+// Backoffs estimates the share of processes that send nothing to a worker because it asked them to
+// back off. It is not safe for concurrent use.
 type Backoffs struct {
-	// ends are how many backoffs end at which time, in steps since the zero time.
+	// ends counts the backoffs by their end, in steps of backoffResolution since the Unix epoch.
 	ends map[int64]int
+	// last is the latest end of a backoff.
 	last time.Time
 }
 
-// Add takes a number of backoffs that begin now, and the sum of their times.
+// Add records count backoffs that begin now and whose durations add up to sum.
 func (b *Backoffs) Add(now time.Time, count int, sum time.Duration) {
 	if count <= 0 || sum <= 0 {
 		return
@@ -36,7 +38,7 @@
 	}
 }
 
-// Share returns which share of so many processes sends the worker nothing.
+// Share returns the share of the given number of processes that is backing off.
 func (b *Backoffs) Share(now time.Time, processes int) float64 {
 	waiting := 0
 	for step, count := range b.ends {
@@ -49,10 +51,10 @@
 	return math.Min(1, float64(waiting)/float64(max(1, processes)))
 }
 
-// Left returns for how long the last backoff goes on.
+// Remaining returns the time until the last backoff ends.
 func (b *Backoffs) Remaining(now time.Time) time.Duration { return max(0, b.last.Sub(now)) }
 
-// Lately reports whether the worker has asked for a backoff that lasts, or has ended lately.
+// IsRecent reports whether a backoff is in progress or has ended within recentBackoffTime.
 func (b *Backoffs) IsRecent(now time.Time) bool {
 	return !b.last.IsZero() && now.Before(b.last.Add(recentBackoffTime))
 }
--- a/internal/estimate/backoffs_test.go
+++ b/internal/estimate/backoffs_test.go
@@ -17,7 +17,7 @@
 	assert.Equal(t, b.Share(now.Add(time.Second), 10), 0.5)
 	assert.Equal(t, b.Share(now.Add(2500*time.Millisecond), 10), 0.2)
 	assert.Equal(t, b.Share(now.Add(4*time.Second), 10), 0.0)
-	assert.Assert(t, b.IsRecent(now.Add(4*time.Second)), "most ask again")
+	assert.Assert(t, b.IsRecent(now.Add(4*time.Second)), "most workers ask for another backoff")
 	assert.Assert(t, !b.IsRecent(now.Add(9*time.Second)))
 	assert.Equal(t, len(b.ends), 0)
 }
--- a/internal/estimate/latency.go
+++ b/internal/estimate/latency.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Bounds of measuring latency.
+// Parameters of Latency.
 const (
-	// latencyWindow is the time constant with which old answers are forgotten.
+	// latencyWindow is the time constant with which the weight of old answers decays.
 	latencyWindow = 6 * time.Second
-	// maxAnswers is how many answers count at the most.
+	// maxAnswers limits the total weight of the answers.
 	maxAnswers = 30.0
-	// latencyPrior is how many answers what is usual counts for.
+	// latencyPrior is the weight of the prior, in answers.
 	latencyPrior = 2.0
-	// minSlowAnswers in a row, each slowFactor times the mean, stand for a worker that has
-	// become slow.
+	// minSlowAnswers consecutive answers, each taking at least slowFactor times the mean, show that
+	// a worker has become slow.
 	minSlowAnswers = 3
 	slowFactor     = 2.5
 )
 
-// Latency is the mean time after which one worker answers one process.
+// Latency estimates the mean response time of one worker as seen by one process.
 type Latency struct {
 	answers, seconds float64
 	at               time.Time
-	// slow and slowSum are the slow answers since the last that was not.
+	// slow counts the latest consecutive slow answers, and slowSum is the sum of their times in
+	// seconds.
 	slow    int
 	slowSum float64
 }
 
-// Add takes an answer.
+// Add records an answer that took a time. prior is the response time assumed before any answers.
 func (l *Latency) Add(now time.Time, took, prior time.Duration) {
 	seconds := took.Seconds()
 	l.countSlow(seconds, prior)
@@ -51,7 +52,7 @@
 	l.seconds *= factor
 }
 
-// noteSlow counts slow answers in a row.
+// countSlow counts consecutive slow answers.
 func (l *Latency) countSlow(seconds float64, prior time.Duration) {
 	if seconds < slowFactor*l.Mean(prior).Seconds() {
 		l.slow, l.slowSum = 0, 0
@@ -61,41 +62,41 @@
 	l.slowSum += seconds
 }
 
-// Mean returns the mean time of an answer; what is usual stands for a worker that has
-// hardly answered.
+// Mean returns the mean response time; it is close to prior while there are few answers.
 func (l *Latency) Mean(prior time.Duration) time.Duration {
 	return toDuration((latencyPrior*prior.Seconds() + l.seconds) / (latencyPrior + l.answers))
 }
 
-// Expected returns the mean time of an answer as of now. Where nothing was answered lately it goes to
-// what is usual: who asks a worker nothing, since it was slow, would never see that it is no longer.
+// Expected returns the mean response time expected now. Without recent answers it returns to prior:
+// a process that sends a worker nothing because it was slow would otherwise never find out that it
+// has recovered.
 func (l *Latency) Expected(now time.Time, prior time.Duration) time.Duration {
 	idle := max(0, now.Sub(l.at)-decayDelay)
 	decay := math.Exp(-idle.Seconds() / meanDecay.Seconds())
 	return toDuration((latencyPrior*prior.Seconds() + decay*l.seconds) / (latencyPrior + decay*l.answers))
 }
 
-// Measured reports whether any answer counts.
+// Measured reports whether the answers still have weight: that of at least half an answer.
 func (l *Latency) Measured() bool { return l.answers >= 0.5 }
 
-// Bounds of measuring spread.
+// Parameters of Spread.
 const (
-	// defaultSpread is what is taken for a service that has hardly answered.
+	// defaultSpread is assumed until there are answers, and is the initial value of the estimate.
 	defaultSpread = 0.6
 	// spreadWeight is the weight of a new answer.
 	spreadWeight = 0.02
-	// maxDeviation bounds what one answer counts for.
+	// maxDeviation limits the deviation of the logarithm that a single answer counts for.
 	maxDeviation = 2.5
 )
 
-// Spread is how much the times of a service's answers vary: the standard deviation of
-// their logarithms.
+// Spread estimates how much the response times of a service vary: the standard deviation of their
+// logarithms.
 type Spread struct {
 	variance float64
 	known    bool
 }
 
-// Add takes an answer and the mean time of its worker.
+// Add records the response time of an answer and the mean response time of its worker.
 func (s *Spread) Add(took, mean time.Duration) {
 	if took <= 0 || mean <= 0 {
 		return
@@ -103,14 +104,14 @@
 	if !s.known {
 		s.variance, s.known = defaultSpread*defaultSpread, true
 	}
-	// The logarithm's mean lies half a variance below the logarithm of the mean.
+	// The mean of the logarithm is half a variance below the logarithm of the mean.
 	deviation := math.Log(took.Seconds()/mean.Seconds()) + s.variance/2
 	deviation = max(-maxDeviation, min(maxDeviation, deviation))
 	s.variance += spreadWeight * (deviation*deviation - s.variance)
 }
 
-// Late returns the share of answers that come later than a time, given their mean: as of
-// a logarithmic normal distribution.
+// LateShare returns the expected share of answers that take longer than limit, given their mean. It
+// assumes a log-normal distribution.
 func (s *Spread) LateShare(mean, limit time.Duration) float64 {
 	spread := defaultSpread
 	if s.known {
--- a/internal/estimate/latency_test.go
+++ b/internal/estimate/latency_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLatencyMean(t *testing.T) {
-	const usual = 100 * time.Millisecond
+	const prior = 100 * time.Millisecond
 	repeat := func(count int, took time.Duration) []time.Duration {
 		list := make([]time.Duration, count)
 		for index := range list {
@@ -22,37 +22,37 @@
 		answers     []time.Duration
 		least, most time.Duration
 	}{
-		"nothing":                     {least: usual, most: usual},
-		"one short answer":            {answers: repeat(1, 10*time.Millisecond), least: 60 * time.Millisecond, most: 80 * time.Millisecond},
+		"no answers":                  {least: prior, most: prior},
+		"one fast answer":             {answers: repeat(1, 10*time.Millisecond), least: 60 * time.Millisecond, most: 80 * time.Millisecond},
 		"many":                        {answers: repeat(40, 50*time.Millisecond), least: 50 * time.Millisecond, most: 56 * time.Millisecond},
-		"slow now and then":           {answers: append(repeat(30, 50*time.Millisecond), 400*time.Millisecond, 50*time.Millisecond, 400*time.Millisecond), least: 50 * time.Millisecond, most: 90 * time.Millisecond},
-		"slow three times, one after": {answers: append(repeat(30, 50*time.Millisecond), repeat(3, 400*time.Millisecond)...), least: 250 * time.Millisecond, most: 400 * time.Millisecond},
+		"occasionally slow":           {answers: append(repeat(30, 50*time.Millisecond), 400*time.Millisecond, 50*time.Millisecond, 400*time.Millisecond), least: 50 * time.Millisecond, most: 90 * time.Millisecond},
+		"three slow answers in a row": {answers: append(repeat(30, 50*time.Millisecond), repeat(3, 400*time.Millisecond)...), least: 250 * time.Millisecond, most: 400 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var latency Latency
 			now := time.Unix(1000, 0)
 			for _, took := range c.answers {
 				now = now.Add(100 * time.Millisecond)
-				latency.Add(now, took, usual)
+				latency.Add(now, took, prior)
 			}
-			got := latency.Mean(usual)
+			got := latency.Mean(prior)
 			assert.Assert(t, got >= c.least && got <= c.most, "%v", got)
 		})
 	}
 }
 
 func TestExpectedLatencyOfIdleWorkerReturnsToPrior(t *testing.T) {
-	const usual, slow = 100 * time.Millisecond, 3 * time.Second
+	const prior, slow = 100 * time.Millisecond, 3 * time.Second
 	for name, answers := range map[string]int{"a few answers": 4, "many": 40} {
 		t.Run(name, func(t *testing.T) {
 			var latency Latency
 			now := time.Unix(1000, 0)
 			for range answers {
-				latency.Add(now, slow, usual)
+				latency.Add(now, slow, prior)
 			}
-			assert.Equal(t, latency.Expected(now.Add(decayDelay), usual), latency.Mean(usual))
-			assert.Assert(t, latency.Expected(now.Add(2*decayDelay), usual) > slow/2, "one second says little")
-			assert.Assert(t, latency.Expected(now.Add(12*time.Second), usual) < 3*usual)
+			assert.Equal(t, latency.Expected(now.Add(decayDelay), prior), latency.Mean(prior))
+			assert.Assert(t, latency.Expected(now.Add(2*decayDelay), prior) > slow/2, "one second changes little")
+			assert.Assert(t, latency.Expected(now.Add(12*time.Second), prior) < 3*prior)
 		})
 	}
 }
--- a/internal/estimate/reported.go
+++ b/internal/estimate/reported.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// reportDecay is the time constant with which what was told last gives way to the mean.
+	// reportDecay is the time constant with which the last reported value gives way to the mean.
 	reportDecay = 300 * time.Millisecond
-	// meanDecay is that of the mean of what is told.
+	// meanDecay is the time constant with which the mean of reported values forgets older ones.
 	meanDecay = 2 * time.Second
-	// decayDelay is how long nothing may be told before the mean is forgotten.
+	// decayDelay is how long after the last report a mean begins to decay.
 	decayDelay = time.Second
 )
 
-// Mean is the mean of figures of one kind that are told now and then, newer ones weighing
-// more. It goes to zero where nothing more is told: a process that takes all workers for full
-// sends to none, hears nothing, and would never send again. Its zero value knows nothing. It
-// is safe for concurrent use.
+// Mean is the mean of values of one kind that are reported at irregular times, newer ones weighing
+// more. It decays to zero when nothing more is reported: a process that considers all workers full
+// sends to none, receives no reports, and would otherwise never send again. Its zero value has no
+// reports. It is safe for concurrent use.
 type Mean struct {
 	mu          sync.Mutex
 	sum, weight float64
 	at          time.Time
 }
 
-// Add takes a figure.
-func (m *Mean) Add(now time.Time, figure float64) {
+// Add records a reported value.
+func (m *Mean) Add(now time.Time, value float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if passed := now.Sub(m.at); passed > 0 {
@@ -35,11 +35,11 @@
 		m.weight *= decay
 		m.at = now
 	}
-	m.sum += figure
+	m.sum += value
 	m.weight++
 }
 
-// Get returns the mean as of now; zero if nothing was told.
+// Get returns the mean as of now; zero if nothing was reported.
 func (m *Mean) Get(now time.Time) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,27 +50,27 @@
 	return m.sum / m.weight * math.Exp(-idle.Seconds()/meanDecay.Seconds())
 }
 
-// Told is a figure that is told now and then, such as the load of a worker, and changes
-// meanwhile. What is expected of it goes from the last told to the mean of what all sources
-// of its kind tell. Its zero value knows nothing, and expects that mean.
+// ReportedValue is a value that is reported from time to time, such as the load of a worker, and
+// changes in between. Its expected value moves from the last report to the mean of the reports of
+// all sources of its kind. The zero value has no reports, and expects that mean.
 //
-// With many processes each hears of a worker about once a second. A load that was taken to
-// vanish meanwhile made nearly all look idle: in 30 s near saturation (74 processes, 300
-// workers) 2,266 of 16,662 arrivals of requests of 400 ms were rejected, and 169 of 14,069
-// since; 0.737 of their worth was earned, and 0.841 since. Of 38,056 requests of 160 ms
-// 32,744 were answered in time, and 35,430 since.
+// With many processes, each receives a report of a worker about once a second. When load was
+// assumed to vanish in between, nearly all workers looked idle: in 30 s near saturation (74
+// processes, 300 workers) 2,266 of 16,662 arrivals of requests of 400 ms were rejected, and 169 of
+// 14,069 with this estimate; 0.737 of their value was earned, and 0.841 with it. Of 38,056 requests
+// of 160 ms 32,744 were answered in time, and 35,430 with it.
 type ReportedValue struct {
 	last float64
 	at   time.Time
 }
 
-// Add takes what is told.
-func (t *ReportedValue) Add(now time.Time, figure float64) { t.last, t.at = figure, now }
+// Add records a reported value.
+func (r *ReportedValue) Add(now time.Time, value float64) { r.last, r.at = value, now }
 
-// Expected returns what the figure is expected to be now, given the mean of its kind.
-func (t *ReportedValue) Expected(now time.Time, mean float64) float64 {
-	if t.at.IsZero() {
+// Expected returns the value expected now, given the mean of its kind.
+func (r *ReportedValue) Expected(now time.Time, mean float64) float64 {
+	if r.at.IsZero() {
 		return mean
 	}
-	return mean + (t.last-mean)*math.Exp(-now.Sub(t.at).Seconds()/reportDecay.Seconds())
+	return mean + (r.last-mean)*math.Exp(-now.Sub(r.at).Seconds()/reportDecay.Seconds())
 }
--- a/internal/estimate/reported_test.go
+++ b/internal/estimate/reported_test.go
@@ -12,25 +12,25 @@
 	now := time.Unix(1000, 0)
 	const mean = 4.0
 	for name, c := range map[string]struct {
-		told bool
-		// figure that was told, and how long ago.
-		figure   float64
+		reported bool
+		// value that was reported, and how long ago.
+		value    float64
 		age      time.Duration
 		expected float64
 	}{
-		"nothing":         {expected: mean},
-		"just now":        {told: true, figure: 10, expected: 10},
-		"a moment ago":    {told: true, figure: 10, age: reportDecay, expected: mean + 6/math.E},
-		"idle lately":     {told: true, age: reportDecay, expected: mean - mean/math.E},
-		"too long ago":    {told: true, figure: 10, age: time.Minute, expected: mean},
-		"the same as all": {told: true, figure: mean, age: reportDecay, expected: mean},
+		"no report":         {expected: mean},
+		"just now":          {reported: true, value: 10, expected: 10},
+		"a moment ago":      {reported: true, value: 10, age: reportDecay, expected: mean + 6/math.E},
+		"idle recently":     {reported: true, age: reportDecay, expected: mean - mean/math.E},
+		"too long ago":      {reported: true, value: 10, age: time.Minute, expected: mean},
+		"equal to the mean": {reported: true, value: mean, age: reportDecay, expected: mean},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var told ReportedValue
-			if c.told {
-				told.Add(now.Add(-c.age), c.figure)
+			var reported ReportedValue
+			if c.reported {
+				reported.Add(now.Add(-c.age), c.value)
 			}
-			got := told.Expected(now, mean)
+			got := reported.Expected(now, mean)
 			assert.Assert(t, math.Abs(got-c.expected) < 1e-6, "%f", got)
 		})
 	}
@@ -50,7 +50,7 @@
 		now = now.Add(meanDecay / 2)
 		mean.Add(now, 1)
 	}
-	assert.Assert(t, mean.Get(now) < 1.1, "what was told long ago weighs little: %f", mean.Get(now))
+	assert.Assert(t, mean.Get(now) < 1.1, "old reports weigh little: %f", mean.Get(now))
 	assert.Equal(t, mean.Get(now.Add(decayDelay)), mean.Get(now))
-	assert.Assert(t, mean.Get(now.Add(time.Minute)) < 0.01, "nothing was told for long")
+	assert.Assert(t, mean.Get(now.Add(time.Minute)) < 0.01, "no recent reports")
 }
--- a/internal/estimate/throttle.go
+++ b/internal/estimate/throttle.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// throttleWindow is the time constant with which requests are forgotten.
+	// throttleWindow is the time constant with which the weight of requests decays.
 	throttleWindow = 3 * time.Second
-	// throttleMultiplier times what a worker has taken is let through: it must be asked for
-	// more than it takes to be seen to take more again. It is the factor of "Site
-	// Reliability Engineering", chapter 21.
+	// throttleMultiplier limits the requests that a worker is sent to this multiple of those that
+	// it accepts: it must be sent more than it accepts for an increase of its capacity to be
+	// noticed. It is the factor of "Site Reliability Engineering", chapter 21.
 	throttleMultiplier = 2
-	// recentRejection is what is left of one request after two seconds: a worker that has turned
-	// none away for that long has room, and nobody is refused for its sake.
+	// recentRejection is the weight that one rejection has left after two seconds: a worker that
+	// has rejected no request for that long has capacity, and no request is refused on its account.
 	recentRejection = 0.5
 )
 
-// Throttle is client-side adaptive throttling: the share of requests for one worker that
-// is refused without asking it, by how many it has turned away.
+// Throttle implements client-side adaptive throttling: it computes the share of requests for one
+// worker that is refused without being sent, from how many the worker has rejected.
 type Throttle struct {
-	// wanted are the requests for the worker, those that were refused here included, and
-	// taken those that it has not turned away.
+	// requests counts the requests for the worker, including those that were refused here, and
+	// accepted those that it has not rejected. Both decay.
 	requests, accepted float64
-	// turnedAway are the requests that it has turned away itself.
+	// rejected counts the requests that the worker itself has rejected. It decays.
 	rejected float64
 	at       time.Time
 }
@@ -34,10 +34,10 @@
 	return max(0, (t.requests-throttleMultiplier*t.accepted)/(t.requests+1))
 }
 
-// Refused counts a request that was not sent.
+// RecordRefused counts a request that was refused here and not sent.
 func (t *Throttle) RecordRefused(now time.Time) { t.add(now, 0) }
 
-// Sent counts a request that was sent, and whether the worker took it.
+// RecordSent counts a request that was sent, and whether the worker accepted it.
 func (t *Throttle) RecordSent(now time.Time, accepted bool) {
 	if accepted {
 		t.add(now, 1)
@@ -47,7 +47,8 @@
 	t.rejected++
 }
 
-// Short reports whether the worker has turned a request away within the last two seconds.
+// HasRecentRejection reports whether the worker has rejected requests recently. A single rejection
+// counts for two seconds.
 func (t *Throttle) HasRecentRejection(now time.Time) bool {
 	t.decay(now)
 	return t.rejected >= recentRejection
@@ -59,7 +60,7 @@
 	t.accepted += accepted
 }
 
-// forget gives old requests less weight.
+// decay reduces the weight of earlier requests.
 func (t *Throttle) decay(now time.Time) {
 	if passed := now.Sub(t.at); passed > 0 && !t.at.IsZero() {
 		factor := math.Exp(-passed.Seconds() / throttleWindow.Seconds())
--- a/internal/estimate/work.go
+++ b/internal/estimate/work.go
@@ -1,7 +1,7 @@
-// Package estimate measures workers from outside: how long they work on a request,
-// whether or not they tell their load.
+// Package estimate estimates the state of workers from outside, such as how long they work on a
+// request, whether or not they report their load.
 //
-// It is pure: it is told the time.
+// It is pure: callers pass the time.
 package estimate
 
 import (
@@ -10,56 +10,59 @@
 	"time"
 )
 
-// Times and bounds of measuring work.
+// Parameters of Work.
 const (
-	// binLength is the time whose answers are judged together.
+	// binLength is the length of the intervals by which answers are counted.
 	binLength = 600 * time.Millisecond
-	// keptBins is how many of them are kept.
+	// keptBins is how many bins are kept.
 	keptBins = 12
-	// recentBins is how many of the newest show a worker that has changed.
+	// recentBins is how many of the newest bins are compared with all of them, to detect that a
+	// worker has changed.
 	recentBins = 3
-	// minAnswers is how many answers of a bin tell anything.
+	// minAnswers is how many answers a steady period must have to be used.
 	minAnswers = 3
-	// variation is the usual standard deviation of work, as a share of its mean.
+	// workVariation is the assumed standard deviation of work times, as a share of their mean.
 	workVariation = 0.9
-	// changeDeviations is how many standard deviations the recent bins must be away
-	// from all to stand for a worker that has changed.
+	// changeDeviations is by how many standard deviations the recent bins must differ from all bins
+	// to show that a worker has changed.
 	changeDeviations = 3.0
-	// minChange is a difference, as a share, that is none.
+	// minChange is a difference of the logarithms that is ignored in addition.
 	minChange = 0.3
-	// priorAnswers is how many answers what is usual counts for.
+	// priorAnswers is the weight of the prior, in answers.
 	priorAnswers = 6.0
-	// bisections of the search for the time of work: an error below one in a million.
+	// bisections is the number of steps of the search for the work time: an error below one in a
+	// million.
 	bisections = 20
 )
 
-// Work estimates one worker's mean time of work on a request from the answers that all
-// processes got: how many in a time, and after how long. By Little's law they tell how
-// many requests were there at once; a queue with several servers tells how much of the
-// time was spent waiting. Times of a steady rate are judged one by one, since a load that
-// changes meanwhile misleads.
+// Work estimates one worker's mean work time for a request, from the answers that all processes
+// received: how many in an interval, and after how long. By Little's law these give the number of
+// requests at the worker; a model of a queue with several servers gives how much of the time was
+// spent waiting. Periods of a steady rate are evaluated separately, since an average over a change
+// of load is misleading.
 type Work struct {
 	bins  [keptBins]bin
 	start time.Time
 }
 
-// bin are the answers of one time.
+// bin holds the answers of one interval.
 type bin struct {
 	number  int64
 	answers int
 	took    time.Duration
 }
 
-// judged is the time of work that a stretch of bins tells, in seconds, and its weight.
+// workEstimate is a work time in seconds, its weight in answers, and the number of bins that it was
+// estimated from.
 type workEstimate struct {
 	work, weight float64
 	bins         int
 }
 
-// NewWork returns an estimate that knows nothing.
+// NewWork returns an estimate without answers.
 func NewWork(now time.Time) *Work { return &Work{start: now} }
 
-// Add takes a number of answers and the sum of their times at the worker.
+// Add records a number of answers and the sum of their times at the worker.
 func (w *Work) Add(now time.Time, answers int, took time.Duration) {
 	number := w.binNumber(now)
 	into := &w.bins[number%keptBins]
@@ -72,16 +75,16 @@
 
 func (w *Work) binNumber(now time.Time) int64 { return int64(max(0, now.Sub(w.start)) / binLength) }
 
-// Mean returns the mean time of work at a worker with a number of slots. What is usual
-// stands for a worker that has hardly answered.
+// Mean returns the mean work time at a worker with the given number of slots. It is close to prior
+// while there are few answers.
 func (w *Work) Mean(now time.Time, slots int, prior time.Duration) time.Duration {
 	newest := w.binNumber(now)
 	overall := weightedMean(w.estimates(newest, keptBins, slots), workEstimate{work: prior.Seconds(), weight: priorAnswers})
 	recent := w.estimates(newest, recentBins, slots)
 	if len(recent) > 0 {
 		recentMean := weightedMean(recent)
-		chance := changeDeviations * workVariation / math.Sqrt(recentMean.weight)
-		if math.Abs(math.Log(recentMean.work/overall.work)) > minChange+chance {
+		noise := changeDeviations * workVariation / math.Sqrt(recentMean.weight)
+		if math.Abs(math.Log(recentMean.work/overall.work)) > minChange+noise {
 			return toDuration(recentMean.work)
 		}
 	}
@@ -90,7 +93,8 @@
 
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// judge returns what the last whole bins tell: steady times one by one.
+// estimates returns an estimate for each steady period of the last complete bins that has enough
+// answers.
 func (w *Work) estimates(newest, count int64, slots int) []workEstimate {
 	var list []workEstimate
 	for _, one := range w.steadyPeriods(newest, count) {
@@ -104,19 +108,20 @@
 	return list
 }
 
-// stretch is a number of bins one after the other with about the same rate.
+// steadyPeriod is a run of consecutive bins with about the same rate.
 type steadyPeriod struct {
 	bins, answers int
 	took          time.Duration
 }
 
-// Differences of a bin from those before that chance explains.
+// A bin continues a steady period if its number of answers differs from the expected one by at most
+// steadyDeviations standard deviations and minSteadyDifference answers.
 const (
 	steadyDeviations    = 3.0
 	minSteadyDifference = 3.0
 )
 
-// steady cuts the last whole bins into stretches.
+// steadyPeriods splits the last complete bins into steady periods.
 func (w *Work) steadyPeriods(newest, count int64) []steadyPeriod {
 	var list []steadyPeriod
 	for number := max(0, newest-count); number < newest; number++ {
@@ -136,14 +141,14 @@
 	return list
 }
 
-// takes reports whether a bin has about the rate of a stretch.
+// hasRateOf reports whether a bin has about the rate of the period.
 func (s steadyPeriod) hasRateOf(one bin) bool {
 	expected := float64(s.answers) / float64(s.bins)
 	return math.Abs(float64(one.answers)-expected) <= minSteadyDifference+steadyDeviations*math.Sqrt(expected)
 }
 
-// mean returns the weighted mean of some estimates, with the weight of all. Stretches of
-// one bin are left out where there are longer ones: the load changed within them.
+// weightedMean returns the weighted mean of some estimates, with their total weight. Estimates from
+// a single bin are left out of list if there are longer ones: the load changed within them.
 func weightedMean(list []workEstimate, more ...workEstimate) workEstimate {
 	long := slices.DeleteFunc(slices.Clone(list), func(one workEstimate) bool { return one.bins < 2 })
 	if len(long) > 0 {
@@ -157,29 +162,29 @@
 	return workEstimate{work: sum / total, weight: total}
 }
 
-// workFromResponseTime returns the mean time of work, in seconds, of a worker whose answers took some
-// time at a rate: the work that, with the time that a queue of several servers adds at
-// that rate, comes to what was measured.
+// workFromResponseTime returns the mean work time, in seconds, of a worker whose answers took some
+// time on average at a rate: the work time that, together with the queueing time that it causes at
+// that rate, gives the measured time.
 func workFromResponseTime(took, rate float64, slots int) float64 {
-	least, most := 0.0, min(took, float64(slots)/max(rate, 1e-9))
+	low, high := 0.0, min(took, float64(slots)/max(rate, 1e-9))
 	for range bisections {
-		middle := (least + most) / 2
+		middle := (low + high) / 2
 		if middle+queueingTime(middle, rate, slots) > took {
-			most = middle
+			high = middle
 		} else {
-			least = middle
+			low = middle
 		}
 	}
-	return (least + most) / 2
+	return (low + high) / 2
 }
 
-// waiting approximates the mean time in the queue of a worker with several slots
-// (Sakasegawa 1977, for work that varies about as an exponential does).
+// queueingTime approximates the mean queueing time at a worker with several slots (Sakasegawa 1977,
+// for work times that vary about as an exponential distribution does).
 func queueingTime(work, rate float64, slots int) float64 {
 	count := float64(max(slots, 1))
-	busy := rate * work / count
-	if busy >= 1 {
+	utilization := rate * work / count
+	if utilization >= 1 {
 		return math.Inf(1)
 	}
-	return work * math.Pow(busy, math.Sqrt(2*(count+1))-1) / (count * (1 - busy))
+	return work * math.Pow(utilization, math.Sqrt(2*(count+1))-1) / (count * (1 - utilization))
 }
--- a/internal/estimate/work_test.go
+++ b/internal/estimate/work_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// freeAt are the times at which a worker's slots are free again.
+// freeAt is a heap of the times at which a worker's slots become free.
 type freeAt []float64
 
 func (f freeAt) Len() int           { return len(f) }
@@ -23,7 +23,7 @@
 	return last
 }
 
-// worker is a queue with several slots and work that varies much.
+// worker simulates a queue with several slots and highly variable work times.
 type worker struct {
 	random *rand.Rand
 	slots  freeAt
@@ -35,22 +35,22 @@
 	return &worker{random: rand.New(rand.NewPCG(seed, 2)), slots: make(freeAt, slots), queue: queue}
 }
 
-// serve plays some seconds of requests at a rate, and tells the estimate of the answers
-// in the reports of a number of processes.
-func (w *worker) serve(of *Work, seconds, rate, work float64) {
-	const report = 0.055 // each of eleven processes tells in turn
+// serve simulates some seconds of requests at a rate, and adds their answers to the estimate as a
+// number of processes report them.
+func (w *worker) serve(estimate *Work, seconds, rate, work float64) {
+	const report = 0.055 // eleven processes report in turn
 	const spread = 0.8
 	answers, total := 0, 0.0
 	for next, end := w.now+report, w.now+seconds; w.now < end; {
 		w.now += w.random.ExpFloat64() / rate
 		for w.now > next {
-			of.Add(at(next), answers, time.Duration(total*float64(time.Second)))
+			estimate.Add(at(next), answers, time.Duration(total*float64(time.Second)))
 			answers, total = 0, 0
 			next += report
 		}
 		begins := math.Max(w.now, w.slots[0])
 		if (begins-w.now)*float64(len(w.slots))/work > float64(w.queue) {
-			continue // it is full
+			continue // the queue is full
 		}
 		took := work * math.Exp(spread*w.random.NormFloat64()-spread*spread/2)
 		w.slots[0] = begins + took
@@ -64,7 +64,7 @@
 }
 
 func TestWorkEstimateIsAccurateAtAnyLoad(t *testing.T) {
-	const usual = 60 * time.Millisecond
+	const prior = 60 * time.Millisecond
 	for name, c := range map[string]struct {
 		work, rate float64
 		slots      int
@@ -74,7 +74,7 @@
 		"busy and fast":       {work: 0.037, rate: 87, slots: 4},
 		"full":                {work: 0.037, rate: 105, slots: 4},
 		"overloaded and slow": {work: 0.086, rate: 87, slots: 4},
-		"overloaded far":      {work: 0.086, rate: 200, slots: 4},
+		"far overloaded":      {work: 0.086, rate: 200, slots: 4},
 		"few slots":           {work: 0.090, rate: 15, slots: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 				estimate := NewWork(at(0))
 				worker := newWorker(seed, c.slots, 16)
 				worker.serve(estimate, 12, c.rate, c.work)
-				off := math.Log(estimate.Mean(at(worker.now), c.slots, usual).Seconds() / c.work)
+				off := math.Log(estimate.Mean(at(worker.now), c.slots, prior).Seconds() / c.work)
 				bias += off / seeds
 				spread += off * off / seeds
 			}
@@ -95,8 +95,8 @@
 	}
 }
 
-// A sudden load is no slower worker: the average of a time in which it began would show
-// long waits at a low rate.
+// A sudden load must not be taken for a slower worker: an average over an interval in which it
+// began shows long waits at a low rate.
 func TestLoadSpikeIsNotSlowness(t *testing.T) {
 	for seed := range uint64(20) {
 		estimate := NewWork(at(0))
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -1,4 +1,4 @@
-// Package keytable is what a router knows of the owners of keys.
+// Package keytable holds what a router knows of the owners of keys.
 package keytable
 
 import (
@@ -17,10 +17,10 @@
 	mu       sync.Mutex
 	services atomic.Pointer[map[routing.ServiceName][]owner.Owner]
 	changed  chan struct{}
-	// term of the leader whose word stands, and since when it stands.
+	// term is that of the leader that sent the owners, and updatedAt when they last changed.
 	term      owner.Term
 	updatedAt time.Time
-	// versions are the leader's own numbers of what stands, by service.
+	// versions are the leader's version numbers of the owners, by service.
 	versions map[routing.ServiceName]uint64
 }
 
@@ -49,37 +49,36 @@
 	return owners[index], true
 }
 
-// Replace sets all owners of a service, as a leader of the term says. Words of
-// an older leader are passed over.
+// Replace sets all owners of a service, as sent by a leader of the term. Owners of an earlier
+// leader are ignored.
 func (t *Table) Replace(term owner.Term, service routing.ServiceName, owners []owner.Owner) {
 	t.update(term, service, func([]owner.Owner) []owner.Owner { return slices.Clone(owners) })
 }
 
-// Owners returns the owners of a service, which must not be changed, with the term and
-// the version that they are of.
+// Owners returns the owners of a service, which must not be changed, with their term and version.
 func (t *Table) Owners(service routing.ServiceName) (owners []owner.Owner, term owner.Term, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return (*t.services.Load())[service], t.term, t.versions[service]
 }
 
-// Change is what a leader says of a service's owners.
+// Change is what a leader sends about the owners of a service.
 type Change struct {
 	Term owner.Term
 	// Version counts the leader's changes of the service.
 	Version uint64
-	// Whole says that Owners are all that the keys Within have, or all keys if that is nil; else
-	// they are those of some keys, and the others stay.
+	// Full means that Owners are all owners of the keys in Range, or of all keys if that is nil.
+	// Otherwise they are those of some keys, and the others stay.
 	Full  bool
 	Range *owner.KeyRange
-	// Part says that more is to come until the table is as of Version.
+	// Partial means that more changes follow before the table is at Version.
 	Partial bool
-	// Owners are in the order of their keys.
+	// Owners are sorted by their keys.
 	Owners []owner.Owner
 }
 
-// Apply takes a change. It may come over another way than the one before: what is older
-// than what stands changes nothing.
+// Apply applies a change. It may arrive by another path than the previous one: changes older than
+// the table are ignored.
 func (t *Table) Apply(service routing.ServiceName, change Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +91,7 @@
 	}
 }
 
-// apply returns the owners after the change.
+// apply returns the owners with the change applied.
 func (c Change) apply(owners []owner.Owner) []owner.Owner {
 	switch {
 	case !c.Full:
@@ -103,7 +102,7 @@
 	return slices.Clone(c.Owners)
 }
 
-// keyRanges returns the keys of owners.
+// keyRanges returns the key ranges of owners.
 func keyRanges(owners []owner.Owner) []owner.KeyRange {
 	runs := make([]owner.KeyRange, 0, len(owners))
 	for _, one := range owners {
@@ -112,8 +111,8 @@
 	return runs
 }
 
-// overlay returns the owners with some runs of keys taken from them, and others given those that
-// change. All are in the order of their keys. It passes over each once, however many change.
+// overlay returns the owners with some key ranges removed, and with changes inserted. All are
+// sorted by their keys. It takes a single pass over each, however many ranges change.
 func overlay(owners []owner.Owner, replaced []owner.KeyRange, changes []owner.Owner) []owner.Owner {
 	merged := make([]owner.Owner, 0, len(owners)+2*len(changes))
 	next := 0
@@ -143,13 +142,13 @@
 	return append(merged, changes[next:]...)
 }
 
-// withKeys returns an owner with other keys.
+// withKeys returns a copy of an owner with other keys.
 func withKeys(of owner.Owner, from, to int) owner.Owner {
 	of.Keys = owner.KeyRange{From: from, To: to}
 	return of
 }
 
-// Within returns the owners of some keys, each run cut at their ends.
+// Clip returns the owners of some keys, their ranges cut at the ends of those keys.
 func Clip(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
 	var clipped []owner.Owner
 	for _, one := range owners {
@@ -188,21 +187,22 @@
 	t.changed = make(chan struct{})
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Age returns the term that the table is of, and for how long it stands.
+// Age returns the term of the table, and the time since its last change.
 func (t *Table) Age() (owner.Term, time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.term, clock.Since(t.updatedAt)
 }
 
-// Difference returns the runs of keys whose owner differs, as the new owners say.
+// Difference returns the key ranges whose owner differs between before and after, with their owners
+// in after.
 func Difference(before, after []owner.Owner) []owner.Owner {
 	var changes []owner.Owner
 	index := 0
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -11,7 +11,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// drawOwners draws owners of all keys.
+// drawOwners generates owners that cover all keys.
 func drawOwners(t *rapid.T, label string) []owner.Owner {
 	cuts := rapid.SliceOfNDistinct(rapid.IntRange(1, owner.KeyCount-1), 0, 12, rapid.ID[int]).Draw(t, label)
 	marks := map[int]bool{}
@@ -34,7 +34,7 @@
 	return owners
 }
 
-// A follower that paints the differences has what the leader has.
+// A follower that applies the difference has the same owners as the leader.
 func TestApplyingDifferenceYieldsNewOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
@@ -46,9 +46,9 @@
 			if !known {
 				t.Fatalf("key %d has no owner", key)
 			}
-			for _, should := range after {
-				if should.Keys.Contains(key) && (should.Worker != held.Worker || should.Moving != held.Moving) {
-					t.Fatalf("key %d: %v, should be %v", key, held, should)
+			for _, want := range after {
+				if want.Keys.Contains(key) && (want.Worker != held.Worker || want.Moving != held.Moving) {
+					t.Fatalf("key %d: %v, should be %v", key, held, want)
 				}
 			}
 		}
@@ -62,13 +62,13 @@
 }
 
 func TestUpdatesOfEarlierLeaderAreIgnored(t *testing.T) {
-	whole := func(worker workers.ID) []owner.Owner {
+	allKeys := func(worker workers.ID) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: worker}}
 	}
 	table := New()
-	table.Replace(3, "s", whole("new"))
-	table.Replace(2, "s", whole("old"))
-	table.Apply("s", Change{Term: 2, Version: 9, Owners: whole("old")})
+	table.Replace(3, "s", allKeys("new"))
+	table.Replace(2, "s", allKeys("old"))
+	table.Apply("s", Change{Term: 2, Version: 9, Owners: allKeys("old")})
 	held, known := table.Lookup("s", 7)
 	assert.Assert(t, known)
 	assert.Equal(t, held.Worker, workers.ID("new"))
@@ -76,8 +76,8 @@
 	assert.Equal(t, term, owner.Term(3))
 }
 
-// A process that changes from one relay to another may hear there what it knows already,
-// or less.
+// A process that changes from one relay to another may receive changes there that it already has,
+// or older ones.
 func TestOutdatedChangesAreIgnored(t *testing.T) {
 	run := func(from, to int, worker workers.ID) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: from, To: to}, Worker: worker}}
@@ -86,12 +86,12 @@
 		change Change
 		want   workers.ID
 	}{
-		"older and whole":           {change: Change{Term: 3, Version: 4, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
+		"older, full":               {change: Change{Term: 3, Version: 4, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
 		"older, of some keys":       {change: Change{Term: 3, Version: 4, Owners: run(7, 7, "b")}, want: "a"},
-		"the same again":            {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
+		"repeated":                  {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
 		"newer, of some keys":       {change: Change{Term: 3, Version: 6, Owners: run(7, 7, "b")}, want: "b"},
-		"of a later leader":         {change: Change{Term: 4, Version: 1, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
-		"later, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
+		"of a later leader, full":   {change: Change{Term: 4, Version: 1, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
+		"newer, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New()
@@ -104,8 +104,8 @@
 	}
 }
 
-// Owners that are told in pieces are those that were told, whatever stood before; until the last
-// piece the table has the version of before, so that nobody takes it for whole.
+// Owners that arrive in pieces replace all owners before. Until the last piece has arrived, the
+// table has the previous version, so that it is not taken for complete.
 func TestOwnersArriveInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
@@ -119,22 +119,22 @@
 				Term: 1, Version: 9, Full: true, Range: &keys, Partial: next < owner.KeyCount, Owners: Clip(after, keys),
 			})
 			_, _, version := table.Owners("s")
-			if whole := next == owner.KeyCount; whole != (version == 9) {
+			if complete := next == owner.KeyCount; complete != (version == 9) {
 				t.Fatalf("version %d after keys up to %d", version, keys.To)
 			}
 		}
-		for _, should := range after {
-			for _, key := range []int{should.Keys.From, should.Keys.To} {
+		for _, want := range after {
+			for _, key := range []int{want.Keys.From, want.Keys.To} {
 				held, known := table.Lookup("s", key)
-				if !known || should.Worker != held.Worker || should.Moving != held.Moving {
-					t.Fatalf("key %d: %v, should be %v", key, held, should)
+				if !known || want.Worker != held.Worker || want.Moving != held.Moving {
+					t.Fatalf("key %d: %v, should be %v", key, held, want)
 				}
 			}
 		}
 	})
 }
 
-// A change of a few runs passes over the table once, not once a run.
+// A change of many key ranges takes one pass over the table, not one pass per range.
 func BenchmarkApplyManyChanges(b *testing.B) {
 	var owners []owner.Owner
 	for from := 0; from < owner.KeyCount; from += 16 {
--- a/internal/routing/regions.go
+++ b/internal/routing/regions.go
@@ -6,8 +6,9 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// RegionsOf returns the only regions in which a service can be asked for: those that any route
-// to it allows. bound is false if some route to it may be served anywhere, or none leads there.
+// AllowedRegions returns the regions that requests to a service are restricted to: those that any
+// route to it allows. restricted is false if some route to it allows any region, or no route sends
+// requests to it.
 func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, restricted bool) {
 	for _, route := range c.routes {
 		if !route.sendsTo(service) {
@@ -25,7 +26,7 @@
 	return regions, len(regions) > 0
 }
 
-// leadsTo reports whether any of the route's requests go to a service.
+// sendsTo reports whether any of the route's requests go to a service.
 func (r *Route) sendsTo(service ServiceName) bool {
 	return slices.ContainsFunc(r.Services, func(one WeightedService) bool { return one.Service == service && one.Weight > 0 })
 }
--- a/internal/routing/regions_test.go
+++ b/internal/routing/regions_test.go
@@ -19,18 +19,18 @@
 		routes []*Route
 		want   []topology.Region
 	}{
-		"no route":                  {nil, nil},
-		"bound":                     {[]*Route{route(1, "a")}, []topology.Region{"a"}},
-		"bound to several":          {[]*Route{route(1, "a", "b"), route(1, "b", "c")}, []topology.Region{"a", "b", "c"}},
-		"one is free":               {[]*Route{route(1, "a"), route(1)}, nil},
-		"the free one has no share": {[]*Route{route(1, "a"), route(0)}, []topology.Region{"a"}},
+		"no route":                           {nil, nil},
+		"restricted":                         {[]*Route{route(1, "a")}, []topology.Region{"a"}},
+		"restricted to several":              {[]*Route{route(1, "a", "b"), route(1, "b", "c")}, []topology.Region{"a", "b", "c"}},
+		"one is unrestricted":                {[]*Route{route(1, "a"), route(1)}, nil},
+		"the unrestricted one has no weight": {[]*Route{route(1, "a"), route(0)}, []topology.Region{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			config, err := Build(1, test.routes, map[ServiceName]*Service{"s": {}, "other": {}}, Limits{})
 			assert.NilError(t, err)
-			got, bound := config.AllowedRegions("s")
+			got, restricted := config.AllowedRegions("s")
 			assert.DeepEqual(t, got, test.want)
-			assert.Equal(t, bound, len(test.want) > 0)
+			assert.Equal(t, restricted, len(test.want) > 0)
 		})
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing holds the operators' configuration as requests need it:
-// which service a request belongs to, under which limits.
+// Package routing holds the operators' configuration in the form that requests need: which service
+// a request belongs to, and under which limits.
 //
-// A Config is never changed after Build; a newer one replaces it whole.
+// A Config is never changed once it is in use; a newer one replaces it as a whole.
 package routing
 
 import (
@@ -21,41 +21,41 @@
 // ServiceName names a set of interchangeable workers.
 type ServiceName string
 
-// Version counts configurations; it only rises.
+// Version numbers configurations; it only increases.
 type Version uint64
 
-// Route says which requests go to which services, and how.
+// Route describes which requests go to which services, and how.
 type Route struct {
 	Name string
 	Host string
-	// Prefix of the path; starts with a slash.
+	// Prefix is the beginning of the path; it starts with a slash.
 	Prefix string
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Class of the route's bodies.
+	// Class describes the route's bodies.
 	Class BodyClass
 	// Public routes need no API key.
 	Public bool
-	// Open routes belong to a scope without tenants: callers need no API key, and their headers
-	// travel on as they are.
+	// Open routes belong to a scope without tenants: callers need no API key, and their headers are
+	// forwarded unchanged.
 	Open bool
-	// Scope whose tenants may use the route.
+	// Scope is the scope whose tenants may use the route.
 	Scope Scope
 	// Regions are the only ones in which requests may be served; empty: any.
 	Regions []topology.Region
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest time for which a request is held.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most.
+	// Target is the time within which an answer has the most value.
 	Target time.Duration
-	// Priority: 0 is the highest.
+	// Priority of the requests; 0 is the highest.
 	Priority int
-	// Attempts is the most workers that one request is sent to.
+	// Attempts is the maximum number of workers that one request is sent to.
 	Attempts int
-	// Parts share the route's requests by weight.
+	// Services share the route's requests by weight.
 	Services []WeightedService
 }
 
-// Part is one service's share of a route.
+// WeightedService is a service and its share of a route's requests.
 type WeightedService struct {
 	Service ServiceName
 	Weight  int
@@ -64,46 +64,46 @@
 // KeyReader returns the number of a request's key; false if it has none.
 type KeyReader func(request *http.Request) (int, bool)
 
-// Place says which zones may hold a run of keys, both ends inside.
+// PlacementRule restricts the keys From to To, both included, to workers in some zones.
 type PlacementRule struct {
 	From, To int
 	Zones    []string
 }
 
-// Service says how its workers are met. Zero values of the bounds mean that the
-// service has none of its own.
+// Service describes how requests are sent to a service's workers. A limit of zero means that the
+// service sets none of its own.
 type Service struct {
 	Name ServiceName
-	// Connections is the most that one worker accepts from all callers.
+	// Connections is the maximum number that one worker accepts from all callers.
 	Connections int
 	// Keyed services run a request only at the worker that holds its key.
 	Keyed bool
-	// WarmUp is how long a key is slow that came without a handover.
+	// WarmUp is how long requests for a key are slow after it was moved without a handover.
 	WarmUp time.Duration
-	// ColdTime is how long a worker is slow after its start, and ColdRate how many requests
-	// a second it bears meanwhile, from all callers; zero: any number.
+	// ColdTime is how long a worker is slow after its start, and ColdRate how many requests per
+	// second it can take meanwhile, from all callers; zero: any number.
 	ColdTime time.Duration
 	ColdRate float64
-	// Key reads the key of a request; nil: a header holds its number.
+	// Key reads the key of a request; nil: a header contains its number.
 	Key KeyReader
-	// Places restrict where keys may be held; keys outside of all of them may be
-	// held anywhere. In the order of the keys.
+	// Placement restricts where keys may be held; keys without a rule may be held anywhere. It is
+	// sorted by the keys.
 	Placement []PlacementRule
-	// ChurnWeight from 0 to 1 weighs moves for balance: at 1 there are none.
+	// ChurnWeight, from 0 to 1, is the weight against moves for balance: at 1 there are none.
 	ChurnWeight float64
-	// MovesPerMinute bounds moves for balance.
+	// MovesPerMinute limits moves for balance.
 	MovesPerMinute int
-	// BodyBytes bounds a request's body.
+	// BodyBytes limits a request's body.
 	BodyBytes int64
-	// Queue is the most requests that wait for a worker in one process.
+	// Queue is the maximum number of requests that wait for a worker in one process.
 	Queue int
-	// HedgeAfter is when a second copy of a repeatable request is sent.
+	// HedgeAfter is the delay after which a second copy of a repeatable request is sent.
 	HedgeAfter time.Duration
-	// RetryRatio is the ratio of second sends to requests.
+	// RetryRatio limits the further sends of requests, as a ratio of their first sends.
 	RetryRatio float64
 }
 
-// Limits bound what a client may send.
+// Limits apply to what a client may send.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -116,16 +116,15 @@
 	Version  Version
 	Services map[ServiceName]*Service
 	Limits   Limits
-	// Tenants whose callers show API keys; nil: callers need none.
+	// Tenants are those whose callers authenticate with API keys; nil: callers need none.
 	Tenants map[TenantName]*Tenant
-	// Remarks are what operators should know of the configuration, which is in force all the
-	// same.
+	// Warnings are for operators; the configuration is in force all the same.
 	Warnings []string
 	routes   []*Route
 	byHost   map[string][]*Route
 }
 
-// Build checks the parts of a configuration and indexes them.
+// Build validates the parts of a configuration and indexes them.
 func Build(version Version, routes []*Route, services map[ServiceName]*Service, limits Limits) (*Config, error) {
 	config := &Config{
 		Version:  version,
@@ -169,8 +168,8 @@
 	return nil
 }
 
-// Match returns the route with the longest prefix of the path, nil if none. Routes
-// that name the host go before those that name none.
+// Match returns the route with the longest matching path prefix, nil if none. Routes that name the
+// host take precedence over those that name none.
 func (c *Config) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -194,10 +193,10 @@
 	return best
 }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (c *Config) Routes() int { return len(c.routes) }
 
-// HasRoute reports whether there is a route of that name.
+// HasRoute reports whether there is a route with that name.
 func (c *Config) HasRoute(name string) bool {
 	return slices.ContainsFunc(c.routes, func(one *Route) bool { return one.Name == name })
 }
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// Splitter deals the requests of weighted routes to their parts, so that any
-// run of requests comes close to the weights (smooth weighted round robin).
+// Splitter distributes the requests of weighted routes over their services, so that any run of
+// requests comes close to the weights (smooth weighted round robin).
 //
-// Each route's round begins at a place of its own: many processes that see few requests
-// each would else all begin with the same part.
+// Each route's round begins at its own offset: many processes that see few requests each would
+// otherwise all begin with the same service.
 type Splitter struct {
 	mu      sync.Mutex
 	current map[*Route][]int
 	start   func(total int) int
 }
 
-// NewSplitter returns a splitter for the routes of one configuration. start returns how
-// many requests of a round, whose length is the total of the weights, are passed over
-// first, such as a random number below it.
+// NewSplitter returns a splitter for the routes of one configuration. start returns how many
+// requests of a route's first round are skipped, such as a random number below total. total is the
+// length of the round, which is the sum of the weights, but at most maxSkipped.
 func NewSplitter(start func(total int) int) *Splitter {
 	return &Splitter{current: map[*Route][]int{}, start: start}
 }
 
-// Pick returns the part for the route's next request.
+// Pick returns the service for the route's next request.
 func (s *Splitter) Pick(route *Route) ServiceName {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
@@ -35,12 +35,12 @@
 	return route.Services[nextService(route, current)].Service
 }
 
-// maxSkipped bounds how many requests of a round are passed over, which takes a millisecond:
-// all processes take a configuration at once, and weights of 2^40 held up each of them for hours
-// at the first request of the route.
+// maxSkipped limits how many requests of a round are skipped, which takes a millisecond: all
+// processes load a configuration at the same time, and weights of 2^40 blocked each of them for
+// hours at the first request of the route.
 const maxSkipped = 100_000
 
-// begin returns where a route's round begins.
+// startRound returns the state of a route's first round, after the skipped requests.
 func (s *Splitter) startRound(route *Route) []int {
 	total := 0
 	for _, part := range route.Services {
@@ -56,7 +56,7 @@
 	return current
 }
 
-// deal returns the index of the next part.
+// nextService returns the index of the service for the next request.
 func nextService(route *Route, current []int) int {
 	total, best := 0, 0
 	for index, part := range route.Services {
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -6,15 +6,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// Processes that see one request each deal them by the weights all the same, if their
-// rounds begin at all places alike.
+// Processes that see one request each still follow the weights together, if the offsets of their
+// rounds are distributed evenly.
 func TestFirstPicksOfManySplittersFollowTheWeights(t *testing.T) {
 	for name, weights := range map[string][]int{
 		"halves":      {1, 1},
 		"most to one": {7, 3},
 		"nearly all":  {90, 10},
 		"three parts": {5, 1, 4},
-		"one is off":  {3, 0},
+		"no weight":   {3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			route := &Route{}
@@ -41,19 +41,19 @@
 func TestSplitterFollowsTheWeights(t *testing.T) {
 	route := &Route{Services: []WeightedService{{Service: "a", Weight: 5}, {Service: "b", Weight: 1}}}
 	splitter := NewSplitter(func(int) int { return 4 })
-	dealt := map[ServiceName]int{}
+	picked := map[ServiceName]int{}
 	for range 60 {
-		dealt[splitter.Pick(route)]++
+		picked[splitter.Pick(route)]++
 	}
-	assert.DeepEqual(t, dealt, map[ServiceName]int{"a": 50, "b": 10})
+	assert.DeepEqual(t, picked, map[ServiceName]int{"a": 50, "b": 10})
 }
 
-// A configuration is read by all processes within a second: weights of any size must not hold up
-// the first request of a route, which begins its round, for seconds at each of them.
+// All processes load a configuration within a second: weights of any size must not delay the first
+// request of a route, which begins its round, by seconds in each of them.
 func TestHugeWeightsDoNotDelayTheFirstRequest(t *testing.T) {
 	route := &Route{Services: []WeightedService{{Service: "a", Weight: 1 << 40}, {Service: "b", Weight: 1 << 40}}}
 	splitter := NewSplitter(func(of int) int {
-		assert.Assert(t, of <= 100_000, "up to %d requests are passed over", of)
+		assert.Assert(t, of <= 100_000, "up to %d requests are skipped", of)
 		return 0
 	})
 	splitter.Pick(route)
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -11,17 +11,17 @@
 // TenantName names a customer of the services, whose callers share API keys and a quota.
 type TenantName string
 
-// keyDigestBytes is the length of a digest: of 256 bits, so that nobody finds another key
-// with the same one.
+// keyDigestBytes is the length of a digest: with 256 bits it is infeasible to find another key that
+// has the same one.
 const keyDigestBytes = 32
 
-// KeyDigest stands for an API key, which is never kept itself.
+// KeyDigest is the digest of an API key. The key itself is never kept.
 type KeyDigest [keyDigestBytes]byte
 
-// MarshalText writes a digest in hexadecimal digits.
+// MarshalText encodes a digest in hexadecimal digits.
 func (d KeyDigest) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, d[:]), nil }
 
-// UnmarshalText reads a digest of hexadecimal digits.
+// UnmarshalText decodes a digest in hexadecimal digits.
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	var read KeyDigest
 	if len(text) != hex.EncodedLen(len(read)) {
@@ -34,20 +34,20 @@
 	return nil
 }
 
-// Scope names what routes and tenants belong to, such as a team: a key is good on routes of its own
-// scope only. Where all is one scope it is empty.
+// Scope is a namespace of routes and tenants, such as that of a team: a key is valid only on routes
+// of its own scope. It is empty where there is a single scope.
 type Scope string
 
 // Tenant is one customer of the services.
 type Tenant struct {
 	Name  TenantName
 	Scope Scope
-	// Keys are the digests of the API keys that the tenant's callers show.
+	// Keys are the digests of the API keys of the tenant's callers.
 	Keys []KeyDigest
-	// Priority goes before that of the route: 0 is the highest.
+	// Priority overrides that of the route: 0 is the highest.
 	Priority int
-	// Rate is how many requests a second the tenant may have run over all routers together,
-	// and Burst how many more at once. Rate zero: any number.
+	// Rate is how many requests per second the tenant may run at all routers together, and Burst
+	// how many more at once. Rate zero: any number.
 	Rate, Burst float64
 	// Regions are the only ones in which the tenant's requests may be served; empty: any.
 	Regions []topology.Region
@@ -56,8 +56,8 @@
 // Limited reports whether the tenant has a quota.
 func (t *Tenant) Limited() bool { return t.Rate > 0 }
 
-// Priority returns a request's rank, 0 being the highest: that of its tenant, which may be nil,
-// goes before that of its route.
+// Priority returns a request's priority, 0 being the highest: that of its tenant, which may be nil,
+// overrides that of its route.
 func Priority(route *Route, tenant *Tenant) int {
 	if tenant != nil {
 		return tenant.Priority
@@ -76,30 +76,32 @@
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// BodyClass says how large a route's bodies are, and which way they go.
+// BodyClass describes how large a route's bodies are, and in which direction they are sent.
 type BodyClass int
 
 // Classes of bodies.
 const (
-	// Small bodies are kept whole until they are passed on.
+	// Small bodies are buffered completely before they are forwarded.
 	Small BodyClass = iota
-	// BulkUpload are large requests: read up to a bound before a worker is asked, then passed on.
+	// BulkUpload is for large requests: they are read up to a limit before a worker is chosen, then
+	// streamed.
 	BulkUpload
-	// BulkDownload are large answers: kept back for a part of the target, then passed on as they come.
+	// BulkDownload is for large answers: they are held back for a part of the target, then
+	// streamed.
 	BulkDownload
 )
 
-// fitsHeader reports whether a text can be the value of a header and comes out of it unchanged.
+// fitsHeader reports whether a text can be the value of a header and is unchanged when read back.
 func fitsHeader(text string) bool {
 	control := func(r rune) bool { return r < ' ' || r == del }
 	return text != "" && strings.TrimSpace(text) == text && !strings.ContainsFunc(text, control)
 }
 
-// del is the one control character after the printable ones of ASCII.
+// del is the only control character after the printable characters of ASCII.
 const del = 0x7f
 
-// WithTenants adds tenants to a configuration that is not in use yet. Callers must show a
-// key then, but on public routes.
+// WithTenants adds tenants to a configuration that is not in use yet. Callers must then
+// authenticate with a key, except on public routes.
 func (c *Config) WithTenants(tenants map[TenantName]*Tenant) (*Config, error) {
 	owners := map[KeyDigest]TenantName{}
 	for name, tenant := range tenants {
--- a/internal/routing/tenant_test.go
+++ b/internal/routing/tenant_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// One key can't be two tenants'.
+// A key must not belong to two tenants.
 func TestKeyBelongsToOneTenant(t *testing.T) {
 	key := KeyDigest{1}
 	_, err := (&Config{}).WithTenants(map[TenantName]*Tenant{"a": {Keys: []KeyDigest{key}}, "b": {Keys: []KeyDigest{key}}})
