--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -51,10 +51,10 @@
 	// Traffic counts the bytes exchanged with processes that follow this one. It may be nil.
 	Traffic *traffic.Counter
 	// Limits are the known limits of workers, which are sent to the links. It may be nil.
-	Limits *facts.Book[workerlimit.Fact]
+	Limits *facts.Table[workerlimit.Fact]
 	// Leaving are the workers that have announced their departure, which are sent to the links. It
 	// may be nil.
-	Leaving *facts.Book[departure.Fact]
+	Leaving *facts.Table[departure.Fact]
 
 	mu      sync.Mutex
 	leading bool
@@ -82,7 +82,7 @@
 	bulkTransfers    bulkTransfers
 	ownerChanges     ownerChangesCache
 	config           configLog
-	suspects         quarantine.Ledger
+	suspects         quarantine.ChangeLog
 	storeUnreachable bool
 	standbys         standbys
 	// onLeaderQuery is called with the term of a leader that sends a query. It may be nil.
@@ -94,8 +94,8 @@
 	quotaRoutes quotaRoutes
 	// onLimits and onLeaving are called with the limits and the departures of workers that linked
 	// processes report, and answerPermit answers their permit requests.
-	onLimits     func([]workerlimit.Told)
-	onLeaving    func([]departure.Told)
+	onLimits     func([]workerlimit.Message)
+	onLeaving    func([]departure.Message)
 	answerPermit func(PermitRequest) (Permit, bool)
 	// backoffs are the backoffs that owners of keys have requested, for operators.
 	backoffs []BackoffShare
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -25,8 +25,8 @@
 		err := unpack(u.SuspectChanges, &changes)
 		return changes, err == nil, err
 	case len(u.Suspects) > 0:
-		changes.Whole = true
-		err := unpack(u.Suspects, &changes.Fresh)
+		changes.Full = true
+		err := unpack(u.Suspects, &changes.Updated)
 		return changes, err == nil, err
 	}
 	return changes, false, nil
@@ -41,7 +41,7 @@
 	l.suspectsSentAt = now
 	if !l.hello.SuspectChanges {
 		changes, upTo := h.suspects.Since(now, 0, 0)
-		update.Suspects, l.suspectsVersion = pack(changes.Fresh), upTo
+		update.Suspects, l.suspectsVersion = pack(changes.Updated), upTo
 		return
 	}
 	changes, upTo := h.suspects.Since(now, l.suspectsVersion, maxSuspects)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -157,10 +157,10 @@
 	r.workers.OnExpired(r.entriesView.logExpired)
 	r.configView = newConfigView(r)
 	r.proxy = proxy.New(config.Zone, r.workers, retryLimits(config))
-	r.proxy.Locate(r.zoneMap)
+	r.proxy.SetTopology(r.zoneMap)
 	r.proxy.Traffic = traffic.NewCounter(topology.Zone(config.Zone), r.zoneMap, metrics)
 	r.proxy.Headers, r.proxy.Table, r.proxy.Meter = adapter.Headers, r.table, r.meter
-	r.proxy.Drain, r.proxy.Evacuate = config.Drain.Std(), config.Evacuate.Std()
+	r.proxy.DrainPeriod, r.proxy.EvacuationPeriod = config.Drain.Std(), config.Evacuate.Std()
 	r.proxy.Log, r.proxy.Nodes, r.proxy.Metrics = log, r.nodes, proxy.NewMetrics(metrics)
 	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewTurns(config.Machine.LinkMbps)
 	r.proxy.Starting.Store(true)
@@ -178,12 +178,12 @@
 	r.keeper = &keeper.Keeper{
 		Store: adapter.Store, Prefix: KeyPrefix, Orders: adapter.Orders, Workers: r.workers,
 		Config: r.proxy.Config, Hub: r.hub, Table: r.table, Reports: r.reports, Log: log, Metrics: keeper.NewMetrics(metrics),
-		ReadUpTo: r.storeSyncedAt,
+		SyncedAt: r.storeSyncedAt,
 		Times:    owner.DefaultConfig(config.MaxHold.Std()), Nonce: rand.Text, Zone: config.Zone, Regions: r.zoneMap,
 	}
 	r.standby = standby.New(adapter.Orders, r.keeper.Times, log)
 	r.standby.Workers = r.workers
-	r.hub.OnLeaderQuery(r.standby.Stop)
+	r.hub.OnLeaderQuery(r.standby.Revoke)
 	r.hub.OnFollowerReport(r.meter.AddReport)
 	r.hub.OnLinked(r.peers.Add)
 	r.hub.OnEvidence(r.handleEvidence)
@@ -192,14 +192,14 @@
 	r.hub.OnQuota(r.quotas.handleReports)
 	r.limits = newWorkerLimits(r)
 	r.keeper.Limits = r.limits.book.Rate
-	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Book
+	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Table
 	r.hub.OnLimits(r.limits.handleReports)
 	r.hub.OnPermit(r.limits.handlePermitRequest)
 	r.leaving = newLeavingWorkers(r)
-	r.proxy.Leaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Book()
+	r.proxy.OnWorkerLeaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Table()
 	r.hub.OnLeaving(r.leaving.handleReports)
-	r.proxy.KeysStay = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
-	r.keeper.Leaving = r.leaving.noteLeaving
+	r.proxy.KeyMovesBlocked = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
+	r.keeper.OnWorkerLeaving = r.leaving.noteLeaving
 	r.pipelined = pipeline.New(r.proxy, r.pipelineLimits())
 	metrics.MustRegister(r.proxy, r.quotas, r.limits.permits)
 	r.registerMetrics(metrics)
@@ -330,7 +330,7 @@
 
 // pipelineLimits returns the limits of pipelined requests.
 func (r *Router) pipelineLimits() pipeline.Limits {
-	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.Beside}
+	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.MayRunConcurrently}
 	if memory := r.settings.Machine.MemoryMB; memory > 0 {
 		limits.Held = int64(pipelineHeldShare * float64(memory) * (1 << 20))
 	}
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -114,8 +114,8 @@
 
 // settle applies time-dependent changes.
 func (k *suspectsKeeper) settle(now time.Time) {
-	for _, record := range k.r.proxy.Suspects.Settle(now) {
-		proxy.TellQuarantined(k.r.log, record.Attempt)
+	for _, record := range k.r.proxy.Suspects.Evaluate(now) {
+		proxy.LogQuarantined(k.r.log, record.Attempt)
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	now := clock.Now()
 	records := snapshot.Stored(now)
-	lifted := r.proxy.Suspects.Lifted(records)
+	lifted := r.proxy.Suspects.NewlyLifted(records)
 	r.logQuarantined(r.proxy.Suspects.Merge(now, records))
 	return lifted
 }
@@ -209,7 +209,7 @@
 // logQuarantined logs requests that are no longer forwarded.
 func (r *Router) logQuarantined(attempts []quarantine.Attempt) {
 	for _, attempt := range attempts {
-		proxy.TellQuarantined(r.log, attempt)
+		proxy.LogQuarantined(r.log, attempt)
 	}
 }
 
@@ -222,11 +222,11 @@
 	if !present {
 		return
 	}
-	r.logQuarantined(r.proxy.Suspects.Told(clock.Now(), r.hub.ApplySuspects(changes)))
+	r.logQuarantined(r.proxy.Suspects.HandleUpdate(clock.Now(), r.hub.ApplySuspects(changes)))
 	r.proxy.Starting.Store(false)
 }
 
 // handleEvidence applies evidence of crashes from another process.
 func (r *Router) handleEvidence(evidence quarantine.Evidence) {
-	r.logQuarantined(r.proxy.Suspects.Take(clock.Now(), evidence))
+	r.logQuarantined(r.proxy.Suspects.HandleEvidence(clock.Now(), evidence))
 }
