--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -40,8 +40,8 @@
 	{
 		name: "taken-key-goes-on",
 		file: "internal/tenant/index.go",
-		old:  "		return Caller{Result: Revoked, RevokedKey: former}",
-		new:  "		return Caller{Result: Authenticated, Tenant: &routing.Tenant{Name: former.Tenant, Scope: former.Scope}}",
+		old:  "		return Caller{Result: Revoked, RevokedKey: revoked}",
+		new:  "		return Caller{Result: Authenticated, Tenant: &routing.Tenant{Name: revoked.Tenant, Scope: revoked.Scope}}",
 		pkg:  "./internal/proxy", test: "TestAPIKeysFollowConfiguration",
 	},
 	{
--- a/internal/tenant/digest.go
+++ b/internal/tenant/digest.go
@@ -1,7 +1,7 @@
-// Package tenant says who a caller is, by the API key that it shows.
+// Package tenant identifies callers by their API keys.
 //
-// It is pure: it opens no socket, reads no clock and starts no goroutine. Keys are held as
-// digests only.
+// It is pure: it opens no socket, reads no clock and starts no goroutine. Keys are kept as digests
+// only.
 package tenant
 
 import (
@@ -10,5 +10,5 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Digest returns what stands for an API key.
+// Digest returns the digest of an API key.
 func Digest(key string) routing.KeyDigest { return sha256.Sum256([]byte(key)) }
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -13,60 +13,60 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Header is the name of the header in which callers show their API key.
+// Header is the name of the header in which callers send their API key.
 const Header = "Authorization"
 
-// Scheme is the one scheme of that header by which a key is shown.
+// Scheme is the only scheme of that header that is accepted.
 const Scheme = "Bearer"
 
 // secretBytes is the length of a secret: that of the hash, so that guessing one is as hard as
-// the other.
+// guessing the other.
 const secretBytes = sha256.Size
 
-// Secret keys the hash under which one process looks API keys up. It never leaves the process.
+// Secret keys the hash under which one process looks up API keys. It never leaves the process.
 type Secret [secretBytes]byte
 
-// Finding is what became of the look for a caller's tenant.
+// AuthResult is the result of identifying a caller.
 type AuthResult string
 
-// Findings.
+// Results of identifying a caller.
 const (
-	// Proved: the caller has shown a key that a tenant holds.
+	// Authenticated: the caller sent a key that a tenant holds.
 	Authenticated AuthResult = "proved"
-	// Missing: the caller shows no key.
+	// Missing: the caller sent no key.
 	Missing AuthResult = "key-missing"
-	// Malformed: what the caller shows is no key of the scheme, or more than one.
+	// Malformed: the caller sent something that is not a key of the scheme, or more than one key.
 	Malformed AuthResult = "key-malformed"
-	// Unknown: no tenant holds the key, and none was seen to hold it.
+	// Unknown: no tenant of the request's scope holds the key, and none is known to have held it.
 	Unknown AuthResult = "key-unknown"
-	// Revoked: a tenant held the key in a configuration that was in force here.
+	// Revoked: a tenant held the key in an earlier configuration that was in force here.
 	Revoked AuthResult = "key-taken-away"
 )
 
-// Caller is who makes a request.
+// Caller describes who makes a request.
 type Caller struct {
 	Result AuthResult
-	// Tenant is set where it was proved.
+	// Tenant is set if the result is Authenticated.
 	Tenant *routing.Tenant
-	// Former says who held a key that was taken away.
+	// RevokedKey is set if the result is Revoked.
 	RevokedKey RevokedKey
 }
 
-// Former tells of a key that was taken away.
+// RevokedKey describes a key that was revoked.
 type RevokedKey struct {
 	Tenant routing.TenantName
-	// Gone is the first configuration in force here without the key.
+	// RevokedIn is the first configuration in force here without the key.
 	RevokedIn routing.Version
 	// Scope of the tenant.
 	Scope routing.Scope
 }
 
-// maxRevoked is of how many keys that were taken away an index knows: enough for the largest
-// tenant's at once, in half a megabyte. Those that went first are forgotten first.
+// maxRevoked limits how many revoked keys an index remembers: enough for all keys of the largest
+// tenant at once, in half a megabyte. Keys that were revoked first are forgotten first.
 const maxRevoked = 4096
 
-// tag is the keyed hash of a digest. Lookups compare tags, whose bits a caller can't choose
-// without the secret, so the time that they take tells nothing about keys.
+// tag is the keyed hash of a digest. Lookups compare tags, whose bits a caller can't choose without
+// the secret, so that the time they take reveals nothing about keys.
 type tag [sha256.Size]byte
 
 // holding is a key's digest and the tenant that holds it.
@@ -80,13 +80,13 @@
 type Index struct {
 	active  map[tag]keyHolder
 	revoked map[tag]RevokedKey
-	// hashers are of type *hasher.
+	// hashers holds values of type *hasher.
 	hashers *sync.Pool
 }
 
-// NewIndex returns an index of a configuration's tenants. before is the index of the
-// configuration before, made with the same secret; nil if there is none.
-func NewIndex(secret Secret, config *routing.Config, before *Index) *Index {
+// NewIndex returns an index of a configuration's tenants. previous is the index of the previous
+// configuration, made with the same secret; nil if there is none.
+func NewIndex(secret Secret, config *routing.Config, previous *Index) *Index {
 	x := &Index{
 		active:  map[tag]keyHolder{},
 		revoked: map[tag]RevokedKey{},
@@ -99,28 +99,28 @@
 			x.active[h.tag(digest)] = keyHolder{digest: digest, tenant: one}
 		}
 	}
-	if before != nil {
-		x.addRevoked(before, config.Version)
+	if previous != nil {
+		x.addRevoked(previous, config.Version)
 	}
 	return x
 }
 
-// remember notes which keys stand no longer, as of a version.
-func (x *Index) addRevoked(before *Index, version routing.Version) {
-	for key, former := range before.revoked {
-		if _, back := x.active[key]; !back {
-			x.revoked[key] = former
+// addRevoked records which keys of the previous index are no longer held, as of a version.
+func (x *Index) addRevoked(previous *Index, version routing.Version) {
+	for key, revoked := range previous.revoked {
+		if _, restored := x.active[key]; !restored {
+			x.revoked[key] = revoked
 		}
 	}
-	for key, was := range before.active {
-		if _, stands := x.active[key]; !stands {
+	for key, was := range previous.active {
+		if _, held := x.active[key]; !held {
 			x.revoked[key] = RevokedKey{Tenant: was.tenant.Name, RevokedIn: version, Scope: was.tenant.Scope}
 		}
 	}
 	x.pruneRevoked()
 }
 
-// forget drops the keys that went first until no more than maxRevoked are left.
+// pruneRevoked forgets the keys that were revoked first until no more than maxRevoked are left.
 func (x *Index) pruneRevoked() {
 	if len(x.revoked) <= maxRevoked {
 		return
@@ -135,14 +135,14 @@
 	}
 }
 
-// Keys returns how many keys are held.
+// KeyCount returns how many keys are held.
 func (x *Index) KeyCount() int { return len(x.active) }
 
-// Identify finds out who makes a request within a scope, by its headers.
+// Identify returns who makes a request within a scope, by its headers.
 func (x *Index) Identify(header http.Header, scope routing.Scope) Caller {
-	key, finding := keyFromHeader(header)
-	if finding != Authenticated {
-		return Caller{Result: finding}
+	key, result := keyFromHeader(header)
+	if result != Authenticated {
+		return Caller{Result: result}
 	}
 	caller := x.lookUp(key)
 	if caller.scope() != scope {
@@ -151,7 +151,7 @@
 	return caller
 }
 
-// scope returns that of the tenant that holds the key, or held it.
+// scope returns the scope of the tenant that holds the key, or held it.
 func (c Caller) scope() routing.Scope {
 	if c.Tenant != nil {
 		return c.Tenant.Scope
@@ -159,22 +159,23 @@
 	return c.RevokedKey.Scope
 }
 
-// find returns who holds a key.
+// lookUp returns who holds a key.
 func (x *Index) lookUp(key string) Caller {
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
 	digest := Digest(key)
-	looked := h.tag(digest)
-	if held, found := x.active[looked]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
+	keyTag := h.tag(digest)
+	if held, found := x.active[keyTag]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
 		return Caller{Result: Authenticated, Tenant: held.tenant}
 	}
-	if former, known := x.revoked[looked]; known {
-		return Caller{Result: Revoked, RevokedKey: former}
+	if revoked, known := x.revoked[keyTag]; known {
+		return Caller{Result: Revoked, RevokedKey: revoked}
 	}
 	return Caller{Result: Unknown}
 }
 
-// keyFromHeader reads the key that a request shows; the finding is Proved where it shows one.
+// keyFromHeader returns the key that a request contains; the result is Authenticated if it contains
+// one.
 func keyFromHeader(header http.Header) (string, AuthResult) {
 	lines := header[Header]
 	if len(lines) == 0 {
@@ -194,8 +195,8 @@
 // Valid reports whether a text can be an API key.
 func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, isInvalidKeyRune) }
 
-// odd reports whether a character can't be part of a key: a blank, a control character, or one
-// outside of ASCII.
+// isInvalidKeyRune reports whether a character can't be part of a key: a space, a control
+// character, or one outside of ASCII.
 func isInvalidKeyRune(r rune) bool { return r <= ' ' || r > '~' }
 
 // hasher hashes digests under a secret. It is used by one goroutine at a time.
--- a/internal/tenant/index_test.go
+++ b/internal/tenant/index_test.go
@@ -11,7 +11,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// configOf returns a configuration whose tenants hold keys.
+// configOf returns a configuration whose tenants hold the given keys.
 func configOf(version routing.Version, keys map[routing.TenantName][]string) *routing.Config {
 	config := &routing.Config{Version: version, Tenants: map[routing.TenantName]*routing.Tenant{}}
 	for name, list := range keys {
@@ -27,42 +27,42 @@
 func TestCallersAreIdentifiedByKey(t *testing.T) {
 	x := NewIndex(Secret{1}, configOf(1, map[routing.TenantName][]string{"a": {"key-a1", "key-a2"}, "b": {"key-b"}, "none": nil}), nil)
 	for name, test := range map[string]struct {
-		lines   []string
-		finding AuthResult
-		tenant  routing.TenantName
+		lines  []string
+		result AuthResult
+		tenant routing.TenantName
 	}{
-		"a tenant's key":             {lines: []string{"Bearer key-a1"}, finding: Authenticated, tenant: "a"},
-		"its other key":              {lines: []string{"Bearer key-a2"}, finding: Authenticated, tenant: "a"},
-		"another tenant's":           {lines: []string{"Bearer key-b"}, finding: Authenticated, tenant: "b"},
-		"scheme in odd case":         {lines: []string{"bEARER key-b"}, finding: Authenticated, tenant: "b"},
-		"several blanks":             {lines: []string{"Bearer   key-b"}, finding: Authenticated, tenant: "b"},
-		"none":                       {finding: Missing},
-		"unknown":                    {lines: []string{"Bearer key-c"}, finding: Unknown},
-		"key in odd case":            {lines: []string{"Bearer KEY-B"}, finding: Unknown},
-		"beginning of a key":         {lines: []string{"Bearer key-"}, finding: Unknown},
-		"a key and more":             {lines: []string{"Bearer key-bb"}, finding: Unknown},
-		"a tenant's name":            {lines: []string{"Bearer b"}, finding: Unknown},
-		"long":                       {lines: []string{"Bearer " + strings.Repeat("k", 1<<16)}, finding: Unknown},
-		"twice the same":             {lines: []string{"Bearer key-b", "Bearer key-b"}, finding: Malformed},
-		"two":                        {lines: []string{"Bearer key-a1", "Bearer key-b"}, finding: Malformed},
-		"two in a line":              {lines: []string{"Bearer key-a1, Bearer key-b"}, finding: Malformed},
-		"empty line":                 {lines: []string{""}, finding: Malformed},
-		"empty key":                  {lines: []string{"Bearer "}, finding: Malformed},
-		"scheme alone":               {lines: []string{"Bearer"}, finding: Malformed},
-		"key alone":                  {lines: []string{"key-b"}, finding: Malformed},
-		"another scheme":             {lines: []string{"Basic key-b"}, finding: Malformed},
-		"blank after":                {lines: []string{"Bearer key-b "}, finding: Malformed},
-		"tab between":                {lines: []string{"Bearer\tkey-b"}, finding: Malformed},
-		"control character":          {lines: []string{"Bearer key-b\x00"}, finding: Malformed},
-		"character outside of ASCII": {lines: []string{"Bearer kéy"}, finding: Malformed},
+		"a tenant's key":             {lines: []string{"Bearer key-a1"}, result: Authenticated, tenant: "a"},
+		"its other key":              {lines: []string{"Bearer key-a2"}, result: Authenticated, tenant: "a"},
+		"another tenant's":           {lines: []string{"Bearer key-b"}, result: Authenticated, tenant: "b"},
+		"scheme in mixed case":       {lines: []string{"bEARER key-b"}, result: Authenticated, tenant: "b"},
+		"several spaces":             {lines: []string{"Bearer   key-b"}, result: Authenticated, tenant: "b"},
+		"no key":                     {result: Missing},
+		"unknown":                    {lines: []string{"Bearer key-c"}, result: Unknown},
+		"key in upper case":          {lines: []string{"Bearer KEY-B"}, result: Unknown},
+		"beginning of a key":         {lines: []string{"Bearer key-"}, result: Unknown},
+		"a key and more":             {lines: []string{"Bearer key-bb"}, result: Unknown},
+		"a tenant's name":            {lines: []string{"Bearer b"}, result: Unknown},
+		"long key":                   {lines: []string{"Bearer " + strings.Repeat("k", 1<<16)}, result: Unknown},
+		"the same key twice":         {lines: []string{"Bearer key-b", "Bearer key-b"}, result: Malformed},
+		"two keys":                   {lines: []string{"Bearer key-a1", "Bearer key-b"}, result: Malformed},
+		"two keys in a line":         {lines: []string{"Bearer key-a1, Bearer key-b"}, result: Malformed},
+		"empty line":                 {lines: []string{""}, result: Malformed},
+		"empty key":                  {lines: []string{"Bearer "}, result: Malformed},
+		"scheme alone":               {lines: []string{"Bearer"}, result: Malformed},
+		"key alone":                  {lines: []string{"key-b"}, result: Malformed},
+		"another scheme":             {lines: []string{"Basic key-b"}, result: Malformed},
+		"space after":                {lines: []string{"Bearer key-b "}, result: Malformed},
+		"tab between":                {lines: []string{"Bearer\tkey-b"}, result: Malformed},
+		"control character":          {lines: []string{"Bearer key-b\x00"}, result: Malformed},
+		"character outside of ASCII": {lines: []string{"Bearer kéy"}, result: Malformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			caller := x.Identify(http.Header{Header: test.lines}, "")
 			if test.lines == nil {
 				caller = x.Identify(http.Header{}, "")
 			}
-			assert.Equal(t, caller.Result, test.finding)
-			if test.finding != Authenticated {
+			assert.Equal(t, caller.Result, test.result)
+			if test.result != Authenticated {
 				assert.Assert(t, caller.Tenant == nil)
 				return
 			}
@@ -73,8 +73,8 @@
 
 func TestRevokedKeysAreRemembered(t *testing.T) {
 	secret := Secret{7}
-	step := func(before *Index, version routing.Version, keys ...string) *Index {
-		return NewIndex(secret, configOf(version, map[routing.TenantName][]string{"a": keys}), before)
+	step := func(previous *Index, version routing.Version, keys ...string) *Index {
+		return NewIndex(secret, configOf(version, map[routing.TenantName][]string{"a": keys}), previous)
 	}
 	find := func(x *Index, key string) Caller { return x.Identify(http.Header{Header: {Scheme + " " + key}}, "") }
 	first := step(nil, 3, "k1", "k2")
@@ -100,11 +100,11 @@
 	second := NewIndex(Secret{}, configOf(2, map[routing.TenantName][]string{"a": keys[10:]}), first)
 	third := NewIndex(Secret{}, configOf(3, nil), second)
 	assert.Equal(t, len(third.revoked), maxRevoked)
-	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k0"}}, "").Result, Unknown, "went first")
+	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k0"}}, "").Result, Unknown, "revoked first")
 	assert.Equal(t, third.Identify(http.Header{Header: {"Bearer k20"}}, "").Result, Revoked)
 }
 
-// Tags of one process are of no use at another.
+// A tag of one process must be of no use at another.
 func TestTagsDependOnTheSecret(t *testing.T) {
 	config := configOf(1, map[routing.TenantName][]string{"a": {"k"}})
 	one, other := NewIndex(Secret{1}, config, nil), NewIndex(Secret{2}, config, nil)
@@ -135,7 +135,7 @@
 }
 func BenchmarkUnknownKeyOf20000(b *testing.B) { benchmarkIdentify(b, 20000, "unknown") }
 
-// A key is good on routes of its own scope only.
+// A key is valid only on routes of its own scope.
 func TestKeyIsValidInItsScopeOnly(t *testing.T) {
 	config := configOf(1, map[routing.TenantName][]string{"a": {"k"}})
 	config.Tenants["a"].Scope = "one"
@@ -149,7 +149,8 @@
 	assert.DeepEqual(t, second.Identify(header, "two"), Caller{Result: Unknown})
 }
 
-// FuzzIdentify: whatever a caller shows, it is a tenant only by a key that the tenant holds.
+// FuzzIdentify checks that a caller is identified as a tenant only by a key that the tenant holds,
+// whatever it sends.
 func FuzzIdentify(f *testing.F) {
 	f.Add("Bearer key-a1", "")
 	f.Add("bearer  key-a1", "Bearer key-b")
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,5 +1,5 @@
-// Package topology says where things stand: zones, the regions that they belong to, and
-// how far one place is from another.
+// Package topology describes where processes run: zones, the regions that they belong to, and the
+// distances between zones.
 //
 // It is pure. A Map is never changed after New.
 package topology
@@ -13,8 +13,8 @@
 // shared by all traffic and slower than those between zones.
 type Region string
 
-// Distance says how far a place is, as far as decisions are concerned. Nearer ones are
-// less.
+// Distance is how far a zone is from another, as far as decisions depend on it. Nearer zones have
+// smaller values.
 type Distance int
 
 // Distances.
@@ -23,7 +23,7 @@
 	SameZone Distance = iota
 	// SameRegion is another zone of the region.
 	SameRegion
-	// OtherRegion lies behind a shared link.
+	// OtherRegion is reached over a shared link.
 	OtherRegion
 )
 
@@ -38,14 +38,14 @@
 	return "other-region"
 }
 
-// Map says which region each zone belongs to. The zero value knows no zones.
+// Map gives the region that each zone belongs to. The zero value has no zones.
 type Map struct {
 	regions map[Zone]Region
-	// count is how many regions were given; each request asks for it.
+	// count is the number of regions. It is kept since each request needs it.
 	count int
 }
 
-// New returns a map of zones. It keeps a copy.
+// New returns a map of zones to regions. It copies regions.
 func New(regions map[Zone]Region) Map {
 	m := Map{regions: make(map[Zone]Region, len(regions))}
 	named := map[Region]bool{}
@@ -57,9 +57,9 @@
 	return m
 }
 
-// Region returns a zone's region. A zone that is not known is a region of its own: taken
-// for near it would be sent what the link between regions cannot carry. A map without
-// any zones says that there is one region only, which has no name.
+// Region returns a zone's region. An unknown zone is a region of its own: if it were assumed to be
+// near, it would be sent more than the link between regions can carry. A map without zones has a
+// single region, which has no name.
 func (m Map) Region(zone Zone) Region {
 	if len(m.regions) == 0 {
 		return ""
@@ -70,16 +70,16 @@
 	return Region(zone)
 }
 
-// Known reports whether a zone's region was given, or none was for any.
+// Known reports whether a zone's region is known. All zones are if the map has none.
 func (m Map) Known(zone Zone) bool {
 	_, known := m.regions[zone]
 	return known || len(m.regions) == 0
 }
 
-// Regions returns how many regions there are; one if no zones are known.
+// RegionCount returns the number of regions; one if the map has no zones.
 func (m Map) RegionCount() int { return max(1, m.count) }
 
-// Zones returns the zones of some regions, in the order of their names.
+// Zones returns the zones of some regions, sorted by name.
 func (m Map) Zones(regions []Region) []Zone {
 	var zones []Zone
 	for zone, region := range m.regions {
@@ -91,7 +91,7 @@
 	return zones
 }
 
-// Distance returns how far a zone is from another.
+// Distance returns the distance between two zones.
 func (m Map) Distance(from, to Zone) Distance {
 	switch {
 	case from == to:
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestBytesAreCountedByKindAndDistance(t *testing.T) {
-	places := topology.New(map[topology.Zone]topology.Region{"a1": "a", "a2": "a", "b1": "b"})
+	zoneMap := topology.New(map[topology.Zone]topology.Region{"a1": "a", "a2": "a", "b1": "b"})
 	registry := prometheus.NewRegistry()
-	c := NewCounter("a1", places, registry)
+	c := NewCounter("a1", zoneMap, registry)
 	c.Add(Keyed, "b1", 5)
 	c.Add(Keyed, "b1", 2)
 	c.Add(Keyed, "a2", 11)
