--- a/internal/workers/entry.go
+++ b/internal/workers/entry.go
@@ -2,34 +2,35 @@
 
 import "fmt"
 
-// Reason says why an entry names no worker to use. Other writers than workers may write entries.
+// Reason is why an entry does not describe a usable worker. Processes other than workers may write
+// entries as well.
 type Reason string
 
-// Reasons why an entry names no worker.
+// Reasons why an entry does not describe a usable worker.
 const (
-	// ReasonUnreadable: its bytes, or its key, can't be read.
+	// ReasonUnreadable: the key or the value of the entry can't be decoded.
 	ReasonUnreadable Reason = "unreadable"
 	// ReasonMissing: a field is missing.
 	ReasonMissing Reason = "field-missing"
-	// ReasonType: a field is of another type.
+	// ReasonType: a field has the wrong type.
 	ReasonType Reason = "wrong-type"
-	// ReasonState: the state is none that workers have.
+	// ReasonState: the state is not one of a worker's states.
 	ReasonState Reason = "unknown-state"
-	// ReasonRange: a number, or a name, is none that a worker can have.
+	// ReasonRange: a number or a name is not valid for a worker.
 	ReasonRange Reason = "out-of-range"
-	// ReasonAddress: the address is no IP address with a port.
+	// ReasonAddress: the address is not an IP address with a port.
 	ReasonAddress Reason = "no-address"
 )
 
-// Reasons are all of them.
+// Reasons returns all reasons.
 func Reasons() []Reason {
 	return []Reason{ReasonUnreadable, ReasonMissing, ReasonType, ReasonState, ReasonRange, ReasonAddress}
 }
 
-// EntryError is the error of an entry that names no worker to use.
+// EntryError is the error of an entry that does not describe a usable worker.
 type EntryError struct {
 	Reason Reason `json:"r"`
-	// Field that is at fault, by the name it has in the entry; empty: all of it.
+	// Field is the name of the invalid field in the entry; empty: the whole entry is invalid.
 	Field string `json:"f,omitempty"`
 }
 
@@ -41,8 +42,8 @@
 	return fmt.Sprintf("%s: %s", e.Reason, e.Field)
 }
 
-// SetUnreadable sets all workers whose entries name no worker now. It is called before a list
-// without them replaces the one before.
+// SetUnreadable sets all workers whose entries do not describe a usable worker. It is called before
+// a list without these workers replaces the previous one.
 func (d *Directory) SetUnreadable(ids []ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,8 +53,8 @@
 	}
 }
 
-// MarkUnreadable notes whether a worker's entry names no worker. It is called before the change
-// itself.
+// MarkUnreadable records whether a worker's entry does not describe a usable worker. It is called
+// before the change itself is applied.
 func (d *Directory) MarkUnreadable(id ID, unreadable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,8 +64,8 @@
 	}
 }
 
-// Unreadable reports whether a worker's entry stands but names no worker. Such a worker counts as
-// gone, and its own next entry brings it back.
+// Unreadable reports whether a worker's entry exists but does not describe a usable worker. Such a
+// worker counts as gone, and the next entry that it writes itself restores it.
 func (d *Directory) Unreadable(id ID) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/workers/evacuation.go
+++ b/internal/workers/evacuation.go
@@ -7,15 +7,15 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// assumedColdTime is for how long the workers of a zone that is taken back count as cold
-// although their entries do not say so yet: they write these about every second.
+// assumedColdTime is how long the workers of a restored zone count as cold although their entries
+// do not say so yet: workers write their entries about every second.
 const assumedColdTime = 1500 * time.Millisecond
 
-// evacuations are since when zones' workers may have been to get no work.
+// evacuations maps each evacuated zone to the time since when it may have been evacuated.
 type evacuations map[string]time.Time
 
-// set replaces the evacuated zones, and returns whether that changed anything and which
-// were taken back.
+// set replaces the evacuated zones, and returns whether that changed anything and which zones were
+// restored.
 func (e evacuations) set(since time.Time, zones []string) (changed bool, restored []string) {
 	for _, zone := range zones {
 		if _, known := e[zone]; !known {
@@ -32,9 +32,9 @@
 	return changed || len(restored) > 0, restored
 }
 
-// SetEvacuated sets the zones whose workers are to get no work, and reports whether that
-// changed anything. since is since when those that are new may be evacuated: who finds
-// them in a list does not know, and gives the zero time.
+// SetEvacuated sets the zones whose workers must get no work, and reports whether that changed
+// anything. since is the earliest time at which zones that are new may have been evacuated; callers
+// that find them in a list do not know it, and pass the zero time.
 func (d *Directory) SetEvacuated(zones []string, since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 	return true
 }
 
-// Evacuated reports whether a zone's workers are to get no work.
+// Evacuated reports whether a zone's workers must get no work.
 func (d *Directory) Evacuated(zone string) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -72,7 +72,7 @@
 	return clock.Since(since)
 }
 
-// EvacuatedZones returns the zones whose workers are to get no work, in order.
+// EvacuatedZones returns the zones whose workers must get no work, sorted by name.
 func (d *Directory) EvacuatedZones() []string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/workers/evacuation_test.go
+++ b/internal/workers/evacuation_test.go
@@ -19,20 +19,20 @@
 		zones  []string
 		usable int
 	}{
-		"none":                 {usable: 3},
-		"one":                  {zones: []string{"a"}, usable: 1},
-		"all":                  {zones: []string{"a", "b"}},
-		"one without a worker": {zones: []string{"c"}, usable: 3},
+		"none":                {usable: 3},
+		"one":                 {zones: []string{"a"}, usable: 1},
+		"all":                 {zones: []string{"a", "b"}},
+		"one without workers": {zones: []string{"c"}, usable: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			directory := NewDirectory()
 			directory.Replace([]Worker{inZone("1", "a"), inZone("2", "b")}, nil, time.Now())
 			directory.SetEvacuated(c.zones, time.Now())
-			directory.Update([]Worker{inZone("3", "a")}, nil, nil) // joins meanwhile
+			directory.Update([]Worker{inZone("3", "a")}, nil, nil) // added during the evacuation
 			usable, _ := directory.Usable("s")
 			assert.Equal(t, len(usable), c.usable)
 			list, _ := directory.ByService("s")
-			assert.Equal(t, len(list), 3, "they are announced still")
+			assert.Equal(t, len(list), 3, "they are still announced")
 		})
 	}
 }
@@ -42,7 +42,7 @@
 		directory := NewDirectory()
 		assert.Assert(t, directory.SetEvacuated([]string{"a"}, time.Now()))
 		time.Sleep(time.Second)
-		assert.Assert(t, !directory.SetEvacuated([]string{"a"}, time.Time{}), "it is known")
+		assert.Assert(t, !directory.SetEvacuated([]string{"a"}, time.Time{}), "already known")
 		assert.Equal(t, directory.EvacuatedFor("a"), time.Second)
 		assert.Assert(t, directory.SetEvacuated([]string{"a", "b"}, time.Time{}))
 		assert.Assert(t, directory.EvacuatedFor("b") > time.Hour, "found in a list")
@@ -52,8 +52,8 @@
 	})
 }
 
-// The workers of a zone may have turned cold before it is taken back, and say so only with
-// their next entries.
+// The workers of a zone may have turned cold before it is restored, and report that only with their
+// next entries.
 func TestWorkersOfRestoredZoneCountAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
--- a/internal/workers/incarnation_test.go
+++ b/internal/workers/incarnation_test.go
@@ -14,20 +14,20 @@
 	return one
 }
 
-// A drain is one life's: another life that drains was taken to have done so for as long as the
-// first one, and got no requests although it was entitled to them.
+// A drain belongs to one incarnation. A later one that drained was taken to have drained for as
+// long as the first, and got no requests although it was entitled to them.
 func TestDrainEndsWithItsIncarnation(t *testing.T) {
 	for name, test := range map[string]struct {
 		second Worker
 		listed bool
 		want   time.Duration
 	}{
-		"ready":                       {second: workerStartedAt("a", StateReady, 2)},
-		"ready, in a list":            {second: workerStartedAt("a", StateReady, 2), listed: true},
-		"draining again":              {second: workerStartedAt("a", StateDraining, 2), want: 300 * time.Millisecond},
-		"draining again, in a list":   {second: workerStartedAt("a", StateDraining, 2), listed: true, want: 300*time.Millisecond + listAge},
-		"draining, the same life":     {second: workerStartedAt("a", StateDraining, 1), want: 5300 * time.Millisecond},
-		"draining, by an older clock": {second: workerStartedAt("a", StateDraining, -7), want: 300 * time.Millisecond},
+		"ready":                        {second: workerStartedAt("a", StateReady, 2)},
+		"ready, in a list":             {second: workerStartedAt("a", StateReady, 2), listed: true},
+		"draining again":               {second: workerStartedAt("a", StateDraining, 2), want: 300 * time.Millisecond},
+		"draining again, in a list":    {second: workerStartedAt("a", StateDraining, 2), listed: true, want: 300*time.Millisecond + listAge},
+		"draining, same incarnation":   {second: workerStartedAt("a", StateDraining, 1), want: 5300 * time.Millisecond},
+		"draining, earlier start time": {second: workerStartedAt("a", StateDraining, -7), want: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// What became of the life before is known while the worker is announced, unless its entry went.
+// The previous incarnation is known while the worker is announced, unless its entry vanished.
 func TestPreviousIncarnationIsRemembered(t *testing.T) {
 	directory := NewDirectory()
 	directory.Update([]Worker{workerStartedAt("a", StateReady, 1), workerStartedAt("b", StateDraining, 1)}, nil, nil)
@@ -66,8 +66,8 @@
 	assert.Assert(t, !known)
 }
 
-// A worker whose entry is waited for comes back as another life, and leaves: it is not waited for
-// as long as the first one.
+// A worker whose entry vanished comes back as another incarnation and then leaves: it must not be
+// kept as long as the first one would have been.
 func TestNewIncarnationEndsTheWaitForThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
--- a/internal/workers/leaving.go
+++ b/internal/workers/leaving.go
@@ -6,8 +6,8 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// Leaves notes that a life of a worker says in its answers that it leaves, as is known since a time.
-// From then on it counts as draining, whatever its entry says.
+// MarkLeaving records that an incarnation of a worker reports in its answers that it is leaving,
+// which is known since a time. From then on it counts as draining, whatever its entry says.
 func (d *Directory) MarkLeaving(incarnation Incarnation, since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -19,8 +19,9 @@
 	d.rebuildIndex()
 }
 
-// noteLeaving lets announced workers drain that have said that they leave. What a life said whose start
-// was not known holds for the first one that is announced, not for those after it. The caller holds mu.
+// applyLeaving marks announced workers as draining if they have reported that they are leaving. A
+// report without a start time applies to the first incarnation that is announced, not to those
+// after it. The caller holds mu.
 func (d *Directory) applyLeaving() {
 	for incarnation, since := range d.leaving {
 		worker, announced := d.byID[incarnation.ID]
@@ -41,7 +42,8 @@
 	}
 }
 
-// forgetLeaving forgets the word of workers that have been gone for long. The caller holds mu.
+// pruneLeaving forgets the reports of workers that have been gone for a long time. The caller holds
+// mu.
 func (d *Directory) pruneLeaving() {
 	for incarnation, since := range d.leaving {
 		_, announced := d.byID[incarnation.ID]
@@ -52,8 +54,8 @@
 	}
 }
 
-// saidLeaving returns since when a worker that is not announced is known to leave by its own word;
-// false if it is not. The caller holds mu.
+// leavingSince returns since when a worker that is not announced is known to be leaving by its own
+// report; false if it is not. The caller holds mu.
 func (d *Directory) leavingSince(id ID) (since time.Time, leaving bool) {
 	for incarnation, at := range d.leaving {
 		if incarnation.ID == id && (!leaving || at.Before(since)) {
--- a/internal/workers/settling.go
+++ b/internal/workers/settling.go
@@ -6,53 +6,54 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// SettleTime is how long after the service's return entries that lapsed meanwhile are
-// back, if their workers live: the users' platform says about 2 s.
+// SettleTime is how long after the service has become reachable again entries that expired in the
+// meantime are back, if their workers are alive: the users' platform specifies about 2 s.
 const SettleTime = 2200 * time.Millisecond
 
-// wait is a time in which entries that vanish may have lapsed only.
+// settling is a period in which entries that vanish may merely have expired.
 type settling struct {
 	until time.Time
-	// each is for how long one entry is waited for at most.
+	// perEntry limits how long the worker of one entry is kept.
 	perEntry time.Duration
 }
 
-// deadline returns until when an entry that vanishes now is waited for; it has passed if
-// the entry is not.
-func (w settling) deadline(now time.Time) time.Time {
-	if longest := now.Add(w.perEntry); longest.Before(w.until) {
+// deadline returns until when the worker of an entry that vanishes now is kept. The time has passed
+// if the worker is not kept.
+func (s settling) deadline(now time.Time) time.Time {
+	if longest := now.Add(s.perEntry); longest.Before(s.until) {
 		return longest
 	}
-	return w.until
+	return s.until
 }
 
-// kept is a worker whose entry went.
+// kept is a worker whose entry vanished.
 type kept struct {
-	// since is when the entry went, and until when the worker is kept. That is decided once:
-	// with a wait that began anew a worker that left would be kept for as long as the service
-	// comes and goes.
+	// since is when the entry vanished, and until when the worker is kept. That is decided once: if
+	// each settling period began the wait anew, a worker that left would be kept for as long as the
+	// service alternates between reachable and unreachable.
 	since, until time.Time
 }
 
-// Settle tells that this process did not reach the service: until a time, entries of ready
-// workers that vanish may have lapsed only, and their workers are kept.
+// BeginSettling records that this process could not reach the service: until a time, entries of
+// ready workers that vanish may merely have expired, and their workers are kept.
 func (d *Directory) BeginSettling(until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.own = settling{until: until, perEntry: SettleTime}
 }
 
-// SettleTold tells that another process, which tells of changes, did not reach the service.
-// each is for how long one worker is kept at most: who read all changes itself meanwhile
-// would else send requests to workers that left, for as long as the other waits.
+// BeginPeerSettling records that another process, which sends changes to this one, could not reach
+// the service. perEntry limits how long one worker is kept: a process that read all changes itself
+// in the meantime would otherwise send requests to workers that left, for as long as the other
+// process waits.
 func (d *Directory) BeginPeerSettling(until time.Time, perEntry time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.peer = settling{until: until, perEntry: perEntry}
 }
 
-// EndSettling tells that the service was not away for others: entries that vanished are
-// gone.
+// EndSettling records that other processes could reach the service: workers whose entries vanished
+// are gone.
 func (d *Directory) EndSettling() {
 	d.mu.Lock()
 	d.own, d.peer = settling{}, settling{}
@@ -64,26 +65,26 @@
 	d.Expire()
 }
 
-// Settling returns for how long vanished entries are kept still.
+// SettlingLeft returns for how much longer workers are kept when their entries vanish.
 func (d *Directory) SettlingLeft() time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return max(0, clock.Until(d.own.until), clock.Until(d.peer.until))
 }
 
-// Kept returns how many workers are kept although their entries went.
+// KeptCount returns how many workers are kept although their entries vanished.
 func (d *Directory) KeptCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return len(d.kept)
 }
 
-// OnExpired sets what is called with the workers whose entries did not come back in time.
-// It is set before the directory is used.
+// OnExpired sets a function that is called with the workers whose entries did not come back in
+// time. It must be set before the directory is used.
 func (d *Directory) OnExpired(call func([]ID)) { d.onExpired = call }
 
-// vanish notes that the entry of a known worker went, and reports whether the worker is
-// kept. learned is since when that is known. The caller holds mu.
+// handleVanished records that the entry of a known worker vanished, which is known since learnedAt,
+// and reports whether the worker is kept. The caller holds mu.
 func (d *Directory) handleVanished(id ID, learnedAt time.Time, vanished *Vanished) bool {
 	if _, already := d.kept[id]; already && !d.unreadable[id] {
 		return true
@@ -102,12 +103,12 @@
 	return true
 }
 
-// keptUntil returns until when a known worker is kept whose entry went, as is known since a
-// time. A process that was away itself cannot know when: its wait ends by when it was back. The
-// caller holds mu.
+// keptUntil returns until when a known worker is kept whose entry vanished, which is known since
+// learnedAt. A process that could not reach the service itself can't know when the entry vanished:
+// the end of its wait depends on when it reached the service again. The caller holds mu.
 func (d *Directory) keptUntil(id ID, learnedAt, now time.Time) time.Time {
 	if d.byID[id].State != StateReady || d.unreadable[id] {
-		return now // it left, or its entry stands and has not lapsed
+		return now // it left, or its entry exists and has not expired
 	}
 	own, peer := d.own.deadline(now), d.peer.deadline(learnedAt)
 	if peer.After(own) {
@@ -116,8 +117,8 @@
 	return own
 }
 
-// Expire takes workers to be gone whose entries did not come back in time. It is done when that
-// time is over, and is to be called after a suspension, in which timers stand.
+// Expire removes the workers whose entries did not come back in time. A timer calls it when that
+// time is over; it must also be called after a suspension, during which timers stop.
 func (d *Directory) Expire() {
 	expired := d.removeExpired()
 	if len(expired) > 0 && d.onExpired != nil {
@@ -125,8 +126,8 @@
 	}
 }
 
-// dropKept removes the kept workers whose time is over, and returns them. They are gone since
-// their entries went: what else may reach them for a while is counted from then.
+// removeExpired removes the kept workers whose time is over, and returns them. They count as gone
+// since their entries vanished: the time for which requests may still reach them counts from then.
 func (d *Directory) removeExpired() []ID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,4 +1,4 @@
-// Package workers keeps the list of workers as they announce themselves.
+// Package workers keeps the list of workers as they announce themselves with entries in the store.
 package workers
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// ID names a worker. A worker may start again under the ID that it had.
+// ID identifies a worker. A worker may restart with the same ID.
 type ID string
 
-// State is a worker's own word.
+// State is a worker's state as it reports it itself.
 type State string
 
 // States of a worker.
@@ -21,7 +21,7 @@
 	StateDraining State = "draining"
 )
 
-// Worker is one announced worker.
+// Worker is an announced worker.
 type Worker struct {
 	ID      ID
 	Service routing.ServiceName
@@ -32,11 +32,11 @@
 	State State
 	// WarmAt is when it stops being slow after its start.
 	WarmAt time.Time
-	// Born is when this life of the worker began; zero if that is not told.
+	// StartTime is when this incarnation of the worker started; zero if it is not reported.
 	StartTime StartTime
 }
 
-// Life returns the life that the announcement is of.
+// Incarnation returns the incarnation that announced itself.
 func (w Worker) Incarnation() Incarnation { return Incarnation{ID: w.ID, StartTime: w.StartTime} }
 
 // Directory is the list of workers. It is safe for concurrent use.
@@ -44,39 +44,40 @@
 	mu        sync.RWMutex
 	byID      map[ID]Worker
 	byService map[routing.ServiceName][]Worker
-	// usable are those of them that are ready and not in an evacuated zone.
+	// usable are those workers that are ready and not in an evacuated zone.
 	usable  map[routing.ServiceName][]Worker
 	version uint64
-	// goneAt remembers when a worker's entry was seen to be gone.
+	// goneAt is when a worker's entry was seen to be gone.
 	goneAt map[ID]time.Time
-	// listed says that a list was read, and missed is since when a worker that never was in
-	// one is asked for.
+	// listed is set once a list has been read. firstLookup is when a worker that was in no list was
+	// looked up first.
 	listed      bool
 	firstLookup map[ID]time.Time
-	// drainingSince is when the first process heard that a worker drains.
+	// drainingSince is when the first process learned that a worker is draining.
 	drainingSince map[ID]time.Time
-	// leaving are the lives that say in their answers that they leave, and since when that is known.
+	// leaving are the incarnations that report in their answers that they are leaving, and since
+	// when that is known.
 	leaving map[Incarnation]time.Time
-	// unreadable are the workers whose entries stand, but name no worker now.
+	// unreadable are the workers whose entries exist but do not describe a usable worker.
 	unreadable map[ID]bool
-	// before are the lives of announced workers that the present ones replaced.
+	// previous are the incarnations of announced workers that the present ones replaced.
 	previous map[ID]Worker
-	// own and told are the waits for entries that may have lapsed only, as this process and
-	// as others did not reach the service; kept are the workers that are waited for.
+	// own and peer are the settling periods after this process, and after others, could not reach
+	// the service. kept are the workers that are kept although their entries vanished.
 	own, peer   settling
 	kept        map[ID]kept
 	evacuations evacuations
 	changed     chan struct{}
-	// expired is called with the workers that are taken to be gone since their entries
-	// did not come back; nil: nobody wants to know.
+	// onExpired is called with the workers that are removed because their entries did not come
+	// back; it may be nil.
 	onExpired func([]ID)
 }
 
-// Vanished are the workers whose entries went with a change of the list.
+// Vanished are the workers whose entries vanished with a change of the list.
 type Vanished struct {
-	// Gone have left.
+	// Gone are removed.
 	Gone []ID
-	// Kept stay for now, since their entries may have lapsed only.
+	// Kept stay for now, since their entries may merely have expired.
 	Kept []ID
 }
 
@@ -97,13 +98,13 @@
 	}
 }
 
-// listAge is how old what a list tells may be: when it is read after a time without
-// news, a worker may have been draining for that long. A worker that is gone from it
-// may be back soon: entries go while the service is disturbed.
+// listAge is how old the changes in a list may be: when it is read after a time without updates, a
+// worker may have been draining for that long. A worker that is missing from it may be back soon:
+// entries vanish while the service is disrupted.
 const listAge = time.Second
 
-// ListedSince returns since when what a list tells may stand, if all was known at a time before:
-// a list does not tell when what is new in it happened.
+// EarliestListChange returns the earliest time at which changes found in a list may have happened,
+// if everything was known up to since: a list does not show when its changes happened.
 func (d *Directory) EarliestListChange(since time.Time) time.Time {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -114,8 +115,8 @@
 	return earliest
 }
 
-// Replace sets the whole list, and returns which entries went with that: since is the last time
-// at which all was known before.
+// Replace sets the whole list, and returns which entries vanished. since is the time up to which
+// everything was known before.
 func (d *Directory) Replace(list []Worker, learned LearnedTimes, since time.Time) Vanished {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +145,7 @@
 	return vanished
 }
 
-// Update adds, changes and removes workers, and returns which entries went with that.
+// Update adds, changes and removes workers, and returns which entries vanished.
 func (d *Directory) Update(changed []Worker, gone []ID, learned LearnedTimes) Vanished {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,8 +167,9 @@
 	return vanished
 }
 
-// beginLife forgets what was noted of a worker that has started again: that it drained ended with
-// the life before, and a drain of this one counts from its own beginning. The caller holds mu.
+// resetRestarted discards the drain of the previous incarnation if a worker has restarted: it ended
+// with that incarnation, and a drain of the new one counts from its own beginning. The caller holds
+// mu.
 func (d *Directory) resetRestarted(worker Worker) {
 	if before, known := d.byID[worker.ID]; known && before.StartTime != worker.StartTime {
 		delete(d.drainingSince, worker.ID)
@@ -175,7 +177,8 @@
 	}
 }
 
-// noteDraining notes since when workers drain that were not seen to before.
+// noteDraining records since when workers drain that were not draining before, and discards the
+// records of workers that are no longer announced. The caller holds mu.
 func (d *Directory) noteDraining(since func(ID) time.Time) {
 	d.applyLeaving()
 	for id, worker := range d.byID {
@@ -195,10 +198,12 @@
 	}
 }
 
-// goneRetention is how long the end of an entry is remembered.
+// goneRetention is how long the end of an entry and the first lookup of an unknown worker are
+// remembered.
 const goneRetention = 2 * time.Minute
 
-// index sorts the workers by service.
+// rebuildIndex groups the workers by service, removes old records and signals the change. The
+// caller holds mu.
 func (d *Directory) rebuildIndex() {
 	d.byService = map[routing.ServiceName][]Worker{}
 	d.usable = map[routing.ServiceName][]Worker{}
@@ -216,7 +221,7 @@
 	d.changed = make(chan struct{})
 }
 
-// forget removes what lies too long back.
+// removeOld removes times that are more than goneRetention ago.
 func removeOld(times map[ID]time.Time) {
 	for id, at := range times {
 		if clock.Since(at) > goneRetention {
@@ -233,8 +238,8 @@
 	return worker, known
 }
 
-// Before returns the life of an announced worker that its present one replaced, as it was
-// announced last; false if there is none, or its entry went first.
+// PreviousIncarnation returns the incarnation of an announced worker that the present one replaced,
+// as last announced; false if there is none, or if its entry vanished before.
 func (d *Directory) PreviousIncarnation(id ID) (Worker, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -250,10 +255,10 @@
 	return at, known
 }
 
-// GoneFor returns for how long a worker has had no entry: since that was seen to go or, if
-// it was never seen, since the worker was first asked for here. It is zero while no list was
-// read. An owner of keys that left before this process began got requests without end
-// without the second.
+// GoneFor returns for how long a worker has had no entry: since the entry was seen to be gone or,
+// if it was never seen, since the worker was looked up here first. It is zero until a list has been
+// read. Without counting from the first lookup, an owner of keys that left before this process
+// started got requests without end.
 func (d *Directory) GoneFor(id ID) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -269,16 +274,16 @@
 	return clock.Since(d.firstLookup[id])
 }
 
-// Of returns the workers of a service in no order, and the list's version. The
-// slice must not be changed.
+// ByService returns the workers of a service in no particular order, and the version of the list.
+// The slice must not be changed.
 func (d *Directory) ByService(service routing.ServiceName) ([]Worker, uint64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.byService[service], d.version
 }
 
-// Usable returns the workers of a service that new work may go to, in no order, and the
-// list's version. The slice must not be changed.
+// Usable returns the workers of a service that may get new work, in no particular order, and the
+// version of the list. The slice must not be changed.
 func (d *Directory) Usable(service routing.ServiceName) ([]Worker, uint64) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -292,7 +297,7 @@
 	return len(d.byID)
 }
 
-// Cold returns how many workers warm up.
+// ColdCount returns how many workers are warming up.
 func (d *Directory) ColdCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -305,15 +310,15 @@
 	return count
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.changed
 }
 
-// DrainingFor returns how long a worker has been known to drain, to the first process that heard: by
-// its entry, or by its answers.
+// DrainingFor returns for how long a worker has been known to be draining, by its entry or by its
+// answers. It counts from when the first process learned of it.
 func (d *Directory) DrainingFor(id ID) time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -19,13 +19,13 @@
 		learn func(d *Directory)
 		want  time.Duration
 	}{
-		"told":                    {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
-		"found in a list":         {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
-		"told late":               {learn: func(d *Directory) { updatedLate(d, time.Second) }, want: 1300 * time.Millisecond},
-		"told twice":              {learn: func(d *Directory) { updatedLate(d, time.Second); updatedLate(d, 0) }, want: 1300 * time.Millisecond},
-		"listed after a cut":      {learn: listedAfterDisconnect, want: 5300 * time.Millisecond},
-		"told before it was read": {learn: updatedThenListed, want: 300 * time.Millisecond},
-		"not draining":            {learn: func(d *Directory) { d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now()) }},
+		"update":                    {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
+		"found in a list":           {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
+		"late update":               {learn: func(d *Directory) { updatedLate(d, time.Second) }, want: 1300 * time.Millisecond},
+		"two updates":               {learn: func(d *Directory) { updatedLate(d, time.Second); updatedLate(d, 0) }, want: 1300 * time.Millisecond},
+		"listed after a disconnect": {learn: listedAfterDisconnect, want: 5300 * time.Millisecond},
+		"update before the list":    {learn: updatedThenListed, want: 300 * time.Millisecond},
+		"not draining":              {learn: func(d *Directory) { d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,18 +38,18 @@
 	}
 }
 
-// updatedLate brings news that the first process has known for some time.
+// updatedLate applies an update that the first process received some time ago.
 func updatedLate(d *Directory, age time.Duration) {
 	d.Update([]Worker{worker("a", StateDraining)}, nil, LearnedTimes{"a": time.Now().Add(-age)})
 }
 
-// listedAfterDisconnect finds a draining worker 5 s after all was known last.
+// listedAfterDisconnect reads a list with a draining worker 5 s after everything was known last.
 func listedAfterDisconnect(d *Directory) {
 	d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
 	listed(d, time.Now().Add(-5*time.Second))
 }
 
-// listed finds a draining worker in a list, if all was known at a time before.
+// listed reads a list with a draining worker, if everything was known up to since.
 func listed(d *Directory, since time.Time) {
 	d.Replace([]Worker{worker("a", StateDraining)}, LearnedTimes{"a": d.EarliestListChange(since)}, since)
 }
@@ -81,23 +81,23 @@
 	ready, draining := worker("a", StateReady), worker("a", StateDraining)
 	for name, c := range map[string]struct {
 		learn func(d *Directory)
-		// known a moment later, and known at the end.
+		// soon: known right after; late: still known at the end.
 		soon, late bool
 	}{
-		"listed without it":     {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()) }, soon: true},
-		"told that it is gone":  {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil) }, soon: true},
-		"gone twice":            {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil); d.Replace(nil, nil, time.Now()) }, soon: true},
-		"back soon":             {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Update([]Worker{ready}, nil, nil) }, soon: true, late: true},
-		"back in a list":        {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Replace([]Worker{ready}, nil, time.Now()) }, soon: true, late: true},
-		"draining when it went": {learn: func(d *Directory) { d.Update([]Worker{draining}, nil, nil); d.Replace(nil, nil, time.Now()) }},
+		"missing from a list":       {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()) }, soon: true},
+		"removed by an update":      {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil) }, soon: true},
+		"removed twice":             {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil); d.Replace(nil, nil, time.Now()) }, soon: true},
+		"back soon":                 {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Update([]Worker{ready}, nil, nil) }, soon: true, late: true},
+		"back in a list":            {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Replace([]Worker{ready}, nil, time.Now()) }, soon: true, late: true},
+		"draining when it vanished": {learn: func(d *Directory) { d.Update([]Worker{draining}, nil, nil); d.Replace(nil, nil, time.Now()) }},
 		"drains after it was back": {learn: func(d *Directory) {
 			d.Replace(nil, nil, time.Now())
 			d.Update([]Worker{draining}, nil, nil)
 			d.Replace(nil, nil, time.Now())
 		}},
-		"others were not cut off": {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.EndSettling() }},
-		"nor before it was gone":  {learn: func(d *Directory) { d.EndSettling(); d.Replace(nil, nil, time.Now()) }},
-		"after all have settled":  {learn: func(d *Directory) { time.Sleep(2 * SettleTime); d.Replace(nil, nil, time.Now()) }},
+		"others were connected":        {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.EndSettling() }},
+		"others were connected before": {learn: func(d *Directory) { d.EndSettling(); d.Replace(nil, nil, time.Now()) }},
+		"after settling":               {learn: func(d *Directory) { time.Sleep(2 * SettleTime); d.Replace(nil, nil, time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -118,7 +118,8 @@
 	}
 }
 
-// Operators see from these which worker was kept on suspicion, and until when.
+// These reports show operators which workers were kept although their entries vanished, and until
+// when.
 func TestVanishedEntriesAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		settling bool
@@ -126,11 +127,11 @@
 		want     Vanished
 		expired  []ID
 	}{
-		"from a list":       {learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Gone: []ID{"a"}}},
-		"by a change":       {learn: func(d *Directory) Vanished { return d.Update(nil, []ID{"a", "never known"}, nil) }, want: Vanished{Gone: []ID{"a"}}},
-		"kept":              {settling: true, learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Kept: []ID{"a"}}, expired: []ID{"a"}},
-		"kept, told again":  {settling: true, learn: goneTwice, want: Vanished{}, expired: []ID{"a"}},
-		"kept, and is back": {settling: true, learn: goneAndBack, want: Vanished{}},
+		"from a list":         {learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Gone: []ID{"a"}}},
+		"by an update":        {learn: func(d *Directory) Vanished { return d.Update(nil, []ID{"a", "never known"}, nil) }, want: Vanished{Gone: []ID{"a"}}},
+		"kept":                {settling: true, learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Kept: []ID{"a"}}, expired: []ID{"a"}},
+		"kept, removed again": {settling: true, learn: goneTwice, want: Vanished{}, expired: []ID{"a"}},
+		"kept, and is back":   {settling: true, learn: goneAndBack, want: Vanished{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -162,8 +163,8 @@
 	return d.Update([]Worker{worker("a", StateReady)}, nil, nil)
 }
 
-// A service that comes and goes begins the wait anew each time. A worker that left is not kept
-// for all of that.
+// A service that repeatedly becomes unreachable begins a settling period each time. A worker that
+// left must not be kept for all of them.
 func TestRepeatedOutagesDoNotExtendTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
@@ -178,7 +179,7 @@
 		synctest.Wait()
 		_, known := directory.Get("a")
 		assert.Assert(t, !known)
-		assert.Equal(t, directory.GoneFor("a"), 5*SettleTime/2, "counted from when its entry went")
+		assert.Equal(t, directory.GoneFor("a"), 5*SettleTime/2, "counted from when its entry vanished")
 	})
 }
 
@@ -187,15 +188,15 @@
 		settle func(d *Directory, now time.Time)
 		kept   time.Duration
 	}{
-		"of others":            {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
-		"of others, soon over": {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
-		"its own":              {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
+		"peer":            {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
+		"peer, ends soon": {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
+		"own":             {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
 		"both": {settle: func(d *Directory, now time.Time) {
 			d.BeginPeerSettling(now.Add(time.Second), time.Second)
 			d.BeginSettling(now.Add(2 * time.Second))
 		}, kept: 2 * time.Second},
-		"its own has passed":      {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(-time.Second)) }},
-		"its own is counted anew": {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(time.Second)); d.BeginSettling(now) }},
+		"own has passed":  {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(-time.Second)) }},
+		"own is replaced": {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(time.Second)); d.BeginSettling(now) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -219,10 +220,10 @@
 		directory := NewDirectory()
 		assert.Equal(t, directory.GoneFor("a"), time.Duration(0))
 		time.Sleep(time.Second)
-		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "no list was read")
+		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "no list has been read")
 		directory.Replace(nil, nil, time.Now())
 		time.Sleep(time.Second)
-		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "its entry may be on its way")
+		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "first lookup: its entry may follow")
 		time.Sleep(time.Second)
 		assert.Equal(t, directory.GoneFor("a"), time.Second)
 		directory.Update([]Worker{worker("a", StateReady)}, nil, nil)
@@ -230,13 +231,13 @@
 	})
 }
 
-// A worker goes on to leave while this machine is suspended.
+// Workers continue to leave while this machine is suspended.
 func TestWorkerTimesIncludeSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
-		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("lapses", StateReady)}, nil, time.Now())
+		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("expires", StateReady)}, nil, time.Now())
 		directory.BeginSettling(clock.Now().Add(time.Hour))
-		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"lapses"}, nil)
+		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"expires"}, nil)
 		directory.BeginSettling(clock.Now())
 		directory.Update(nil, []ID{"leaves"}, nil)
 		defer clock.Suspend(8 * time.Second)()
