--- a/internal/estimate/latency_test.go
+++ b/internal/estimate/latency_test.go
@@ -22,7 +22,7 @@
 		answers     []time.Duration
 		least, most time.Duration
 	}{
-		"no answers":                  {least: prior, most: prior},
+		"nothing":                     {least: prior, most: prior},
 		"one fast answer":             {answers: repeat(1, 10*time.Millisecond), least: 60 * time.Millisecond, most: 80 * time.Millisecond},
 		"many":                        {answers: repeat(40, 50*time.Millisecond), least: 50 * time.Millisecond, most: 56 * time.Millisecond},
 		"occasionally slow":           {answers: append(repeat(30, 50*time.Millisecond), 400*time.Millisecond, 50*time.Millisecond, 400*time.Millisecond), least: 50 * time.Millisecond, most: 90 * time.Millisecond},
--- a/internal/estimate/reported_test.go
+++ b/internal/estimate/reported_test.go
@@ -18,7 +18,7 @@
 		age      time.Duration
 		expected float64
 	}{
-		"no report":         {expected: mean},
+		"nothing":           {expected: mean},
 		"just now":          {reported: true, value: 10, expected: 10},
 		"a moment ago":      {reported: true, value: 10, age: reportDecay, expected: mean + 6/math.E},
 		"idle recently":     {reported: true, age: reportDecay, expected: mean - mean/math.E},
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -88,7 +88,7 @@
 	}{
 		"older, full":               {change: Change{Term: 3, Version: 4, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
 		"older, of some keys":       {change: Change{Term: 3, Version: 4, Owners: run(7, 7, "b")}, want: "a"},
-		"repeated":                  {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
+		"a repeated change":         {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
 		"newer, of some keys":       {change: Change{Term: 3, Version: 6, Owners: run(7, 7, "b")}, want: "b"},
 		"of a later leader, full":   {change: Change{Term: 4, Version: 1, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
 		"newer, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
--- a/internal/routing/regions_test.go
+++ b/internal/routing/regions_test.go
@@ -20,7 +20,7 @@
 		want   []topology.Region
 	}{
 		"no route":                           {nil, nil},
-		"restricted":                         {[]*Route{route(1, "a")}, []topology.Region{"a"}},
+		"bound":                              {[]*Route{route(1, "a")}, []topology.Region{"a"}},
 		"restricted to several":              {[]*Route{route(1, "a", "b"), route(1, "b", "c")}, []topology.Region{"a", "b", "c"}},
 		"one is unrestricted":                {[]*Route{route(1, "a"), route(1)}, nil},
 		"the unrestricted one has no weight": {[]*Route{route(1, "a"), route(0)}, []topology.Region{"a"}},
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -153,14 +153,14 @@
 		return Error.New("route %q: no service", route.Name)
 	}
 	total := 0
-	for _, part := range route.Services {
-		if services[part.Service] == nil {
-			return Error.New("route %q: unknown service %q", route.Name, part.Service)
+	for _, weighted := range route.Services {
+		if services[weighted.Service] == nil {
+			return Error.New("route %q: unknown service %q", route.Name, weighted.Service)
 		}
-		if part.Weight < 0 {
-			return Error.New("route %q: weight %d of service %q is below zero", route.Name, part.Weight, part.Service)
+		if weighted.Weight < 0 {
+			return Error.New("route %q: weight %d of service %q is below zero", route.Name, weighted.Weight, weighted.Service)
 		}
-		total += part.Weight
+		total += weighted.Weight
 	}
 	if total == 0 {
 		return Error.New("route %q: all weights are zero", route.Name)
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -43,8 +43,8 @@
 // startRound returns the state of a route's first round, after the skipped requests.
 func (s *Splitter) startRound(route *Route) []int {
 	total := 0
-	for _, part := range route.Services {
-		total += part.Weight
+	for _, weighted := range route.Services {
+		total += weighted.Weight
 	}
 	current := make([]int, len(route.Services))
 	if total <= 0 {
@@ -59,9 +59,9 @@
 // nextService returns the index of the service for the next request.
 func nextService(route *Route, current []int) int {
 	total, best := 0, 0
-	for index, part := range route.Services {
-		current[index] += part.Weight
-		total += part.Weight
+	for index, weighted := range route.Services {
+		current[index] += weighted.Weight
+		total += weighted.Weight
 		if current[index] > current[best] {
 			best = index
 		}
--- a/internal/routing/split_test.go
+++ b/internal/routing/split_test.go
@@ -10,11 +10,11 @@
 // rounds are distributed evenly.
 func TestFirstPicksOfManySplittersFollowTheWeights(t *testing.T) {
 	for name, weights := range map[string][]int{
-		"halves":      {1, 1},
-		"most to one": {7, 3},
-		"nearly all":  {90, 10},
-		"three parts": {5, 1, 4},
-		"no weight":   {3, 0},
+		"halves":         {1, 1},
+		"most to one":    {7, 3},
+		"nearly all":     {90, 10},
+		"three services": {5, 1, 4},
+		"no weight":      {3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			route := &Route{}
@@ -31,8 +31,8 @@
 				})
 				first[splitter.Pick(route)]++
 			}
-			for _, part := range route.Services {
-				assert.Equal(t, first[part.Service], part.Weight, part.Service)
+			for _, weighted := range route.Services {
+				assert.Equal(t, first[weighted.Service], weighted.Weight, weighted.Service)
 			}
 		})
 	}
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -83,7 +83,7 @@
 const (
 	// Small bodies are buffered completely before they are forwarded.
 	Small BodyClass = iota
-	// BulkUpload is for large requests: they are read up to a limit before a worker is chosen, then
+	// BulkUpload is for large requests: they are read up to a limit before a worker is contacted, then
 	// streamed.
 	BulkUpload
 	// BulkDownload is for large answers: they are held back for a part of the target, then
--- a/internal/workers/leaving_test.go
+++ b/internal/workers/leaving_test.go
@@ -76,7 +76,7 @@
 func TestLeavingIsForgottenLongAfterWorkerIsGone(t *testing.T) {
 	d := NewDirectory()
 	d.MarkLeaving(Incarnation{ID: "gone"}, clock.Now().Add(-2*goneRetention))
-	d.MarkLeaving(Incarnation{ID: "recent"}, clock.Now())
+	d.MarkLeaving(Incarnation{ID: "lately"}, clock.Now())
 	d.Replace(nil, nil, clock.Now())
 	assert.Equal(t, len(d.leaving), 1)
 }
@@ -89,7 +89,7 @@
 }
 
 func drawIncarnation(t *rapid.T) Incarnation {
-	return Incarnation{ID: rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker"), StartTime: StartTime(rapid.IntRange(1, 3).Draw(t, "start time"))}
+	return Incarnation{ID: rapid.SampledFrom([]ID{"a", "b"}).Draw(t, "worker"), StartTime: StartTime(rapid.IntRange(1, 3).Draw(t, "born"))}
 }
 
 func drawWorker(t *rapid.T) Worker {
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -19,7 +19,7 @@
 		learn func(d *Directory)
 		want  time.Duration
 	}{
-		"update":                    {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
+		"told":                      {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
 		"found in a list":           {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
 		"late update":               {learn: func(d *Directory) { updatedLate(d, time.Second) }, want: 1300 * time.Millisecond},
 		"two updates":               {learn: func(d *Directory) { updatedLate(d, time.Second); updatedLate(d, 0) }, want: 1300 * time.Millisecond},
@@ -188,9 +188,9 @@
 		settle func(d *Directory, now time.Time)
 		kept   time.Duration
 	}{
-		"peer":            {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
+		"of a peer":       {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
 		"peer, ends soon": {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
-		"own":             {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
+		"its own":         {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
 		"both": {settle: func(d *Directory, now time.Time) {
 			d.BeginPeerSettling(now.Add(time.Second), time.Second)
 			d.BeginSettling(now.Add(2 * time.Second))
@@ -235,9 +235,9 @@
 func TestWorkerTimesIncludeSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
-		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("expires", StateReady)}, nil, time.Now())
+		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("lapses", StateReady)}, nil, time.Now())
 		directory.BeginSettling(clock.Now().Add(time.Hour))
-		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"expires"}, nil)
+		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"lapses"}, nil)
 		directory.BeginSettling(clock.Now())
 		directory.Update(nil, []ID{"leaves"}, nil)
 		defer clock.Suspend(8 * time.Second)()
