--- a/internal/estimate/backoffs_test.go
+++ b/internal/estimate/backoffs_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTheShareOfProcessesThatBackOff(t *testing.T) {
+func TestBackoffShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var b Backoffs
 	assert.Equal(t, b.Share(now, 10), 0.0)
@@ -17,12 +17,12 @@
 	assert.Equal(t, b.Share(now.Add(time.Second), 10), 0.5)
 	assert.Equal(t, b.Share(now.Add(2500*time.Millisecond), 10), 0.2)
 	assert.Equal(t, b.Share(now.Add(4*time.Second), 10), 0.0)
-	assert.Assert(t, b.IsRecent(now.Add(4*time.Second)), "most ask again")
+	assert.Assert(t, b.IsRecent(now.Add(4*time.Second)), "most workers ask for another backoff")
 	assert.Assert(t, !b.IsRecent(now.Add(9*time.Second)))
 	assert.Equal(t, len(b.ends), 0)
 }
 
-func TestNoMoreThanAllProcessesBackOff(t *testing.T) {
+func TestBackoffShareIsAtMostOne(t *testing.T) {
 	var b Backoffs
 	now := time.Unix(1000, 0)
 	b.Add(now, 30, time.Minute)
--- a/internal/estimate/latency.go
+++ b/internal/estimate/latency.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// Bounds of measuring latency.
+// Parameters of Latency.
 const (
-	// latencyWindow is the time constant with which old answers are forgotten.
+	// latencyWindow is the time constant with which the weight of old answers decays.
 	latencyWindow = 6 * time.Second
-	// mostAnswers is how many answers count at the most.
-	mostAnswers = 30.0
-	// latencyPrior is how many answers what is usual counts for.
+	// maxAnswers limits the total weight of the answers.
+	maxAnswers = 30.0
+	// latencyPrior is the weight of the prior, in answers.
 	latencyPrior = 2.0
-	// slowAnswers in a row, each slowFactor times the mean, stand for a worker that has
-	// become slow.
-	slowAnswers = 3
-	slowFactor  = 2.5
+	// minSlowAnswers consecutive answers, each taking at least slowFactor times the mean, show that
+	// a worker has become slow.
+	minSlowAnswers = 3
+	slowFactor     = 2.5
 )
 
-// Latency is the mean time after which one worker answers one process.
+// Latency estimates the mean response time of one worker as seen by one process.
 type Latency struct {
 	answers, seconds float64
 	at               time.Time
-	// slow and slowSum are the slow answers since the last that was not.
+	// slow counts the latest consecutive slow answers, and slowSum is the sum of their times in
+	// seconds.
 	slow    int
 	slowSum float64
 }
 
-// Add takes an answer.
-func (l *Latency) Add(now time.Time, took, usual time.Duration) {
+// Add records an answer that took a time. prior is the response time assumed before any answers.
+func (l *Latency) Add(now time.Time, took, prior time.Duration) {
 	seconds := took.Seconds()
-	l.noteSlow(seconds, usual)
+	l.countSlow(seconds, prior)
 	if passed := now.Sub(l.at); passed > 0 && !l.at.IsZero() {
 		l.scale(math.Exp(-passed.Seconds() / latencyWindow.Seconds()))
 	}
 	l.at = now
 	l.answers++
 	l.seconds += seconds
-	if l.answers > mostAnswers {
-		l.scale(mostAnswers / l.answers)
+	if l.answers > maxAnswers {
+		l.scale(maxAnswers / l.answers)
 	}
-	if l.slow >= slowAnswers {
+	if l.slow >= minSlowAnswers {
 		l.answers, l.seconds = float64(l.slow), l.slowSum
 	}
 }
@@ -51,9 +52,9 @@
 	l.seconds *= factor
 }
 
-// noteSlow counts slow answers in a row.
-func (l *Latency) noteSlow(seconds float64, usual time.Duration) {
-	if seconds < slowFactor*l.Mean(usual).Seconds() {
+// countSlow counts consecutive slow answers.
+func (l *Latency) countSlow(seconds float64, prior time.Duration) {
+	if seconds < slowFactor*l.Mean(prior).Seconds() {
 		l.slow, l.slowSum = 0, 0
 		return
 	}
@@ -61,64 +62,64 @@
 	l.slowSum += seconds
 }
 
-// Mean returns the mean time of an answer; what is usual stands for a worker that has
-// hardly answered.
-func (l *Latency) Mean(usual time.Duration) time.Duration {
-	return toDuration((latencyPrior*usual.Seconds() + l.seconds) / (latencyPrior + l.answers))
+// Mean returns the mean response time; it is close to prior while there are few answers.
+func (l *Latency) Mean(prior time.Duration) time.Duration {
+	return toDuration((latencyPrior*prior.Seconds() + l.seconds) / (latencyPrior + l.answers))
 }
 
-// Expected returns the mean time of an answer as of now. Where nothing was answered lately it goes to
-// what is usual: who asks a worker nothing, since it was slow, would never see that it is no longer.
-func (l *Latency) Expected(now time.Time, usual time.Duration) time.Duration {
-	silent := max(0, now.Sub(l.at)-silentTime)
-	kept := math.Exp(-silent.Seconds() / meanMemory.Seconds())
-	return toDuration((latencyPrior*usual.Seconds() + kept*l.seconds) / (latencyPrior + kept*l.answers))
+// Expected returns the mean response time expected now. Without recent answers it returns to prior:
+// a process that sends a worker nothing because it was slow would otherwise never find out that it
+// has recovered.
+func (l *Latency) Expected(now time.Time, prior time.Duration) time.Duration {
+	idle := max(0, now.Sub(l.at)-decayDelay)
+	decay := math.Exp(-idle.Seconds() / meanDecay.Seconds())
+	return toDuration((latencyPrior*prior.Seconds() + decay*l.seconds) / (latencyPrior + decay*l.answers))
 }
 
-// Measured reports whether any answer counts.
+// Measured reports whether the answers still have weight: that of at least half an answer.
 func (l *Latency) Measured() bool { return l.answers >= 0.5 }
 
-// Bounds of measuring spread.
+// Parameters of Spread.
 const (
-	// usualSpread is what is taken for a service that has hardly answered.
-	usualSpread = 0.6
-	// spreadShare is the weight of a new answer.
-	spreadShare = 0.02
-	// mostDeviation bounds what one answer counts for.
-	mostDeviation = 2.5
+	// defaultSpread is assumed until there are answers, and is the initial value of the estimate.
+	defaultSpread = 0.6
+	// spreadWeight is the weight of a new answer.
+	spreadWeight = 0.02
+	// maxDeviation limits the deviation of the logarithm that a single answer counts for.
+	maxDeviation = 2.5
 )
 
-// Spread is how much the times of a service's answers vary: the standard deviation of
-// their logarithms.
+// Spread estimates how much the response times of a service vary: the standard deviation of their
+// logarithms.
 type Spread struct {
 	variance float64
 	known    bool
 }
 
-// Add takes an answer and the mean time of its worker.
+// Add records the response time of an answer and the mean response time of its worker.
 func (s *Spread) Add(took, mean time.Duration) {
 	if took <= 0 || mean <= 0 {
 		return
 	}
 	if !s.known {
-		s.variance, s.known = usualSpread*usualSpread, true
+		s.variance, s.known = defaultSpread*defaultSpread, true
 	}
-	// The logarithm's mean lies half a variance below the logarithm of the mean.
+	// The mean of the logarithm is half a variance below the logarithm of the mean.
 	deviation := math.Log(took.Seconds()/mean.Seconds()) + s.variance/2
-	deviation = max(-mostDeviation, min(mostDeviation, deviation))
-	s.variance += spreadShare * (deviation*deviation - s.variance)
+	deviation = max(-maxDeviation, min(maxDeviation, deviation))
+	s.variance += spreadWeight * (deviation*deviation - s.variance)
 }
 
-// Late returns the share of answers that come later than a time, given their mean: as of
-// a logarithmic normal distribution.
+// LateShare returns the expected share of answers that take longer than limit, given their mean. It
+// assumes a log-normal distribution.
 func (s *Spread) LateShare(mean, limit time.Duration) float64 {
-	spread := usualSpread
+	spread := defaultSpread
 	if s.known {
 		spread = max(math.Sqrt(s.variance), 0.1)
 	}
 	if mean <= 0 || limit <= 0 {
 		return 1
 	}
-	away := (math.Log(limit.Seconds()/mean.Seconds()) + spread*spread/2) / spread
-	return math.Erfc(away/math.Sqrt2) / 2
+	deviations := (math.Log(limit.Seconds()/mean.Seconds()) + spread*spread/2) / spread
+	return math.Erfc(deviations/math.Sqrt2) / 2
 }
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -40,8 +40,8 @@
 	{
 		name: "taken-key-goes-on",
 		file: "internal/tenant/index.go",
-		old:  "		return Caller{Result: Revoked, RevokedKey: former}",
-		new:  "		return Caller{Result: Authenticated, Tenant: &routing.Tenant{Name: former.Tenant, Scope: former.Scope}}",
+		old:  "		return Caller{Result: Revoked, RevokedKey: revoked}",
+		new:  "		return Caller{Result: Authenticated, Tenant: &routing.Tenant{Name: revoked.Tenant, Scope: revoked.Scope}}",
 		pkg:  "./internal/proxy", test: "TestAPIKeysFollowConfiguration",
 	},
 	{
@@ -49,14 +49,14 @@
 		file: "internal/tenant/index.go",
 		old:  "	if caller.scope() != scope {",
 		new:  "	if false {",
-		pkg:  "./internal/tenant", test: "TestAKeyIsGoodInItsScope",
+		pkg:  "./internal/tenant", test: "TestKeyIsValidInItsScopeOnly",
 	},
 	{
 		name: "one-of-two-keys-taken",
 		file: "internal/tenant/index.go",
 		old:  "	if len(lines) > 1 {",
 		new:  "	if false {",
-		pkg:  "./internal/tenant", test: "TestCallersAreKnownByTheirKeys",
+		pkg:  "./internal/tenant", test: "TestCallersAreIdentifiedByKey",
 	},
 	{
 		name: "caller-told-that-its-key-was-good",
