--- a/internal/bodies/pace.go
+++ b/internal/bodies/pace.go
@@ -12,9 +12,9 @@
 	// Floor is the slowest progress of a body in bytes a second: half of a mobile link of the
 	// second generation (64 kbit/s). A body may be large and its link slow, so that its whole
 	// time says nothing of a caller that has gone silent.
-	Floor = 4 << 10
+	MinRate = 4 << 10
 	// Grace is how long a body may stand still: a radio that changes cells takes some seconds.
-	Grace = 5 * time.Second
+	MaxStall = 5 * time.Second
 )
 
 // pace judges a body by its progress while its caller is awaited: each byte adds time, and no more
@@ -25,7 +25,7 @@
 	stopped time.Time
 }
 
-func newPace(now time.Time) pace { return pace{until: now.Add(Grace), stopped: now} }
+func newPace(now time.Time) pace { return pace{until: now.Add(MaxStall), stopped: now} }
 
 // await begins a wait for the caller, and returns until when it must have moved.
 func (p *pace) await(now time.Time) time.Time {
@@ -35,16 +35,16 @@
 
 // moved ends a wait in which some bytes have passed.
 func (p *pace) moved(now time.Time, bytes int) {
-	earned := time.Duration(float64(bytes) / Floor * float64(time.Second))
+	earned := time.Duration(float64(bytes) / MinRate * float64(time.Second))
 	p.until = p.until.Add(earned)
-	if most := now.Add(Grace); p.until.After(most) {
+	if most := now.Add(MaxStall); p.until.After(most) {
 		p.until = most
 	}
 	p.stopped = now
 }
 
 // Connection is the one to a caller, or what controls it.
-type Connection interface {
+type DeadlineSetter interface {
 	SetReadDeadline(at time.Time) error
 	SetWriteDeadline(at time.Time) error
 }
@@ -55,14 +55,14 @@
 // Reader reads a caller's body as long as it moves.
 type Reader struct {
 	from   io.Reader
-	caller Connection
+	caller DeadlineSetter
 	last   time.Time
 	pace   pace
 }
 
 // NewReader returns a reader of a body that must be in by last, however it moves. It leaves a
 // deadline at the caller's connection.
-func NewReader(from io.Reader, last time.Time, caller Connection) *Reader {
+func NewReader(from io.Reader, last time.Time, caller DeadlineSetter) *Reader {
 	return &Reader{from: from, caller: caller, last: last, pace: newPace(clock.Now())}
 }
 
@@ -83,12 +83,12 @@
 // Writer writes a body to a caller as long as the caller takes it.
 type Writer struct {
 	to     io.Writer
-	caller Connection
+	caller DeadlineSetter
 	pace   pace
 }
 
 // NewWriter returns a writer to a caller. It leaves a deadline at the caller's connection.
-func NewWriter(to io.Writer, caller Connection) *Writer {
+func NewWriter(to io.Writer, caller DeadlineSetter) *Writer {
 	return &Writer{to: to, caller: caller, pace: newPace(clock.Now())}
 }
 
--- a/internal/bodies/pace_test.go
+++ b/internal/bodies/pace_test.go
@@ -23,11 +23,11 @@
 		last   time.Duration
 		ends   time.Duration
 	}{
-		"slow and steady":    {pieces: 60, bytes: 2 * Floor, pause: time.Second, last: time.Hour},
-		"long pauses":        {pieces: 5, bytes: 5 * Floor, pause: 4 * time.Second, last: time.Hour},
-		"silent":             {pieces: 1, bytes: 100 * Floor, pause: time.Hour, last: 2 * time.Hour, ends: Grace},
-		"below the floor":    {pieces: 60, bytes: Floor / 2, pause: 900 * time.Millisecond, last: time.Hour, ends: 10500 * time.Millisecond},
-		"beyond its request": {pieces: 60, bytes: 2 * Floor, pause: time.Second, last: 7500 * time.Millisecond, ends: 7500 * time.Millisecond},
+		"slow and steady":    {pieces: 60, bytes: 2 * MinRate, pause: time.Second, last: time.Hour},
+		"long pauses":        {pieces: 5, bytes: 5 * MinRate, pause: 4 * time.Second, last: time.Hour},
+		"silent":             {pieces: 1, bytes: 100 * MinRate, pause: time.Hour, last: 2 * time.Hour, ends: MaxStall},
+		"below the floor":    {pieces: 60, bytes: MinRate / 2, pause: 900 * time.Millisecond, last: time.Hour, ends: 10500 * time.Millisecond},
+		"beyond its request": {pieces: 60, bytes: 2 * MinRate, pause: time.Second, last: 7500 * time.Millisecond, ends: 7500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -63,7 +63,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ours, caller := net.Pipe()
 				go func() {
-					piece := make([]byte, 2*Floor)
+					piece := make([]byte, 2*MinRate)
 					for {
 						if _, err := io.ReadFull(caller, piece); err != nil {
 							return
@@ -74,7 +74,7 @@
 				to := NewWriter(ours, ours)
 				var err error
 				for range 20 {
-					if _, err = to.Write(make([]byte, 2*Floor)); err != nil {
+					if _, err = to.Write(make([]byte, 2*MinRate)); err != nil {
 						break
 					}
 				}
@@ -96,10 +96,10 @@
 		from, to := NewReader(ours, began.Add(time.Hour), ours), NewWriter(ours, ours)
 		piece := make([]byte, 1)
 		for range 5 {
-			time.Sleep(2 * Grace)
+			time.Sleep(2 * MaxStall)
 			_, err := to.Write(piece)
 			assert.NilError(t, err)
-			time.Sleep(2 * Grace)
+			time.Sleep(2 * MaxStall)
 			_, err = from.Read(piece)
 			assert.NilError(t, err)
 		}
--- a/internal/bodies/pipe.go
+++ b/internal/bodies/pipe.go
@@ -20,7 +20,7 @@
 // it comes, within a bound, so that a caller who reads slowly holds no worker up. One may fill
 // it while another reads from it.
 type Pipe struct {
-	room *Room
+	room *MemoryBudget
 	most int64
 
 	mu      sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // NewPipe returns a pipe that holds so many bytes at most.
-func NewPipe(room *Room, most int64) *Pipe {
+func NewPipe(room *MemoryBudget, most int64) *Pipe {
 	p := &Pipe{room: room, most: most, done: make(chan struct{}), crowded: make(chan struct{})}
 	p.changed.L = &p.mu
 	return p
@@ -68,7 +68,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !p.closed {
-		if p.held+pieceBytes <= p.most && p.room.Take(pieceBytes) {
+		if p.held+pieceBytes <= p.most && p.room.Reserve(pieceBytes) {
 			return make([]byte, pieceBytes), pieceBytes, nil
 		}
 		p.once.Do(func() { close(p.crowded) })
@@ -90,7 +90,7 @@
 			gives = taken
 		}
 		if !p.add(part{bytes: block[:count:count], gives: gives}) && !last {
-			p.room.Give(taken)
+			p.room.Release(taken)
 			return errClosed
 		}
 		if err != nil {
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		p.room.Give(come.gives)
+		p.room.Release(come.gives)
 		return false
 	}
 	p.parts = append(p.parts, come)
@@ -176,7 +176,7 @@
 		if err == nil {
 			err = flush()
 		}
-		p.room.Give(next.gives)
+		p.room.Release(next.gives)
 		if err != nil {
 			return written, err
 		}
@@ -208,14 +208,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, one := range p.parts {
-		p.room.Give(one.gives)
+		p.room.Release(one.gives)
 	}
 	p.parts, p.held, p.closed = nil, 0, true
 	p.changed.Broadcast()
 }
 
 // Whole reports whether all of the answer has come.
-func (p *Pipe) Whole() bool {
+func (p *Pipe) Complete() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return errors.Is(p.end, io.EOF)
--- a/internal/bodies/room.go
+++ b/internal/bodies/room.go
@@ -12,7 +12,7 @@
 
 // Small is the length in bytes up to which a body counts as small: it goes on while large
 // ones are refused. It holds the forms and records that callers send all day.
-const Small = 16 << 10
+const MaxSmall = 16 << 10
 
 const (
 	// largeShare is the share of a room that large bodies may fill; the rest is for small ones.
@@ -23,10 +23,10 @@
 )
 
 // Room counts the memory of bodies in flight and bounds it. It is safe for concurrent use.
-type Room struct {
+type MemoryBudget struct {
 	// Changed is told when large bodies find no room, and when there is room again; nil for
 	// nobody.
-	Changed func(full bool, used int64)
+	OnChange func(full bool, used int64)
 
 	mu    sync.Mutex
 	limit int64
@@ -36,27 +36,27 @@
 	freed chan struct{}
 }
 
-// NewRoom returns a room of so many bytes; zero: without a bound.
-func NewRoom(limit int64) *Room { return &Room{limit: limit} }
+// NewMemoryBudget returns a room of so many bytes; zero: without a bound.
+func NewMemoryBudget(limit int64) *MemoryBudget { return &MemoryBudget{limit: limit} }
 
 // Used returns the bytes that are taken.
-func (r *Room) Used() int64 {
+func (r *MemoryBudget) Used() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.used
 }
 
 // Limit returns the room's bytes; zero: without a bound.
-func (r *Room) Limit() int64 { return r.limit }
+func (r *MemoryBudget) Limit() int64 { return r.limit }
 
 // Take takes bytes for a part of a large body; false if there is no room.
-func (r *Room) Take(bytes int64) bool {
+func (r *MemoryBudget) Reserve(bytes int64) bool {
 	taken, _ := r.take(bytes)
 	return taken
 }
 
 // TakeSmall takes bytes for a small body; false if there is no room even for such.
-func (r *Room) TakeSmall(bytes int64) bool {
+func (r *MemoryBudget) ReserveSmall(bytes int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.limit > 0 && r.used+bytes > r.limit {
@@ -67,7 +67,7 @@
 }
 
 // Await takes bytes for a large body, and waits for them for a while if need be.
-func (r *Room) Await(ctx context.Context, bytes int64, patience time.Duration) bool {
+func (r *MemoryBudget) ReserveWithin(ctx context.Context, bytes int64, patience time.Duration) bool {
 	until := clock.Now().Add(patience)
 	for {
 		taken, freed := r.take(bytes)
@@ -88,7 +88,7 @@
 }
 
 // take takes bytes for a large body, or returns what is closed once some are given back.
-func (r *Room) take(bytes int64) (taken bool, freed <-chan struct{}) {
+func (r *MemoryBudget) take(bytes int64) (taken bool, freed <-chan struct{}) {
 	r.mu.Lock()
 	if r.limit == 0 || float64(r.used+bytes) <= largeShare*float64(r.limit) {
 		r.used += bytes
@@ -102,14 +102,14 @@
 	changed, used := !r.full, r.used
 	r.full = true
 	r.mu.Unlock()
-	if changed && r.Changed != nil {
-		r.Changed(true, used)
+	if changed && r.OnChange != nil {
+		r.OnChange(true, used)
 	}
 	return false, freed
 }
 
 // Give gives bytes back.
-func (r *Room) Give(bytes int64) {
+func (r *MemoryBudget) Release(bytes int64) {
 	if bytes == 0 {
 		return
 	}
@@ -127,7 +127,7 @@
 		r.full = false
 	}
 	r.mu.Unlock()
-	if changed && r.Changed != nil {
-		r.Changed(false, used)
+	if changed && r.OnChange != nil {
+		r.OnChange(false, used)
 	}
 }
--- a/internal/bodies/room_test.go
+++ b/internal/bodies/room_test.go
@@ -17,8 +17,8 @@
 // room beside large ones, and all of it comes back.
 func TestNoOrderOfBodiesExceedsTheRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const limit = 16 * Small
-		room := NewRoom(limit)
+		const limit = 16 * MaxSmall
+		room := NewMemoryBudget(limit)
 		var open []*Spool
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if len(open) > 0 && rapid.IntRange(0, 3).Draw(t, "frees") == 0 {
@@ -26,9 +26,9 @@
 				open = open[1:]
 				continue
 			}
-			length := rapid.IntRange(1, 4*Small).Draw(t, "length")
-			one := NewSpool(room, length <= Small)
-			whole, err := one.Fill(bytes.NewReader(make([]byte, length)), int64(length), 4*Small)
+			length := rapid.IntRange(1, 4*MaxSmall).Draw(t, "length")
+			one := NewSpool(room, length <= MaxSmall)
+			whole, err := one.Fill(bytes.NewReader(make([]byte, length)), int64(length), 4*MaxSmall)
 			assert.Assert(t, whole == (err == nil))
 			if whole {
 				assert.Equal(t, one.Length(), int64(length))
@@ -45,26 +45,26 @@
 }
 
 func TestLargeBodiesLeaveRoomForSmallOnes(t *testing.T) {
-	room := NewRoom(8 * Small)
-	assert.Assert(t, room.Take(7*Small))
-	assert.Assert(t, !room.Take(1))
-	assert.Assert(t, room.TakeSmall(Small))
-	assert.Assert(t, !room.TakeSmall(1))
+	room := NewMemoryBudget(8 * MaxSmall)
+	assert.Assert(t, room.Reserve(7*MaxSmall))
+	assert.Assert(t, !room.Reserve(1))
+	assert.Assert(t, room.ReserveSmall(MaxSmall))
+	assert.Assert(t, !room.ReserveSmall(1))
 }
 
 // A room that is full, and one that is no longer, is told once.
 func TestAFullRoomIsToldOnce(t *testing.T) {
 	var told []bool
-	room := NewRoom(8 * Small)
-	room.Changed = func(full bool, _ int64) { told = append(told, full) }
-	assert.Assert(t, room.Take(7*Small))
+	room := NewMemoryBudget(8 * MaxSmall)
+	room.OnChange = func(full bool, _ int64) { told = append(told, full) }
+	assert.Assert(t, room.Reserve(7*MaxSmall))
 	for range 3 {
-		assert.Assert(t, !room.Take(Small))
+		assert.Assert(t, !room.Reserve(MaxSmall))
 	}
-	room.Give(2 * Small)
-	assert.Assert(t, room.Take(Small))
-	assert.Assert(t, !room.Take(2*Small))
-	room.Give(6 * Small)
+	room.Release(2 * MaxSmall)
+	assert.Assert(t, room.Reserve(MaxSmall))
+	assert.Assert(t, !room.Reserve(2*MaxSmall))
+	room.Release(6 * MaxSmall)
 	assert.DeepEqual(t, told, []bool{true, false})
 }
 
@@ -75,19 +75,19 @@
 	}{"given back in time": {givenAfter: 50 * time.Millisecond, taken: true}, "too late": {givenAfter: time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				room := NewRoom(8 * Small)
-				assert.Assert(t, room.Take(7*Small))
-				time.AfterFunc(c.givenAfter, func() { room.Give(Small) })
+				room := NewMemoryBudget(8 * MaxSmall)
+				assert.Assert(t, room.Reserve(7*MaxSmall))
+				time.AfterFunc(c.givenAfter, func() { room.Release(MaxSmall) })
 				began := time.Now()
-				assert.Equal(t, room.Await(t.Context(), Small, 100*time.Millisecond), c.taken)
+				assert.Equal(t, room.ReserveWithin(t.Context(), MaxSmall, 100*time.Millisecond), c.taken)
 				assert.Equal(t, time.Since(began), min(c.givenAfter, 100*time.Millisecond))
 			})
 		})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	room := NewRoom(1)
-	assert.Assert(t, !room.Await(ctx, Small, time.Minute))
+	room := NewMemoryBudget(1)
+	assert.Assert(t, !room.ReserveWithin(ctx, MaxSmall, time.Minute))
 }
 
 // A body of known length takes no more memory than it has, and its bytes come out as they
@@ -106,7 +106,7 @@
 		"ends at the most":   {length: 20_000, known: 20_000, most: 20_000, taken: 20_000, whole: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			room, text := NewRoom(0), strings.Repeat("0123456789", int(c.length/10))
+			room, text := NewMemoryBudget(0), strings.Repeat("0123456789", int(c.length/10))
 			s := NewSpool(room, false)
 			from := strings.NewReader(text)
 			whole, err := s.Fill(from, c.known, c.most)
@@ -116,7 +116,7 @@
 			rest, err := io.ReadAll(from)
 			assert.NilError(t, err)
 			assert.Equal(t, string(bytes.Join(s.Pieces(), nil))+string(rest), text)
-			assert.Equal(t, string(s.Start(17_000)), text[:min(17_000, int(s.Length()))])
+			assert.Equal(t, string(s.Prefix(17_000)), text[:min(17_000, int(s.Length()))])
 		})
 	}
 }
--- a/internal/bodies/spool.go
+++ b/internal/bodies/spool.go
@@ -17,13 +17,13 @@
 	firstPiece = 4 << 10
 )
 
-// ErrNoRoom: the room has no memory left.
-var ErrNoRoom = errors.New("no memory is left for bodies in flight")
+// ErrNoMemory: the room has no memory left.
+var ErrNoMemory = errors.New("no memory is left for bodies in flight")
 
 // Spool is a body in memory, or its beginning. Its bytes are never used for another body:
 // a send that was given up may read them still.
 type Spool struct {
-	room   *Room
+	room   *MemoryBudget
 	small  bool
 	pieces [][]byte
 	// only is where the single piece of a small body stands.
@@ -38,7 +38,7 @@
 
 // NewSpool returns an empty spool, whose memory is taken from a room. One for a small body
 // gets memory while large ones get none.
-func NewSpool(room *Room, small bool) *Spool { return &Spool{room: room, small: small} }
+func NewSpool(room *MemoryBudget, small bool) *Spool { return &Spool{room: room, small: small} }
 
 // Length returns how many bytes it holds.
 func (s *Spool) Length() int64 {
@@ -50,8 +50,8 @@
 
 // Await takes memory for the next piece of a large body, and waits for it for a while if need
 // be; false if there is none.
-func (s *Spool) Await(ctx context.Context, patience time.Duration) bool {
-	if !s.room.Await(ctx, pieceBytes, patience) {
+func (s *Spool) ReserveNext(ctx context.Context, patience time.Duration) bool {
+	if !s.room.ReserveWithin(ctx, pieceBytes, patience) {
 		return false
 	}
 	s.mu.Lock()
@@ -71,7 +71,7 @@
 }
 
 // Start returns the first bytes, so many at most.
-func (s *Spool) Start(most int) []byte {
+func (s *Spool) Prefix(most int) []byte {
 	if s == nil || len(s.pieces) == 0 {
 		return nil
 	}
@@ -87,12 +87,12 @@
 
 // Fill reads a body until it ends, which whole tells, or so many bytes are held. length is
 // that of the body in bytes; below zero if not known. Where the room is full it returns
-// ErrNoRoom; what is held stays, and the rest can be read still.
+// ErrNoMemory; what is held stays, and the rest can be read still.
 func (s *Spool) Fill(from io.Reader, length, most int64) (whole bool, err error) {
 	for s.length < most && s.length != length {
 		piece := s.next(length, most)
 		if piece == nil {
-			return false, ErrNoRoom
+			return false, ErrNoMemory
 		}
 		whole, err = s.fill(piece, from)
 		if whole || err != nil {
@@ -132,9 +132,9 @@
 	case s.length == 0:
 		size = min(size, firstPiece)
 	}
-	take := s.room.Take
+	take := s.room.Reserve
 	if s.small {
-		take = s.room.TakeSmall
+		take = s.room.ReserveSmall
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +158,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room.Give(s.taken)
+	s.room.Release(s.taken)
 	s.taken, s.freed = 0, true
 }
--- a/internal/bodies/turns.go
+++ b/internal/bodies/turns.go
@@ -26,7 +26,7 @@
 
 // Turns give the large bodies of a process turns on the machine's link, a slice each, so that
 // small answers find no long queue in front of it. They are safe for concurrent use.
-type Turns struct {
+type LinkShaper struct {
 	rate float64 // bytes a second; zero: not bounded
 
 	mu sync.Mutex
@@ -34,14 +34,14 @@
 	free time.Time
 }
 
-// NewTurns returns the turns on a link of so many megabits a second; zero: not known, so that
+// NewLinkShaper returns the turns on a link of so many megabits a second; zero: not known, so that
 // nobody waits.
-func NewTurns(megabits float64) *Turns {
-	return &Turns{rate: linkShare * megabits * bitsInMegabit / bitsInByte}
+func NewLinkShaper(megabits float64) *LinkShaper {
+	return &LinkShaper{rate: linkShare * megabits * bitsInMegabit / bitsInByte}
 }
 
 // Sent notes bytes of small bodies, which wait for nobody.
-func (t *Turns) Sent(bytes int) {
+func (t *LinkShaper) RecordSent(bytes int) {
 	if t.rate == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // Await waits for a turn of so many bytes; false if the context ended first.
-func (t *Turns) Await(ctx context.Context, bytes int) bool {
+func (t *LinkShaper) Await(ctx context.Context, bytes int) bool {
 	if t.rate == 0 {
 		return true
 	}
@@ -64,7 +64,7 @@
 }
 
 // reserve takes the link for some bytes, and returns how long it is not free for them.
-func (t *Turns) reserve(bytes int) time.Duration {
+func (t *LinkShaper) reserve(bytes int) time.Duration {
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // take takes the link once it is free. The caller holds mu.
-func (t *Turns) take(now time.Time, bytes int) {
+func (t *LinkShaper) take(now time.Time, bytes int) {
 	if t.free.Before(now) {
 		t.free = now
 	}
@@ -90,19 +90,19 @@
 }
 
 // Paced writes a large body in turns.
-type Paced struct {
+type ShapedWriter struct {
 	ctx   context.Context
-	turns *Turns
+	turns *LinkShaper
 	to    io.Writer
 }
 
 // Pace returns a writer that waits for its turns; ctx ends the wait.
-func (t *Turns) Pace(ctx context.Context, to io.Writer) *Paced {
-	return &Paced{ctx: ctx, turns: t, to: to}
+func (t *LinkShaper) NewWriter(ctx context.Context, to io.Writer) *ShapedWriter {
+	return &ShapedWriter{ctx: ctx, turns: t, to: to}
 }
 
 // Write implements io.Writer.
-func (p *Paced) Write(from []byte) (written int, err error) {
+func (p *ShapedWriter) Write(from []byte) (written int, err error) {
 	for len(from) > 0 {
 		slice := from[:min(len(from), sliceBytes)]
 		if !p.turns.Await(p.ctx, len(slice)) {
--- a/internal/bodies/turns_test.go
+++ b/internal/bodies/turns_test.go
@@ -47,7 +47,7 @@
 
 // smallBeside returns the sorted times that small answers of 2 kB take, 50 a second, beside
 // five downloads of 540 kB that begin at once every 3 s.
-func smallBeside(t *testing.T, turns *Turns) (times []time.Duration, downloads time.Duration) {
+func smallBeside(t *testing.T, turns *LinkShaper) (times []time.Duration, downloads time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		link, began := &narrow{}, time.Now()
 		var wait sync.WaitGroup
@@ -56,9 +56,9 @@
 				wait.Go(func() {
 					time.Sleep(time.Duration(round) * 3 * time.Second)
 					one := &connection{link: link}
-					paced := turns.Pace(t.Context(), one)
-					for range 540_000 / Small {
-						_, _ = paced.Write(make([]byte, Small))
+					paced := turns.NewWriter(t.Context(), one)
+					for range 540_000 / MaxSmall {
+						_, _ = paced.Write(make([]byte, MaxSmall))
 					}
 					time.Sleep(time.Until(one.end))
 				})
@@ -67,7 +67,7 @@
 		wait.Go(func() {
 			for time.Since(began) < 12*time.Second {
 				one, sent := &connection{link: link}, time.Now()
-				turns.Sent(2000)
+				turns.RecordSent(2000)
 				_, _ = one.Write(make([]byte, 2000))
 				times = append(times, one.end.Sub(sent))
 				time.Sleep(20 * time.Millisecond)
@@ -83,8 +83,8 @@
 // Small answers find no long queue in front of the link: 99 of 100 wait for one slice or two
 // in place of a window of each download. The last downloads end about a tenth later.
 func TestSmallAnswersDoNotWaitBehindLargeOnes(t *testing.T) {
-	before, endBefore := smallBeside(t, NewTurns(0))
-	after, endAfter := smallBeside(t, NewTurns(narrowMbps))
+	before, endBefore := smallBeside(t, NewLinkShaper(0))
+	after, endAfter := smallBeside(t, NewLinkShaper(narrowMbps))
 	p99 := func(times []time.Duration) time.Duration { return times[len(times)*99/100] }
 	t.Logf("p50 %s, p99 %s, all ends %s without turns; p50 %s, p99 %s, all ends %s with them",
 		before[len(before)/2], p99(before), endBefore, after[len(after)/2], p99(after), endAfter)
@@ -97,13 +97,13 @@
 // wait for nobody.
 func TestLargeBodiesTakeTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		turns, began := NewTurns(narrowMbps), time.Now()
+		turns, began := NewLinkShaper(narrowMbps), time.Now()
 		var mu sync.Mutex
 		var ends []time.Duration
 		var wait sync.WaitGroup
 		for range 3 {
 			wait.Go(func() {
-				paced := turns.Pace(t.Context(), io.Discard)
+				paced := turns.NewWriter(t.Context(), io.Discard)
 				_, _ = paced.Write(make([]byte, 30*sliceBytes))
 				mu.Lock()
 				defer mu.Unlock()
@@ -119,7 +119,7 @@
 func TestNobodyWaitsOnALinkOfUnknownWidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		_, err := NewTurns(0).Pace(t.Context(), io.Discard).Write(make([]byte, 10<<20))
+		_, err := NewLinkShaper(0).NewWriter(t.Context(), io.Discard).Write(make([]byte, 10<<20))
 		assert.NilError(t, err)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 	})
@@ -129,9 +129,9 @@
 // kept large bodies off a link that was idle afterwards for 12 s more.
 func TestLargeBodiesWaitForNoMoreThanTheLinkHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		turns := NewTurns(narrowMbps)
+		turns := NewLinkShaper(narrowMbps)
 		for range 1000 { // twice what the link bears, for 10 s
-			turns.Sent(2 * narrowRate / 100)
+			turns.RecordSent(2 * narrowRate / 100)
 			time.Sleep(10 * time.Millisecond)
 		}
 		began := time.Now()
--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -20,7 +20,7 @@
 	{
 		name: "partly-passed-on-body-sent-again",
 		file: "internal/proxy/call.go",
-		old:  "\tif c.message.Spent() {",
+		old:  "\tif c.message.BodyConsumed() {",
 		new:  "\tif false {",
 		pkg:  "./internal/proxy", test: "TestABodyThatWasPartlyPassedOnIsNotSentAgain",
 	},
@@ -69,8 +69,8 @@
 	{
 		name: "body-that-stands-still-goes-on",
 		file: "internal/bodies/pace.go",
-		old:  "\tif most := now.Add(Grace); p.until.After(most) {",
-		new:  "\tif most := now.Add(Grace); false {",
+		old:  "\tif most := now.Add(MaxStall); p.until.After(most) {",
+		new:  "\tif most := now.Add(MaxStall); false {",
 		pkg:  "./internal/bodies", test: "TestABodyIsJudgedByItsProgress",
 	},
 	{
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -6,8 +6,8 @@
 	{
 		name: "routers-do-not-read-that-a-worker-leaves",
 		file: "internal/upstream/notice.go",
-		old:  "SaysLeaving(response.Header.Values(h.Leaving))",
-		new:  "SaysLeaving(nil)",
+		old:  "ParseLeaving(response.Header.Values(h.Leaving))",
+		new:  "ParseLeaving(nil)",
 		pkg:  "./platform/session", test: "TestAWorkerThatSaysInAnswersThatItLeavesGetsNoMoreRequests",
 	},
 	{
@@ -48,8 +48,8 @@
 	{
 		name: "orders-do-not-tell-that-a-worker-leaves",
 		file: "platform/orders.go",
-		old:  "upstream.SaysLeaving(response.Header.Values(leavingHeader))",
-		new:  "upstream.SaysLeaving(nil)",
+		old:  "upstream.ParseLeaving(response.Header.Values(leavingHeader))",
+		new:  "upstream.ParseLeaving(nil)",
 		pkg:  "./platform", test: "TestOrdersTellThatTheirWorkerLeaves",
 	},
 	{
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -40,7 +40,7 @@
 	{
 		name: "written-to-a-connection-that-is-reset",
 		file: "internal/upstream/exchange.go",
-		old:  "\tif message.Once && !connection.used &&",
+		old:  "\tif message.AtMostOnce && !connection.used &&",
 		new:  "\tif false &&",
 		pkg:  "./internal/proxy", test: "TestConnectionResetBeforeWriteMeansNotRun",
 	},
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -5,8 +5,8 @@
 	{
 		name: "caller-names-its-tenant",
 		file: "internal/upstream/message.go",
-		old:  "(m.Guarded && headers.Tells(name))",
-		new:  "(m.Guarded && name == \"Authorization\")",
+		old:  "(m.StripIdentity && headers.IdentifiesCaller(name))",
+		new:  "(m.StripIdentity && name == \"Authorization\")",
 		pkg:  "./internal/proxy", test: "TestAPublicRouteNamesNobody",
 	},
 	{
@@ -26,7 +26,7 @@
 	{
 		name: "own-headers-dropped-by-the-other-side",
 		file: "internal/upstream/headers.go",
-		old:  "(!named[name] || h.Owns(name))",
+		old:  "(!named[name] || h.IsSystemHeader(name))",
 		new:  "!named[name]",
 		pkg:  "./internal/proxy", test: "TestAWorkerIsToldTheTenantAndNeverTheKey",
 	},
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -241,7 +241,7 @@
 		return false
 	}
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.unread[:read.length])))
-	if err != nil || !mayBeside(request) || !c.splitter.limits.Beside(request) || !c.splitter.admit() {
+	if err != nil || !mayBeside(request) || !c.splitter.limits.MayRunConcurrently(request) || !c.splitter.admit() {
 		return false
 	}
 	c.unread = c.unread[read.length:]
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -17,7 +17,7 @@
 	"gotest.tools/v3/poll"
 )
 
-var usual = Limits{Depth: 16, Total: 64, Held: 1 << 20, Beside: func(*http.Request) bool { return true }}
+var usual = Limits{Depth: 16, Total: 64, BufferedBytes: 1 << 20, MayRunConcurrently: func(*http.Request) bool { return true }}
 
 // serving is a server of a handler, with its splitter.
 type serving struct {
@@ -114,7 +114,7 @@
 func TestARowTakesAsLongAsItsLongest(t *testing.T) {
 	for _, length := range []int{1, 2, 5, 20} {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
-			s := serve(t, Limits{Depth: 32, Total: 64, Held: 1 << 20, Beside: usual.Beside}, func(writer http.ResponseWriter, request *http.Request) {
+			s := serve(t, Limits{Depth: 32, Total: 64, BufferedBytes: 1 << 20, MayRunConcurrently: usual.MayRunConcurrently}, func(writer http.ResponseWriter, request *http.Request) {
 				time.Sleep(100 * time.Millisecond)
 				echo(writer, request)
 			})
@@ -145,7 +145,7 @@
 	})
 	c := s.dial(t)
 	c.send(t, get("/1"), get("/2"), get("/3"))
-	eventually(t, "that all run", func() bool { return s.Behind() == 2 })
+	eventually(t, "that all run", func() bool { return s.Running() == 2 })
 	close(open.of("/3"))
 	close(open.of("/1"))
 	body, _ := c.answer(t)
@@ -157,7 +157,7 @@
 		body, _ := c.answer(t)
 		assert.Equal(t, body, want)
 	}
-	eventually(t, "that none runs", func() bool { return s.Behind() == 0 })
+	eventually(t, "that none runs", func() bool { return s.Running() == 0 })
 	assert.Equal(t, s.held.Load(), int64(0))
 }
 
@@ -173,7 +173,7 @@
 			var mu sync.Mutex
 			under, most := 0, map[string]int{}
 			limits := usual
-			limits.Beside = func(request *http.Request) bool { return request.URL.Path != "/between" }
+			limits.MayRunConcurrently = func(request *http.Request) bool { return request.URL.Path != "/between" }
 			s := serve(t, limits, func(writer http.ResponseWriter, request *http.Request) {
 				mu.Lock()
 				under++
@@ -210,14 +210,14 @@
 	})
 	c := s.dial(t)
 	c.send(t, get("/1"), get("/2"), get("/3"))
-	eventually(t, "that all run", func() bool { return s.Behind() == 2 })
+	eventually(t, "that all run", func() bool { return s.Running() == 2 })
 	_ = c.Close()
 	seen := map[string]bool{}
 	for range 3 {
 		seen[<-ended] = true
 	}
 	assert.Equal(t, len(seen), 3)
-	eventually(t, "that none runs", func() bool { return s.Behind() == 0 })
+	eventually(t, "that none runs", func() bool { return s.Running() == 0 })
 }
 
 // Only the last answer that a connection gets says that it closes; what comes behind it is not run.
@@ -256,7 +256,7 @@
 	})
 	c := s.dial(t)
 	c.send(t, get("/1"), get("/2"))
-	eventually(t, "that both run", func() bool { return s.Behind() == 1 })
+	eventually(t, "that both run", func() bool { return s.Running() == 1 })
 	close(open.of("/1"))
 	body, _ := c.answer(t)
 	assert.Equal(t, body, "/1")
@@ -303,7 +303,7 @@
 			rest, _ := io.ReadAll(c.reader)
 			assert.Assert(t, strings.Contains(string(rest), "half"))
 			assert.Assert(t, !strings.Contains(string(rest), "/3"))
-			eventually(t, "that none runs", func() bool { return s.Behind() == 0 })
+			eventually(t, "that none runs", func() bool { return s.Running() == 0 })
 			assert.Equal(t, s.held.Load(), int64(0))
 		})
 	}
@@ -314,17 +314,17 @@
 		limits Limits
 		most   int
 	}{
-		"in one connection": {limits: Limits{Depth: 3, Total: 64, Held: 1 << 20}, most: 3},
-		"in all":            {limits: Limits{Depth: 16, Total: 5, Held: 1 << 20}, most: 5},
-		"in bytes":          {limits: Limits{Depth: 16, Total: 64, Held: 2000}, most: 9},
+		"in one connection": {limits: Limits{Depth: 3, Total: 64, BufferedBytes: 1 << 20}, most: 3},
+		"in all":            {limits: Limits{Depth: 16, Total: 5, BufferedBytes: 1 << 20}, most: 5},
+		"in bytes":          {limits: Limits{Depth: 16, Total: 64, BufferedBytes: 2000}, most: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			test.limits.Beside = usual.Beside
+			test.limits.MayRunConcurrently = usual.MayRunConcurrently
 			var s *serving
 			var most, mostHeld atomic.Int64
 			body := strings.Repeat("x", 900)
 			s = serve(t, test.limits, func(writer http.ResponseWriter, request *http.Request) {
-				most.Store(max(most.Load(), int64(s.Behind())))
+				most.Store(max(most.Load(), int64(s.Running())))
 				time.Sleep(time.Millisecond)
 				_, _ = io.WriteString(writer, body)
 				mostHeld.Store(max(mostHeld.Load(), s.held.Load()))
@@ -340,7 +340,7 @@
 				assert.Equal(t, got, body)
 			}
 			assert.Assert(t, most.Load() <= int64(test.most), "%d at a time", most.Load())
-			assert.Assert(t, mostHeld.Load() <= test.limits.Held, "%d bytes held", mostHeld.Load())
+			assert.Assert(t, mostHeld.Load() <= test.limits.BufferedBytes, "%d bytes held", mostHeld.Load())
 		})
 	}
 }
--- a/internal/pipeline/splitter.go
+++ b/internal/pipeline/splitter.go
@@ -20,9 +20,9 @@
 	// all connections.
 	Depth, Total int
 	// Held is how many bytes of all answers are kept until it is their turn.
-	Held int64
+	BufferedBytes int64
 	// Beside reports whether a request may run before those ahead of it are answered.
-	Beside func(*http.Request) bool
+	MayRunConcurrently func(*http.Request) bool
 }
 
 // Splitter splits off the requests that come behind others, on all connections of a server. It is
@@ -79,7 +79,7 @@
 func (s *Splitter) Stop() { s.stopping.Store(true) }
 
 // Behind returns how many requests run behind others.
-func (s *Splitter) Behind() int {
+func (s *Splitter) Running() int {
 	return int(s.behind.Load())
 }
 
@@ -118,7 +118,7 @@
 
 // hold takes room for bytes of an answer that waits; false if there is none.
 func (s *Splitter) hold(bytes int) bool {
-	if s.held.Add(int64(bytes)) > s.limits.Held {
+	if s.held.Add(int64(bytes)) > s.limits.BufferedBytes {
 		s.held.Add(-int64(bytes))
 		return false
 	}
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -22,7 +22,7 @@
 	}
 	header := c.writer.Header()
 	connectionHeader := header.Get("Connection")
-	c.proxy.Headers.Pass(result.Header, func(name string, values []string) { header[name] = values })
+	c.proxy.Headers.ForEachForwarded(result.Header, func(name string, values []string) { header[name] = values })
 	if _, present := result.Header["Content-Type"]; !present {
 		header["Content-Type"] = nil // prevents net/http from detecting one
 	}
@@ -47,9 +47,9 @@
 // forwardBody sends the answer's body to the client. Large bodies share the link's bandwidth with
 // others, and are sent for as long as the client keeps reading.
 func (c *call) forwardBody(result *upstream.Result) error {
-	if result.Stream == nil && result.Body.Length() <= bodies.Small {
-		small := result.Body.Start(bodies.Small)
-		c.proxy.Turns.Sent(len(small))
+	if result.Stream == nil && result.Body.Length() <= bodies.MaxSmall {
+		small := result.Body.Prefix(bodies.MaxSmall)
+		c.proxy.Turns.RecordSent(len(small))
 		_, err := c.writer.Write(small)
 		return err
 	}
@@ -57,7 +57,7 @@
 	defer c.proxy.downloads.Add(-1)
 	controller := http.NewResponseController(c.writer)
 	to := bodies.NewWriter(c.writer, controller)
-	paced := c.proxy.Turns.Pace(c.request.Context(), to)
+	paced := c.proxy.Turns.NewWriter(c.request.Context(), to)
 	if err := writeAnswer(paced, result, controller.Flush); err != nil {
 		return err
 	}
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -230,7 +230,7 @@
 	defer b.mu.Unlock()
 	b.inFlight--
 	b.count(now, result)
-	if result.Loaded {
+	if result.HasLoad {
 		b.recordLoad(now, result.Load)
 	}
 	switch result.Outcome {
@@ -239,16 +239,16 @@
 		b.failures = 0
 		b.cooldownUntil = time.Time{}
 		b.recordWorkTime(now, result)
-	case upstream.NotRun, upstream.TurnedAway:
+	case upstream.NotRun, upstream.ConnectionRejected:
 		b.fullUntil = now.Add(fullCooldown)
 	case upstream.Misdirected:
 		b.gone = true
 		changed = true
-	case upstream.Late:
+	case upstream.TimedOut:
 		changed = b.failures == 0
 		b.recordWorkTime(now, result)
 		b.recordFailure(now)
-	case upstream.Gone, upstream.BodyCut, upstream.Withheld: // independent of the worker's health
+	case upstream.ClientGone, upstream.BodyTruncated, upstream.Withheld: // independent of the worker's health
 	case upstream.NotSent:
 		changed = b.failures == 0
 		b.recordFailure(now)
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -39,16 +39,16 @@
 
 // recordBackoff starts a backoff, or logs that it can't be parsed, if the answer requests one.
 func (c *call) recordBackoff(to *backend, result *upstream.Result) {
-	switch result.Backoff.Asking {
-	case upstream.BackoffAsked:
+	switch result.Backoff.Status {
+	case upstream.BackoffRequested:
 		c.proxy.Metrics.noticed(c.service.Name, noticeBackoff)
-		extension, started := to.startBackoff(clock.Now(), result.Backoff.For)
+		extension, started := to.startBackoff(clock.Now(), result.Backoff.Duration)
 		if c.service.Keyed && extension > 0 {
 			c.proxy.Meter.CountBackoff(to.id(), extension)
 		}
 		if started {
 			c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
-				Float64("for", result.Backoff.For.Seconds()).Msg("")
+				Float64("for", result.Backoff.Duration.Seconds()).Msg("")
 		}
 	case upstream.UnreadableBackoff:
 		c.proxy.Metrics.noticed(c.service.Name, noticeUnreadableBackoff)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -93,7 +93,7 @@
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
 		return false
 	}
-	small := length <= bodies.Small // or not known yet
+	small := length <= bodies.MaxSmall // or not known yet
 	spool := bodies.NewSpool(c.proxy.Room, small)
 	c.cleanups.add(spool.Free)
 	if !small && !c.awaitRoom(spool) {
@@ -101,7 +101,7 @@
 	}
 	controller := http.NewResponseController(c.writer)
 	reader := c.limited(bodies.NewReader(body, c.deadline.Add(-answerMargin), controller), length)
-	whole, err := spool.Fill(reader, length, bodies.Small)
+	whole, err := spool.Fill(reader, length, bodies.MaxSmall)
 	if err == nil && !whole {
 		if small && !c.awaitRoom(spool) {
 			return false
@@ -109,10 +109,10 @@
 		whole, err = spool.Fill(reader, length, keptBody)
 	}
 	switch {
-	case small && errors.Is(err, bodies.ErrNoRoom):
+	case small && errors.Is(err, bodies.ErrNoMemory):
 		c.giveUp(reasonRoom, c.jitteredRetryAfter())
 		return false
-	case err != nil && !errors.Is(err, bodies.ErrNoRoom):
+	case err != nil && !errors.Is(err, bodies.ErrNoMemory):
 		c.bodyBroke(err)
 		return false
 	}
@@ -129,7 +129,7 @@
 
 // awaitRoom takes memory for a large body; false if the request was answered.
 func (c *call) awaitRoom(spool *bodies.Spool) bool {
-	if spool.Await(c.request.Context(), time.Duration(roomShare*float64(c.route.Target))) {
+	if spool.ReserveNext(c.request.Context(), time.Duration(roomShare*float64(c.route.Target))) {
 		c.proxy.uploads.Add(1)
 		c.cleanups.add(func() { c.proxy.uploads.Add(-1) })
 		return true
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -145,8 +145,8 @@
 func TestLargeBodiesBeyondTheRoomAreRefused(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
-	f.proxy.Room = bodies.NewRoom(100_000)
-	assert.Assert(t, f.proxy.Room.Take(87_000))
+	f.proxy.Room = bodies.NewMemoryBudget(100_000)
+	assert.Assert(t, f.proxy.Room.Reserve(87_000))
 	for name, length := range map[string]int64{"of known length": testDownload, "in chunks": -1} {
 		began := time.Now()
 		response, reason := f.upload(t, "/up/", unsized{bytes.NewReader(make([]byte, testDownload))}, length)
@@ -158,7 +158,7 @@
 	assert.Equal(t, w.receivedCount(), 0)
 	response, _ := f.get(t, "POST", "/unsafe/", "small")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	f.proxy.Room.Give(87_000)
+	f.proxy.Room.Release(87_000)
 	response, _ = f.upload(t, "/up/", bytes.NewReader(make([]byte, testDownload)), testDownload)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	f.emptied(t)
@@ -276,7 +276,7 @@
 
 // A caller who does not read holds no worker: the same connection serves the next request.
 func TestACallerWhoDoesNotReadHoldsNoWorker(t *testing.T) {
-	w := newFakeWorker(t, "w1", alwaysAnswer(strings.Repeat("a", keptDownload-bodies.Small)))
+	w := newFakeWorker(t, "w1", alwaysAnswer(strings.Repeat("a", keptDownload-bodies.MaxSmall)))
 	f := newTestProxy(t, w.entry("pool"))
 	connection, err := net.Dial("tcp", f.server.Listener.Addr().String())
 	assert.NilError(t, err)
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -66,7 +66,7 @@
 	c.message = upstream.Message{
 		Method: c.request.Method, URI: c.request.RequestURI, Host: c.request.Host,
 		ID: header.Get(c.proxy.Headers.RequestID), Header: header,
-		Guarded: c.message.Guarded, Tenant: c.message.Tenant,
+		StripIdentity: c.message.StripIdentity, Tenant: c.message.Tenant,
 	}
 	c.deadline = c.began.Add(c.route.Timeout)
 	if text := header.Get(c.proxy.Headers.DeadlineMillis); text != "" {
@@ -80,9 +80,9 @@
 			c.deadline = callerDeadline
 		}
 	}
-	c.message.Once = !c.route.Repeatable
-	c.message.Room, c.message.Turns = c.proxy.Room, c.proxy.Turns
-	c.message.Kept, c.message.Held = c.keepBack()
+	c.message.AtMostOnce = !c.route.Repeatable
+	c.message.Budget, c.message.Shaper = c.proxy.Room, c.proxy.Turns
+	c.message.AnswerBufferSize, c.message.AnswerBufferTime = c.keepBack()
 	if c.message.ID == "" {
 		c.refuse(http.StatusBadRequest, reasonMalformed, 0)
 		return false
@@ -114,7 +114,7 @@
 	to.begin()
 	result := upstream.Send(ctx, p.Headers, to.pool, &c.message, c.target(to, &worker), c.deadline, until)
 	c.cleanups.add(result.Free)
-	if streaming := result.Streaming(); streaming != nil {
+	if streaming := result.StreamDone(); streaming != nil {
 		to.begin()
 		go to.releaseAfter(streaming)
 	}
@@ -122,7 +122,7 @@
 		p.Log.Line(decision.KindWorkerHealth).Str("worker", string(worker.ID)).Str("outcome", string(result.Outcome)).
 			Str("id", c.message.ID).AnErr("error", result.Err).Msg("")
 	}
-	if c.service.Keyed && (result.Outcome == upstream.Answered || result.Outcome == upstream.Late) {
+	if c.service.Keyed && (result.Outcome == upstream.Answered || result.Outcome == upstream.TimedOut) {
 		p.Meter.CountResponse(worker.ID, result.Took)
 	}
 	if result.Outcome == upstream.Answered {
@@ -160,10 +160,10 @@
 		}
 		c.forwardAnswer(result)
 		return true
-	case upstream.Gone:
+	case upstream.ClientGone:
 		c.abandon()
 		return true
-	case upstream.BodyCut:
+	case upstream.BodyTruncated:
 		c.refuse(http.StatusBadGateway, reasonBody, 0)
 		return true
 	case upstream.Broken:
@@ -172,7 +172,7 @@
 		}
 		c.refuse(http.StatusBadGateway, reasonBroken, 0)
 		return true
-	case upstream.Late:
+	case upstream.TimedOut:
 		if c.mayResend() && c.timeLeft() > answerMargin {
 			return false
 		}
@@ -183,7 +183,7 @@
 		c.giveUp(reasonDeadline, 0)
 		return true
 	}
-	if c.message.Spent() { // part of the streamed body was consumed, so that it can't be sent again
+	if c.message.BodyConsumed() { // part of the streamed body was consumed, so that it can't be sent again
 		c.giveUp(reasonRefused, 0)
 		return true
 	}
@@ -231,7 +231,7 @@
 // minRetryAfter if that worker reported free slots, since it may well accept the next request and a
 // longer wait would make the caller miss its target needlessly; otherwise whenFull.
 func (c *call) retryAfterRejection(whenFull time.Duration) time.Duration {
-	if c.lastResult != nil && c.lastResult.Outcome == upstream.NotRun && c.lastResult.Load.Idle(c.lastResult.Loaded) {
+	if c.lastResult != nil && c.lastResult.Outcome == upstream.NotRun && c.lastResult.Load.HasFreeSlot(c.lastResult.HasLoad) {
 		return minRetryAfter
 	}
 	return whenFull
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -35,7 +35,7 @@
 	}
 	named := quarantine.Request{
 		Method: c.message.Method, Host: c.message.Host, URI: c.message.URI,
-		Body: c.message.Body.Start(namedBody), Length: c.message.Length,
+		Body: c.message.Body.Prefix(namedBody), Length: c.message.Length,
 	}.Fingerprint()
 	c.fingerprintCache.Store(&named)
 	return named
@@ -58,7 +58,7 @@
 // endsOf tells what the end of a send shows of its worker's end.
 func endsOf(r *upstream.Result) (cutOff, closed, ended bool) {
 	closed = r.Outcome == upstream.Broken && closedByPeer(r.Err)
-	cutOff = closed || (r.Written && (r.Outcome == upstream.Late || r.Outcome == upstream.Gone || r.Outcome == upstream.BodyCut))
+	cutOff = closed || (r.Written && (r.Outcome == upstream.TimedOut || r.Outcome == upstream.ClientGone || r.Outcome == upstream.BodyTruncated))
 	ended = r.Outcome == upstream.Misdirected || (r.Outcome == upstream.NotSent && errors.Is(r.Err, syscall.ECONNREFUSED))
 	return cutOff, closed, ended
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -161,7 +161,7 @@
 	f.proxy.workerEnded(to, false)
 	f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 	c := &call{proxy: f.proxy, request: httptest.NewRequest("GET", "/keyed/", nil), route: &routing.Route{Name: "keyed"}}
-	c.watchEnd(to, &upstream.Result{Outcome: upstream.Late, Written: true})
+	c.watchEnd(to, &upstream.Result{Outcome: upstream.TimedOut, Written: true})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if logged.count(decision.KindSuspect) > 0 {
 			return poll.Success()
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -113,8 +113,8 @@
 	// Starting says that this process does not know yet which requests are quarantined.
 	Starting atomic.Bool
 	// Room bounds the memory of bodies in flight, and Turns what large ones put on the link.
-	Room  *bodies.Room
-	Turns *bodies.Turns
+	Room  *bodies.MemoryBudget
+	Turns *bodies.LinkShaper
 	// Drain is how long workers that leave may get requests.
 	Drain time.Duration
 	// Evacuate is how long the workers of an evacuated zone may get requests.
@@ -137,7 +137,7 @@
 	ending, end := context.WithCancel(context.Background())
 	p := &Proxy{
 		fleet: newFleet(zone, directory, limits), Nodes: &atomic.Int32{}, Suspects: quarantine.NewView(),
-		Room: bodies.NewRoom(0), Turns: bodies.NewTurns(0), unread: newUnreadHeaders(), ending: ending, end: end,
+		Room: bodies.NewMemoryBudget(0), Turns: bodies.NewLinkShaper(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // it never fails
 	p.fleet.keptAway = p.isBlocked
@@ -227,7 +227,7 @@
 	c := &call{proxy: p, writer: writer, request: request.WithContext(ctx), began: clock.Now(), tried: map[workers.ID]bool{}, detach: detach}
 	defer c.cleanups.end()
 	c.message.ID = request.Header.Get(p.Headers.RequestID)
-	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.Small
+	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.MaxSmall
 	if p.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -54,7 +54,7 @@
 		if c.finish(result) {
 			return
 		}
-		if result.Outcome == upstream.TurnedAway { // no other worker may run it, and the owner has no capacity
+		if result.Outcome == upstream.ConnectionRejected { // no other worker may run it, and the owner has no capacity
 			c.giveUp(reasonBusy, c.jitteredRetryAfter())
 			return
 		}
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -203,5 +203,5 @@
 	f.proxy.Headers.Limit = "X-Limit"
 	response, _ := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.Header.Get("X-Limit"), "2.5", "it goes on to the caller, as all that it does not know")
-	assert.DeepEqual(t, limits.answer, []upstream.Limit{{Naming: upstream.Limited, PerSecond: 2.5}})
+	assert.DeepEqual(t, limits.answer, []upstream.Limit{{Status: upstream.Limited, PerSecond: 2.5}})
 }
--- a/internal/proxy/pick_test.go
+++ b/internal/proxy/pick_test.go
@@ -44,7 +44,7 @@
 	announced, version := f.directory.Usable("s")
 	for _, one := range f.buildMembers(state, announced, version, 74) {
 		one.backend.begin()
-		one.backend.finish(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{Loaded: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
+		one.backend.finish(now, &upstream.Result{Outcome: upstream.NotRun, Notice: upstream.Notice{HasLoad: true, Load: upstream.Load{Running: 3, Waiting: 12, Slots: 3}}})
 	}
 	pick := func(at time.Time) *backend {
 		return f.pick(at, state, service, need{target: time.Second}, nil, 74).backend
--- a/internal/proxy/sendtracker.go
+++ b/internal/proxy/sendtracker.go
@@ -46,7 +46,7 @@
 func (t *sendTracker) finish(outcome upstream.Outcome) {
 	t.inFlight--
 	switch outcome {
-	case upstream.NotSent, upstream.TurnedAway, upstream.Withheld:
+	case upstream.NotSent, upstream.ConnectionRejected, upstream.Withheld:
 		t.unsent++
 	case upstream.NotRun, upstream.Misdirected:
 		t.notRun++
--- a/internal/proxy/sendtracker_test.go
+++ b/internal/proxy/sendtracker_test.go
@@ -17,7 +17,7 @@
 // maxSends may be sent.
 func TestSendLimitsHoldForAnyOrderOfResults(t *testing.T) {
 	ends := []upstream.Outcome{
-		upstream.Answered, upstream.NotSent, upstream.NotRun, upstream.Misdirected, upstream.Broken, upstream.Late, upstream.Gone,
+		upstream.Answered, upstream.NotSent, upstream.NotRun, upstream.Misdirected, upstream.Broken, upstream.TimedOut, upstream.ClientGone,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		attempts := rapid.IntRange(1, 4).Draw(t, "attempts")
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -46,7 +46,7 @@
 	if !c.route.Public {
 		caller = keys.Identify(c.request.Header, c.route.Scope)
 	}
-	c.message.Guarded = true
+	c.message.StripIdentity = true
 	if c.route.Public {
 		return true
 	}
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -22,17 +22,17 @@
 // count notes whether the worker has turned a request away. The caller holds mu.
 func (b *backend) count(now time.Time, got *upstream.Result) {
 	switch got.Outcome {
-	case upstream.Answered, upstream.Late:
+	case upstream.Answered, upstream.TimedOut:
 		b.throttle.Sent(now, true)
-	case upstream.TurnedAway:
+	case upstream.ConnectionRejected:
 		b.throttle.Sent(now, false)
 	case upstream.NotRun:
-		if got.Status != http.StatusMisdirectedRequest && !got.Load.Idle(got.Loaded) {
+		if got.Status != http.StatusMisdirectedRequest && !got.Load.HasFreeSlot(got.HasLoad) {
 			b.throttle.Sent(now, false)
 		}
 	case upstream.Broken:
 		b.throttle.Sent(now, got.Status != 0 || got.Took > rejectionResetWindow)
-	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // say nothing of the worker's room
+	case upstream.Misdirected, upstream.ClientGone, upstream.BodyTruncated, upstream.NotSent, upstream.Withheld: // say nothing of the worker's room
 	}
 }
 
--- a/internal/proxy/unread.go
+++ b/internal/proxy/unread.go
@@ -64,7 +64,7 @@
 // neither kept nor logged.
 func (p *Proxy) countUnread(from workers.ID, answered http.Header) {
 	for name := range answered {
-		if commonHeaders[name] || p.Headers.Owns(name) {
+		if commonHeaders[name] || p.Headers.IsSystemHeader(name) {
 			continue
 		}
 		label, first := p.unread.note(sender{from, name})
--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -15,9 +15,9 @@
 
 // newRoom returns the memory budget for bodies in flight. It logs when the budget is exhausted and
 // when it is available again.
-func (r *Router) newRoom() *bodies.Room {
-	room := bodies.NewRoom(int64(bodiesShare * float64(r.settings.Machine.MemoryMB) * bytesInMegabyte))
-	room.Changed = func(full bool, used int64) {
+func (r *Router) newRoom() *bodies.MemoryBudget {
+	room := bodies.NewMemoryBudget(int64(bodiesShare * float64(r.settings.Machine.MemoryMB) * bytesInMegabyte))
+	room.OnChange = func(full bool, used int64) {
 		r.log.Line(decision.KindBodies).Bool("full", full).Int64("used", used).Int64("limit", room.Limit()).Msg("")
 	}
 	return room
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -45,7 +45,7 @@
 		Name: "shalefork_router_suspects_dropped_total", Help: "Suspected requests that were forgotten to make room for others.",
 	}, func() float64 { return float64(r.proxy.Suspects.Dropped()) }))
 	gauge("shalefork_router_pipelined_requests", "Requests that run behind others on their connections.", func() float64 {
-		return float64(r.pipelined.Behind())
+		return float64(r.pipelined.Running())
 	})
 	registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "shalefork_router_pipelined_requests_total", Help: "Requests that have run behind others on their connections.",
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -162,7 +162,7 @@
 	r.proxy.Headers, r.proxy.Table, r.proxy.Meter = adapter.Headers, r.table, r.meter
 	r.proxy.Drain, r.proxy.Evacuate = config.Drain.Std(), config.Evacuate.Std()
 	r.proxy.Log, r.proxy.Nodes, r.proxy.Metrics = log, r.nodes, proxy.NewMetrics(metrics)
-	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewTurns(config.Machine.LinkMbps)
+	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewLinkShaper(config.Machine.LinkMbps)
 	r.proxy.Starting.Store(true)
 	r.configAsOf.Store(distantPast)
 	if config.Revocation == settings.RevocationStrict {
@@ -330,9 +330,9 @@
 
 // pipelineLimits returns the limits of pipelined requests.
 func (r *Router) pipelineLimits() pipeline.Limits {
-	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, Held: pipelineHeld, Beside: r.proxy.Beside}
+	limits := pipeline.Limits{Depth: pipelineDepth, Total: pipelineTotal, BufferedBytes: pipelineHeld, MayRunConcurrently: r.proxy.Beside}
 	if memory := r.settings.Machine.MemoryMB; memory > 0 {
-		limits.Held = int64(pipelineHeldShare * float64(memory) * (1 << 20))
+		limits.BufferedBytes = int64(pipelineHeldShare * float64(memory) * (1 << 20))
 	}
 	return limits
 }
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -70,7 +70,7 @@
 
 // awaitPipelined waits until no pipelined request is left, or ctx ends.
 func (r *Router) awaitPipelined(ctx context.Context) {
-	for r.pipelined.Behind() > 0 && ctx.Err() == nil {
+	for r.pipelined.Running() > 0 && ctx.Err() == nil {
 		clock.Sleep(ctx, pipelinedPollInterval)
 	}
 }
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -86,14 +86,14 @@
 // Answered implements proxy.Limits.
 func (l *workerLimits) Answered(worker workers.Life, answer *upstream.Result) {
 	switch {
-	case answer.Limit.Naming == upstream.Limited:
+	case answer.Limit.Status == upstream.Limited:
 		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
-	case answer.Limit.Naming == upstream.UnreadableLimit:
+	case answer.Limit.Status == upstream.UnreadableLimit:
 		l.unreadable.Add(1)
 		l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(worker.ID)).
 			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("invalid limit in a response; the previous limit stays in effect")
 	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.Limited(worker):
-		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.Sent}, seenBySelf)
+		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.SentAt}, seenBySelf)
 	}
 }
 
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -51,7 +51,7 @@
 		cancel()
 		return Result{Outcome: unsent(ctx), Err: err}
 	}
-	if message.Once && !connection.used && !connection.settle(bounded) {
+	if message.AtMostOnce && !connection.used && !connection.settle(bounded) {
 		cancel()
 		from.drop(connection)
 		return Result{Outcome: turnedAway(ctx), Err: errTurnedAway}
@@ -85,7 +85,7 @@
 	answer := e.read(ctx)
 	e.join(ctx, sent, &answer)
 	answer.Took = clock.Since(e.began)
-	if answer.Outcome == Late && e.conn.used {
+	if answer.Outcome == TimedOut && e.conn.used {
 		e.pool.DropIdle()
 	}
 	if answer.Stream != nil {
@@ -111,25 +111,25 @@
 
 func unsent(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
-		return Gone
+		return ClientGone
 	}
 	return NotSent
 }
 
 func turnedAway(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
-		return Gone
+		return ClientGone
 	}
-	return TurnedAway
+	return ConnectionRejected
 }
 
 func failed(ctx context.Context, until time.Time, err error) Outcome {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
-		return Gone
+		return ClientGone
 	case !clock.Now().Before(until), errors.As(err, &timeout) && timeout.Timeout():
-		return Late
+		return TimedOut
 	}
 	return Broken
 }
@@ -167,15 +167,15 @@
 func (e *exchange) take(ctx context.Context, response *http.Response) Result {
 	answer := Result{Status: response.StatusCode, Header: response.Header, Outcome: e.judge(response)}
 	answer.closing = response.Close || unframed(response)
-	answer.Notice, answer.Sent = e.headers.notice(response, e.target, clock.Now()), e.began
-	if length := response.ContentLength; length >= 0 && length <= bodies.Small {
-		spool := bodies.NewSpool(e.message.Room, true)
-		whole, err := spool.Fill(response.Body, length, bodies.Small)
+	answer.Notice, answer.SentAt = e.headers.notice(response, e.target, clock.Now()), e.began
+	if length := response.ContentLength; length >= 0 && length <= bodies.MaxSmall {
+		spool := bodies.NewSpool(e.message.Budget, true)
+		whole, err := spool.Fill(response.Body, length, bodies.MaxSmall)
 		switch {
 		case whole:
 			answer.Body = spool
 			return answer
-		case !errors.Is(err, bodies.ErrNoRoom):
+		case !errors.Is(err, bodies.ErrNoMemory):
 			spool.Free()
 			answer.Outcome, answer.Err = failed(ctx, e.until, err), err
 			return answer
@@ -188,10 +188,10 @@
 // takeLarge reads a large answer, or one whose length is not known. It is kept back while it
 // may be whole soon, so that a broken one can still be asked for again.
 func (e *exchange) takeLarge(ctx context.Context, response *http.Response, answer *Result) {
-	pipe := bodies.NewPipe(e.message.Room, max(e.message.Kept, bodies.Small))
+	pipe := bodies.NewPipe(e.message.Budget, max(e.message.AnswerBufferSize, bodies.MaxSmall))
 	filled := make(chan error, 1)
 	go func() { filled <- pipe.Fill(response.Body) }()
-	whole, err := pipe.Await(e.message.Held)
+	whole, err := pipe.Await(e.message.AnswerBufferTime)
 	switch {
 	case whole:
 		answer.Body = pipe.Spool()
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -59,7 +59,9 @@
 
 // Tells reports whether a header says who a caller is: its key, or what it names as its tenant. Only
 // what was proved may reach a worker.
-func (h Headers) Tells(name string) bool { return name == tenant.Header || sameName(name, h.Tenant) }
+func (h Headers) IdentifiesCaller(name string) bool {
+	return name == tenant.Header || sameName(name, h.Tenant)
+}
 
 // sameName reports whether servers may take one name of a header for the other: many hold a
 // hyphen and an underscore for the same, and no case for another.
@@ -69,7 +71,7 @@
 
 // Owns reports whether a header is the system's own on both connections: the other side may
 // not have it dropped by naming it in Connection.
-func (h Headers) Owns(name string) bool {
+func (h Headers) IsSystemHeader(name string) bool {
 	switch name {
 	case h.RequestID, h.Key, h.Tenant, h.Signature, h.Worker, h.NotRun, h.Load, h.Limit, h.Leaving:
 		return true
@@ -78,13 +80,13 @@
 }
 
 // Pass calls pass for each header that travels on.
-func (h Headers) Pass(header http.Header, pass func(name string, values []string)) {
+func (h Headers) ForEachForwarded(header http.Header, pass func(name string, values []string)) {
 	var named map[string]bool
 	if len(header["Connection"]) > 0 {
 		named = connectionHeaders(header)
 	}
 	for name, values := range header {
-		if !hopHeaders[name] && (!named[name] || h.Owns(name)) {
+		if !hopHeaders[name] && (!named[name] || h.IsSystemHeader(name)) {
 			pass(name, values)
 		}
 	}
--- a/internal/upstream/headers_test.go
+++ b/internal/upstream/headers_test.go
@@ -41,19 +41,19 @@
 		want   Limit
 	}{
 		"none":                {},
-		"a decimal":           {values: []string{"2.5"}, want: Limit{Naming: Limited, PerSecond: 2.5}},
-		"with blanks":         {values: []string{" 5.1 "}, want: Limit{Naming: Limited, PerSecond: 5.1}},
-		"zero":                {values: []string{"0"}, want: Limit{Naming: Limited}},
-		"huge":                {values: []string{"1e300"}, want: Limit{Naming: Limited, PerSecond: 1e300}},
-		"two headers":         {values: []string{"7", "3"}, want: Limit{Naming: Limited, PerSecond: 3}},
-		"two in one header":   {values: []string{"3, 7"}, want: Limit{Naming: Limited, PerSecond: 3}},
-		"one of two readable": {values: []string{"x", "3"}, want: Limit{Naming: Limited, PerSecond: 3}},
-		"empty":               {values: []string{""}, want: Limit{Naming: UnreadableLimit}},
-		"no number":           {values: []string{"many"}, want: Limit{Naming: UnreadableLimit}},
-		"not a number":        {values: []string{"NaN"}, want: Limit{Naming: UnreadableLimit}},
-		"below zero":          {values: []string{"-1"}, want: Limit{Naming: UnreadableLimit}},
-		"infinite":            {values: []string{"Inf"}, want: Limit{Naming: UnreadableLimit}},
-		"too large to read":   {values: []string{"1e400"}, want: Limit{Naming: UnreadableLimit}},
+		"a decimal":           {values: []string{"2.5"}, want: Limit{Status: Limited, PerSecond: 2.5}},
+		"with blanks":         {values: []string{" 5.1 "}, want: Limit{Status: Limited, PerSecond: 5.1}},
+		"zero":                {values: []string{"0"}, want: Limit{Status: Limited}},
+		"huge":                {values: []string{"1e300"}, want: Limit{Status: Limited, PerSecond: 1e300}},
+		"two headers":         {values: []string{"7", "3"}, want: Limit{Status: Limited, PerSecond: 3}},
+		"two in one header":   {values: []string{"3, 7"}, want: Limit{Status: Limited, PerSecond: 3}},
+		"one of two readable": {values: []string{"x", "3"}, want: Limit{Status: Limited, PerSecond: 3}},
+		"empty":               {values: []string{""}, want: Limit{Status: UnreadableLimit}},
+		"no number":           {values: []string{"many"}, want: Limit{Status: UnreadableLimit}},
+		"not a number":        {values: []string{"NaN"}, want: Limit{Status: UnreadableLimit}},
+		"below zero":          {values: []string{"-1"}, want: Limit{Status: UnreadableLimit}},
+		"infinite":            {values: []string{"Inf"}, want: Limit{Status: UnreadableLimit}},
+		"too large to read":   {values: []string{"1e400"}, want: Limit{Status: UnreadableLimit}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, parseLimit(test.values), test.want) })
 	}
--- a/internal/upstream/large_test.go
+++ b/internal/upstream/large_test.go
@@ -27,7 +27,7 @@
 // that what a worker has not read has not left.
 type link struct {
 	pool   *Pool
-	room   *bodies.Room
+	room   *bodies.MemoryBudget
 	worker net.Conn
 	reader *bufio.Reader
 }
@@ -35,7 +35,7 @@
 func newLink(t *testing.T) *link {
 	t.Helper()
 	ours, worker := net.Pipe()
-	l := &link{pool: NewPool("unused"), room: bodies.NewRoom(testRoom), worker: worker, reader: bufio.NewReader(worker)}
+	l := &link{pool: NewPool("unused"), room: bodies.NewMemoryBudget(testRoom), worker: worker, reader: bufio.NewReader(worker)}
 	l.pool.put(&conn{Conn: ours, reader: bufio.NewReaderSize(ours, readBuffer)}, time.Hour)
 	t.Cleanup(func() { _ = worker.Close() })
 	return l
@@ -49,7 +49,7 @@
 	assert.NilError(t, err)
 	m := &Message{
 		Method: "POST", URI: "/x", Host: "h", ID: "one", Header: http.Header{"X-Id": {"one"}}, Body: spool, Length: spool.Length(),
-		Room: l.room, Turns: bodies.NewTurns(0), Kept: testRoom, Once: true,
+		Budget: l.room, Shaper: bodies.NewLinkShaper(0), AnswerBufferSize: testRoom, AtMostOnce: true,
 	}
 	if !whole {
 		m.Rest, m.Length = body, length
@@ -165,7 +165,7 @@
 					read <- err
 				}()
 				got := l.send(t.Context(), l.message(t, c.body, c.length, 20_000))
-				assert.Equal(t, got.Outcome, BodyCut)
+				assert.Equal(t, got.Outcome, BodyTruncated)
 				assert.Assert(t, got.Written)
 				assert.Assert(t, <-read != nil, "the worker took it for whole")
 				assert.Assert(t, !l.kept())
@@ -185,7 +185,7 @@
 		}()
 		got := l.send(t.Context(), l.message(t, bodyOf(testBody), testBody, testBody))
 		assert.Equal(t, got.Outcome, Answered)
-		assert.Equal(t, string(got.Body.Start(2)), "ok")
+		assert.Equal(t, string(got.Body.Prefix(2)), "ok")
 		assert.Assert(t, !l.kept())
 	})
 }
@@ -216,7 +216,7 @@
 			_, _ = io.WriteString(l.worker, strings.Repeat("a", testBody-testBody/2))
 		}()
 		m := l.message(t, strings.NewReader(""), 0, 0)
-		m.Held = 100 * time.Millisecond
+		m.AnswerBufferTime = 100 * time.Millisecond
 		got := l.send(t.Context(), m)
 		assert.Assert(t, got.Stream != nil, "it is passed on before it is whole")
 		time.Sleep(1500 * time.Millisecond)
@@ -231,7 +231,7 @@
 func TestAnAnswerBeyondTheRoomComesAsItIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLink(t)
-		l.room = bodies.NewRoom(3 * bodies.Small)
+		l.room = bodies.NewMemoryBudget(3 * bodies.MaxSmall)
 		go func() {
 			l.head()
 			l.answer(testBody, strings.Repeat("a", testBody))
@@ -266,7 +266,7 @@
 					_ = l.worker.Close()
 				}()
 				m := l.message(t, strings.NewReader(""), 0, 0)
-				m.Held = held
+				m.AnswerBufferTime = held
 				got := l.send(t.Context(), m)
 				if name == "kept back" {
 					assert.Equal(t, got.Outcome, Broken)
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -18,7 +18,7 @@
 	ID     string
 	Header http.Header
 	// Guarded says that the caller's API key, and what it says of its tenant, stay behind.
-	Guarded bool
+	StripIdentity bool
 	// Tenant was proved, and is named to the worker; empty: none. Guarded only.
 	Tenant string
 	// Body is the body, or the beginning of a long one.
@@ -30,32 +30,32 @@
 	// Length of Body and Rest in bytes; -1 if unknown.
 	Length int64
 	// Once says that the request must not be sent again after it may have run.
-	Once bool
+	AtMostOnce bool
 	// Room and Turns bound what large bodies take.
-	Room  *bodies.Room
-	Turns *bodies.Turns
+	Budget *bodies.MemoryBudget
+	Shaper *bodies.LinkShaper
 	// Kept is the most of an answer that is kept back until it is whole, in bytes, and Held
 	// for how long that may take; zero: until the send's time is over.
-	Kept int64
-	Held time.Duration
+	AnswerBufferSize int64
+	AnswerBufferTime time.Duration
 	// spent says that some of Rest has been read.
 	spent atomic.Bool
 }
 
 // Spent reports whether the body can't be sent again, since a part of it was only passed on.
-func (m *Message) Spent() bool { return m.spent.Load() }
+func (m *Message) BodyConsumed() bool { return m.spent.Load() }
 
 // large reports whether the body is sent beside the wait for the answer: a worker may answer
 // before it has read it.
-func (m *Message) large() bool { return m.Rest != nil || m.Length > bodies.Small }
+func (m *Message) large() bool { return m.Rest != nil || m.Length > bodies.MaxSmall }
 
 // head writes the request's first lines.
 func (m *Message) head(headers Headers, target string, left time.Duration) []byte {
 	var head bytes.Buffer
 	head.Grow(512)
 	head.WriteString(m.Method + " " + m.URI + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
-	headers.Pass(m.Header, func(name string, values []string) {
-		if name == headers.DeadlineMillis || name == headers.Target || (m.Guarded && headers.Tells(name)) {
+	headers.ForEachForwarded(m.Header, func(name string, values []string) {
+		if name == headers.DeadlineMillis || name == headers.Target || (m.StripIdentity && headers.IdentifiesCaller(name)) {
 			return
 		}
 		for _, value := range values {
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -11,8 +11,8 @@
 // Notice is what an answer says of the worker that made it.
 type Notice struct {
 	// Load is the worker's, if Loaded.
-	Load   Load
-	Loaded bool
+	Load    Load
+	HasLoad bool
 	// Limit is of the requests a second that the worker takes from all routers together.
 	Limit Limit
 	// Leaving says that the worker leaves, for as long as this life of it lasts.
@@ -25,12 +25,12 @@
 // than the one that was meant says nothing.
 func (h Headers) notice(response *http.Response, target string, now time.Time) Notice {
 	var notice Notice
-	notice.Load, notice.Loaded = parseLoad(response.Header.Get(h.Load))
+	notice.Load, notice.HasLoad = parseLoad(response.Header.Get(h.Load))
 	if named := response.Header.Get(h.Worker); named != "" && named != target {
 		return notice
 	}
 	notice.Limit = parseLimit(response.Header.Values(h.Limit))
-	notice.Leaving = SaysLeaving(response.Header.Values(h.Leaving))
+	notice.Leaving = ParseLeaving(response.Header.Values(h.Leaving))
 	if response.StatusCode == http.StatusServiceUnavailable {
 		notice.Backoff = parseBackoff(response.Header, now)
 	}
@@ -47,7 +47,7 @@
 
 // Idle reports whether a worker that told its load has a slot to spare. One that turns a request
 // away all the same is short of something else than room, and may take the next one.
-func (l Load) Idle(told bool) bool { return told && l.Waiting == 0 && l.Running < l.Slots }
+func (l Load) HasFreeSlot(told bool) bool { return told && l.Waiting == 0 && l.Running < l.Slots }
 
 // Parts of a load header. Further ones are passed over.
 const (
@@ -84,18 +84,18 @@
 
 // Limit is what an answer says of the requests a second that its worker takes.
 type Limit struct {
-	Naming Naming
+	Status LimitStatus
 	// PerSecond is the limit, if one is named.
 	PerSecond float64
 }
 
 // Naming says whether an answer names a limit.
-type Naming int
+type LimitStatus int
 
 // Ways to name a limit, or not to.
 const (
 	// NoLimit: the answer names none.
-	NoLimit Naming = iota
+	NoLimit LimitStatus = iota
 	// Limited: it names one.
 	Limited
 	// UnreadableLimit: it names one that can't be read.
@@ -112,18 +112,18 @@
 		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		readable := err == nil && number >= 0 && !math.IsInf(number, 0) // false for what is not a number
 		switch {
-		case readable && (limit.Naming != Limited || number < limit.PerSecond):
-			limit = Limit{Naming: Limited, PerSecond: number}
-		case !readable && limit.Naming == NoLimit:
-			limit.Naming = UnreadableLimit
+		case readable && (limit.Status != Limited || number < limit.PerSecond):
+			limit = Limit{Status: Limited, PerSecond: number}
+		case !readable && limit.Status == NoLimit:
+			limit.Status = UnreadableLimit
 		}
 	}
 	return limit
 }
 
-// SaysLeaving reports whether any of the headers says that the worker leaves. What can't be read
+// ParseLeaving reports whether any of the headers says that the worker leaves. What can't be read
 // counts as that: a worker that does not leave sends none.
-func SaysLeaving(values []string) bool {
+func ParseLeaving(values []string) bool {
 	for _, value := range values {
 		text := strings.TrimSpace(value)
 		if leaves, err := strconv.ParseBool(text); text != "" && (err != nil || leaves) {
@@ -135,20 +135,20 @@
 
 // Backoff is for how long a worker asks a process to send it nothing.
 type Backoff struct {
-	Asking Asking
+	Status BackoffStatus
 	// For is counted from when the answer came.
-	For time.Duration
+	Duration time.Duration
 }
 
 // Asking says whether a worker asks for a backoff.
-type Asking int
+type BackoffStatus int
 
 // Ways to ask for a backoff, or not to.
 const (
 	// NoBackoff: the answer asks for none.
-	NoBackoff Asking = iota
-	// BackoffAsked: it asks for one.
-	BackoffAsked
+	NoBackoff BackoffStatus = iota
+	// BackoffRequested: it asks for one.
+	BackoffRequested
 	// UnreadableBackoff: it asks for one that can't be read.
 	UnreadableBackoff
 )
@@ -167,10 +167,10 @@
 	for _, value := range header.Values(retryAfterHeader) {
 		wait, readable := parseRetryAfter(strings.TrimSpace(value), header.Get(dateHeader), now)
 		switch {
-		case readable && (backoff.Asking != BackoffAsked || wait > backoff.For):
-			backoff = Backoff{Asking: BackoffAsked, For: wait}
-		case !readable && backoff.Asking == NoBackoff:
-			backoff.Asking = UnreadableBackoff
+		case readable && (backoff.Status != BackoffRequested || wait > backoff.Duration):
+			backoff = Backoff{Status: BackoffRequested, Duration: wait}
+		case !readable && backoff.Status == NoBackoff:
+			backoff.Status = UnreadableBackoff
 		}
 	}
 	return backoff
--- a/internal/upstream/notice_test.go
+++ b/internal/upstream/notice_test.go
@@ -11,7 +11,7 @@
 func TestParseBackoff(t *testing.T) {
 	now := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 	date := func(offset time.Duration) string { return now.Add(offset).Format(http.TimeFormat) }
-	asked := func(wait time.Duration) Backoff { return Backoff{Asking: BackoffAsked, For: wait} }
+	asked := func(wait time.Duration) Backoff { return Backoff{Status: BackoffRequested, Duration: wait} }
 	for name, test := range map[string]struct {
 		values []string
 		date   string
@@ -28,13 +28,13 @@
 		"a date that has passed":          {values: []string{date(-time.Minute)}, want: asked(0)},
 		"two headers":                     {values: []string{"2", "7"}, want: asked(7 * time.Second)},
 		"one of two readable":             {values: []string{"soon", "2"}, want: asked(2 * time.Second)},
-		"empty":                           {values: []string{""}, want: Backoff{Asking: UnreadableBackoff}},
-		"no number":                       {values: []string{"soon"}, want: Backoff{Asking: UnreadableBackoff}},
-		"not a number":                    {values: []string{"NaN"}, want: Backoff{Asking: UnreadableBackoff}},
-		"below zero":                      {values: []string{"-1"}, want: Backoff{Asking: UnreadableBackoff}},
-		"infinite":                        {values: []string{"Inf"}, want: Backoff{Asking: UnreadableBackoff}},
-		"longer than anybody means":       {values: []string{"1e300"}, want: Backoff{Asking: UnreadableBackoff}},
-		"a date that far off":             {values: []string{date(48 * time.Hour)}, want: Backoff{Asking: UnreadableBackoff}},
+		"empty":                           {values: []string{""}, want: Backoff{Status: UnreadableBackoff}},
+		"no number":                       {values: []string{"soon"}, want: Backoff{Status: UnreadableBackoff}},
+		"not a number":                    {values: []string{"NaN"}, want: Backoff{Status: UnreadableBackoff}},
+		"below zero":                      {values: []string{"-1"}, want: Backoff{Status: UnreadableBackoff}},
+		"infinite":                        {values: []string{"Inf"}, want: Backoff{Status: UnreadableBackoff}},
+		"longer than anybody means":       {values: []string{"1e300"}, want: Backoff{Status: UnreadableBackoff}},
+		"a date that far off":             {values: []string{date(48 * time.Hour)}, want: Backoff{Status: UnreadableBackoff}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			header := http.Header{}
@@ -64,7 +64,7 @@
 		"a word that not": {values: []string{"false"}},
 		"empty":           {values: []string{""}},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, SaysLeaving(test.values), test.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, ParseLeaving(test.values), test.want) })
 	}
 }
 
@@ -75,11 +75,11 @@
 		by     string
 		want   Notice
 	}{
-		"the worker's answer":        {status: http.StatusOK, by: "w", want: Notice{Limit: Limit{Naming: Limited, PerSecond: 2}, Leaving: true}},
-		"its refusal":                {status: http.StatusServiceUnavailable, by: "w", want: Notice{Limit: Limit{Naming: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Asking: BackoffAsked, For: 3 * time.Second}}},
-		"one that names no worker":   {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Naming: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Asking: BackoffAsked, For: 3 * time.Second}}},
-		"too many requests":          {status: http.StatusTooManyRequests, by: "w", want: Notice{Limit: Limit{Naming: Limited, PerSecond: 2}, Leaving: true}},
-		"not the key's owner":        {status: http.StatusMisdirectedRequest, by: "w", want: Notice{Limit: Limit{Naming: Limited, PerSecond: 2}, Leaving: true}},
+		"the worker's answer":        {status: http.StatusOK, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"its refusal":                {status: http.StatusServiceUnavailable, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"one that names no worker":   {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"too many requests":          {status: http.StatusTooManyRequests, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"not the key's owner":        {status: http.StatusMisdirectedRequest, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
 		"another worker's":           {status: http.StatusMisdirectedRequest, by: "x"},
 		"another worker's 503":       {status: http.StatusServiceUnavailable, by: "x"},
 		"another worker's, answered": {status: http.StatusOK, by: "x"},
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -17,8 +17,8 @@
 	Answered Outcome = "answered"
 	// NotSent: not one byte was written.
 	NotSent Outcome = "not-sent"
-	// TurnedAway: the worker closed a new connection before anything was written.
-	TurnedAway Outcome = "turned-away"
+	// ConnectionRejected: the worker closed a new connection before anything was written.
+	ConnectionRejected Outcome = "turned-away"
 	// Withheld: the worker may not get it any longer, and nothing was written.
 	Withheld Outcome = "withheld"
 	// NotRun: the worker said that it did not run the request.
@@ -28,12 +28,12 @@
 	// Broken: it was sent, and no valid answer came.
 	Broken Outcome = "broken"
 	// Late: the time for the send ran out.
-	Late Outcome = "late"
-	// BodyCut: the client's body ended early or stood still, so that the worker can't have
+	TimedOut Outcome = "late"
+	// BodyTruncated: the client's body ended early or stood still, so that the worker can't have
 	// the whole of it.
-	BodyCut Outcome = "body-cut"
+	BodyTruncated Outcome = "body-cut"
 	// Gone: the client left.
-	Gone Outcome = "client-gone"
+	ClientGone Outcome = "client-gone"
 )
 
 // Result is the end of one send.
@@ -53,7 +53,7 @@
 	// Notice is what the worker's answer, or refusal, says of the worker.
 	Notice
 	// Sent is when the request began to leave.
-	Sent time.Time
+	SentAt time.Time
 	// closing says that the connection ends with this answer.
 	closing bool
 	// Took is the time from the send to the answer.
@@ -65,7 +65,7 @@
 
 // Streaming returns what is closed once the worker has sent all of an answer that is passed on
 // as it comes, or was given up; nil if the answer is whole.
-func (r *Result) Streaming() <-chan struct{} { return r.settled }
+func (r *Result) StreamDone() <-chan struct{} { return r.settled }
 
 // Free gives back what the answer holds, and gives up what of it is still to come.
 func (r *Result) Free() {
@@ -73,7 +73,7 @@
 	if r.Stream == nil {
 		return
 	}
-	if r.Stream.Whole() {
+	if r.Stream.Complete() {
 		<-r.settled // it is about to be: giving it up now would end its connection
 	}
 	r.cancel()
@@ -88,7 +88,7 @@
 // that tells anything: where others wait, what waits at the end is only about
 // what waited before, so only a long time does.
 func (r *Result) WorkTime(slots int, usual time.Duration) (took time.Duration, telling bool) {
-	if !r.Loaded || r.Load.Waiting == 0 {
+	if !r.HasLoad || r.Load.Waiting == 0 {
 		return r.Took, true
 	}
 	took = time.Duration(float64(r.Took) / (1 + float64(r.Load.Waiting)/float64(max(slots, 1))))
--- a/internal/upstream/withheld_test.go
+++ b/internal/upstream/withheld_test.go
@@ -17,7 +17,7 @@
 	got := Send(context.Background(), Headers{RequestID: "X-Id"}, l.pool, message, target, until, until)
 	assert.Equal(t, got.Outcome, Withheld)
 	assert.Assert(t, !got.Written)
-	assert.Assert(t, !message.Spent(), "another worker may get it")
+	assert.Assert(t, !message.BodyConsumed(), "another worker may get it")
 	_ = l.worker.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := l.worker.Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "timeout")
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -52,7 +52,7 @@
 	case !s.wrote:
 		return Result{Outcome: unsent(ctx), Err: s.err}
 	case s.cut && ctx.Err() == nil:
-		return Result{Outcome: BodyCut, Err: s.err, Written: true}
+		return Result{Outcome: BodyTruncated, Err: s.err, Written: true}
 	}
 	return Result{Outcome: failed(ctx, until, s.err), Err: s.err, Written: true}
 }
@@ -61,8 +61,8 @@
 func (e *exchange) write(ctx context.Context, deadline time.Time) *sending {
 	head := e.message.head(e.headers, e.target, clock.Until(deadline))
 	if !e.message.large() {
-		packet := append(head, e.message.Body.Start(bodies.Small)...)
-		e.message.Turns.Sent(len(packet))
+		packet := append(head, e.message.Body.Prefix(bodies.MaxSmall)...)
+		e.message.Shaper.RecordSent(len(packet))
 		count, err := e.conn.Write(packet)
 		return &sending{done: atOnce, wrote: count > 0, err: err}
 	}
@@ -90,7 +90,7 @@
 	if err != nil {
 		return count > 0, false, err
 	}
-	paced := e.message.Turns.Pace(ctx, e.conn.Conn)
+	paced := e.message.Shaper.NewWriter(ctx, e.conn.Conn)
 	if e.message.Rest != nil && e.message.Length < 0 {
 		cut, err = e.writeChunked(&chunkWriter{to: paced})
 		return true, cut, err
