--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -1,5 +1,5 @@
-// Package departure keeps which workers say in their answers that they leave, whatever their entries
-// say. That never ends within a life of a worker.
+// Package departure records which workers have announced in their responses that they are leaving,
+// regardless of their registry entries. Such an announcement is final for an incarnation of a worker.
 package departure
 
 import (
@@ -8,43 +8,45 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Fact says that a life of a worker leaves.
+// Fact says that an incarnation of a worker is leaving.
 type Fact struct {
 	Worker workers.Life
-	// Since is when the first process knew.
+	// Since is when the first process learned of it.
 	Since time.Time
 }
 
-// sameSince is by how much two times of one word may differ that came on different ways.
-const sameSince = 250 * time.Millisecond
+// sinceTolerance is the difference up to which two times of one announcement count as the same: its
+// age grows by the latency of the path on which it was received.
+const sinceTolerance = 250 * time.Millisecond
 
-// Key implements facts.Fact: each life has a fact of its own.
+// Key implements facts.Fact: each incarnation has a fact of its own.
 func (f Fact) Key() workers.Life { return f.Worker }
 
-// Replaces reports whether a fact is known for longer than another on the same life.
+// Replaces reports whether a fact has been known for longer than another one about the same
+// incarnation.
 func (f Fact) Replaces(other Fact) bool { return f.Since.Before(other.Since) }
 
-// TellsSame implements facts.Fact.
-func (f Fact) EquivalentTo(other Fact) bool { return f.Since.Sub(other.Since).Abs() <= sameSince }
+// EquivalentTo implements facts.Fact.
+func (f Fact) EquivalentTo(other Fact) bool { return f.Since.Sub(other.Since).Abs() <= sinceTolerance }
 
-// Holds implements facts.Fact.
+// Active implements facts.Fact.
 func (f Fact) Active() bool { return true }
 
-// Told is a fact as processes tell it to each other. Their times of day differ, so times are told
-// as ages.
+// Message is a fact as processes send it to each other. Their clocks differ, so times are sent as
+// ages.
 type Message struct {
 	Worker    workers.ID   `json:"w"`
 	Born      workers.Born `json:"b,omitempty"`
 	AgeMillis int64        `json:"a,omitempty"`
 }
 
-// Tell describes a fact.
+// NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
 	return Message{Worker: fact.Worker.ID, Born: fact.Worker.Born, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
 }
 
-// Fact returns the fact that was told just now.
-func (t Message) Fact(now time.Time) Fact {
-	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
-	return Fact{Worker: workers.Life{ID: t.Worker, Born: t.Born}, Since: now.Add(-age)}
+// Fact decodes a fact that was received at now.
+func (m Message) Fact(now time.Time) Fact {
+	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
+	return Fact{Worker: workers.Life{ID: m.Worker, Born: m.Born}, Since: now.Add(-age)}
 }
--- a/internal/departure/departure_test.go
+++ b/internal/departure/departure_test.go
@@ -18,7 +18,7 @@
 	return Fact{Worker: life, Since: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "since")) * time.Second)}
 }
 
-func TestDeparturesMergeToTheSameInAnyOrder(t *testing.T) {
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Custom(drawFact), 1, 8).Draw(t, "facts")
 		other := rapid.Permutation(list).Draw(t, "other")
@@ -33,11 +33,11 @@
 	})
 }
 
-func TestADepartureCountsFromWhoKnewFirst(t *testing.T) {
+func TestEarliestDepartureWins(t *testing.T) {
 	book, life := facts.NewTable[Fact](), workers.Life{ID: "w", Born: 1}
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(time.Second)}))
-	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sameSince)}), "others need not hear of so little")
+	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sinceTolerance)}), "within the tolerance of times")
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start.Add(-time.Second)}))
 	known, _ := book.Fact(life)
 	assert.Equal(t, known.Since, start.Add(-time.Second))
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,19 +1,19 @@
-// Package facts holds what processes know of workers and tell each other. Facts merge to the same
-// in any order, and twice the same is once.
+// Package facts replicates facts about workers between processes. Merging facts is commutative and
+// idempotent, so that processes converge whatever the order of messages.
 package facts
 
 import "github.com/shalefork/shalefork/internal/workers"
 
-// Fact is what is known of a worker, or of one life of it.
+// Fact is a piece of information about a worker, or about one incarnation of it.
 type Fact[F any] interface {
-	// Key returns what the fact is on: the worker's ID alone, or a life of it.
+	// Key identifies the subject of the fact: a worker's ID alone, or one incarnation of it.
 	Key() workers.Life
-	// Replaces reports whether the fact takes the place of another one with the same key. It orders
-	// all facts with a key.
+	// Replaces reports whether the fact takes the place of another one with the same key. It defines
+	// a total order of the facts with one key.
 	Replaces(other F) bool
-	// TellsSame reports whether processes that know the other one need not hear of this one. Of one
-	// that holds and one that does not they must.
+	// EquivalentTo reports whether processes that know the other fact need not receive this one. An
+	// active and an inactive fact are never equivalent.
 	EquivalentTo(other F) bool
-	// Holds reports whether the fact holds now; one that does not records that something has ended.
+	// Active reports whether the fact applies now. An inactive one records that something has ended.
 	Active() bool
 }
--- a/internal/facts/book_test.go
+++ b/internal/facts/facts_test.go
@@ -8,7 +8,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// count is a fact of which the greatest holds.
+// count is a fact of which the greatest value replaces the others.
 type count struct {
 	Of    workers.ID
 	Value int
@@ -21,23 +21,23 @@
 }
 func (c count) Active() bool { return c.Value >= 0 }
 
-func TestNewsGoToTheFollowedProcessOnce(t *testing.T) {
+func TestChangesAreReportedOnce(t *testing.T) {
 	m := NewReplica[count]()
 	assert.Assert(t, m.Add(count{"a", 10}))
 	assert.Assert(t, !m.Add(count{"a", 10}))
-	assert.Assert(t, !m.Add(count{"a", 12}), "others need not hear of so little")
-	assert.Assert(t, m.ApplyUpdate(count{"b", 30}), "the followed process tells it")
+	assert.Assert(t, !m.Add(count{"a", 12}), "equivalent to the published fact")
+	assert.Assert(t, m.ApplyUpdate(count{"b", 30}), "received from the followed process")
 	assert.DeepEqual(t, m.TakeReport(9), []count{{"a", 12}})
 	assert.Equal(t, len(m.TakeReport(9)), 0)
 	m.QueueAll()
 	assert.Equal(t, len(m.TakeReport(1)), 1)
-	assert.Equal(t, len(m.TakeReport(9)), 1, "another process is told all, in pieces")
+	assert.Equal(t, len(m.TakeReport(9)), 1, "all facts are reported to another process, in parts")
 	m.SetLeading(true)
 	m.Add(count{"c", 50})
-	assert.Equal(t, len(m.TakeReport(9)), 0, "a leader follows nobody")
+	assert.Equal(t, len(m.TakeReport(9)), 0, "a leader reports to no process")
 }
 
-func TestLinksAreToldWhatIsNewInPieces(t *testing.T) {
+func TestChangesAreReturnedInParts(t *testing.T) {
 	b := NewTable[count]()
 	for _, id := range []workers.ID{"c", "a", "b"} {
 		b.Merge(count{id, 10})
@@ -51,9 +51,9 @@
 	assert.Equal(t, len(none), 0)
 }
 
-func TestWhatHasEndedIsKnownAndDoesNotHold(t *testing.T) {
+func TestEndedFactIsKeptButNotActive(t *testing.T) {
 	b := NewTable[count]()
-	assert.Assert(t, !b.Merge(count{"a", -1}), "nobody needs to hear of the end of what was not known")
+	assert.Assert(t, !b.Merge(count{"a", -1}), "the end of something unknown is not published")
 	assert.Equal(t, b.ActiveCount(), 0)
 	assert.Equal(t, len(b.Facts()), 1)
 	assert.Equal(t, len(b.Published()), 0)
--- /dev/null
+++ b/internal/facts/table.go
@@ -0,0 +1,141 @@
+package facts
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+
+	"github.com/shalefork/shalefork/internal/workers"
+)
+
+// Table holds the facts that a process knows, one for each key. It is safe for concurrent use.
+type Table[F Fact[F]] struct {
+	// activeCount counts the active facts, so that requests take no lock while there are none.
+	activeCount atomic.Int32
+	mu          sync.Mutex
+	version     uint64
+	entries     map[workers.Life]*tableEntry[F]
+}
+
+// tableEntry is the current fact for a key, and the published one, which is equivalent to it, with
+// the version of the table that published it.
+type tableEntry[F any] struct {
+	fact, published F
+	version         uint64
+}
+
+// NewTable returns an empty table.
+func NewTable[F Fact[F]]() *Table[F] { return &Table[F]{entries: map[workers.Life]*tableEntry[F]{}} }
+
+// ActiveCount returns the number of active facts.
+func (t *Table[F]) ActiveCount() int { return int(t.activeCount.Load()) }
+
+// Fact returns the current fact for a key; false if there is none.
+func (t *Table[F]) Fact(key workers.Life) (F, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if one := t.entries[key]; one != nil {
+		return one.fact, true
+	}
+	var none F
+	return none, false
+}
+
+// Merge adds a fact. It reports whether the published facts have changed: a fact that is replaced by
+// the current one, or equivalent to the published one, does not change them, nor does the end of
+// something unknown.
+func (t *Table[F]) Merge(fact F) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	key := fact.Key()
+	one := t.entries[key]
+	if one != nil && !fact.Replaces(one.fact) {
+		return false
+	}
+	if one != nil && fact.EquivalentTo(one.published) {
+		one.fact = fact
+		return false
+	}
+	changed := one != nil || fact.Active()
+	t.version++
+	t.entries[key] = &tableEntry[F]{fact: fact, published: fact, version: t.version}
+	t.updateActiveCount()
+	return changed
+}
+
+// updateActiveCount recounts the active facts. The caller holds mu.
+func (t *Table[F]) updateActiveCount() {
+	count := 0
+	for _, one := range t.entries {
+		if one.fact.Active() {
+			count++
+		}
+	}
+	t.activeCount.Store(int32(count))
+}
+
+// Since returns the facts that were published after a version, in the order of publication and at
+// most limit of them, and the version that they lead up to.
+func (t *Table[F]) Since(version uint64, limit int) ([]F, uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if version == t.version {
+		return nil, version
+	}
+	var changed []*tableEntry[F]
+	for _, one := range t.entries {
+		if one.version > version {
+			changed = append(changed, one)
+		}
+	}
+	slices.SortFunc(changed, func(a, t *tableEntry[F]) int { return cmp.Compare(a.version, t.version) })
+	upTo := t.version
+	if len(changed) > limit {
+		changed = changed[:limit]
+		upTo = changed[limit-1].version
+	}
+	facts := make([]F, 0, len(changed))
+	for _, one := range changed {
+		facts = append(facts, one.fact)
+	}
+	return facts, upTo
+}
+
+// Forget removes the facts for which drop returns true.
+func (t *Table[F]) Forget(drop func(F) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	maps.DeleteFunc(t.entries, func(_ workers.Life, one *tableEntry[F]) bool { return drop(one.fact) })
+	t.updateActiveCount()
+}
+
+// Published returns the published facts of the keys whose current fact is active, sorted by key. Their
+// times are those of publication: later equivalent facts do not change them.
+func (t *Table[F]) Published() []F {
+	return t.list(func(one *tableEntry[F]) (F, bool) { return one.published, one.fact.Active() })
+}
+
+// Facts returns all current facts, also inactive ones, sorted by key.
+func (t *Table[F]) Facts() []F {
+	return t.list(func(one *tableEntry[F]) (F, bool) { return one.fact, true })
+}
+
+// list returns what choose returns for each entry for which it returns true, sorted by key.
+func (t *Table[F]) list(choose func(*tableEntry[F]) (F, bool)) []F {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	facts := make([]F, 0, len(t.entries))
+	for _, one := range t.entries {
+		if fact, chosen := choose(one); chosen {
+			facts = append(facts, fact)
+		}
+	}
+	slices.SortFunc(facts, func(a, t F) int { return compareKeys(a.Key(), t.Key()) })
+	return facts
+}
+
+func compareKeys(a, b workers.Life) int {
+	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+}
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -29,7 +29,7 @@
 		file: "internal/departure/departure.go",
 		old:  "return f.Since.Before(other.Since)",
 		new:  "return f.Since.After(other.Since)",
-		pkg:  "./internal/departure", test: "TestADepartureCountsFromWhoKnewFirst",
+		pkg:  "./internal/departure", test: "TestEarliestDepartureWins",
 	},
 	{
 		name: "routers-are-not-told-who-leaves",
--- a/internal/workerlimit/fact.go
+++ b/internal/workerlimit/fact.go
@@ -1,8 +1,8 @@
-// Package workerlimit keeps workers within the limits that they name in their answers: so many
-// requests a second from all routers together.
+// Package workerlimit enforces the rate limits that workers announce in their responses: requests per
+// second from all routers together.
 //
-// A Book holds what a process knows of limits, as facts that merge to the same in any order. A
-// Pacer, in the process that leads, says when each request may leave.
+// A Table holds the limits that a process knows, as facts whose merge order does not matter. A Pacer,
+// in the leader's process, decides when each request may be sent.
 package workerlimit
 
 import (
@@ -11,29 +11,31 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Fact is what is known of the limit of one life of a worker.
+// Fact is what is known about the limit of one incarnation of a worker.
 type Fact struct {
 	Worker workers.Life
-	// Rate is how many requests a second the worker takes, while it names a limit.
+	// Rate is how many requests per second the worker accepts while it announces a limit.
 	Rate float64
-	// Ended says that the worker names no limit any longer.
+	// Ended says that the worker no longer announces a limit.
 	Ended bool
-	// At is as of when that is known: when an answer came that named the limit, or when a request
-	// left whose answer named none. An answer to an earlier request says nothing of later ones.
+	// At is the time as of which the fact is known: when a response arrived that announced the limit,
+	// or when the request was sent whose response announced none. A response to an earlier request
+	// does not prove that a limit announced later has ended.
 	At time.Time
 }
 
-// sameRate is by which share of the greater one two rates differ at most that count as the same:
-// what decides is the rate that the process that sends has seen, so others need not hear of less.
-const sameRate = 0.1
+// rateTolerance is the difference, as a share of the greater rate, up to which two rates are
+// equivalent. The leader paces by the latest rate that it knows, and each process that asks for a permit
+// sends along the one that it knows, so smaller changes need not be published.
+const rateTolerance = 0.1
 
-// Key implements facts.Fact: one fact is kept of each worker.
+// Key implements facts.Fact: one fact is kept for each worker.
 func (f Fact) Key() workers.Life { return workers.Life{ID: f.Worker.ID} }
 
-// Holds implements facts.Fact.
+// Active implements facts.Fact.
 func (f Fact) Active() bool { return !f.Ended }
 
-// TellsSame reports whether two facts tell the same of the same life of a worker.
+// EquivalentTo reports whether two facts about the same incarnation have the same meaning.
 func (f Fact) EquivalentTo(other Fact) bool {
 	switch {
 	case f.Worker != other.Worker || f.Ended != other.Ended:
@@ -42,11 +44,11 @@
 		return true
 	}
 	difference := max(f.Rate, other.Rate) - min(f.Rate, other.Rate)
-	return difference <= sameRate*max(f.Rate, other.Rate)
+	return difference <= rateTolerance*max(f.Rate, other.Rate)
 }
 
-// Replaces reports whether a fact takes the place of another on the same worker: the later one
-// does, and of two at one time the one that holds back more.
+// Replaces reports whether a fact takes the place of another one about the same worker: the later one
+// does, and of two with the same time the more restrictive one.
 func (f Fact) Replaces(other Fact) bool {
 	switch {
 	case !f.At.Equal(other.At):
--- a/internal/workerlimit/told.go
+++ b/internal/workerlimit/message.go
@@ -6,8 +6,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Told is a fact as processes tell it to each other. Their times of day differ, so times are told
-// as ages.
+// Message is a fact as processes send it to each other. Their clocks differ, so times are sent as
+// ages.
 type Message struct {
 	Worker    workers.ID   `json:"w"`
 	Born      workers.Born `json:"b,omitempty"`
@@ -16,7 +16,7 @@
 	AgeMillis int64        `json:"a,omitempty"`
 }
 
-// Tell describes a fact.
+// NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
 	return Message{
 		Worker: fact.Worker.ID, Born: fact.Worker.Born, PerSecond: fact.Rate, Ended: fact.Ended,
@@ -24,10 +24,10 @@
 	}
 }
 
-// Fact returns the fact that was told just now.
-func (t Message) Fact(now time.Time) Fact {
-	age := time.Duration(max(0, t.AgeMillis)) * time.Millisecond
+// Fact decodes a fact that was received at now.
+func (m Message) Fact(now time.Time) Fact {
+	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
 	return Fact{
-		Worker: workers.Life{ID: t.Worker, Born: t.Born}, Rate: max(0, t.PerSecond), Ended: t.Ended, At: now.Add(-age),
+		Worker: workers.Life{ID: m.Worker, Born: m.Born}, Rate: max(0, m.PerSecond), Ended: m.Ended, At: now.Add(-age),
 	}
 }
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -7,77 +7,77 @@
 )
 
 const (
-	// savedTime is for how long at most a worker's unused requests are saved up. Requests come in
-	// clumps, which a worker with room for that many a second can take.
-	savedTime = time.Second
-	// leastRate is how many requests a second a worker gets that names less, such as none at all:
-	// only an answer can tell that the limit has ended.
-	leastRate = 1.0 / 3
-	// doubtfulShare of a limit is dealt out by a process whose authority has ended for now: another
-	// may deal out all of it.
-	doubtfulShare = 0.25
-	// longestWait is the longest that a process is told to wait before it asks again.
-	longestWait = 2 * time.Second
+	// maxBurstTime is the longest time over which a worker's unused requests accumulate. Requests
+	// arrive in bursts, which a worker that accepts that many per second can handle.
+	maxBurstTime = time.Second
+	// minRate is how many requests per second are sent to a worker whose limit is lower, such as
+	// zero: only a response can show that the limit has ended.
+	minRate = 1.0 / 3
+	// uncertainShare is the share of a limit that is allocated by a process whose leadership is
+	// uncertain: another leader may allocate all of it.
+	uncertainShare = 0.25
+	// maxRetryDelay is the longest delay before a process asks again after a refusal.
+	maxRetryDelay = 2 * time.Second
 )
 
-// Pacer says when requests may leave for workers that name limits. It is kept by the one process
-// that leads, knows no clock and is not safe for concurrent use.
+// Pacer decides when requests may be sent to workers that announce limits. Only the leader's process
+// has one. It reads no clock and is not safe for concurrent use.
 type Pacer struct {
 	buckets map[workers.ID]*bucket
 }
 
-// bucket is the pace of one worker.
+// bucket is the pacing state of one worker.
 type bucket struct {
 	life workers.Life
-	// due is when the next request would leave if all left at an even pace.
+	// due is when the next request would be sent if all were sent at an even pace.
 	due time.Time
-	// refused counts those that were told to wait and have not been let through since.
+	// refused counts the requests refused, less those granted since; it is reset once due has passed.
 	refused int
 }
 
-// NewPacer returns a pacer that has let nothing through.
+// NewPacer returns a pacer that has granted no requests.
 func NewPacer() *Pacer { return &Pacer{buckets: map[workers.ID]*bucket{}} }
 
-// Take asks whether a request may leave for a worker that takes so many a second, within some
-// patience: it then leaves after wait. If it may not, wait is when to ask again. doubtful says that
-// another process may lead.
-func (p *Pacer) Take(now time.Time, life workers.Life, perSecond float64, patience time.Duration, doubtful bool) (wait time.Duration, granted bool) {
-	saved := savedTime
-	perSecond = max(perSecond, leastRate)
-	if doubtful {
-		saved, perSecond = 0, doubtfulShare*perSecond
+// Take asks whether a request may be sent, within maxWait, to a worker that accepts perSecond requests
+// per second. If it is granted, it is sent after wait; else wait is the delay before the next try.
+// leadershipUncertain says that another process may lead.
+func (p *Pacer) Take(now time.Time, life workers.Life, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
+	burst := maxBurstTime
+	perSecond = max(perSecond, minRate)
+	if leadershipUncertain {
+		burst, perSecond = 0, uncertainShare*perSecond
 	}
 	period := time.Duration(float64(time.Second) / perSecond)
 	b := p.bucket(now, life)
-	if latest := now.Add(savedTime + patience + period); b.due.After(latest) { // the limit was lower before
+	if latest := now.Add(maxBurstTime + maxWait + period); b.due.After(latest) { // the limit was raised
 		b.due = latest
 	}
 	if b.due.Before(now) {
 		b.due, b.refused = now, 0
 	}
-	wait = b.due.Sub(now) - saved
-	if wait <= patience {
+	wait = b.due.Sub(now) - burst
+	if wait <= maxWait {
 		b.due = b.due.Add(period)
 		b.refused = max(0, b.refused-1)
 		return max(0, wait), true
 	}
-	wait += time.Duration(min(float64(b.refused)*float64(period), float64(longestWait)))
+	wait += time.Duration(min(float64(b.refused)*float64(period), float64(maxRetryDelay)))
 	b.refused++
-	return min(wait, longestWait), false
+	return min(wait, maxRetryDelay), false
 }
 
-// bucket returns a worker's bucket. A new one has saved up nothing: the worker has got as much as
-// there was until it named its limit, and another process may have led before.
+// bucket returns a worker's bucket. A new one has accumulated no requests: until the worker announced
+// its limit it received all requests, and another process may have led before.
 func (p *Pacer) bucket(now time.Time, life workers.Life) *bucket {
 	b := p.buckets[life.ID]
 	if b == nil || (b.life.Born != life.Born && b.life.Born != 0 && life.Born != 0) {
-		b = &bucket{life: life, due: now.Add(savedTime)}
+		b = &bucket{life: life, due: now.Add(maxBurstTime)}
 		p.buckets[life.ID] = b
 	}
 	return b
 }
 
-// Keep forgets workers that name no limit any longer.
+// RemoveUnlimited drops the state of workers that no longer announce a limit.
 func (p *Pacer) RemoveUnlimited(limited func(workers.Life) bool) {
 	for id, b := range p.buckets {
 		if !limited(b.life) {
--- a/internal/workerlimit/pacer_test.go
+++ b/internal/workerlimit/pacer_test.go
@@ -10,61 +10,61 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// window is over how long a worker's limit is held against what it gets.
+// window is the time over which a worker's requests are compared with its limit.
 const window = 4 * time.Second
 
-// allowed is how many requests may reach a worker within a window.
-func allowed(perSecond float64) float64 { return 1.5*perSecond*window.Seconds() + 5 }
+// maxArrivals returns how many requests may reach a worker within a window.
+func maxArrivals(perSecond float64) float64 { return 1.5*perSecond*window.Seconds() + 5 }
 
-// mostWithin returns the most times, which are in order, within a window.
-func mostWithin(times []time.Time) int {
-	most, first := 0, 0
+// maxWithin returns the largest number of times within any window. The times are sorted.
+func maxWithin(times []time.Time) int {
+	count, first := 0, 0
 	for index, last := range times {
 		for last.Sub(times[first]) > window {
 			first++
 		}
-		most = max(most, index-first+1)
+		count = max(count, index-first+1)
 	}
-	return most
+	return count
 }
 
-func TestNoWindowHoldsMoreThanAWorkerTakes(t *testing.T) {
+func TestWindowLimit(t *testing.T) {
 	for name, test := range map[string]struct {
-		perSecond, asked float64
-		// used is the least share of what is asked for, or of the limit, that leaves.
+		perSecond, requested float64
+		// used is the least share of the requests, or of the limit, that is granted.
 		used float64
 	}{
-		"nothing is taken":               {perSecond: 0, asked: 20},
-		"less than one each window":      {perSecond: 0.1, asked: 20},
-		"few, asked for often":           {perSecond: 2.5, asked: 20, used: 0.95},
-		"few, asked for less often":      {perSecond: 5.1, asked: 4, used: 0.85},
-		"few, asked for in the same way": {perSecond: 5.1, asked: 5.1, used: 0.75},
-		"many":                           {perSecond: 40, asked: 200, used: 0.95},
-		"more than are asked for":        {perSecond: 1e300, asked: 200, used: 1},
+		"limit of zero":            {perSecond: 0, requested: 20},
+		"less than one per window": {perSecond: 0.1, requested: 20},
+		"few, many requests":       {perSecond: 2.5, requested: 20, used: 0.95},
+		"few, fewer requests":      {perSecond: 5.1, requested: 4, used: 0.85},
+		"few, as many requests":    {perSecond: 5.1, requested: 5.1, used: 0.75},
+		"many":                     {perSecond: 40, requested: 200, used: 0.95},
+		"more than are requested":  {perSecond: 1e300, requested: 200, used: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, chance, life := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Life{ID: "w"}
+			p, random, life := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Life{ID: "w"}
 			const length = 200 * time.Second
-			var left []time.Time
-			asked := 0
+			var sent []time.Time
+			requested := 0
 			for now := start; now.Before(start.Add(length)); now = now.Add(time.Millisecond) {
-				if chance.Float64() >= test.asked/1000 {
+				if random.Float64() >= test.requested/1000 {
 					continue
 				}
-				asked++
+				requested++
 				if _, granted := p.Take(now, life, test.perSecond, 0, false); granted {
-					left = append(left, now)
+					sent = append(sent, now)
 				}
 			}
-			assert.Assert(t, float64(mostWithin(left)) <= allowed(test.perSecond), "%d", mostWithin(left))
-			most := min(float64(asked), test.perSecond*length.Seconds())
-			assert.Assert(t, float64(len(left)) >= test.used*most, "%d left of %.0f", len(left), most)
-			assert.Assert(t, float64(len(left)) >= 0.9*leastRate*length.Seconds(), "nobody would learn that the limit has ended")
+			assert.Assert(t, float64(maxWithin(sent)) <= maxArrivals(test.perSecond), "%d", maxWithin(sent))
+			expected := min(float64(requested), test.perSecond*length.Seconds())
+			assert.Assert(t, float64(len(sent)) >= test.used*expected, "%d granted of %.0f", len(sent), expected)
+			assert.Assert(t, float64(len(sent)) >= 0.9*minRate*length.Seconds(), "too few responses to learn that the limit has ended")
 		})
 	}
 }
 
-func TestPatientRequestsLeaveInTurn(t *testing.T) {
+func TestWaitingRequestsAreSpacedEvenly(t *testing.T) {
 	p, life := NewPacer(), workers.Life{ID: "w"}
 	wait, granted := p.Take(start, life, 10, 250*time.Millisecond, false)
 	assert.Assert(t, granted && wait == 0)
@@ -77,7 +77,7 @@
 	assert.Assert(t, !granted)
 }
 
-func TestRefusedRequestsAreToldToComeOneAfterTheOther(t *testing.T) {
+func TestRetryDelaysOfRefusedRequestsAreStaggered(t *testing.T) {
 	p, life := NewPacer(), workers.Life{ID: "w"}
 	p.Take(start, life, 10, 0, false)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
@@ -87,31 +87,31 @@
 	}
 	for range 100 {
 		wait, _ := p.Take(start, life, 10, 0, false)
-		assert.Assert(t, wait <= longestWait)
+		assert.Assert(t, wait <= maxRetryDelay)
 	}
 }
 
-func TestALeaderInDoubtAndTheNextOneKeepTheLimitTogether(t *testing.T) {
+func TestUncertainLeaderAndItsSuccessorKeepTheLimit(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 2.5, 5, 40, 500} {
 		before, after, life := NewPacer(), NewPacer(), workers.Life{ID: "w"}
-		doubt := start.Add(10 * time.Second)
-		var left []time.Time
+		uncertainFrom := start.Add(10 * time.Second)
+		var sent []time.Time
 		for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(time.Millisecond) {
-			if _, granted := before.Take(now, life, perSecond, 0, now.After(doubt)); granted {
-				left = append(left, now)
+			if _, granted := before.Take(now, life, perSecond, 0, now.After(uncertainFrom)); granted {
+				sent = append(sent, now)
 			}
-			if !now.After(doubt) {
+			if !now.After(uncertainFrom) {
 				continue
 			}
 			if _, granted := after.Take(now, life, perSecond, 0, false); granted {
-				left = append(left, now)
+				sent = append(sent, now)
 			}
 		}
-		assert.Assert(t, float64(mostWithin(left)) <= allowed(perSecond), "%d at %.1f a second", mostWithin(left), perSecond)
+		assert.Assert(t, float64(maxWithin(sent)) <= maxArrivals(perSecond), "%d at %.1f per second", maxWithin(sent), perSecond)
 	}
 }
 
-func TestARaisedLimitIsUsedAtOnce(t *testing.T) {
+func TestRaisedLimitIsUsedAtOnce(t *testing.T) {
 	p, life := NewPacer(), workers.Life{ID: "w"}
 	for second := range 10 {
 		p.Take(at(float64(second)), life, 0, 0, false)
@@ -125,7 +125,7 @@
 	assert.Assert(t, count >= 18, "%d", count)
 }
 
-func TestAnotherLifeOfAWorkerStartsAnew(t *testing.T) {
+func TestNewIncarnationStartsWithNewBucket(t *testing.T) {
 	p := NewPacer()
 	for range 2 {
 		p.Take(start, workers.Life{ID: "w", Born: 1}, 1, 0, false)
