--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -81,7 +81,7 @@
 	},
 	{
 		name: "quarantined-request-waits-its-turn",
-		file: "internal/quarantine/ledger.go",
+		file: "internal/quarantine/changelog.go",
 		old:  "entry.version > upTo && entry.record.Standing() != Quarantined",
 		new:  "entry.version > upTo",
 		pkg:  "./internal/quarantine", test: "TestWhatALedgerTells",
--- a/internal/quarantine/changelog.go
+++ b/internal/quarantine/changelog.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// keptGone is how many removed records a ledger remembers: as many as a book holds. Who knows
-// of an older state is told all records.
-const keptGone = mostRecords
+// maxRemovals is how many removals a change log remembers: as many as a tracker holds records. A process
+// whose state is older receives all records.
+const maxRemovals = maxRecords
 
-// Changes are what has become of a ledger's records since an earlier state.
+// Changes are the changes of a change log's records since an earlier version.
 type Changes struct {
-	// Whole says that Fresh are all records; else those that are new or have changed.
+	// Full says that Updated contains all records; else those that are new or have changed.
 	Full    bool     `json:"w,omitempty"`
 	Updated Snapshot `json:"s"`
-	// Gone are the requests whose records were removed.
+	// Removed are the requests whose records were removed.
 	Removed []Fingerprint `json:"g,omitempty"`
 }
 
-// Ledger is a list of records that is told to others by its changes. The zero value knows
-// nothing, not even that there are no records. It is not safe for concurrent use.
+// ChangeLog is a versioned list of records, of which other processes receive the changes. The zero value
+// is uninitialized: it is unknown whether there are records. It is not safe for concurrent use.
 type ChangeLog struct {
 	version uint64
-	entries map[Fingerprint]ledgerEntry
-	// forgotten is the newest version of which a removal is no longer remembered.
-	forgotten uint64
+	entries map[Fingerprint]logEntry
+	// prunedVersion is the latest version whose removal is no longer remembered.
+	prunedVersion uint64
 }
 
-// ledgerEntry is a record, or that it was removed, with the version of that change.
-type ledgerEntry struct {
+// logEntry is a record, or its removal, with the version of that change.
+type logEntry struct {
 	version uint64
 	record  Record
-	gone    bool
+	removed bool
 }
 
-// Version counts the changes; zero: nothing is known.
+// Version counts the changes; zero: the log is uninitialized.
 func (l *ChangeLog) Version() uint64 { return l.version }
 
-// Records returns all records, in no order.
+// Records returns all records, in no particular order.
 func (l *ChangeLog) Records() []Record {
 	var records []Record
 	for _, entry := range l.entries {
-		if !entry.gone {
+		if !entry.removed {
 			records = append(records, entry.record)
 		}
 	}
 	return records
 }
 
-// Set replaces the records, and takes note of what has changed with that.
+// Set replaces the records, and logs the differences as changes.
 func (l *ChangeLog) Set(records []Record) {
 	if l.version == 0 {
-		l.version, l.entries = 1, map[Fingerprint]ledgerEntry{}
+		l.version, l.entries = 1, map[Fingerprint]logEntry{}
 	}
 	listed := map[Fingerprint]bool{}
 	for _, record := range records {
@@ -61,14 +61,14 @@
 		l.put(record)
 	}
 	for request, entry := range l.entries {
-		if !listed[request] && !entry.gone {
+		if !listed[request] && !entry.removed {
 			l.remove(request)
 		}
 	}
 	l.prune()
 }
 
-// Apply takes changes that were told at a time.
+// Apply applies changes that were received at now.
 func (l *ChangeLog) Apply(now time.Time, changes Changes) {
 	if changes.Full || l.version == 0 {
 		l.Set(changes.Updated.Received(now))
@@ -78,95 +78,95 @@
 		l.put(record)
 	}
 	for _, request := range changes.Removed {
-		if entry, known := l.entries[request]; known && !entry.gone {
+		if entry, known := l.entries[request]; known && !entry.removed {
 			l.remove(request)
 		}
 	}
 	l.prune()
 }
 
-// put adds or changes a record.
+// put adds or updates a record.
 func (l *ChangeLog) put(record Record) {
 	entry, known := l.entries[record.Attempt.Request]
-	if known && !entry.gone && sameRecord(entry.record, record) {
+	if known && !entry.removed && sameRecord(entry.record, record) {
 		return
 	}
 	l.version++
-	l.entries[record.Attempt.Request] = ledgerEntry{version: l.version, record: record}
+	l.entries[record.Attempt.Request] = logEntry{version: l.version, record: record}
 }
 
-// remove notes that a record was removed.
+// remove logs the removal of a record.
 func (l *ChangeLog) remove(request Fingerprint) {
 	l.version++
-	l.entries[request] = ledgerEntry{version: l.version, gone: true}
+	l.entries[request] = logEntry{version: l.version, removed: true}
 }
 
-// sameRecord reports whether two records tell the same. The times of crashes, which are told as
-// ages, differ by what messages take on their way.
+// sameRecord reports whether two records have the same content. Times, which are sent as ages, may
+// differ by the latency of messages.
 func sameRecord(a, b Record) bool {
 	return a.Attempt == b.Attempt && sameEvent(a.QuarantinedAt, b.QuarantinedAt) && sameEvent(a.ClearedAt, b.ClearedAt) &&
 		sameEvent(a.LiftedAt, b.LiftedAt) &&
 		slices.EqualFunc(a.Crashes, b.Crashes, Crash.same)
 }
 
-// sameEvent reports whether two times are of one event, told with different ages, or of none.
+// sameEvent reports whether two times are those of one event, within the error of ages, or both zero.
 func sameEvent(a, b time.Time) bool { return !isLater(a, b) && !isLater(b, a) }
 
-// prune forgets the oldest removals.
+// prune drops the oldest removals.
 func (l *ChangeLog) prune() {
-	var gone []uint64
+	var removals []uint64
 	for _, entry := range l.entries {
-		if entry.gone {
-			gone = append(gone, entry.version)
+		if entry.removed {
+			removals = append(removals, entry.version)
 		}
 	}
-	if len(gone) <= keptGone {
+	if len(removals) <= maxRemovals {
 		return
 	}
-	slices.Sort(gone)
-	l.forgotten = gone[len(gone)-keptGone-1]
-	maps.DeleteFunc(l.entries, func(_ Fingerprint, entry ledgerEntry) bool {
-		return entry.gone && entry.version <= l.forgotten
+	slices.Sort(removals)
+	l.prunedVersion = removals[len(removals)-maxRemovals-1]
+	maps.DeleteFunc(l.entries, func(_ Fingerprint, entry logEntry) bool {
+		return entry.removed && entry.version <= l.prunedVersion
 	})
 }
 
-// Since returns what has changed after a version, at most so many records of it, the longest
-// known first, and the version up to which that tells. Quarantined requests are told always:
-// they must be sent to no worker.
-func (l *ChangeLog) Since(now time.Time, version uint64, most int) (Changes, uint64) {
-	if version == 0 || version < l.forgotten {
+// Since returns the changes after a version, at most limit of them and the oldest first, and the version
+// that they lead up to. It returns all records if the version is zero or too old. Quarantined requests
+// are always included: they must not be sent to any worker.
+func (l *ChangeLog) Since(now time.Time, version uint64, limit int) (Changes, uint64) {
+	if version == 0 || version < l.prunedVersion {
 		return Changes{Full: true, Updated: NewSnapshot(now, l.Records())}, l.version
 	}
-	var fresh []ledgerEntry
+	var changed []logEntry
 	for _, entry := range l.entries {
 		if entry.version > version {
-			fresh = append(fresh, entry)
+			changed = append(changed, entry)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b ledgerEntry) int { return cmp.Compare(a.version, b.version) })
-	return l.changes(now, fresh, most)
+	slices.SortFunc(changed, func(a, b logEntry) int { return cmp.Compare(a.version, b.version) })
+	return l.changes(now, changed, limit)
 }
 
-// changes describes changed entries, which are in the order of their versions.
-func (l *ChangeLog) changes(now time.Time, fresh []ledgerEntry, most int) (Changes, uint64) {
+// changes encodes changed entries, which are sorted by version.
+func (l *ChangeLog) changes(now time.Time, changed []logEntry, limit int) (Changes, uint64) {
 	var changes Changes
 	var records []Record
 	upTo := l.version
-	if len(fresh) > most {
-		upTo = fresh[most].version - 1
+	if len(changed) > limit {
+		upTo = changed[limit].version - 1
 	}
-	gone := map[uint64]bool{}
-	for _, entry := range fresh {
+	removals := map[uint64]bool{}
+	for _, entry := range changed {
 		switch {
 		case entry.version > upTo && entry.record.Standing() != Quarantined:
-		case entry.gone:
-			gone[entry.version] = true
+		case entry.removed:
+			removals[entry.version] = true
 		default:
 			records = append(records, entry.record)
 		}
 	}
 	for request, entry := range l.entries {
-		if gone[entry.version] {
+		if removals[entry.version] {
 			changes.Removed = append(changes.Removed, request)
 		}
 	}
--- a/internal/quarantine/changelog_test.go
+++ b/internal/quarantine/changelog_test.go
@@ -9,7 +9,7 @@
 )
 
 // record is a suspect, or a quarantined request.
-func record(number byte, held bool) Record {
+func testRecord(number byte, held bool) Record {
 	one := Record{Attempt: attempt(number), Crashes: []Crash{{Worker: "w", At: at(1)}}}
 	if held {
 		one.Crashes = []Crash{{Worker: "w", At: at(-5)}, {Worker: "x", At: at(-2)}, {Worker: "y", At: at(1)}}
@@ -18,7 +18,7 @@
 	return one
 }
 
-func requests(records []Record) []byte {
+func requestNumbers(records []Record) []byte {
 	var numbers []byte
 	for _, one := range records {
 		numbers = append(numbers, one.Attempt.Request[0])
@@ -38,27 +38,27 @@
 			var records []Record
 			for number := range byte(8) {
 				if rapid.Bool().Draw(t, "listed") {
-					records = append(records, record(number, rapid.Bool().Draw(t, "held")))
+					records = append(records, testRecord(number, rapid.Bool().Draw(t, "held")))
 				}
 			}
 			leader.Set(records)
-			relayAt = tell(&leader, &relay, relayAt, most)
-			followerAt = tell(&relay, &follower, followerAt, most)
+			relayAt = sendChanges(&leader, &relay, relayAt, most)
+			followerAt = sendChanges(&relay, &follower, followerAt, most)
 		}
 		for range 8 {
-			relayAt = tell(&leader, &relay, relayAt, most)
+			relayAt = sendChanges(&leader, &relay, relayAt, most)
 		}
 		for range 16 {
-			followerAt = tell(&relay, &follower, followerAt, most)
+			followerAt = sendChanges(&relay, &follower, followerAt, most)
 		}
-		assert.DeepEqual(t, requests(follower.Records()), requests(leader.Records()))
+		assert.DeepEqual(t, requestNumbers(follower.Records()), requestNumbers(leader.Records()))
 		assert.Equal(t, relayAt, leader.Version())
 		assert.Equal(t, followerAt, relay.Version())
 	})
 }
 
 // tell brings one message, and returns up to which version it told.
-func tell(from, to *ChangeLog, version uint64, most int) uint64 {
+func sendChanges(from, to *ChangeLog, version uint64, most int) uint64 {
 	if version == from.Version() {
 		return version
 	}
@@ -70,7 +70,7 @@
 func TestWhatALedgerTells(t *testing.T) {
 	var many []Record
 	for number := range byte(10) {
-		many = append(many, record(number, number == 9))
+		many = append(many, testRecord(number, number == 9))
 	}
 	for name, test := range map[string]struct {
 		before, after []Record
@@ -82,9 +82,9 @@
 		"that there is nothing":            {whole: true},
 		"nothing, if nothing has changed":  {before: many, after: many, known: 10},
 		"a few, and what is quarantined":   {after: many, known: 1, fresh: 5},
-		"one that is quarantined now":      {before: []Record{record(1, false)}, after: []Record{record(1, true)}, known: 2, fresh: 1},
-		"what was cleared":                 {before: []Record{record(1, false)}, known: 2, gone: 1},
-		"the same, whatever its ages said": {before: []Record{record(1, false)}, after: []Record{late(record(1, false))}, known: 2},
+		"one that is quarantined now":      {before: []Record{testRecord(1, false)}, after: []Record{testRecord(1, true)}, known: 2, fresh: 1},
+		"what was cleared":                 {before: []Record{testRecord(1, false)}, known: 2, gone: 1},
+		"the same, whatever its ages said": {before: []Record{testRecord(1, false)}, after: []Record{delayed(testRecord(1, false))}, known: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var ledger ChangeLog
@@ -102,7 +102,7 @@
 }
 
 // late is a record as another process reckons its times.
-func late(one Record) Record {
+func delayed(one Record) Record {
 	one.Crashes = []Crash{{Worker: "w", At: at(1.01)}}
 	return one
 }
@@ -112,12 +112,12 @@
 	var ledger ChangeLog
 	ledger.Set(nil)
 	known := ledger.Version()
-	for number := range keptGone + 1 {
+	for number := range maxRemovals + 1 {
 		one := Record{Attempt: Attempt{Request: Fingerprint{byte(number), byte(number >> 8)}}, Crashes: []Crash{{At: at(1)}}}
 		ledger.Set([]Record{one})
 	}
 	ledger.Set(nil)
 	changes, _ := ledger.Since(at(2), known, 4)
 	assert.Assert(t, changes.Full)
-	assert.Assert(t, len(ledger.entries) <= keptGone)
+	assert.Assert(t, len(ledger.entries) <= maxRemovals)
 }
--- a/internal/quarantine/evict.go
+++ b/internal/quarantine/evict.go
@@ -8,78 +8,80 @@
 )
 
 const (
-	// mostRecords bounds the requests that are remembered. Those against which least is held make
-	// room; what is or was quarantined never does.
-	mostRecords = 512
-	// roomMade is how many records make room at once, so that a burst of crashes does not sort the
-	// book at each.
-	roomMade = mostRecords / 16
+	// maxRecords bounds the number of records. Those with the least evidence are evicted; requests
+	// that are or were quarantined never are.
+	maxRecords = 512
+	// evictionBatch is how many extra records are evicted at once, so that a burst of crashes does not
+	// sort the records at each crash.
+	evictionBatch = maxRecords / 16
 )
 
-// makeRoom forgets the requests against which least is held if there are too many records.
-func (b *Tracker) makeRoom() {
-	if len(b.records) <= mostRecords {
+// evict removes the records with the least evidence if there are too many.
+func (t *Tracker) evict() {
+	if len(t.records) <= maxRecords {
 		return
 	}
-	removable := make([]weight, 0, len(b.records))
-	for _, known := range b.records {
+	candidates := make([]evictionRank, 0, len(t.records))
+	for _, known := range t.records {
 		if known.QuarantinedAt.IsZero() {
-			removable = append(removable, b.weigh(known))
+			candidates = append(candidates, t.rank(known))
 		}
 	}
-	slices.SortFunc(removable, compareWeights)
-	for _, one := range removable[:min(len(removable), len(b.records)-mostRecords+roomMade)] {
-		delete(b.records, one.request)
-		if one.ends > 0 {
-			b.dropped++
+	slices.SortFunc(candidates, compareRanks)
+	for _, one := range candidates[:min(len(candidates), len(t.records)-maxRecords+evictionBatch)] {
+		delete(t.records, one.request)
+		if one.crashes > 0 {
+			t.evicted++
 		}
 	}
 }
 
-// weight says how much is held against a request that is not quarantined.
-type weight struct {
+// evictionRank describes how strong the evidence is against a request that is not quarantined.
+type evictionRank struct {
 	request Fingerprint
-	// ends counts its workers that crashed, and crowd how many of all did around the last: the
-	// more, the less that says of one request.
-	ends, crowd int
-	last        time.Time
+	// crashes counts the workers that crashed with the request, and concurrent how many of all
+	// workers crashed around the time of its last crash: the more, the weaker the evidence against one
+	// request.
+	crashes, concurrent int
+	lastCrashAt         time.Time
 }
 
-// weigh says how much is held against a request.
-func (b *Tracker) weigh(known *Record) weight {
+// rank returns the eviction rank of a record.
+func (t *Tracker) rank(known *Record) evictionRank {
 	if len(known.Crashes) == 0 {
-		return weight{request: known.Attempt.Request, last: known.removedAt()}
+		return evictionRank{request: known.Attempt.Request, lastCrashAt: known.clearedOrLiftedAt()}
 	}
-	return weight{
-		request: known.Attempt.Request, ends: len(known.ends()), crowd: b.crowds.around(known.last()), last: known.last(),
+	return evictionRank{
+		request: known.Attempt.Request, crashes: len(known.crashTimes()), concurrent: t.crashCounts.near(known.lastCrashAt()), lastCrashAt: known.lastCrashAt(),
 	}
 }
 
-// crowds counts workers that ended, by parts of a moment.
-type crowds map[int64]int
+// crashCounts counts crashed workers by time, in buckets that are a fraction of clusterWindow.
+type crashCounts map[int64]int
 
-// momentParts is into how many parts a moment is divided.
-const momentParts = 4
+// bucketsPerWindow is the number of buckets per clusterWindow.
+const bucketsPerWindow = 4
 
-func partOf(at time.Time) int64 { return at.UnixNano() / int64(sameMoment/momentParts) }
+func bucketOf(at time.Time) int64 { return at.UnixNano() / int64(clusterWindow/bucketsPerWindow) }
 
-func (c crowds) add(at time.Time) { c[partOf(at)]++ }
+func (c crashCounts) add(at time.Time) { c[bucketOf(at)]++ }
 
-// around returns how many workers ended less than a moment before or after a time.
-func (c crowds) around(at time.Time) int {
+// near returns how many workers crashed less than clusterWindow before or after a time, to the resolution
+// of the buckets.
+func (c crashCounts) near(at time.Time) int {
 	count := 0
-	for part := partOf(at) - momentParts + 1; part < partOf(at)+momentParts; part++ {
-		count += c[part]
+	for bucket := bucketOf(at) - bucketsPerWindow + 1; bucket < bucketOf(at)+bucketsPerWindow; bucket++ {
+		count += c[bucket]
 	}
 	return count
 }
 
-// forget drops what was before a time.
-func (c crowds) forget(before time.Time) {
-	maps.DeleteFunc(c, func(part int64, _ int) bool { return part < partOf(before) })
+// forget removes the counts from before a time.
+func (c crashCounts) forget(before time.Time) {
+	maps.DeleteFunc(c, func(bucket int64, _ int) bool { return bucket < bucketOf(before) })
 }
 
-// compareWeights orders requests, those first against which less is held.
-func compareWeights(a, c weight) int {
-	return cmp.Or(cmp.Compare(a.ends, c.ends), cmp.Compare(c.crowd, a.crowd), a.last.Compare(c.last))
+// compareRanks orders requests by the strength of the evidence, the weakest first.
+func compareRanks(a, c evictionRank) int {
+	return cmp.Or(cmp.Compare(a.crashes, c.crashes), cmp.Compare(c.concurrent, a.concurrent), a.lastCrashAt.Compare(c.lastCrashAt))
 }
--- a/internal/quarantine/evict_test.go
+++ b/internal/quarantine/evict_test.go
@@ -18,25 +18,25 @@
 			b := NewTracker()
 			sent := 0
 			for round := range 8 {
-				if b.Standing(attempt(1).run()) == Quarantined {
+				if b.Standing(attempt(1).callerRequest()) == Quarantined {
 					break
 				}
 				sent++
 				seconds := between * float64(round)
-				b.RecordCrash(at(seconds), attempt(1), crashAt(workers.ID(fmt.Sprint("alone-", round)), seconds))
-				endTogether(b, round, innocents, seconds+1)
+				b.RecordCrash(at(seconds), attempt(1), testCrash(workers.ID(fmt.Sprint("alone-", round)), seconds))
+				crashTogether(b, round, innocents, seconds+1)
 			}
-			assert.Equal(t, sent, mostCrashes)
-			assert.Assert(t, len(b.Records()) <= mostRecords)
+			assert.Equal(t, sent, crashThreshold)
+			assert.Assert(t, len(b.Records()) <= maxRecords)
 		})
 	}
 }
 
-// endTogether ends workers at one moment, with innocent requests under way, three at each.
-func endTogether(b *Tracker, round, innocents int, seconds float64) {
+// crashTogether ends workers at one moment, with innocent requests under way, three at each.
+func crashTogether(b *Tracker, round, innocents int, seconds float64) {
 	for index := range innocents {
 		one := Attempt{Request: Fingerprint{2, byte(round), byte(index >> 8), byte(index)}}
-		b.RecordCrash(at(seconds), one, crashAt(workers.ID(fmt.Sprint("rack-", round, "-", index/3)), seconds))
+		b.RecordCrash(at(seconds), one, testCrash(workers.ID(fmt.Sprint("rack-", round, "-", index/3)), seconds))
 	}
 	b.Evaluate(at(seconds + 1.1))
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,8 +1,7 @@
-// Package quarantine finds requests that crash the workers that run them, from which
-// requests were under way at workers that ended, and says which requests may no longer be
-// sent.
+// Package quarantine detects requests that crash the workers that process them, from the requests that
+// were in progress at workers that crashed, and decides which requests may no longer be sent.
 //
-// It is pure: it opens no socket, reads no clock and starts no goroutine.
+// It opens no sockets, reads no clock and starts no goroutines.
 package quarantine
 
 import (
@@ -17,20 +16,21 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("quarantine")
 
-// Request is what makes two attempts the same request: what is asked, whoever asks. A request
-// that crashes workers does so for each of its callers.
+// Request holds what identifies a request, regardless of its caller: a request that crashes workers
+// does so for each of its callers.
 type Request struct {
 	Method, Host, URI string
-	// Body is the body, or the beginning of a long one, and Length that of the whole.
+	// Body is the body, or the beginning of a long one, and Length is the length of the whole body.
 	Body   []byte
 	Length int64
 }
 
-// Fingerprint names a request over all its attempts.
+// Fingerprint identifies a request across all of its attempts.
 type Fingerprint [16]byte
 
-// Fingerprint returns the request's name. It is half of a SHA-256: to make another's
-// fingerprint takes some 2^128 tries, and all routers compute the same without sharing a key.
+// Fingerprint returns the fingerprint of the request. It is half of a SHA-256 hash: making another
+// request with the same fingerprint takes some 2^128 tries, and all routers compute the same one
+// without a shared key.
 func (r Request) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	part := func(value []byte) {
@@ -49,8 +49,8 @@
 	return short
 }
 
-// By returns the name of a request as one caller asks it, whose headers may make another request
-// of it.
+// ForCaller returns the fingerprint of the request as one caller sends it: the headers of the caller,
+// which are not part of the fingerprint, may change what the request does.
 func (f Fingerprint) ForCaller(caller netip.Addr) Fingerprint {
 	sum := sha256.Sum256(append(f[:], caller.AsSlice()...))
 	return Fingerprint(sum[:len(f)])
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	// fleetRouters are the routers of a model.
-	fleetRouters = 4
-	// eventPause is the time between two events: more than the ages of one may be off.
-	eventPause = 2500 * time.Millisecond
-	// exchangePause is the time between two exchanges with the leader.
-	exchangePause = 500 * time.Millisecond
+	// modelRouters are the routers of a model.
+	modelRouters = 4
+	// eventInterval is the time between two events: more than the ages of one may be off.
+	eventInterval = 2500 * time.Millisecond
+	// exchangeInterval is the time between two exchanges with the leader.
+	exchangeInterval = 500 * time.Millisecond
 )
 
 // fleet is a model of routers that share what they know of one harmful request, in virtual time.
 // One of them leads; any may be cut off from it, and the leader from the store.
-type fleet struct {
-	now    time.Time
-	views  [fleetRouters]*View
-	cut    [fleetRouters]bool
-	leader int
+type model struct {
+	now      time.Time
+	views    [modelRouters]*View
+	isolated [modelRouters]bool
+	leader   int
 	// loaded says that the leader has read what is stored.
 	loaded  bool
 	store   []byte
 	storeUp bool
-	ended   int
+	crashes int
 	// heldAt are the routers that know the request as quarantined; stored says that the store does.
-	heldAt [fleetRouters]bool
-	stored bool
+	quarantinedAt [modelRouters]bool
+	stored        bool
 }
 
-func newFleet() *fleet {
-	f := &fleet{now: start, storeUp: true}
+func newModel() *model {
+	f := &model{now: start, storeUp: true}
 	for index := range f.views {
 		f.views[index] = NewView()
 	}
 	return f
 }
 
-var harmfulRun = attempt(1).run()
+var harmfulRun = attempt(1).callerRequest()
 
 // exchange lets routers report, the leader store, and routers be told.
-func (f *fleet) exchange() {
-	f.now = f.now.Add(exchangePause)
+func (f *model) exchange() {
+	f.now = f.now.Add(exchangeInterval)
 	leader := f.views[f.leader]
 	if !f.loaded && !f.storeUp {
 		return
@@ -59,8 +59,8 @@
 		f.loaded = true
 	}
 	for index, view := range f.views {
-		if index != f.leader && !f.cut[index] && !f.cut[f.leader] {
-			report(f.now, view, leader)
+		if index != f.leader && !f.isolated[index] && !f.isolated[f.leader] {
+			sendReport(f.now, view, leader)
 		}
 	}
 	leader.Evaluate(f.now)
@@ -69,33 +69,33 @@
 		f.store, f.stored = snapshot.Encode(), leader.Standing(harmfulRun) == Quarantined
 	}
 	for index, view := range f.views {
-		if index != f.leader && !f.cut[index] && !f.cut[f.leader] {
-			tellAll(f.now, leader, view)
+		if index != f.leader && !f.isolated[index] && !f.isolated[f.leader] {
+			sendUpdate(f.now, leader, view)
 		}
 	}
-	f.note()
+	f.updateQuarantined()
 }
 
 // note takes note of who knows the quarantine.
-func (f *fleet) note() {
+func (f *model) updateQuarantined() {
 	for index, view := range f.views {
-		f.heldAt[index] = view.Standing(harmfulRun) == Quarantined
+		f.quarantinedAt[index] = view.Standing(harmfulRun) == Quarantined
 	}
 }
 
 // crash sends the harmful request through a router, unless it refuses it.
-func (f *fleet) crash(through int, caller byte) {
+func (f *model) crash(through int, caller byte) {
 	one := attempt(1)
 	one.Caller = callerAt(caller)
-	if f.views[through].Standing(one.run()) == Quarantined {
+	if f.views[through].Standing(one.callerRequest()) == Quarantined {
 		return
 	}
-	f.ended++
-	f.views[through].RecordCrash(f.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", f.ended)), At: f.now})
+	f.crashes++
+	f.views[through].RecordCrash(f.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", f.crashes)), At: f.now})
 }
 
 // read gives a view what is stored.
-func (f *fleet) read(view *View) {
+func (f *model) read(view *View) {
 	if !f.storeUp || f.store == nil {
 		return
 	}
@@ -107,19 +107,19 @@
 }
 
 // restart lets a router begin anew with what is stored.
-func (f *fleet) restart(index int) {
+func (f *model) restart(index int) {
 	f.views[index] = NewView()
 	f.read(f.views[index])
 	f.loaded = f.loaded && index != f.leader
 }
 
 // lead lets another router lead.
-func (f *fleet) lead(index int) {
+func (f *model) lead(index int) {
 	f.leader, f.loaded = index, false
 }
 
 // lift lets an operator lift the quarantine, as far as it is stored.
-func (f *fleet) lift() bool {
+func (f *model) lift() bool {
 	if !f.storeUp || f.store == nil {
 		return false
 	}
@@ -134,29 +134,29 @@
 }
 
 // settle ends all disturbances and lets the bound pass in which all routers have to know.
-func (f *fleet) settle() {
-	f.cut, f.storeUp = [fleetRouters]bool{}, true
-	for range knownAfter / exchangePause {
+func (f *model) settle() {
+	f.isolated, f.storeUp = [modelRouters]bool{}, true
+	for range propagationBound / exchangeInterval {
 		f.exchange()
 	}
 }
 
-// fleetEvents are what may happen, those more often that lead to more.
-var fleetEvents = []string{
+// modelEvents are what may happen, those more often that lead to more.
+var modelEvents = []string{
 	"crash", "crash", "crash", "cut", "heal", "lead", "restart", "lose", "lose", "store", "store", "lift", "exchange", "exchange", "exchange",
 }
 
 // step plays one event. It reports whether the request was lifted.
-func (f *fleet) step(t *rapid.T) (lifted bool) {
-	f.now = f.now.Add(eventPause)
-	index := rapid.IntRange(0, fleetRouters-1).Draw(t, "router")
-	switch rapid.SampledFrom(fleetEvents).Draw(t, "event") {
+func (f *model) step(t *rapid.T) (lifted bool) {
+	f.now = f.now.Add(eventInterval)
+	index := rapid.IntRange(0, modelRouters-1).Draw(t, "router")
+	switch rapid.SampledFrom(modelEvents).Draw(t, "event") {
 	case "crash":
 		f.crash(index, byte(rapid.IntRange(1, 3).Draw(t, "caller")))
 	case "cut":
-		f.cut[index] = true
+		f.isolated[index] = true
 	case "heal":
-		f.cut[index] = false
+		f.isolated[index] = false
 	case "lead":
 		f.lead(index)
 	case "restart":
@@ -171,13 +171,13 @@
 	case "exchange":
 		f.exchange()
 	}
-	f.note()
+	f.updateQuarantined()
 	return lifted
 }
 
 // known reports whether a quarantine is known that must not be lost.
-func (f *fleet) known() bool {
-	for _, held := range f.heldAt {
+func (f *model) isKnown() bool {
+	for _, held := range f.quarantinedAt {
 		if held {
 			return true
 		}
@@ -185,20 +185,20 @@
 	return f.stored
 }
 
-// endsKnown returns how many crashes of the harmful request a view knows.
-func endsKnown(v *View) int {
-	known := v.book.records[harmfulRun.Request]
+// crashesKnown returns how many crashes of the harmful request a view knows.
+func crashesKnown(v *View) int {
+	known := v.tracker.records[harmfulRun.Request]
 	if known == nil {
 		return 0
 	}
-	return len(known.ends())
+	return len(known.crashTimes())
 }
 
 // ends returns how many crashes the router knows that knows most.
-func (f *fleet) ends() int {
+func (f *model) maxCrashesKnown() int {
 	most := 0
 	for _, view := range f.views {
-		most = max(most, endsKnown(view))
+		most = max(most, crashesKnown(view))
 	}
 	return most
 }
@@ -208,12 +208,12 @@
 // that was lifted is back.
 func TestRoutersAgreeOnAQuarantineWhateverIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet()
+		f := newModel()
 		lifted := false
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			lifted = f.step(t) || lifted
 		}
-		known, ends := f.known(), f.ends()
+		known, ends := f.isKnown(), f.maxCrashesKnown()
 		f.settle()
 		want := f.views[f.leader].Standing(harmfulRun)
 		for index, view := range f.views {
@@ -223,16 +223,16 @@
 			assert.Equal(t, want, Quarantined)
 		}
 		if ends > 1 && !lifted {
-			leader := endsKnown(f.views[f.leader])
-			assert.Assert(t, leader >= min(ends, mostCrashes), "the leader knows %d crashes of %d", leader, ends)
+			leader := crashesKnown(f.views[f.leader])
+			assert.Assert(t, leader >= min(ends, crashThreshold), "the leader knows %d crashes of %d", leader, ends)
 		}
-		before := f.ended
+		before := f.crashes
 		for round := range 8 {
-			f.now = f.now.Add(eventPause)
-			f.crash(round%fleetRouters, byte(round))
+			f.now = f.now.Add(eventInterval)
+			f.crash(round%modelRouters, byte(round))
 			f.exchange()
 		}
-		assert.Assert(t, f.ended-before <= mostCrashes, "%d more workers ended", f.ended-before)
+		assert.Assert(t, f.crashes-before <= crashThreshold, "%d more workers ended", f.crashes-before)
 
 		f.settle()
 		if f.lift() {
--- a/internal/quarantine/observer.go
+++ b/internal/quarantine/observer.go
@@ -7,68 +7,70 @@
 )
 
 const (
-	// cutMemory is how long after a send broke off its worker may be seen to have ended: a
-	// connection to its address is refused within milliseconds, and one that was given up may
-	// run for a while still.
-	cutMemory = time.Second
-	// mostCut bounds the sends that are remembered of one worker, which are the last ones; it has
-	// fewer slots.
-	mostCut = 64
+	// interruptedRetention is how long after an attempt was interrupted the end of its worker may be
+	// detected: a connection to its address is refused within milliseconds, and an attempt that was
+	// given up may still run for a while.
+	interruptedRetention = time.Second
+	// maxInterrupted bounds the attempts that are remembered for one worker, which are the latest ones.
+	// A worker has fewer slots.
+	maxInterrupted = 64
 )
 
-// Run is a run of a request for a caller.
+// CallerRequest identifies a request as one caller sends it.
 type CallerRequest struct {
 	Request Fingerprint `json:"f"`
 	Caller  netip.Addr  `json:"c,omitzero"`
 }
 
-// Attempt is one try of a request, as operators look for it.
+// Attempt is one attempt of a request, with what operators identify it by.
 type Attempt struct {
 	Request Fingerprint `json:"f"`
-	// ID of the attempt, the Route that it took, and its Caller.
+	// ID is that of the attempt, and Route and Caller are those of its request.
 	ID     string     `json:"i,omitempty"`
 	Route  string     `json:"r,omitempty"`
 	Caller netip.Addr `json:"c,omitzero"`
 }
 
-// run returns whose request the attempt runs.
-func (a Attempt) run() CallerRequest { return CallerRequest{Request: a.Request, Caller: a.Caller} }
+// callerRequest returns the request of the attempt, as its caller sends it.
+func (a Attempt) callerRequest() CallerRequest {
+	return CallerRequest{Request: a.Request, Caller: a.Caller}
+}
 
-// own returns the attempt as one of its caller's own request.
-func (a Attempt) own() Attempt {
+// perCaller returns the attempt with the fingerprint of the request as its caller sends it.
+func (a Attempt) perCaller() Attempt {
 	a.Request = a.Request.ForCaller(a.Caller)
 	return a
 }
 
-// Witness is what one process saw of the end of one worker: whether it crashed, and which
-// requests were under way there. Its zero value has seen nothing.
+// CrashObserver collects what one process observes of the end of one worker: whether it has ended, and
+// which requests were in progress there. Its zero value has observed nothing.
 type CrashObserver struct {
-	cut     []cutOff
-	endedAt time.Time
+	interrupted []interruptedAttempt
+	endedAt     time.Time
 }
 
-// cutOff is a send that ended without an answer.
-type cutOff struct {
+// interruptedAttempt is an attempt that ended without a complete response.
+type interruptedAttempt struct {
 	attempt Attempt
 	at      time.Time
 }
 
-// CutOff notes a request that was sent and got no whole answer. It reports whether the worker
-// is known to have ended just then, so that its end cut the request off.
+// RecordInterrupted records an attempt that got no complete response. It reports whether the worker is
+// known to have ended at about that time, so that its end interrupted the attempt.
 func (w *CrashObserver) RecordInterrupted(now time.Time, attempt Attempt) bool {
 	if !w.endedAt.IsZero() {
-		return now.Sub(w.endedAt) < cutMemory
+		return now.Sub(w.endedAt) < interruptedRetention
 	}
 	w.forget(now)
-	if len(w.cut) == mostCut {
-		w.cut = slices.Delete(w.cut, 0, 1)
+	if len(w.interrupted) == maxInterrupted {
+		w.interrupted = slices.Delete(w.interrupted, 0, 1)
 	}
-	w.cut = append(w.cut, cutOff{attempt: attempt, at: now})
+	w.interrupted = append(w.interrupted, interruptedAttempt{attempt: attempt, at: now})
 	return false
 }
 
-// Ended notes that the worker has ended; first is false if that was known. It returns the
-// requests that its end cut off, each once for each caller.
+// RecordEnd records that the worker has ended; first is false if that was already known. It returns the
+// attempts that its end interrupted, one for each request and caller.
 func (w *CrashObserver) RecordEnd(now time.Time) (attempts []Attempt, first bool) {
 	if !w.endedAt.IsZero() {
 		return nil, false
@@ -76,17 +78,17 @@
 	w.endedAt = now
 	w.forget(now)
 	seen := map[CallerRequest]bool{}
-	for _, one := range w.cut {
-		if !seen[one.attempt.run()] {
-			seen[one.attempt.run()] = true
+	for _, one := range w.interrupted {
+		if !seen[one.attempt.callerRequest()] {
+			seen[one.attempt.callerRequest()] = true
 			attempts = append(attempts, one.attempt)
 		}
 	}
-	w.cut = nil
+	w.interrupted = nil
 	return attempts, true
 }
 
-// forget drops sends that broke off too long ago to have to do with an end now.
+// forget drops attempts that were interrupted too long ago to be related to an end of the worker now.
 func (w *CrashObserver) forget(now time.Time) {
-	w.cut = slices.DeleteFunc(w.cut, func(one cutOff) bool { return now.Sub(one.at) >= cutMemory })
+	w.interrupted = slices.DeleteFunc(w.interrupted, func(one interruptedAttempt) bool { return now.Sub(one.at) >= interruptedRetention })
 }
--- a/internal/quarantine/observer_test.go
+++ b/internal/quarantine/observer_test.go
@@ -43,7 +43,7 @@
 
 // Sends that a full worker had cut off hid the one that was under way at its end.
 func TestManySendsCutOffBeforeDoNotHideTheLast(t *testing.T) {
-	for name, count := range map[string]int{"as many as are remembered": mostCut, "twice as many": 2 * mostCut} {
+	for name, count := range map[string]int{"as many as are remembered": maxInterrupted, "twice as many": 2 * maxInterrupted} {
 		t.Run(name, func(t *testing.T) {
 			var w CrashObserver
 			for index := range count {
@@ -52,7 +52,7 @@
 			w.RecordInterrupted(start, attempt(1))
 			attempts, _ := w.RecordEnd(start.Add(100 * time.Millisecond))
 			assert.Assert(t, slices.Contains(attempts, attempt(1)))
-			assert.Equal(t, len(attempts), mostCut)
+			assert.Equal(t, len(attempts), maxInterrupted)
 		})
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -9,129 +9,135 @@
 )
 
 const (
-	// mostCrashes is how many workers a request may crash before it is quarantined. One crash
-	// may be chance, and so may two where requests are many; the users' platform allows three.
-	mostCrashes = 3
-	// sameMoment: workers that end within it may have ended together, for a reason that they
-	// share (a rack, a zone, an address). Routers report a crash within half a second.
-	sameMoment = time.Second
-	// suspectMemory is for how long a crash is held against a request that is not quarantined.
-	// Callers who come again do so within seconds; two crashes an hour apart are chance.
-	suspectMemory = 10 * time.Minute
-	// holdTime is for how long a request stays in quarantine unless an operator lifts it: the
+	// crashThreshold is how many workers a request crashes before it is quarantined. One crash may
+	// be a coincidence, and so may two where there are many requests; the users' platform allows
+	// three.
+	crashThreshold = 3
+	// clusterWindow is the time within which crashes form a cluster: they may have a shared cause (a
+	// rack, a zone, an address). Routers report a crash within half a second.
+	clusterWindow = time.Second
+	// suspectRetention is how long a crash counts against a request that is not quarantined. Callers
+	// that retry do so within seconds; two crashes an hour apart are a coincidence.
+	suspectRetention = 10 * time.Minute
+	// quarantineDuration is how long a request stays quarantined unless an operator lifts it: the
 	// users' platform counts what is sent within a day.
-	holdTime = 24 * time.Hour
-	// clearedMemory is for how long it is remembered that a suspect was cleared: what speaks
-	// against it may still be on its way.
-	clearedMemory = time.Minute
-	// agesOff is by how much the times of one event differ between processes at most: they are
-	// told as ages, which grow on their way.
-	agesOff = time.Second
+	quarantineDuration = 24 * time.Hour
+	// clearedRetention is how long it is remembered that a suspect was cleared: evidence against it
+	// may still be in transit.
+	clearedRetention = time.Minute
+	// maxAgeError is the largest difference between the times that processes have of one event: times
+	// are sent as ages, to which the latency of messages is added.
+	maxAgeError = time.Second
 )
 
-// Standing says how a request may be sent.
+// Standing says whether and how a request may be sent.
 type Standing int
 
 // Standings of requests.
 const (
-	// Free: nothing speaks against it.
+	// Unsuspected: no crash counts against it.
 	Unsuspected Standing = iota
-	// Suspect: it was under way at a worker that crashed, and no run has ended well since. It
-	// may be sent, but to one worker at a time.
+	// Suspect: it was in progress at a worker that crashed, and has not succeeded since. It may be
+	// sent, but to one worker at a time.
 	Suspect
-	// Quarantined: it may not be sent.
+	// Quarantined: it may not be sent to any worker.
 	Quarantined
 )
 
-// Crash is a worker's end with a request under way.
+// Crash is the crash of a worker at which a request was in progress.
 type Crash struct {
 	Worker workers.ID
-	// Born tells the lives of a worker apart that starts again under its ID: each crash counts.
+	// Born distinguishes the incarnations of a worker that restarts under its ID: the crash of each
+	// counts.
 	Born workers.Born
-	// Caller had asked for what was under way.
+	// Caller is the one whose request was in progress.
 	Caller netip.Addr
 	At     time.Time
 }
 
-// life returns the life of the worker that crashed.
-func (c Crash) life() workers.Life { return workers.Life{ID: c.Worker, Born: c.Born} }
+// incarnation returns the incarnation of the worker that crashed.
+func (c Crash) incarnation() workers.Life { return workers.Life{ID: c.Worker, Born: c.Born} }
 
-// same reports whether two crashes are one, with the request of the same caller under way. Their
-// times may differ by what messages took.
-func (c Crash) same(other Crash) bool { return c.life() == other.life() && c.Caller == other.Caller }
+// same reports whether both are the same crash, with a request of the same caller in progress. Their
+// times may differ by the latency of messages.
+func (c Crash) same(other Crash) bool {
+	return c.incarnation() == other.incarnation() && c.Caller == other.Caller
+}
 
-// Record is what is known of a request: facts, which merge to the same in any order. What was
-// before a clearance is no longer held against the request.
+// Record is what is known about a request. Records can be merged in any order. Crashes from before the
+// request was cleared or lifted no longer count.
 type Record struct {
-	// Attempt is the last one that was under way at a crash.
+	// Attempt was in progress at a crash: usually the latest attempt that is known to have been.
 	Attempt Attempt
-	// For is the only caller whose request is meant; zero: everybody's.
+	// OnlyCaller is the caller whose requests the record is about; zero: those of all callers.
 	OnlyCaller netip.Addr
-	// Crashes are those of different workers, or with requests of different callers, in order.
+	// Crashes are those of different workers, or with requests of different callers, sorted by time.
 	Crashes []Crash
-	// HeldAt is when the request was quarantined last; zero: it never was. AloneAt is when it was
-	// found that its workers crashed at one moment, and no others did; zero: never.
+	// QuarantinedAt is when the request was last quarantined; zero: never. IsolatedAt is when it was
+	// found that its workers crashed within one cluster, and no others did; zero: never.
 	QuarantinedAt, IsolatedAt time.Time
-	// ClearedAt is when a run of it ended well last; zero: never. LiftedAt is when an operator lifted
-	// it: what was before speaks against none of its callers.
+	// ClearedAt is when the request last succeeded; zero: never. LiftedAt is when an operator lifted
+	// it: earlier crashes count against none of its callers.
 	ClearedAt, LiftedAt time.Time
 }
 
-// Standing says how the request may be sent.
+// Standing returns whether and how the request may be sent.
 func (r Record) Standing() Standing {
 	switch {
 	case len(r.Crashes) == 0:
 		return Unsuspected
-	case r.isHeld():
+	case r.isQuarantined():
 		return Quarantined
 	}
 	return Suspect
 }
 
-// isHeld reports whether the crashes that count say that the request crashes its workers.
-func (r Record) isHeld() bool {
-	if !r.crashedOften() {
+// isQuarantined reports whether the counted crashes show that the request crashes its workers.
+func (r Record) isQuarantined() bool {
+	if !r.reachedCrashThreshold() {
 		return false
 	}
-	return r.moments() > 1 || (!r.IsolatedAt.IsZero() && !r.clears(r.IsolatedAt))
+	return r.crashClusters() > 1 || (!r.IsolatedAt.IsZero() && !r.isCleared(r.IsolatedAt))
 }
 
-// clears reports whether what was at a time is no longer held against the request.
-func (r Record) clears(at time.Time) bool { return r.lifts(at) || isBefore(at, r.ClearedAt) }
+// isCleared reports whether a crash at a time no longer counts against the request.
+func (r Record) isCleared(at time.Time) bool { return r.isLifted(at) || mayPrecede(at, r.ClearedAt) }
 
-// lifts reports whether what was at a time is held against no caller's request.
-func (r Record) lifts(at time.Time) bool { return isBefore(at, r.LiftedAt) }
+// isLifted reports whether a crash at a time counts against no caller's request.
+func (r Record) isLifted(at time.Time) bool { return mayPrecede(at, r.LiftedAt) }
 
-// isBefore reports whether what was at a time may have been before an event, with zero for one that
-// never was.
-func isBefore(at, event time.Time) bool { return !event.IsZero() && !at.After(event.Add(agesOff)) }
+// mayPrecede reports whether a time may be before that of an event, which is zero if the event never
+// happened.
+func mayPrecede(at, event time.Time) bool {
+	return !event.IsZero() && !at.After(event.Add(maxAgeError))
+}
 
-// Until returns when the record is forgotten. That a quarantine was lifted is remembered for as
-// long as some process may know of that quarantine only.
+// ExpiresAt returns when the record expires. That a quarantine was lifted is remembered for as long as
+// some process may know only of the quarantine.
 func (r Record) ExpiresAt() time.Time {
 	switch {
 	case !r.QuarantinedAt.IsZero():
-		return r.QuarantinedAt.Add(holdTime)
+		return r.QuarantinedAt.Add(quarantineDuration)
 	case len(r.Crashes) > 0:
-		return r.last().Add(suspectMemory)
+		return r.lastCrashAt().Add(suspectRetention)
 	}
-	return r.removedAt().Add(clearedMemory)
+	return r.clearedOrLiftedAt().Add(clearedRetention)
 }
 
-// removedAt returns when the request was cleared or lifted last.
-func (r Record) removedAt() time.Time {
+// clearedOrLiftedAt returns when the request was last cleared or lifted.
+func (r Record) clearedOrLiftedAt() time.Time {
 	if r.LiftedAt.After(r.ClearedAt) {
 		return r.LiftedAt
 	}
 	return r.ClearedAt
 }
 
-// last returns when the last of its crashes was.
-func (r Record) last() time.Time { return r.Crashes[len(r.Crashes)-1].At }
+// lastCrashAt returns the time of the last counted crash.
+func (r Record) lastCrashAt() time.Time { return r.Crashes[len(r.Crashes)-1].At }
 
-// add adds a crash; false if it is known or cleared.
+// add adds a crash; false if it is already known or cleared.
 func (r *Record) add(crash Crash) bool {
-	if r.clears(crash.At) || slices.ContainsFunc(r.Crashes, crash.same) {
+	if r.isCleared(crash.At) || slices.ContainsFunc(r.Crashes, crash.same) {
 		return false
 	}
 	r.Crashes = append(r.Crashes, crash)
@@ -139,14 +145,13 @@
 	return true
 }
 
-// clear notes that a run of the request ended well at a time, and returns the crashes that no
-// longer count.
+// clear records that the request succeeded at a time, and returns the crashes that no longer count.
 func (r *Record) clear(at time.Time) []Crash {
 	r.ClearedAt = at
 	return r.removeCleared()
 }
 
-// lift notes that an operator lifted the request at a time.
+// lift records that an operator lifted the request at a time.
 func (r *Record) lift(at time.Time) {
 	r.LiftedAt = at
 	r.removeCleared()
@@ -155,17 +160,17 @@
 func (r *Record) removeCleared() []Crash {
 	var cleared []Crash
 	r.Crashes = slices.DeleteFunc(r.Crashes, func(crash Crash) bool {
-		if r.clears(crash.At) {
+		if r.isCleared(crash.At) {
 			cleared = append(cleared, crash)
 		}
-		return r.clears(crash.At)
+		return r.isCleared(crash.At)
 	})
 	return cleared
 }
 
-// merge adds what another process knows of the request. It reports whether that is news.
+// merge adds another process's record of the request. It reports whether that added information.
 func (r *Record) merge(other Record) bool {
-	news := r.lacks(other)
+	changed := r.missesDecision(other)
 	if isLater(other.ClearedAt, r.ClearedAt) {
 		r.clear(other.ClearedAt)
 	}
@@ -181,84 +186,85 @@
 	for _, crash := range other.Crashes {
 		if r.add(crash) {
 			r.Attempt = other.Attempt
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// lacks reports whether another record tells of a later decision on the request.
-func (r *Record) lacks(other Record) bool {
+// missesDecision reports whether another record contains a later decision on the request.
+func (r *Record) missesDecision(other Record) bool {
 	return isLater(other.ClearedAt, r.ClearedAt) || isLater(other.LiftedAt, r.LiftedAt) || isLater(other.QuarantinedAt, r.QuarantinedAt)
 }
 
-// says reports whether a leader that tells another record has to be told this one: of a decision, of a
-// clearance of what it suspects, or of crashes that it does not know. One crash that a leader has lost
+// mustReport reports whether this record must be reported to a leader that has published the other one:
+// it contains a later decision, clears a request that the leader suspects, or has crashes that the
+// leader does not know. A record with a single crash need not be reported: if a leader has lost it, that
 // costs no more than one worker.
-func (r Record) says(other Record) bool {
+func (r Record) mustReport(leader Record) bool {
 	switch {
-	case !r.QuarantinedAt.IsZero() && other.lacks(r):
+	case !r.QuarantinedAt.IsZero() && leader.missesDecision(r):
 		return true
-	case other.Standing() != Unsuspected && isLater(r.ClearedAt, other.ClearedAt):
+	case leader.Standing() != Unsuspected && isLater(r.ClearedAt, leader.ClearedAt):
 		return true
-	case other.Standing() == Quarantined:
+	case leader.Standing() == Quarantined:
 		return false
 	}
-	ends := len(r.ends())
-	return ends > 1 && ends > len(other.ends())
+	crashes := len(r.crashTimes())
+	return crashes > 1 && crashes > len(leader.crashTimes())
 }
 
-// isLater reports whether an event is a later one than another, not the same with another age.
-// Zero is before all.
+// isLater reports whether an event is later than another by more than the error of ages. Zero is
+// before all other times.
 func isLater(event, other time.Time) bool {
 	if event.IsZero() {
 		return false
 	}
-	return other.IsZero() || event.Sub(other) > agesOff
+	return other.IsZero() || event.Sub(other) > maxAgeError
 }
 
-// ends returns when each of the request's workers crashed, in order.
-func (r Record) ends() []time.Time {
-	var ends []time.Time
-	ended := make(map[workers.Life]bool, len(r.Crashes))
+// crashTimes returns when each of the request's workers crashed, sorted.
+func (r Record) crashTimes() []time.Time {
+	var times []time.Time
+	seen := make(map[workers.Life]bool, len(r.Crashes))
 	for _, crash := range r.Crashes {
-		if !ended[crash.life()] {
-			ended[crash.life()] = true
-			ends = append(ends, crash.At)
+		if !seen[crash.incarnation()] {
+			seen[crash.incarnation()] = true
+			times = append(times, crash.At)
 		}
 	}
-	return ends
+	return times
 }
 
-func (r Record) crashedOften() bool {
-	return len(r.Crashes) >= mostCrashes && len(r.ends()) >= mostCrashes
+func (r Record) reachedCrashThreshold() bool {
+	return len(r.Crashes) >= crashThreshold && len(r.crashTimes()) >= crashThreshold
 }
 
-// moments counts the moments at which the request's workers crashed. A moment lasts from its first
-// crash, so that a steady series of crashes has many.
-func (r Record) moments() int {
+// crashClusters counts the clusters of the crashes of the request's workers. A cluster ends
+// clusterWindow after its first crash, so that a steady series of crashes forms many.
+func (r Record) crashClusters() int {
 	count := 0
-	var began time.Time
-	for _, end := range r.ends() {
-		if count == 0 || end.Sub(began) >= sameMoment {
+	var clusterStart time.Time
+	for _, crashedAt := range r.crashTimes() {
+		if count == 0 || crashedAt.Sub(clusterStart) >= clusterWindow {
 			count++
-			began = end
+			clusterStart = crashedAt
 		}
 	}
 	return count
 }
 
-// noteHeld notes since when the request is quarantined, if it is. It reports whether that is new.
-func (r *Record) noteHeld(now time.Time) bool {
-	if !r.isHeld() || (!r.QuarantinedAt.IsZero() && !r.clears(r.QuarantinedAt)) {
+// markQuarantined sets QuarantinedAt if the request has become quarantined. It reports whether it has.
+func (r *Record) markQuarantined(now time.Time) bool {
+	if !r.isQuarantined() || (!r.QuarantinedAt.IsZero() && !r.isCleared(r.QuarantinedAt)) {
 		return false
 	}
 	r.QuarantinedAt = now
 	return true
 }
 
-func (r *Record) copied() Record {
-	same := *r
-	same.Crashes = slices.Clone(r.Crashes)
-	return same
+func (r *Record) clone() Record {
+	clone := *r
+	clone.Crashes = slices.Clone(r.Crashes)
+	return clone
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -15,49 +15,49 @@
 // A world in virtual time counts both errors of the book: innocent requests that are refused, and
 // sends of a harmful one once all routers have to know.
 const (
-	worldRouters = 6
-	worldWorkers = 24
-	worldRacks   = 4
-	worldFor     = 5 * time.Minute
-	worldStep    = 10 * time.Millisecond
-	// knownAfter is when routers have to know, and sendsAllowed how many sends may follow: the
+	simRouters  = 6
+	simWorkers  = 24
+	simRacks    = 4
+	simDuration = 5 * time.Minute
+	simStep     = 10 * time.Millisecond
+	// propagationBound is when routers have to know, and maxLateSends how many sends may follow: the
 	// users' bounds.
-	knownAfter   = 3 * time.Second
-	sendsAllowed = 3
-	// runTime is how long a run lasts, and backAfter how long a worker is away that ended.
-	runTime   = 150 * time.Millisecond
-	backAfter = 4 * time.Second
-	// moveTime is how long the keys of an owner that ended have no other, and ownerPollers ask
+	propagationBound = 3 * time.Second
+	maxLateSends     = 3
+	// runTime is how long a run lasts, and restartDelay how long a worker is away that ended.
+	runTime      = 150 * time.Millisecond
+	restartDelay = 4 * time.Second
+	// keyMoveTime is how long the keys of an owner that ended have no other, and ownerPollers ask
 	// for them all the time.
-	moveTime     = 2 * time.Second
+	keyMoveTime  = 2 * time.Second
 	ownerPollers = 6
 )
 
 // world is a set of routers with a leader, and workers that end by chance, by rack, and under
 // harmful requests.
-type world struct {
-	random  *rand.Rand
-	routers []*View
-	leader  *View
-	told    uint64
-	workers []*worldWorker
+type simulation struct {
+	random      *rand.Rand
+	routers     []*View
+	leader      *View
+	sentVersion uint64
+	workers     []*simWorker
 	// messages are on their way, by when they arrive.
-	messages []message
-	births   int
+	messages     []message
+	nextWorkerID int
 	// owner holds the keys that the first harmful request and some pollers ask for, from
 	// ownsFrom on.
-	owner    *worldWorker
-	ownsFrom time.Time
+	owner     *simWorker
+	ownedFrom time.Time
 	// harmful are the requests that crash workers; crashed counts the workers by request, and
 	// thirdAt is when the last one was allowed.
-	harmful map[Fingerprint]bool
-	crashed map[Fingerprint]int
-	thirdAt map[Fingerprint]time.Time
+	harmful     map[Fingerprint]bool
+	crashed     map[Fingerprint]int
+	thresholdAt map[Fingerprint]time.Time
 	// late counts the sends of a harmful request after routers had to know.
-	late           map[Fingerprint]int
-	asked, refused int
-	endedOtherwise int
-	suspected      int
+	lateSends          map[Fingerprint]int
+	requests, rejected int
+	otherCrashes       int
+	sentAsSuspects     int
 }
 
 type message struct {
@@ -65,93 +65,95 @@
 	deliver func(now time.Time)
 }
 
-type worldWorker struct {
-	id    workers.ID
-	rack  int
-	until time.Time // away until then
-	runs  []worldRun
+type simWorker struct {
+	id        workers.ID
+	rack      int
+	downUntil time.Time // away until then
+	runs      []simRun
 }
 
-type worldRun struct {
+type simRun struct {
 	request Fingerprint
 	router  *View
 	began   time.Time
 }
 
-func newWorld(seed uint64) *world { return newWorldOf(seed, worldRouters, worldWorkers, worldRacks) }
+func newSimulation(seed uint64) *simulation {
+	return newSimulationOf(seed, simRouters, simWorkers, simRacks)
+}
 
-// newWorldOf returns a world of so many routers, and workers in racks.
-func newWorldOf(seed uint64, routers, workers, racks int) *world {
-	w := &world{
+// newSimulationOf returns a world of so many routers, and workers in racks.
+func newSimulationOf(seed uint64, routers, workers, racks int) *simulation {
+	w := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), leader: NewView(), harmful: map[Fingerprint]bool{},
-		crashed: map[Fingerprint]int{}, thirdAt: map[Fingerprint]time.Time{}, late: map[Fingerprint]int{},
+		crashed: map[Fingerprint]int{}, thresholdAt: map[Fingerprint]time.Time{}, lateSends: map[Fingerprint]int{},
 	}
 	for range routers {
 		w.routers = append(w.routers, NewView())
 	}
 	for index := range workers {
-		w.workers = append(w.workers, &worldWorker{rack: index % racks})
+		w.workers = append(w.workers, &simWorker{rack: index % racks})
 		w.restart(w.workers[index])
 	}
 	w.owner = w.workers[0]
 	return w
 }
 
-func (w *world) restart(worker *worldWorker) {
-	w.births++
-	worker.id = workers.ID(fmt.Sprintf("w%d", w.births))
+func (w *simulation) restart(worker *simWorker) {
+	w.nextWorkerID++
+	worker.id = workers.ID(fmt.Sprintf("w%d", w.nextWorkerID))
 }
 
 // later delivers a message after a random time of at most most.
-func (w *world) later(now time.Time, most time.Duration, deliver func(time.Time)) {
+func (w *simulation) deliverLater(now time.Time, most time.Duration, deliver func(time.Time)) {
 	w.messages = append(w.messages, message{at: now.Add(time.Duration(w.random.Int64N(int64(most)))), deliver: deliver})
 }
 
 // end ends a worker: each router learns of its own sends there within milliseconds, and reports
 // them.
-func (w *world) end(now time.Time, worker *worldWorker) {
+func (w *simulation) crash(now time.Time, worker *simWorker) {
 	id := worker.id
 	for _, run := range worker.runs {
-		w.later(now, 20*time.Millisecond, func(seen time.Time) {
+		w.deliverLater(now, 20*time.Millisecond, func(seen time.Time) {
 			run.router.RecordCrash(seen, Attempt{Request: run.request}, Crash{Worker: id, At: seen})
 		})
 	}
-	worker.runs, worker.until = nil, now.Add(backAfter)
+	worker.runs, worker.downUntil = nil, now.Add(restartDelay)
 	if worker == w.owner {
-		w.owner, w.ownsFrom = w.workers[w.random.IntN(len(w.workers))], now.Add(moveTime)
+		w.owner, w.ownedFrom = w.workers[w.random.IntN(len(w.workers))], now.Add(keyMoveTime)
 	}
 	w.restart(worker)
 }
 
 // send sends a request through a router to a worker that is up, unless it is quarantined.
-func (w *world) send(now time.Time, router *View, request Fingerprint) (refused bool) {
+func (w *simulation) send(now time.Time, router *View, request Fingerprint) (refused bool) {
 	if router.Standing(CallerRequest{Request: request}) == Quarantined {
 		return true
 	}
 	worker := w.workers[w.random.IntN(len(w.workers))]
-	if keyed(request) {
+	if isKeyed(request) {
 		worker = w.owner
 	}
-	if now.Before(worker.until) || (keyed(request) && now.Before(w.ownsFrom)) {
+	if now.Before(worker.downUntil) || (isKeyed(request) && now.Before(w.ownedFrom)) {
 		return false // nobody listens
 	}
-	worker.runs = append(worker.runs, worldRun{request: request, router: router, began: now})
+	worker.runs = append(worker.runs, simRun{request: request, router: router, began: now})
 	if !w.harmful[request] {
 		return false
 	}
-	if third := w.thirdAt[request]; !third.IsZero() && now.After(third.Add(knownAfter)) {
-		w.late[request]++
+	if third := w.thresholdAt[request]; !third.IsZero() && now.After(third.Add(propagationBound)) {
+		w.lateSends[request]++
 	}
 	return false
 }
 
 // keyed reports whether a request is for the keys of the owner.
-func keyed(request Fingerprint) bool {
+func isKeyed(request Fingerprint) bool {
 	return request[0] == 4 || request == Fingerprint{2, 0}
 }
 
 // step plays one step of time.
-func (w *world) step(now time.Time) {
+func (w *simulation) step(now time.Time) {
 	due := []message{}
 	w.messages = slices.DeleteFunc(w.messages, func(one message) bool {
 		if one.at.After(now) {
@@ -169,18 +171,18 @@
 }
 
 // run ends the runs that are due: a harmful one ends its worker.
-func (w *world) run(now time.Time, worker *worldWorker) {
+func (w *simulation) run(now time.Time, worker *simWorker) {
 	for _, one := range worker.runs {
 		if w.harmful[one.request] && now.Sub(one.began) >= runTime/2 {
 			w.crashed[one.request]++
-			if w.crashed[one.request] == mostCrashes {
-				w.thirdAt[one.request] = now
+			if w.crashed[one.request] == crashThreshold {
+				w.thresholdAt[one.request] = now
 			}
-			w.end(now, worker)
+			w.crash(now, worker)
 			return
 		}
 	}
-	worker.runs = slices.DeleteFunc(worker.runs, func(one worldRun) bool {
+	worker.runs = slices.DeleteFunc(worker.runs, func(one simRun) bool {
 		if now.Sub(one.began) < runTime {
 			return false
 		}
@@ -192,27 +194,27 @@
 }
 
 // exchange lets routers report and the leader tell.
-func (w *world) exchange(now time.Time) {
+func (w *simulation) exchange(now time.Time) {
 	for _, router := range w.routers {
 		if evidence := router.CollectEvidence(now); evidence != nil {
-			w.later(now, 500*time.Millisecond, func(at time.Time) { w.leader.HandleEvidence(at, *evidence) })
+			w.deliverLater(now, 500*time.Millisecond, func(at time.Time) { w.leader.HandleEvidence(at, *evidence) })
 		}
 	}
 	w.leader.Evaluate(now)
 	snapshot, version := w.leader.Snapshot(now)
-	if version == w.told {
+	if version == w.sentVersion {
 		return
 	}
-	w.told = version
+	w.sentVersion = version
 	for _, router := range w.routers {
 		// A link keeps its messages in order.
-		w.later(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
+		w.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
 	}
 }
 
 // play plays the whole time: callers each ask questions of their own, some of them the same
 // again and again; workers end by chance, and racks do; harmful requests come again.
-func (w *world) play(harmful int) {
+func (w *simulation) play(harmful int) {
 	pollers := make([]Fingerprint, 40)
 	for index := range pollers {
 		pollers[index] = Fingerprint{1, byte(index)}
@@ -220,61 +222,61 @@
 	for index := range harmful {
 		w.harmful[Fingerprint{2, byte(index)}] = true
 	}
-	for now := start; now.Before(start.Add(worldFor)); now = now.Add(worldStep) {
+	for now := start; now.Before(start.Add(simDuration)); now = now.Add(simStep) {
 		w.step(now)
 		if now.Sub(start)%(200*time.Millisecond) == 0 {
 			w.exchange(now)
 		}
 		for range 2 { // 200 questions a second, a third of them by callers who repeat theirs
-			request := Fingerprint{3, byte(w.asked), byte(w.asked >> 8), byte(w.asked >> 16)}
+			request := Fingerprint{3, byte(w.requests), byte(w.requests >> 8), byte(w.requests >> 16)}
 			if w.random.IntN(3) == 0 {
 				request = pollers[w.random.IntN(len(pollers))]
 			}
-			w.ask(now, request)
+			w.sendInnocent(now, request)
 		}
 		if now.Sub(start)%(50*time.Millisecond) == 0 {
-			w.ask(now, Fingerprint{4, byte(w.random.IntN(ownerPollers))})
+			w.sendInnocent(now, Fingerprint{4, byte(w.random.IntN(ownerPollers))})
 		}
-		w.mishaps(now)
+		w.randomCrashes(now)
 		for request := range w.harmful {
-			w.comesAgain(now, request)
+			w.sendHarmful(now, request)
 		}
 	}
 }
 
 // ask sends an innocent request.
-func (w *world) ask(now time.Time, request Fingerprint) {
-	w.asked++
+func (w *simulation) sendInnocent(now time.Time, request Fingerprint) {
+	w.requests++
 	router := w.routers[w.random.IntN(len(w.routers))]
 	if router.Standing(CallerRequest{Request: request}) == Suspect {
-		w.suspected++
+		w.sentAsSuspects++
 	}
 	if w.send(now, router, request) {
-		w.refused++
+		w.rejected++
 	}
 }
 
 // mishaps ends workers by chance, one every 5 s, and whole racks, one every 40 s.
-func (w *world) mishaps(now time.Time) {
+func (w *simulation) randomCrashes(now time.Time) {
 	if w.random.IntN(500) == 0 {
-		w.end(now, w.workers[w.random.IntN(len(w.workers))])
-		w.endedOtherwise++
+		w.crash(now, w.workers[w.random.IntN(len(w.workers))])
+		w.otherCrashes++
 	}
 	if w.random.IntN(4000) == 0 {
-		rack := w.random.IntN(worldRacks)
+		rack := w.random.IntN(simRacks)
 		for _, worker := range w.workers {
 			if worker.rack == rack {
-				w.end(now, worker)
-				w.endedOtherwise++
+				w.crash(now, worker)
+				w.otherCrashes++
 			}
 		}
 	}
 }
 
 // comesAgain sends a harmful request every 3 s: by one router, or at once by two.
-func (w *world) comesAgain(now time.Time, request Fingerprint) {
+func (w *simulation) sendHarmful(now time.Time, request Fingerprint) {
 	period := 3*time.Second + time.Duration(request[1])*170*time.Millisecond
-	if now.Sub(start).Truncate(worldStep)%period.Truncate(worldStep) != 0 {
+	if now.Sub(start).Truncate(simStep)%period.Truncate(simStep) != 0 {
 		return
 	}
 	for range 1 + int(request[1])%2 {
@@ -282,22 +284,22 @@
 	}
 }
 
-// errorWorlds are few enough for a few seconds beside the race detector.
-const errorWorlds = 10
+// simulations are few enough for a few seconds beside the race detector.
+const simulations = 10
 
 // In worlds of five minutes, in each of which some 60 workers end by chance and 45 by racks, no
 // innocent request is refused, and no harmful one is sent more than three times once routers had
 // to know.
 func TestErrorsOfTheBook(t *testing.T) {
 	asked, refused, suspected, harmful, most, ended := 0, 0, 0, 0, 0, 0
-	for seed := range uint64(errorWorlds) {
-		w := newWorld(seed)
+	for seed := range uint64(simulations) {
+		w := newSimulation(seed)
 		w.play(int(seed % 5))
-		asked, refused, suspected, ended = asked+w.asked, refused+w.refused, suspected+w.suspected, ended+w.endedOtherwise
+		asked, refused, suspected, ended = asked+w.requests, refused+w.rejected, suspected+w.sentAsSuspects, ended+w.otherCrashes
 		for request := range w.harmful {
 			harmful++
-			most = max(most, w.late[request])
-			assert.Assert(t, w.late[request] <= sendsAllowed, "seed %d: %d sends after routers had to know", seed, w.late[request])
+			most = max(most, w.lateSends[request])
+			assert.Assert(t, w.lateSends[request] <= maxLateSends, "seed %d: %d sends after routers had to know", seed, w.lateSends[request])
 		}
 	}
 	t.Logf("%d innocent requests, %d refused, %d sent as suspects; %d harmful ones, at most %d sends late; %d workers ended otherwise",
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -9,116 +9,117 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// StoreKey is where the book is stored, under the prefix of the system's own keys.
+// StoreKey returns the key under which the snapshot is stored, below the prefix of the system's own keys.
 func StoreKey(prefix string) string { return prefix + "suspects" }
 
-// mostTold is how many crashes of a quarantined request are told.
-const mostTold = 8
+// maxSnapshotCrashes bounds the crashes of a quarantined request in a snapshot.
+const maxSnapshotCrashes = 8
 
-// Snapshot is a book as it is stored and told. Times are ages as of its writing: processes do
-// not share a clock. How old a stored one is tells the time of day, which may be off by seconds.
+// Snapshot is the encoding of a tracker's records that is stored and sent. Times are ages as of its
+// writing: processes do not share a clock. The age of a stored one follows from the time of day, which
+// may be off by seconds.
 type Snapshot struct {
-	// WrittenMillis is the time of day of the writing, in milliseconds since 1970.
+	// WrittenMillis is the time of writing by the writer's clock, in milliseconds since 1970.
 	WrittenMillis int64           `json:"t"`
 	Records       []SnapshotEntry `json:"r"`
 }
 
-// SnapshotEntry is one record.
+// SnapshotEntry is the encoding of one record.
 type SnapshotEntry struct {
 	Attempt
-	// For is the only caller whose request is meant; zero: everybody's.
+	// OnlyCaller is the caller whose requests the record is about; zero: those of all callers.
 	OnlyCaller netip.Addr      `json:"o,omitzero"`
 	Crashes    []SnapshotCrash `json:"x"`
-	// Held says that the request is quarantined.
+	// Quarantined says that the request is quarantined.
 	Quarantined bool `json:"h,omitempty"`
-	// HeldMillis is for how long the request has been quarantined, or since when it was, and
-	// ClearedMillis and LiftedMillis since when it was cleared and lifted; zero: never. A negative one
-	// is later than the writing: an operator has changed what a leader wrote.
+	// QuarantinedMillis, ClearedMillis and LiftedMillis are how long ago the request was last
+	// quarantined, cleared and lifted; zero: never. A negative one is later than the writing: an
+	// operator has changed what a leader wrote.
 	QuarantinedMillis int64 `json:"m,omitempty"`
 	ClearedMillis     int64 `json:"k,omitempty"`
 	LiftedMillis      int64 `json:"v,omitempty"`
 }
 
-// SnapshotCrash is one crash, AgeMillis ago.
+// SnapshotCrash is the encoding of one crash, which was AgeMillis ago.
 type SnapshotCrash struct {
 	Worker workers.ID `json:"w"`
-	// Born tells the life of the worker; zero if it tells none.
+	// Born identifies the incarnation of the worker; zero if the worker reports none.
 	Born      workers.Born `json:"b,omitempty"`
 	AgeMillis int64        `json:"a"`
-	// Caller asked.
+	// Caller is the one whose request was in progress.
 	Caller netip.Addr `json:"c,omitzero"`
 }
 
-// crashAt returns the crash that is described, as of a time.
-func (c SnapshotCrash) crashAt(now time.Time) Crash {
+// crash decodes the crash, whose age is as of now.
+func (c SnapshotCrash) crash(now time.Time) Crash {
 	at := now.Add(-time.Duration(c.AgeMillis) * time.Millisecond)
 	return Crash{Worker: c.Worker, Born: c.Born, Caller: c.Caller, At: at}
 }
 
-// describe returns a crash as it is told at a time.
-func (c Crash) describe(now time.Time) SnapshotCrash {
+// toSnapshot encodes the crash as of now.
+func (c Crash) toSnapshot(now time.Time) SnapshotCrash {
 	return SnapshotCrash{Worker: c.Worker, Born: c.Born, Caller: c.Caller, AgeMillis: now.Sub(c.At).Milliseconds()}
 }
 
-// NewSnapshot describes records as of a time.
+// NewSnapshot encodes records as of now.
 func NewSnapshot(now time.Time, records []Record) Snapshot {
 	snapshot := Snapshot{WrittenMillis: now.UnixMilli(), Records: make([]SnapshotEntry, 0, len(records))}
 	for _, record := range records {
 		entry := SnapshotEntry{
 			Attempt: record.Attempt, OnlyCaller: record.OnlyCaller, Quarantined: record.Standing() == Quarantined,
-			QuarantinedMillis: age(now, record.QuarantinedAt), ClearedMillis: age(now, record.ClearedAt), LiftedMillis: age(now, record.LiftedAt),
+			QuarantinedMillis: ageMillis(now, record.QuarantinedAt), ClearedMillis: ageMillis(now, record.ClearedAt), LiftedMillis: ageMillis(now, record.LiftedAt),
 		}
-		for _, crash := range record.told() {
-			entry.Crashes = append(entry.Crashes, crash.describe(now))
+		for _, crash := range record.snapshotCrashes() {
+			entry.Crashes = append(entry.Crashes, crash.toSnapshot(now))
 		}
 		snapshot.Records = append(snapshot.Records, entry)
 	}
 	return snapshot
 }
 
-// age returns how long ago an event was, in milliseconds; zero for one that never was.
-func age(now, event time.Time) int64 {
+// ageMillis returns how long ago an event was, in milliseconds and at least 1; zero if it never happened.
+func ageMillis(now, event time.Time) int64 {
 	if event.IsZero() {
 		return 0
 	}
 	return max(1, now.Sub(event).Milliseconds())
 }
 
-// aged returns when an event was.
-func aged(now time.Time, age int64) time.Time {
+// timeFromAge returns the time of an event from its age in milliseconds; zero if it never happened.
+func timeFromAge(now time.Time, age int64) time.Time {
 	if age == 0 {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// told returns the crashes that others are told of: of a quarantined request's, the first and the
-// last ones.
-func (r Record) told() []Crash {
-	if len(r.Crashes) <= mostTold || r.Standing() != Quarantined {
+// snapshotCrashes returns the crashes that are part of a snapshot: of a quarantined request with many,
+// only the first and the last ones.
+func (r Record) snapshotCrashes() []Crash {
+	if len(r.Crashes) <= maxSnapshotCrashes || r.Standing() != Quarantined {
 		return r.Crashes
 	}
-	return slices.Concat(r.Crashes[:mostTold/2], r.Crashes[len(r.Crashes)-mostTold/2:])
+	return slices.Concat(r.Crashes[:maxSnapshotCrashes/2], r.Crashes[len(r.Crashes)-maxSnapshotCrashes/2:])
 }
 
-// DecodeSnapshot reads a stored snapshot.
+// DecodeSnapshot decodes a stored snapshot.
 func DecodeSnapshot(value []byte) (Snapshot, error) {
 	var snapshot Snapshot
 	err := json.Unmarshal(value, &snapshot)
 	return snapshot, Error.Wrap(err)
 }
 
-// Encode writes the snapshot as it is stored.
+// Encode encodes the snapshot for storage.
 func (s Snapshot) Encode() []byte {
 	value, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // not reached: plain data can always be marshaled
 	}
 	return value
 }
 
-// Lift returns the snapshot with a request lifted at a time of day, as an operator stores it; false
-// if nothing is held against the request.
+// Lift returns the snapshot with a request lifted at now, by the operator's clock, for an operator to
+// store; false if no crashes count against the request.
 func (s Snapshot) Lift(now time.Time, request Fingerprint) (Snapshot, bool) {
 	index := slices.IndexFunc(s.Records, func(one SnapshotEntry) bool { return one.Request == request && len(one.Crashes) > 0 })
 	if index < 0 {
@@ -126,14 +127,14 @@
 	}
 	s.Records = slices.Clone(s.Records)
 	entry := &s.Records[index]
-	entry.LiftedMillis = entry.newest(s.WrittenMillis - now.UnixMilli())
+	entry.LiftedMillis = entry.clampAge(s.WrittenMillis - now.UnixMilli())
 	entry.Crashes, entry.Quarantined = nil, false
 	return s, true
 }
 
-// newest returns the least of an age and those of what the entry tells, so that the operator's clock
-// may be behind the leader's. It is not zero.
-func (e SnapshotEntry) newest(age int64) int64 {
+// clampAge returns the smallest of an age and those of the entry's crashes and quarantine, so that the
+// operator's clock may be behind the leader's. The result is never zero.
+func (e SnapshotEntry) clampAge(age int64) int64 {
 	for _, crash := range e.Crashes {
 		age = min(age, crash.AgeMillis)
 	}
@@ -146,10 +147,10 @@
 	return age
 }
 
-// Told returns the records of a snapshot that was just written elsewhere.
+// Received returns the records of a snapshot that another process has just written.
 func (s Snapshot) Received(now time.Time) []Record { return s.records(now) }
 
-// Stored returns the records of a snapshot that was written a while ago.
+// Stored returns the records of a snapshot that was written some time ago.
 func (s Snapshot) Stored(now time.Time) []Record {
 	old := time.Duration(max(0, now.UnixMilli()-s.WrittenMillis)) * time.Millisecond
 	return s.records(now.Add(-old))
@@ -161,11 +162,11 @@
 	for _, entry := range s.Records {
 		record := Record{Attempt: entry.Attempt, OnlyCaller: entry.OnlyCaller}
 		for _, crash := range entry.Crashes {
-			record.Crashes = append(record.Crashes, crash.crashAt(written))
+			record.Crashes = append(record.Crashes, crash.crash(written))
 		}
-		record.QuarantinedAt = aged(written, entry.QuarantinedMillis)
-		record.ClearedAt = aged(written, entry.ClearedMillis)
-		record.LiftedAt = aged(written, entry.LiftedMillis)
+		record.QuarantinedAt = timeFromAge(written, entry.QuarantinedMillis)
+		record.ClearedAt = timeFromAge(written, entry.ClearedMillis)
+		record.LiftedAt = timeFromAge(written, entry.LiftedMillis)
 		if entry.Quarantined && record.Standing() != Quarantined {
 			record.IsolatedAt = record.QuarantinedAt
 		}
--- a/internal/quarantine/storm_test.go
+++ b/internal/quarantine/storm_test.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	stormRouters = 99
-	stormWorkers = 325
-	stormZones   = 3
-	stormFor     = 24 * time.Second
-	// stormAsked is how many innocent requests are asked in a step.
-	stormAsked = 27
+	stormRouters  = 99
+	stormWorkers  = 325
+	stormZones    = 3
+	stormDuration = 24 * time.Second
+	// stormRequests is how many innocent requests are asked in a step.
+	stormRequests = 27
 )
 
 // endZone ends a third of all workers at one moment, and has callers ask again whose requests were
 // under way there.
-func (w *world) endZone(now time.Time, zone int) {
+func (w *simulation) crashZone(now time.Time, zone int) {
 	for _, worker := range w.workers {
 		if worker.rack != zone {
 			continue
@@ -26,35 +26,35 @@
 		for _, run := range worker.runs {
 			w.retryLater(now, run.request)
 		}
-		w.end(now, worker)
-		w.endedOtherwise++
+		w.crash(now, worker)
+		w.otherCrashes++
 	}
 }
 
 // retryLater lets the caller of a request that is asked once ask again within a second.
-func (w *world) retryLater(now time.Time, request Fingerprint) {
+func (w *simulation) retryLater(now time.Time, request Fingerprint) {
 	if request[0] != 3 {
 		return
 	}
 	w.messages = append(w.messages, message{at: now.Add(time.Duration(w.random.IntN(900)) * time.Millisecond), deliver: func(at time.Time) {
-		w.ask(at, request)
+		w.sendInnocent(at, request)
 	}})
 }
 
-// stormHarm is how often a harmful request comes in a step, on average: once in so many.
-const stormHarm = 3
+// stormHarmfulPeriod is how often a harmful request comes in a step, on average: once in so many.
+const stormHarmfulPeriod = 3
 
 // A third of all workers ends at one moment three times in 20 s, alone and beside a request that
 // crashes dozens.
 func TestZonesThatEndInSeriesQuarantineNoInnocentRequest(t *testing.T) {
 	for name, harmful := range map[string]bool{"alone": false, "beside a harmful request": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorldOf(1, stormRouters, stormWorkers, stormZones)
+			w := newSimulationOf(1, stormRouters, stormWorkers, stormZones)
 			w.playStorm(harmful)
-			t.Logf("%d innocent requests, %d refused, %d sent as suspects; %d workers ended", w.asked, w.refused, w.suspected, w.endedOtherwise)
-			assert.Equal(t, w.refused, 0)
-			assert.Assert(t, w.late[stormHarmful] <= sendsAllowed)
-			assert.Equal(t, w.crashed[stormHarmful] >= mostCrashes, harmful)
+			t.Logf("%d innocent requests, %d refused, %d sent as suspects; %d workers ended", w.requests, w.rejected, w.sentAsSuspects, w.otherCrashes)
+			assert.Equal(t, w.rejected, 0)
+			assert.Assert(t, w.lateSends[stormHarmful] <= maxLateSends)
+			assert.Equal(t, w.crashed[stormHarmful] >= crashThreshold, harmful)
 		})
 	}
 }
@@ -63,30 +63,30 @@
 var stormHarmful = Fingerprint{2, 1}
 
 // playStorm plays the whole time.
-func (w *world) playStorm(harmful bool) {
+func (w *simulation) playStorm(harmful bool) {
 	w.harmful[stormHarmful] = harmful
 	pollers := make([]Fingerprint, 400)
 	for index := range pollers {
 		pollers[index] = Fingerprint{1, byte(index), byte(index >> 8)}
 	}
 	ends := map[time.Duration]int{2 * time.Second: 0, 9 * time.Second: 1, 16 * time.Second: 2}
-	for now := start; now.Before(start.Add(stormFor)); now = now.Add(worldStep) {
+	for now := start; now.Before(start.Add(stormDuration)); now = now.Add(simStep) {
 		w.step(now)
 		if now.Sub(start)%(500*time.Millisecond) == 0 {
 			w.exchange(now)
 		}
-		for range stormAsked {
-			request := Fingerprint{3, byte(w.asked), byte(w.asked >> 8), byte(w.asked >> 16)}
+		for range stormRequests {
+			request := Fingerprint{3, byte(w.requests), byte(w.requests >> 8), byte(w.requests >> 16)}
 			if w.random.IntN(3) == 0 {
 				request = pollers[w.random.IntN(len(pollers))]
 			}
-			w.ask(now, request)
+			w.sendInnocent(now, request)
 		}
-		if harmful && w.random.IntN(stormHarm) == 0 {
+		if harmful && w.random.IntN(stormHarmfulPeriod) == 0 {
 			w.send(now, w.routers[w.random.IntN(len(w.routers))], stormHarmful)
 		}
 		if zone, ending := ends[now.Sub(start)]; ending {
-			w.endZone(now, zone)
+			w.crashZone(now, zone)
 		}
 	}
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -9,38 +9,38 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Book judges requests by the crashes that they were under way at. Its zero value is not
-// usable; see NewTracker.
+// Tracker decides which requests are suspects or quarantined, from the crashes at which they were in
+// progress. Its zero value is not usable; see NewTracker.
 //
-// All requests that were under way at a worker's crash are suspects. What tells the guilty one
-// is that it was under way at three, at different moments, without a run of it that ended well
-// in between: such a run clears a request. Crashes with the requests of all callers add up; once
-// a run of one caller has ended well, what crashed under another's speaks against that one's only.
+// All requests that were in progress when a worker crashed are suspects. A harmful one is recognized
+// by three crashes, not all within one cluster, without a successful run in between: such a run clears
+// the request. The crashes of all callers' requests are added up; once the request of one caller has
+// succeeded, a crash during another caller's request counts against that caller's requests only.
 type Tracker struct {
 	records map[Fingerprint]*Record
-	// ended are the workers that crashed lately, whatever was under way there, and crowds count
-	// them.
-	ended   map[workers.Life]time.Time
-	crowds  crowds
-	version uint64
-	// dropped counts the suspects that were forgotten to make room.
-	dropped uint64
+	// crashedAt are the workers that crashed recently, whatever was in progress there, and
+	// crashCounts counts them by time.
+	crashedAt   map[workers.Life]time.Time
+	crashCounts crashCounts
+	version     uint64
+	// evicted counts the suspects that were removed to limit the number of records.
+	evicted uint64
 }
 
-// NewTracker returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{records: map[Fingerprint]*Record{}, ended: map[workers.Life]time.Time{}, crowds: crowds{}}
+	return &Tracker{records: map[Fingerprint]*Record{}, crashedAt: map[workers.Life]time.Time{}, crashCounts: crashCounts{}}
 }
 
-// Version counts the changes of the book.
-func (b *Tracker) Version() uint64 { return b.version }
+// Version counts the changes of the records.
+func (t *Tracker) Version() uint64 { return t.version }
 
-// Dropped counts the suspects that were forgotten early, to make room for others.
-func (b *Tracker) Evicted() uint64 { return b.dropped }
+// Evicted counts the suspects that were removed early, to make room for others.
+func (t *Tracker) Evicted() uint64 { return t.evicted }
 
 // Count returns how many requests are suspects and how many are quarantined.
-func (b *Tracker) Count() (suspects, quarantined int) {
-	for _, known := range b.records {
+func (t *Tracker) Count() (suspects, quarantined int) {
+	for _, known := range t.records {
 		switch known.Standing() {
 		case Suspect:
 			suspects++
@@ -51,154 +51,156 @@
 	return suspects, quarantined
 }
 
-// Standing says how the request of a caller may be sent.
-func (b *Tracker) Standing(run CallerRequest) Standing {
-	return max(b.standing(run.Request), b.standing(run.Request.ForCaller(run.Caller)))
+// Standing returns whether and how the request of a caller may be sent.
+func (t *Tracker) Standing(request CallerRequest) Standing {
+	return max(t.standing(request.Request), t.standing(request.Request.ForCaller(request.Caller)))
 }
 
-func (b *Tracker) standing(request Fingerprint) Standing {
-	if known := b.records[request]; known != nil {
+func (t *Tracker) standing(request Fingerprint) Standing {
+	if known := t.records[request]; known != nil {
 		return known.Standing()
 	}
 	return Unsuspected
 }
 
-// Crashed notes that a request was under way at a worker when that crashed, at a time. It
-// returns what is quarantined by that: the request, or that of its caller.
-func (b *Tracker) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
-	if _, known := b.ended[crash.life()]; !known {
-		b.ended[crash.life()] = crash.At
-		b.crowds.add(crash.At)
+// RecordCrash records that an attempt of a request was in progress at a worker when that crashed. It
+// returns what becomes quarantined as a result: the request, or that of its caller.
+func (t *Tracker) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
+	if _, known := t.crashedAt[crash.incarnation()]; !known {
+		t.crashedAt[crash.incarnation()] = crash.At
+		t.crashCounts.add(crash.At)
 	}
 	crash.Caller = attempt.Caller
-	var held []Attempt
-	own := attempt.own()
-	if b.isCallers(attempt, crash) && b.blame(now, own, attempt.Caller, crash) {
-		held = append(held, own)
+	var quarantined []Attempt
+	perCaller := attempt.perCaller()
+	if t.countsAgainstCaller(attempt, crash) && t.countCrash(now, perCaller, attempt.Caller, crash) {
+		quarantined = append(quarantined, perCaller)
 	}
-	if b.blame(now, attempt, netip.Addr{}, crash) {
-		held = append(held, attempt)
+	if t.countCrash(now, attempt, netip.Addr{}, crash) {
+		quarantined = append(quarantined, attempt)
 	}
-	b.makeRoom()
-	return held
+	t.evict()
+	return quarantined
 }
 
-// isCallers reports whether a crash is held against the request of its caller too: once runs of
-// others have ended well.
-func (b *Tracker) isCallers(attempt Attempt, crash Crash) bool {
-	known := b.records[attempt.Request]
-	if known != nil && known.lifts(crash.At) {
+// countsAgainstCaller reports whether a crash counts against its caller's request too, which it does
+// once the requests of other callers have succeeded.
+func (t *Tracker) countsAgainstCaller(attempt Attempt, crash Crash) bool {
+	known := t.records[attempt.Request]
+	if known != nil && known.isLifted(crash.At) {
 		return false
 	}
-	return b.records[attempt.own().Request] != nil || (known != nil && known.clears(crash.At))
+	return t.records[attempt.perCaller().Request] != nil || (known != nil && known.isCleared(crash.At))
 }
 
-// blame holds a crash against a request, of one caller or of everybody. It reports whether the
-// request is quarantined by that.
-func (b *Tracker) blame(now time.Time, attempt Attempt, caller netip.Addr, crash Crash) bool {
-	known := b.record(attempt, caller)
+// countCrash counts a crash against a request, of one caller or of all if caller is zero. It reports
+// whether the request becomes quarantined as a result.
+func (t *Tracker) countCrash(now time.Time, attempt Attempt, caller netip.Addr, crash Crash) bool {
+	known := t.record(attempt, caller)
 	if !known.add(crash) {
 		return false
 	}
-	b.version++
+	t.version++
 	if known.QuarantinedAt.IsZero() {
 		known.Attempt = attempt
 	}
-	return known.noteHeld(now)
+	return known.markQuarantined(now)
 }
 
-// record returns what is known of a request, of one caller or of everybody; nothing is yet if it
-// is new.
-func (b *Tracker) record(attempt Attempt, caller netip.Addr) *Record {
-	known := b.records[attempt.Request]
+// record returns the record of a request, of one caller or of all if caller is zero. It adds an empty
+// one if there is none.
+func (t *Tracker) record(attempt Attempt, caller netip.Addr) *Record {
+	known := t.records[attempt.Request]
 	if known == nil {
 		known = &Record{Attempt: attempt, OnlyCaller: caller}
-		b.records[attempt.Request] = known
+		t.records[attempt.Request] = known
 	}
 	return known
 }
 
-// Finished notes that a run of a request ended well: it does not crash its workers, as its caller
-// asks it. It reports whether the request was suspected or quarantined.
-func (b *Tracker) RecordSuccess(now time.Time, run CallerRequest) bool {
-	if b.Standing(run) == Unsuspected {
+// RecordSuccess records that a request of a caller succeeded, so that it does not crash workers as this
+// caller sends it. It reports whether the request was a suspect or quarantined.
+func (t *Tracker) RecordSuccess(now time.Time, request CallerRequest) bool {
+	if t.Standing(request) == Unsuspected {
 		return false
 	}
-	if own := b.records[run.Request.ForCaller(run.Caller)]; own != nil {
-		own.clear(now)
+	if perCaller := t.records[request.Request.ForCaller(request.Caller)]; perCaller != nil {
+		perCaller.clear(now)
 	}
-	if known := b.records[run.Request]; known != nil {
+	if known := t.records[request.Request]; known != nil {
 		cleared := known.clear(now)
-		if slices.ContainsFunc(cleared, func(crash Crash) bool { return crash.Caller == run.Caller }) {
-			b.record(Attempt{Request: run.Request, Caller: run.Caller}.own(), run.Caller).clear(now)
+		if slices.ContainsFunc(cleared, func(crash Crash) bool { return crash.Caller == request.Caller }) {
+			t.record(Attempt{Request: request.Request, Caller: request.Caller}.perCaller(), request.Caller).clear(now)
 		}
-		b.holdAgainstCallers(known.Attempt, cleared)
+		t.countAgainstCallers(known.Attempt, cleared)
 	}
-	b.version++
-	b.makeRoom()
+	t.version++
+	t.evict()
 	return true
 }
 
-// holdAgainstCallers holds the crashes of a request that was cleared against the requests of their
-// own callers.
-func (b *Tracker) holdAgainstCallers(attempt Attempt, crashes []Crash) {
+// countAgainstCallers counts the crashes of a request that was cleared against the requests of their
+// callers.
+func (t *Tracker) countAgainstCallers(attempt Attempt, crashes []Crash) {
 	for _, crash := range crashes {
 		attempt.Caller = crash.Caller
-		b.blame(crash.At, attempt.own(), crash.Caller, crash)
+		t.countCrash(crash.At, attempt.perCaller(), crash.Caller, crash)
 	}
 }
 
-// Settle does what time brings: it forgets what is old, and quarantines requests whose workers
-// all crashed at one moment if no other worker crashed then, as it would where they share a
-// reason. It needs the evidence of all processes. It returns those that it has quarantined.
-func (b *Tracker) Evaluate(now time.Time) []Record {
-	b.Expire(now)
-	var held []Record
-	for _, known := range b.records {
-		if known.Standing() == Suspect && known.crashedOften() && now.Sub(known.last()) >= sameMoment && b.alone(known) {
+// Evaluate does the time-dependent work: it removes expired records, and quarantines requests whose
+// workers all crashed within one cluster if no other worker crashed at that time, as others would if
+// the crashes shared a cause. It needs the evidence of all processes. It returns the records that it
+// has quarantined.
+func (t *Tracker) Evaluate(now time.Time) []Record {
+	t.Expire(now)
+	var quarantined []Record
+	for _, known := range t.records {
+		if known.Standing() == Suspect && known.reachedCrashThreshold() && now.Sub(known.lastCrashAt()) >= clusterWindow && t.isIsolated(known) {
 			known.IsolatedAt, known.QuarantinedAt = now, now
-			b.version++
-			held = append(held, known.copied())
+			t.version++
+			quarantined = append(quarantined, known.clone())
 		}
 	}
-	return held
+	return quarantined
 }
 
-// Expire forgets what is old.
-func (b *Tracker) Expire(now time.Time) {
-	maps.DeleteFunc(b.records, func(_ Fingerprint, known *Record) bool {
+// Expire removes expired records and crashes.
+func (t *Tracker) Expire(now time.Time) {
+	maps.DeleteFunc(t.records, func(_ Fingerprint, known *Record) bool {
 		old := !now.Before(known.ExpiresAt())
 		if old {
-			b.version++
+			t.version++
 		}
 		return old
 	})
-	maps.DeleteFunc(b.ended, func(_ workers.Life, at time.Time) bool { return now.Sub(at) >= suspectMemory })
-	b.crowds.forget(now.Add(-suspectMemory))
+	maps.DeleteFunc(t.crashedAt, func(_ workers.Life, at time.Time) bool { return now.Sub(at) >= suspectRetention })
+	t.crashCounts.forget(now.Add(-suspectRetention))
 }
 
-// alone reports whether no worker without the request crashed at the moment of its crashes.
-func (b *Tracker) alone(of *Record) bool {
-	first, last := of.Crashes[0].At.Add(-sameMoment), of.last().Add(sameMoment)
-	for life, at := range b.ended {
+// isIsolated reports whether no worker crashed within clusterWindow of the record's crashes without
+// running its request.
+func (t *Tracker) isIsolated(record *Record) bool {
+	first, last := record.Crashes[0].At.Add(-clusterWindow), record.lastCrashAt().Add(clusterWindow)
+	for life, at := range t.crashedAt {
 		if at.Before(first) || at.After(last) {
 			continue
 		}
-		if !slices.ContainsFunc(of.Crashes, func(one Crash) bool { return one.life() == life }) {
+		if !slices.ContainsFunc(record.Crashes, func(one Crash) bool { return one.incarnation() == life }) {
 			return false
 		}
 	}
 	return true
 }
 
-// Records returns all that is known, those requests first that have crashed workers for longest.
-func (b *Tracker) Records() []Record {
-	list := make([]Record, 0, len(b.records))
-	for _, known := range b.records {
-		list = append(list, known.copied())
+// Records returns all records, sorted by the time of their first crash.
+func (t *Tracker) Records() []Record {
+	list := make([]Record, 0, len(t.records))
+	for _, known := range t.records {
+		list = append(list, known.clone())
 	}
 	slices.SortFunc(list, func(a, c Record) int {
-		if order := a.began().Compare(c.began()); order != 0 {
+		if order := a.firstCrashAt().Compare(c.firstCrashAt()); order != 0 {
 			return order
 		}
 		return slices.Compare(a.Attempt.Request[:], c.Attempt.Request[:])
@@ -206,31 +208,33 @@
 	return list
 }
 
-// began returns when the first crash was that counts; without one, when the request was cleared.
-func (r Record) began() time.Time {
+// firstCrashAt returns the time of the first counted crash; without one, when the request was cleared
+// or lifted.
+func (r Record) firstCrashAt() time.Time {
 	if len(r.Crashes) == 0 {
-		return r.removedAt()
+		return r.clearedOrLiftedAt()
 	}
 	return r.Crashes[0].At
 }
 
-// Merge adds what another book knows. It returns what is quarantined by that.
-func (b *Tracker) Merge(now time.Time, list []Record) []Attempt {
-	var held []Attempt
+// Merge adds the records of another tracker. It returns the requests that become quarantined as a
+// result.
+func (t *Tracker) Merge(now time.Time, list []Record) []Attempt {
+	var quarantined []Attempt
 	for _, other := range list {
-		if other.Standing() == Unsuspected && other.removedAt().IsZero() {
+		if other.Standing() == Unsuspected && other.clearedOrLiftedAt().IsZero() {
 			continue
 		}
-		known := b.record(other.Attempt, other.OnlyCaller)
+		known := t.record(other.Attempt, other.OnlyCaller)
 		before := known.Standing()
 		if known.merge(other) {
-			b.version++
+			t.version++
 		}
-		known.noteHeld(now)
+		known.markQuarantined(now)
 		if before != Quarantined && known.Standing() == Quarantined {
-			held = append(held, known.Attempt)
+			quarantined = append(quarantined, known.Attempt)
 		}
 	}
-	b.makeRoom()
-	return held
+	t.evict()
+	return quarantined
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -19,105 +19,105 @@
 
 // step is one event of a test: a crash of a worker with requests under way, or a run that
 // ended well.
-type step struct {
+type testEvent struct {
 	at       float64
 	worker   workers.ID
 	requests []byte
 	finished byte
 }
 
-func play(b *Tracker, steps []step) {
+func play(b *Tracker, steps []testEvent) {
 	for _, one := range steps {
 		for _, request := range one.requests {
 			b.RecordCrash(at(one.at), attempt(request), Crash{Worker: one.worker, At: at(one.at)})
 		}
 		if one.finished != 0 {
-			b.RecordSuccess(at(one.at), attempt(one.finished).run())
+			b.RecordSuccess(at(one.at), attempt(one.finished).callerRequest())
 		}
 	}
 }
 
 func TestBookTellsTheGuiltyFromTheRest(t *testing.T) {
 	tests := map[string]struct {
-		steps []step
+		steps []testEvent
 		now   float64
 		want  map[byte]Standing
 	}{
 		"nothing":   {now: 1, want: map[byte]Standing{1: Unsuspected}},
-		"one crash": {steps: []step{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Unsuspected}},
+		"one crash": {steps: []testEvent{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Unsuspected}},
 		"three crashes, others there once": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1, 3}},
 				{at: 6, worker: "c", requests: []byte{1, 4}},
 			},
 			now: 6, want: map[byte]Standing{1: Quarantined, 2: Suspect, 3: Suspect, 4: Suspect},
 		},
 		"a good run in between": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 4, finished: 1}, {at: 6, worker: "c", requests: []byte{1}},
 			},
 			now: 6, want: map[byte]Standing{1: Suspect},
 		},
 		"a good run of one that was quarantined": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}}, {at: 6.1, finished: 1},
 			},
 			now: 7, want: map[byte]Standing{1: Unsuspected},
 		},
 		"one worker, reported thrice": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 2, worker: "a", requests: []byte{1}},
 				{at: 4, worker: "a", requests: []byte{1}},
 			},
 			now: 9, want: map[byte]Standing{1: Suspect},
 		},
 		"a rack that ends, with a question that many ask": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.1, worker: "b", requests: []byte{1}},
 				{at: 0.2, worker: "c", requests: []byte{1}}, {at: 0.2, worker: "d", requests: []byte{2}},
 			},
 			now: 5, want: map[byte]Standing{1: Suspect},
 		},
 		"sent at once, and nothing else ends": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.1, worker: "b", requests: []byte{1, 2}},
 				{at: 0.2, worker: "c", requests: []byte{1}},
 			},
 			now: 1.3, want: map[byte]Standing{1: Quarantined, 2: Suspect},
 		},
 		"a series with less than a moment between two crashes, beside others": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.6, worker: "b", requests: []byte{1, 2}},
 				{at: 0.7, worker: "x", requests: []byte{3}}, {at: 1.2, worker: "c", requests: []byte{1}},
 			},
 			now: 1.2, want: map[byte]Standing{1: Quarantined, 2: Suspect, 3: Suspect},
 		},
 		"two at once, one later": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0, worker: "b", requests: []byte{1}},
 				{at: 3, worker: "c", requests: []byte{1}},
 			},
 			now: 3, want: map[byte]Standing{1: Quarantined},
 		},
 		"a crash is forgotten": {
-			steps: []step{{at: 0, worker: "a", requests: []byte{1}}},
-			now:   suspectMemory.Seconds(), want: map[byte]Standing{1: Unsuspected},
+			steps: []testEvent{{at: 0, worker: "a", requests: []byte{1}}},
+			now:   suspectRetention.Seconds(), want: map[byte]Standing{1: Unsuspected},
 		},
 		"quarantine lasts": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}},
 			},
-			now: holdTime.Seconds(), want: map[byte]Standing{1: Quarantined},
+			now: quarantineDuration.Seconds(), want: map[byte]Standing{1: Quarantined},
 		},
 		"and ends": {
-			steps: []step{
+			steps: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}},
 			},
-			now: holdTime.Seconds() + 6, want: map[byte]Standing{1: Unsuspected},
+			now: quarantineDuration.Seconds() + 6, want: map[byte]Standing{1: Unsuspected},
 		},
 	}
 	for name, test := range tests {
@@ -126,7 +126,7 @@
 			play(b, test.steps)
 			b.Evaluate(at(test.now))
 			for request, want := range test.want {
-				assert.Equal(t, b.Standing(attempt(request).run()), want, "request %d", request)
+				assert.Equal(t, b.Standing(attempt(request).callerRequest()), want, "request %d", request)
 			}
 		})
 	}
@@ -135,9 +135,9 @@
 // callerAt returns one of several callers.
 func callerAt(number byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, number}) }
 
-// callerStep is a crash of a worker with the request of a caller under way, or a run of it that
+// callerEvent is a crash of a worker with the request of a caller under way, or a run of it that
 // ended well.
-type callerStep struct {
+type callerEvent struct {
 	at       float64
 	worker   workers.ID
 	caller   byte
@@ -146,40 +146,40 @@
 
 func TestBookAddsUpCallersUntilARunOfAnotherEndsWell(t *testing.T) {
 	for name, test := range map[string]struct {
-		steps []callerStep
+		steps []callerEvent
 		want  map[byte]Standing
 	}{
 		"three callers": {
-			steps: []callerStep{{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 6, worker: "c", caller: 3}},
+			steps: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 6, worker: "c", caller: 3}},
 			want:  map[byte]Standing{1: Quarantined, 2: Quarantined, 9: Quarantined},
 		},
 		"three callers, one worker": {
-			steps: []callerStep{{at: 0, worker: "a", caller: 1}, {at: 1.5, worker: "a", caller: 2}, {at: 3, worker: "a", caller: 3}},
+			steps: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 1.5, worker: "a", caller: 2}, {at: 3, worker: "a", caller: 3}},
 			want:  map[byte]Standing{1: Suspect, 9: Suspect},
 		},
 		"one caller's run ends well": {
-			steps: []callerStep{
+			steps: []callerEvent{
 				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 4, caller: 9, finished: true},
 				{at: 6, worker: "c", caller: 3},
 			},
 			want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Suspect, 9: Suspect},
 		},
 		"harmful as one caller asks it": {
-			steps: []callerStep{
+			steps: []callerEvent{
 				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, finished: true}, {at: 3, worker: "b", caller: 1},
 				{at: 4, caller: 9, finished: true}, {at: 6, worker: "c", caller: 1}, {at: 7, caller: 9, finished: true},
 			},
 			want: map[byte]Standing{1: Quarantined, 2: Unsuspected, 9: Unsuspected},
 		},
 		"another caller's run ends well once it is quarantined": {
-			steps: []callerStep{
+			steps: []callerEvent{
 				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 1}, {at: 6, worker: "c", caller: 1},
 				{at: 6.1, caller: 9, finished: true},
 			},
 			want: map[byte]Standing{1: Quarantined, 9: Unsuspected},
 		},
 		"its own run ends well": {
-			steps: []callerStep{
+			steps: []callerEvent{
 				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, finished: true}, {at: 3, worker: "b", caller: 1},
 				{at: 4, caller: 1, finished: true}, {at: 6, worker: "c", caller: 1},
 			},
@@ -192,7 +192,7 @@
 				request := attempt(1)
 				request.Caller = callerAt(one.caller)
 				if one.finished {
-					b.RecordSuccess(at(one.at), request.run())
+					b.RecordSuccess(at(one.at), request.callerRequest())
 					continue
 				}
 				b.RecordCrash(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
@@ -210,22 +210,22 @@
 
 func TestBookIsBounded(t *testing.T) {
 	b := NewTracker()
-	play(b, []step{
+	play(b, []testEvent{
 		{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
-	for index := range 2 * mostRecords {
+	for index := range 2 * maxRecords {
 		one := Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}}
 		b.RecordCrash(at(10+float64(index)), one, Crash{Worker: "d", At: at(10 + float64(index))})
 	}
-	assert.Assert(t, len(b.Records()) <= mostRecords)
-	assert.Equal(t, b.Standing(attempt(1).run()), Quarantined, "suspects make room, not what is quarantined")
+	assert.Assert(t, len(b.Records()) <= maxRecords)
+	assert.Equal(t, b.Standing(attempt(1).callerRequest()), Quarantined, "suspects make room, not what is quarantined")
 	assert.Equal(t, b.Standing(CallerRequest{Request: Fingerprint{2, 0, 0}}), Unsuspected)
 }
 
 // What is stored is read by processes that start later, maybe with another time of day.
 func TestSnapshotOutlastsItsWriter(t *testing.T) {
 	b := NewTracker()
-	play(b, []step{
+	play(b, []testEvent{
 		{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
 	stored := NewSnapshot(at(10), b.Records()).Encode()
@@ -237,8 +237,8 @@
 			later := NewTracker()
 			later.Merge(at(now), snapshot.Stored(at(now)))
 			later.Evaluate(at(now))
-			assert.Equal(t, later.Standing(attempt(1).run()), Quarantined)
-			assert.Equal(t, later.Standing(attempt(2).run()), Suspect)
+			assert.Equal(t, later.Standing(attempt(1).callerRequest()), Quarantined)
+			assert.Equal(t, later.Standing(attempt(2).callerRequest()), Suspect)
 			assert.Equal(t, later.Records()[0].Attempt.Request, attempt(1).Request)
 		})
 	}
@@ -260,7 +260,7 @@
 
 	other, _ := leader.Snapshot(at(1.4))
 	follower.HandleUpdate(at(1.4), other.Received(at(1.4)))
-	assert.Equal(t, follower.Standing(attempt(1).run()), Suspect, "a leader that has not heard of it takes nothing away")
+	assert.Equal(t, follower.Standing(attempt(1).callerRequest()), Suspect, "a leader that has not heard of it takes nothing away")
 	leader.HandleEvidence(at(1.5), *first)
 	leader.HandleEvidence(at(1.6), *first)
 	snapshot, _ := leader.Snapshot(at(1.6))
@@ -269,11 +269,11 @@
 	follower.HandleUpdate(at(1.6), snapshot.Received(at(1.6)))
 	assert.Assert(t, follower.CollectEvidence(at(5)) == nil, "a leader knows")
 
-	follower.RecordSuccess(at(6), attempt(1).run())
+	follower.RecordSuccess(at(6), attempt(1).callerRequest())
 	assert.Assert(t, !follower.AnyRestricted())
 	leader.HandleEvidence(at(6), *follower.CollectEvidence(at(6)))
 	assert.Assert(t, !leader.AnyRestricted(), "a good run clears it everywhere")
-	follower.RecordSuccess(at(7), attempt(1).run())
+	follower.RecordSuccess(at(7), attempt(1).callerRequest())
 	assert.Assert(t, follower.CollectEvidence(at(7)) == nil)
 }
 
@@ -281,7 +281,7 @@
 	v := NewView()
 	v.RecordCrash(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
 	assert.Equal(t, len(v.CollectEvidence(at(1)).Crashes), 1)
-	assert.Assert(t, v.CollectEvidence(at(1+tellFor.Seconds())) == nil)
+	assert.Assert(t, v.CollectEvidence(at(1+reportDuration.Seconds())) == nil)
 }
 
 func TestViewNamesWhatBecomesQuarantined(t *testing.T) {
@@ -314,9 +314,9 @@
 			for index, born := range test.lives {
 				seconds := 10 * float64(index)
 				crash := Crash{Worker: "w", Born: born, At: at(seconds)}
-				b.RecordCrash(at(seconds), attempt(1), crash.describe(at(seconds)).crashAt(at(seconds)))
+				b.RecordCrash(at(seconds), attempt(1), crash.toSnapshot(at(seconds)).crash(at(seconds)))
 			}
-			assert.Equal(t, b.Standing(attempt(1).run()) == Quarantined, test.held)
+			assert.Equal(t, b.Standing(attempt(1).callerRequest()) == Quarantined, test.held)
 		})
 	}
 }
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -8,170 +8,172 @@
 )
 
 const (
-	// tellAgainAfter is after how long evidence is told once more that no leader has confirmed:
-	// a report may be lost with its link, and its way takes half of that through a relay.
-	tellAgainAfter = time.Second
-	// tellFor is for how long: a leader that does not take it has no room for it.
-	tellFor = 30 * time.Second
-	// mostOwn bounds the evidence that a process keeps although a leader knows it.
-	mostOwn = mostRecords
+	// reportRetryInterval is the interval at which evidence is reported again until a leader has
+	// confirmed it: a report may be lost with its link, and takes half of that time through a relay.
+	reportRetryInterval = time.Second
+	// reportDuration is how long evidence is reported: a leader that has not accepted it by then has no
+	// room for it.
+	reportDuration = 30 * time.Second
+	// maxOwnCrashes is the number of crashes above which a process drops those that a leader knows.
+	maxOwnCrashes = maxRecords
 )
 
-// Evidence is what processes tell a leader.
+// Evidence is what processes report to a leader.
 type Evidence struct {
 	Crashes []CrashReport `json:"x,omitempty"`
-	// Finished are runs of suspected requests that ended well.
+	// Succeeded are suspected requests that succeeded.
 	Succeeded []CallerRequest `json:"d,omitempty"`
-	// Known are requests of which the leader does not tell enough.
+	// MissingRecords are records that the leader's updates lack, in whole or in part.
 	MissingRecords *Snapshot `json:"k,omitempty"`
 }
 
-// Suspicion says that a request was under way at a worker that crashed.
+// CrashReport reports that an attempt was in progress at a worker that crashed.
 type CrashReport struct {
 	Attempt
 	Crash SnapshotCrash `json:"x"`
 }
 
-// View is what one process knows: what leaders told and evidence of its own, of which a leader may
-// not know all. It is safe for concurrent use.
+// View is what one process knows: updates received from leaders, and its own evidence, not all of which
+// a leader may know. It is safe for concurrent use.
 type View struct {
-	// watching says that there are records.
-	watching atomic.Bool
-	mu       sync.Mutex
-	book     *Tracker
-	own      []*witnessed
-	finished []CallerRequest
-	// lacking are the requests of which the leader has to be told what is known here.
-	lacking map[Fingerprint]*delivery
+	// anyRestricted says that some request is a suspect or quarantined.
+	anyRestricted atomic.Bool
+	mu            sync.Mutex
+	tracker       *Tracker
+	ownCrashes    []*ownCrash
+	succeeded     []CallerRequest
+	// missing are the requests whose records must be reported to the leader.
+	missing map[Fingerprint]*delivery
 	changed chan struct{}
 }
 
-// delivery is that of a fact to the leader.
+// delivery is the state of reporting a piece of evidence to the leader.
 type delivery struct {
-	// first is when it was told first, and at when it was told last; zero: it was not.
-	first, at time.Time
+	// firstAt is when it was first reported; zero: never. lastAt is when it was last reported, or when
+	// the wait for the first report began; zero: never.
+	firstAt, lastAt time.Time
 }
 
-// due reports whether the fact is to be told now, and notes that it is.
+// due reports whether the evidence is to be reported now, and records that it is.
 func (d *delivery) due(now time.Time) bool {
-	if !d.first.IsZero() && now.Sub(d.first) >= tellFor {
+	if !d.firstAt.IsZero() && now.Sub(d.firstAt) >= reportDuration {
 		return false
 	}
-	if !d.at.IsZero() && now.Sub(d.at) < tellAgainAfter {
+	if !d.lastAt.IsZero() && now.Sub(d.lastAt) < reportRetryInterval {
 		return false
 	}
-	if d.first.IsZero() {
-		d.first = now
+	if d.firstAt.IsZero() {
+		d.firstAt = now
 	}
-	d.at = now
+	d.lastAt = now
 	return true
 }
 
-// witnessed is evidence of this process, or of one that tells the leader through this one.
-type witnessed struct {
+// ownCrash is a crash observed by this process, or by one that reports to the leader through this one.
+type ownCrash struct {
 	delivery
 	attempt Attempt
-	// own is the attempt as one of its caller's own request.
-	own   Attempt
-	crash Crash
-	// confirmed says that the leader knows it. Another leader may not.
+	// perCaller is the attempt with the per-caller fingerprint.
+	perCaller Attempt
+	crash     Crash
+	// confirmed says that the current leader knows it. Another leader may not.
 	confirmed bool
 }
 
-// NewView returns a view that knows nothing.
+// NewView returns an empty view.
 func NewView() *View {
-	return &View{book: NewTracker(), lacking: map[Fingerprint]*delivery{}, changed: make(chan struct{}, 1)}
+	return &View{tracker: NewTracker(), missing: map[Fingerprint]*delivery{}, changed: make(chan struct{}, 1)}
 }
 
-// Watching reports whether any request is suspected or quarantined. While none is, requests
-// need no fingerprint.
-func (v *View) AnyRestricted() bool { return v.watching.Load() }
+// AnyRestricted reports whether any request is a suspect or quarantined. While none is, requests need
+// no fingerprint.
+func (v *View) AnyRestricted() bool { return v.anyRestricted.Load() }
 
-// Standing says how the request of a caller may be sent.
-func (v *View) Standing(run CallerRequest) Standing {
+// Standing returns whether and how the request of a caller may be sent.
+func (v *View) Standing(request CallerRequest) Standing {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Standing(run)
+	return v.tracker.Standing(request)
 }
 
-// Changed gets a value after changes of what is known.
+// Changed returns a channel that receives a value after changes of the records.
 func (v *View) Changed() <-chan struct{} { return v.changed }
 
-// note tells of a change. The caller holds mu.
-func (v *View) note() {
-	v.watch()
+// notifyChanged signals a change. The caller holds mu.
+func (v *View) notifyChanged() {
+	v.updateAnyRestricted()
 	select {
 	case v.changed <- struct{}{}:
 	default:
 	}
 }
 
-// watch notes whether there are suspects or quarantined requests. The caller holds mu.
-func (v *View) watch() {
-	suspects, quarantined := v.book.Count()
-	v.watching.Store(suspects+quarantined > 0)
+// updateAnyRestricted updates anyRestricted. The caller holds mu.
+func (v *View) updateAnyRestricted() {
+	suspects, quarantined := v.tracker.Count()
+	v.anyRestricted.Store(suspects+quarantined > 0)
 }
 
-// Crashed notes that a request was under way at a worker that crashed just now. It returns what
-// is quarantined by that.
+// RecordCrash records that an attempt was in progress at a worker that crashed. It returns what becomes
+// quarantined as a result.
 func (v *View) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	crash.Caller = attempt.Caller
-	if slices.ContainsFunc(v.own, func(one *witnessed) bool {
+	if slices.ContainsFunc(v.ownCrashes, func(one *ownCrash) bool {
 		return one.attempt.Request == attempt.Request && one.crash.same(crash)
 	}) {
 		return nil
 	}
-	v.own = append(v.own, &witnessed{attempt: attempt, own: attempt.own(), crash: crash})
-	defer v.note()
-	return v.book.RecordCrash(now, attempt, crash)
+	v.ownCrashes = append(v.ownCrashes, &ownCrash{attempt: attempt, perCaller: attempt.perCaller(), crash: crash})
+	defer v.notifyChanged()
+	return v.tracker.RecordCrash(now, attempt, crash)
 }
 
-// Finished notes that a run of a suspected request ended well.
-func (v *View) RecordSuccess(now time.Time, run CallerRequest) {
+// RecordSuccess records that a request of a caller succeeded.
+func (v *View) RecordSuccess(now time.Time, request CallerRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.own = slices.DeleteFunc(v.own, func(one *witnessed) bool { return one.attempt.run() == run })
-	if v.book.RecordSuccess(now, run) {
-		v.finished = append(v.finished, run)
-		v.note()
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool { return one.attempt.callerRequest() == request })
+	if v.tracker.RecordSuccess(now, request) {
+		v.succeeded = append(v.succeeded, request)
+		v.notifyChanged()
 	}
 }
 
-// Take takes the evidence of another process. It returns the requests that are quarantined by
-// that.
+// HandleEvidence adds the evidence of another process. It returns the requests that become quarantined
+// as a result.
 func (v *View) HandleEvidence(now time.Time, evidence Evidence) []Attempt {
-	var held []Attempt
+	var quarantined []Attempt
 	for _, one := range evidence.Crashes {
-		held = append(held, v.RecordCrash(now, one.Attempt, one.Crash.crashAt(now))...)
+		quarantined = append(quarantined, v.RecordCrash(now, one.Attempt, one.Crash.crash(now))...)
 	}
-	for _, run := range evidence.Succeeded {
-		v.RecordSuccess(now, run)
+	for _, request := range evidence.Succeeded {
+		v.RecordSuccess(now, request)
 	}
 	if evidence.MissingRecords != nil {
-		held = append(held, v.Merge(now, evidence.MissingRecords.Received(now))...)
+		quarantined = append(quarantined, v.Merge(now, evidence.MissingRecords.Received(now))...)
 	}
-	return held
+	return quarantined
 }
 
-// Tell returns the evidence that a leader is to be told; nil if there is none.
+// CollectEvidence returns the evidence to be reported to a leader now; nil if there is none.
 func (v *View) CollectEvidence(now time.Time) *Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.forget(now)
-	evidence := &Evidence{Succeeded: v.finished}
-	v.finished = nil
-	for _, one := range v.own {
+	evidence := &Evidence{Succeeded: v.succeeded}
+	v.succeeded = nil
+	for _, one := range v.ownCrashes {
 		if one.confirmed || !one.due(now) {
 			continue
 		}
 		evidence.Crashes = append(evidence.Crashes, CrashReport{
 			Attempt: one.attempt,
-			Crash:   one.crash.describe(now),
+			Crash:   one.crash.toSnapshot(now),
 		})
 	}
-	if known := v.known(now); len(known.Records) > 0 {
+	if known := v.collectMissing(now); len(known.Records) > 0 {
 		evidence.MissingRecords = &known
 	}
 	if len(evidence.Crashes) == 0 && len(evidence.Succeeded) == 0 && evidence.MissingRecords == nil {
@@ -180,23 +182,24 @@
 	return evidence
 }
 
-// known describes what the leader lacks, as far as that is to be told now. The caller holds mu.
-func (v *View) known(now time.Time) Snapshot {
+// collectMissing returns the records that the leader lacks and that are to be reported now. The caller
+// holds mu.
+func (v *View) collectMissing(now time.Time) Snapshot {
 	var records []Record
-	for request, one := range v.lacking {
-		if known := v.book.records[request]; known != nil && one.due(now) {
-			records = append(records, known.copied())
+	for request, one := range v.missing {
+		if known := v.tracker.records[request]; known != nil && one.due(now) {
+			records = append(records, known.clone())
 		}
 	}
 	return NewSnapshot(now, records)
 }
 
-// forget drops evidence that is old or cleared, and of what a leader knows the oldest beyond the
-// bound. The caller holds mu.
+// forget drops crashes that are expired or cleared, and beyond maxOwnCrashes the oldest of those that a
+// leader knows. The caller holds mu.
 func (v *View) forget(now time.Time) {
-	v.own = slices.DeleteFunc(v.own, func(one *witnessed) bool { return now.Sub(one.crash.At) >= suspectMemory || v.isCleared(one) })
-	surplus := len(v.own) - mostOwn
-	v.own = slices.DeleteFunc(v.own, func(one *witnessed) bool {
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool { return now.Sub(one.crash.At) >= suspectRetention || v.isCleared(one) })
+	surplus := len(v.ownCrashes) - maxOwnCrashes
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool {
 		if surplus <= 0 || !one.confirmed {
 			return false
 		}
@@ -205,80 +208,83 @@
 	})
 }
 
-// isCleared reports whether a run of the same caller has ended well since. The caller holds mu.
-func (v *View) isCleared(one *witnessed) bool {
-	known, own := v.book.records[one.attempt.Request], v.book.records[one.own.Request]
-	return (known != nil && known.lifts(one.crash.At)) || (own != nil && own.clears(one.crash.At))
+// isCleared reports whether the request was lifted, or has succeeded for the same caller, since the
+// crash. The caller holds mu.
+func (v *View) isCleared(one *ownCrash) bool {
+	known, perCaller := v.tracker.records[one.attempt.Request], v.tracker.records[one.perCaller.Request]
+	return (known != nil && known.isLifted(one.crash.At)) || (perCaller != nil && perCaller.isCleared(one.crash.At))
 }
 
-// Told takes what a leader knows. A leader may not know all: what is known here stays, and the
-// leader is told of it. It returns what is quarantined by that.
+// HandleUpdate merges a leader's records. A leader may lack evidence: what this process knows is kept,
+// and reported to the leader. It returns what becomes quarantined as a result.
 func (v *View) HandleUpdate(now time.Time, records []Record) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book.Expire(now)
-	held := v.book.Merge(now, records)
-	listed := make(map[Fingerprint]Record, len(records))
+	v.tracker.Expire(now)
+	quarantined := v.tracker.Merge(now, records)
+	leaderRecords := make(map[Fingerprint]Record, len(records))
 	for _, one := range records {
-		listed[one.Attempt.Request] = one
+		leaderRecords[one.Attempt.Request] = one
 	}
 	v.forget(now)
-	for _, one := range v.own {
-		confirmed := confirms(listed, one)
+	for _, one := range v.ownCrashes {
+		confirmed := confirms(leaderRecords, one)
 		if one.confirmed && !confirmed {
 			one.delivery = delivery{}
 		}
 		one.confirmed = confirmed
 	}
-	v.noteLacking(now, listed)
-	v.note()
-	return held
+	v.updateMissing(now, leaderRecords)
+	v.notifyChanged()
+	return quarantined
 }
 
-// noteLacking notes of which requests the leader has to be told. The caller holds mu.
-func (v *View) noteLacking(now time.Time, listed map[Fingerprint]Record) {
-	before := v.lacking
-	v.lacking = map[Fingerprint]*delivery{}
-	for request, known := range v.book.records {
-		if !known.says(listed[request]) {
+// updateMissing determines which records must be reported to the leader. The caller holds mu.
+func (v *View) updateMissing(now time.Time, leaderRecords map[Fingerprint]Record) {
+	before := v.missing
+	v.missing = map[Fingerprint]*delivery{}
+	for request, known := range v.tracker.records {
+		if !known.mustReport(leaderRecords[request]) {
 			continue
 		}
-		v.lacking[request] = before[request]
-		if v.lacking[request] == nil {
-			// Its list may be on its way.
-			v.lacking[request] = &delivery{at: now}
+		v.missing[request] = before[request]
+		if v.missing[request] == nil {
+			// An update that includes it may be in transit.
+			v.missing[request] = &delivery{lastAt: now}
 		}
 	}
 }
 
-// confirms reports whether a leader's records hold a piece of evidence, or need it no more.
-func confirms(listed map[Fingerprint]Record, evidence *witnessed) bool {
-	for _, request := range []Fingerprint{evidence.attempt.Request, evidence.own.Request} {
-		one, known := listed[request]
-		if known && (one.Standing() == Quarantined || slices.ContainsFunc(one.Crashes, evidence.crash.same)) {
+// confirms reports whether a leader's records contain a crash, or no longer need it because the request
+// is quarantined.
+func confirms(leaderRecords map[Fingerprint]Record, crash *ownCrash) bool {
+	for _, request := range []Fingerprint{crash.attempt.Request, crash.perCaller.Request} {
+		one, known := leaderRecords[request]
+		if known && (one.Standing() == Quarantined || slices.ContainsFunc(one.Crashes, crash.crash.same)) {
 			return true
 		}
 	}
 	return false
 }
 
-// Merge adds what another process knows, or has stored. It returns what is quarantined by that.
+// Merge adds records that another process has sent or stored. It returns what becomes quarantined as a
+// result.
 func (v *View) Merge(now time.Time, records []Record) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	held := v.book.Merge(now, records)
-	v.note()
-	return held
+	quarantined := v.tracker.Merge(now, records)
+	v.notifyChanged()
+	return quarantined
 }
 
-// Lifted returns which requests other records say to be lifted that are known to be suspects or
-// quarantined.
+// NewlyLifted returns the requests that are suspects or quarantined here, and that an operator has
+// lifted according to the given records.
 func (v *View) NewlyLifted(records []Record) []Fingerprint {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var lifted []Fingerprint
 	for _, one := range records {
-		known := v.book.records[one.Attempt.Request]
+		known := v.tracker.records[one.Attempt.Request]
 		if known != nil && known.Standing() != Unsuspected && isLater(one.LiftedAt, known.LiftedAt) {
 			lifted = append(lifted, one.Attempt.Request)
 		}
@@ -286,42 +292,43 @@
 	return lifted
 }
 
-// Settle does what time brings; see Book.Evaluate. Only a process that has all evidence calls it.
+// Evaluate does the time-dependent work; see Tracker.Evaluate. Only a process that has the evidence of all
+// processes calls it.
 func (v *View) Evaluate(now time.Time) []Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	held := v.book.Evaluate(now)
-	if len(held) > 0 {
-		v.note()
+	quarantined := v.tracker.Evaluate(now)
+	if len(quarantined) > 0 {
+		v.notifyChanged()
 	}
-	v.watch()
-	return held
+	v.updateAnyRestricted()
+	return quarantined
 }
 
-// Snapshot describes what is known, and the version of it.
+// Snapshot returns a snapshot of the records, and their version.
 func (v *View) Snapshot(now time.Time) (Snapshot, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return NewSnapshot(now, v.book.Records()), v.book.Version()
+	return NewSnapshot(now, v.tracker.Records()), v.tracker.Version()
 }
 
-// Records returns what is known, and the version of it.
+// Records returns the records, and their version.
 func (v *View) Records() ([]Record, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Records(), v.book.Version()
+	return v.tracker.Records(), v.tracker.Version()
 }
 
-// Dropped counts the suspects that were forgotten early, to make room for others.
+// Evicted counts the suspects that were removed early, to make room for others.
 func (v *View) Evicted() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Evicted()
+	return v.tracker.Evicted()
 }
 
 // Count returns how many requests are suspects and how many are quarantined.
 func (v *View) Count() (suspects, quarantined int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Count()
+	return v.tracker.Count()
 }
