--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_lives.go
@@ -28,7 +28,7 @@
 		file: "internal/quarantine/record.go",
 		old:  "workers.Life{ID: c.Worker, Born: c.Born} }",
 		new:  "workers.Life{ID: c.Worker} }",
-		pkg:  "./internal/quarantine", test: "TestEachLifeThatCrashesCounts",
+		pkg:  "./internal/quarantine", test: "TestCrashOfEachIncarnationCounts",
 	},
 	{
 		name: "overwritten-entry-waited-for",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -84,6 +84,6 @@
 		file: "internal/quarantine/changelog.go",
 		old:  "entry.version > upTo && entry.record.Standing() != Quarantined",
 		new:  "entry.version > upTo",
-		pkg:  "./internal/quarantine", test: "TestWhatALedgerTells",
+		pkg:  "./internal/quarantine", test: "TestChangeLogSince",
 	},
 }
--- a/internal/quarantine/leaders_test.go
+++ b/internal/quarantine/leaders_test.go
@@ -10,13 +10,13 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// sendUpdate brings what a leader knows to a follower.
+// sendUpdate sends a leader's records to a follower.
 func sendUpdate(now time.Time, leader, follower *View) []Attempt {
 	snapshot, _ := leader.Snapshot(now)
 	return follower.HandleUpdate(now, snapshot.Received(now))
 }
 
-// report brings what a follower has to tell to a leader.
+// sendReport sends a follower's evidence to a leader.
 func sendReport(now time.Time, follower, leader *View) {
 	if evidence := follower.CollectEvidence(now); evidence != nil {
 		leader.HandleEvidence(now, *evidence)
@@ -28,7 +28,7 @@
 	return Crash{Worker: worker, At: at(seconds)}
 }
 
-// held returns a view under which a request has crashed three workers.
+// quarantinedView returns a view of a request that has crashed three workers.
 func quarantinedView() *View {
 	v := NewView()
 	for index, worker := range []workers.ID{"a", "b", "c"} {
@@ -38,34 +38,35 @@
 	return v
 }
 
-// A leader that did not hear of a quarantine took it away from all routers by its list.
-func TestALeaderThatDoesNotKnowAQuarantineTakesItFromNobody(t *testing.T) {
+// Guards against a new leader that does not know a quarantine: its update must not revoke the quarantine
+// at the routers.
+func TestLeaderWithoutQuarantineDoesNotRevokeIt(t *testing.T) {
 	first, follower, second := quarantinedView(), NewView(), NewView()
 	assert.Equal(t, len(sendUpdate(at(7), first, follower)), 1)
 	sendUpdate(at(20), second, follower)
 	assert.Equal(t, follower.Standing(attempt(1).callerRequest()), Quarantined)
 	sendReport(at(21.1), follower, second)
-	assert.Equal(t, second.Standing(attempt(1).callerRequest()), Quarantined, "the leader is told")
+	assert.Equal(t, second.Standing(attempt(1).callerRequest()), Quarantined, "the quarantine is reported to the leader")
 	sendUpdate(at(21.5), second, follower)
-	assert.Assert(t, follower.CollectEvidence(at(30)) == nil, "the leader knows")
+	assert.Assert(t, follower.CollectEvidence(at(30)) == nil, "the leader has confirmed it")
 }
 
-// Evidence that a leader had confirmed was lost with a leader that had not stored it.
-func TestEvidenceOfALostLeaderIsToldTheNext(t *testing.T) {
-	first, second, witness := NewView(), NewView(), NewView()
-	witness.RecordCrash(at(0), attempt(1), testCrash("a", 0))
-	witness.RecordCrash(at(3), attempt(1), testCrash("b", 3))
-	sendReport(at(3.2), witness, first)
-	sendUpdate(at(3.4), first, witness)
-	assert.Assert(t, witness.CollectEvidence(at(5)) == nil, "confirmed")
-	sendUpdate(at(40), second, witness)
-	sendReport(at(40.1), witness, second)
+// Guards against the loss of evidence that a leader had confirmed but not stored when it failed.
+func TestEvidenceIsReportedToNextLeader(t *testing.T) {
+	first, second, observer := NewView(), NewView(), NewView()
+	observer.RecordCrash(at(0), attempt(1), testCrash("a", 0))
+	observer.RecordCrash(at(3), attempt(1), testCrash("b", 3))
+	sendReport(at(3.2), observer, first)
+	sendUpdate(at(3.4), first, observer)
+	assert.Assert(t, observer.CollectEvidence(at(5)) == nil, "confirmed")
+	sendUpdate(at(40), second, observer)
+	sendReport(at(40.1), observer, second)
 	second.RecordCrash(at(41), attempt(1), testCrash("c", 41))
 	assert.Equal(t, second.Standing(attempt(1).callerRequest()), Quarantined)
 }
 
-// Two crashes that a leader had told of were lost with it and with their witness.
-func TestCrashesOfALostLeaderAndWitnessAreToldTheNext(t *testing.T) {
+// Guards against the loss of two crashes that a leader had observed and published before it failed.
+func TestCrashesOfLostLeaderAndObserverAreReportedToNextLeader(t *testing.T) {
 	first, second, follower := NewView(), NewView(), NewView()
 	first.RecordCrash(at(0), attempt(1), testCrash("a", 0))
 	first.RecordCrash(at(3), attempt(1), testCrash("b", 3))
@@ -76,8 +77,8 @@
 	assert.Equal(t, second.Standing(attempt(1).callerRequest()), Quarantined)
 }
 
-// Crashes that came together by merging were not judged until a fourth worker had crashed.
-func TestMergedCrashesAreJudged(t *testing.T) {
+// Guards against evaluating merged crashes only at the next crash, of a fourth worker.
+func TestMergedCrashesAreEvaluated(t *testing.T) {
 	stored, leader := NewView(), NewView()
 	stored.RecordCrash(at(0), attempt(1), testCrash("a", 0))
 	stored.RecordCrash(at(3), attempt(1), testCrash("b", 3))
@@ -88,72 +89,72 @@
 	assert.Equal(t, leader.Standing(attempt(1).callerRequest()), Quarantined)
 }
 
-// liftAt lets an operator lift a request as a leader has stored it.
+// liftAt lifts a request as an operator does, in a snapshot that was stored a second before.
 func liftAt(v *View, seconds float64) {
 	snapshot, _ := v.Snapshot(at(seconds - 1))
 	lifted, _ := snapshot.Lift(at(seconds), attempt(1).Request)
 	v.Merge(at(seconds), lifted.Stored(at(seconds)))
 }
 
-func TestWhatWasLiftedOrClearedDoesNotComeBack(t *testing.T) {
+func TestLiftedOrClearedQuarantineDoesNotReturn(t *testing.T) {
 	for name, remove := range map[string]func(v *View){
-		"lifted":       func(v *View) { liftAt(v, 10) },
-		"a run of it":  func(v *View) { v.RecordSuccess(at(10), attempt(1).callerRequest()) },
-		"lifted twice": func(v *View) { liftAt(v, 9); liftAt(v, 10) },
+		"lifted":           func(v *View) { liftAt(v, 10) },
+		"a successful run": func(v *View) { v.RecordSuccess(at(10), attempt(1).callerRequest()) },
+		"lifted twice":     func(v *View) { liftAt(v, 9); liftAt(v, 10) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			leader, away, witness := NewView(), NewView(), quarantinedView()
-			sendReport(at(7), witness, leader)
-			sendUpdate(at(7.5), leader, away)
+			leader, isolated, observer := NewView(), NewView(), quarantinedView()
+			sendReport(at(7), observer, leader)
+			sendUpdate(at(7.5), leader, isolated)
 			remove(leader)
-			sendReport(at(10.1), witness, leader)
-			sendUpdate(at(10.2), leader, witness)
-			sendReport(at(11.5), witness, leader)
+			sendReport(at(10.1), observer, leader)
+			sendUpdate(at(10.2), leader, observer)
+			sendReport(at(11.5), observer, leader)
 			assert.Equal(t, leader.Standing(attempt(1).callerRequest()), Unsuspected)
-			assert.Equal(t, witness.Standing(attempt(1).callerRequest()), Unsuspected)
+			assert.Equal(t, observer.Standing(attempt(1).callerRequest()), Unsuspected)
 
 			const later = 3600
 			leader.Evaluate(at(later))
-			sendUpdate(at(later), leader, away)
-			assert.Equal(t, away.Standing(attempt(1).callerRequest()), Unsuspected, "cut off for an hour")
+			sendUpdate(at(later), leader, isolated)
+			assert.Equal(t, isolated.Standing(attempt(1).callerRequest()), Unsuspected, "isolated for an hour")
 			next := NewView()
-			sendReport(at(later+1), away, next)
-			sendReport(at(later+1), witness, next)
-			assert.Equal(t, next.Standing(attempt(1).callerRequest()), Unsuspected, "a leader that knows nothing")
+			sendReport(at(later+1), isolated, next)
+			sendReport(at(later+1), observer, next)
+			assert.Equal(t, next.Standing(attempt(1).callerRequest()), Unsuspected, "a new leader without records")
 		})
 	}
 }
 
-// Whatever a book is told twice, or in another order, it comes to the same.
-func TestBooksThatMergeAgree(t *testing.T) {
+// Trackers that merge the same records, in another order or twice, agree.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lists [3][]Record
 		for index := range lists {
-			b := NewTracker()
+			tracker := NewTracker()
 			for range rapid.IntRange(0, 8).Draw(t, "events") {
-				// Events more than the tolerance of ages apart are told apart everywhere.
+				// Processes distinguish events that are further apart than maxAgeError.
 				now := at(3 * float64(rapid.IntRange(0, 20).Draw(t, "at")))
 				one := attempt(rapid.Byte().Draw(t, "request") % 2)
 				one.Caller = callerAt(rapid.Byte().Draw(t, "caller") % 2)
 				if rapid.IntRange(0, 4).Draw(t, "kind") == 0 {
-					b.RecordSuccess(now, one.callerRequest())
+					tracker.RecordSuccess(now, one.callerRequest())
 					continue
 				}
 				worker := workers.ID(rapid.StringMatching("[a-e]").Draw(t, "worker"))
-				b.RecordCrash(now, one, Crash{Worker: worker, Born: workers.Born(now.Unix()), At: now})
+				tracker.RecordCrash(now, one, Crash{Worker: worker, Born: workers.Born(now.Unix()), At: now})
 			}
-			lists[index] = b.Records()
+			lists[index] = tracker.Records()
 		}
-		forth, back := NewTracker(), NewTracker()
+		forward, reverse := NewTracker(), NewTracker()
 		for index := range lists {
-			forth.Merge(at(100), lists[index])
-			forth.Merge(at(100), lists[index])
-			back.Merge(at(100), lists[len(lists)-1-index])
+			forward.Merge(at(100), lists[index])
+			forward.Merge(at(100), lists[index])
+			reverse.Merge(at(100), lists[len(lists)-1-index])
 		}
 		for request := range byte(2) {
 			for caller := range byte(3) {
 				run := CallerRequest{Request: attempt(request).Request, Caller: callerAt(caller)}
-				assert.Equal(t, forth.Standing(run), back.Standing(run), "request %d of caller %d", request, caller)
+				assert.Equal(t, forward.Standing(run), reverse.Standing(run), "request %d of caller %d", request, caller)
 			}
 		}
 	})
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -12,233 +12,234 @@
 )
 
 const (
-	// modelRouters are the routers of a model.
+	// modelRouters is the number of routers of a model.
 	modelRouters = 4
-	// eventInterval is the time between two events: more than the ages of one may be off.
+	// eventInterval is the time between two events: longer than maxAgeError.
 	eventInterval = 2500 * time.Millisecond
 	// exchangeInterval is the time between two exchanges with the leader.
 	exchangeInterval = 500 * time.Millisecond
 )
 
-// fleet is a model of routers that share what they know of one harmful request, in virtual time.
-// One of them leads; any may be cut off from it, and the leader from the store.
+// model is a model, in virtual time, of routers that share evidence about one harmful request. One of
+// them leads; any may be isolated from it, and the store may be unreachable.
 type model struct {
 	now      time.Time
 	views    [modelRouters]*View
 	isolated [modelRouters]bool
 	leader   int
-	// loaded says that the leader has read what is stored.
+	// loaded says that the leader has read the stored snapshot.
 	loaded  bool
 	store   []byte
 	storeUp bool
 	crashes int
-	// heldAt are the routers that know the request as quarantined; stored says that the store does.
-	quarantinedAt [modelRouters]bool
-	stored        bool
+	// knowsQuarantine are the routers where the request is quarantined; stored says that the quarantine
+	// is stored.
+	knowsQuarantine [modelRouters]bool
+	stored          bool
 }
 
 func newModel() *model {
-	f := &model{now: start, storeUp: true}
-	for index := range f.views {
-		f.views[index] = NewView()
+	m := &model{now: start, storeUp: true}
+	for index := range m.views {
+		m.views[index] = NewView()
 	}
-	return f
+	return m
 }
 
-var harmfulRun = attempt(1).callerRequest()
+var harmfulRequest = attempt(1).callerRequest()
 
-// exchange lets routers report, the leader store, and routers be told.
-func (f *model) exchange() {
-	f.now = f.now.Add(exchangeInterval)
-	leader := f.views[f.leader]
-	if !f.loaded && !f.storeUp {
+// exchange sends the routers' reports, stores the leader's snapshot, and sends it to the routers.
+func (m *model) exchange() {
+	m.now = m.now.Add(exchangeInterval)
+	leader := m.views[m.leader]
+	if !m.loaded && !m.storeUp {
 		return
 	}
-	if !f.loaded {
-		f.read(leader)
-		f.loaded = true
+	if !m.loaded {
+		m.read(leader)
+		m.loaded = true
 	}
-	for index, view := range f.views {
-		if index != f.leader && !f.isolated[index] && !f.isolated[f.leader] {
-			sendReport(f.now, view, leader)
+	for index, view := range m.views {
+		if index != m.leader && !m.isolated[index] && !m.isolated[m.leader] {
+			sendReport(m.now, view, leader)
 		}
 	}
-	leader.Evaluate(f.now)
-	if f.storeUp {
-		snapshot, _ := leader.Snapshot(f.now)
-		f.store, f.stored = snapshot.Encode(), leader.Standing(harmfulRun) == Quarantined
+	leader.Evaluate(m.now)
+	if m.storeUp {
+		snapshot, _ := leader.Snapshot(m.now)
+		m.store, m.stored = snapshot.Encode(), leader.Standing(harmfulRequest) == Quarantined
 	}
-	for index, view := range f.views {
-		if index != f.leader && !f.isolated[index] && !f.isolated[f.leader] {
-			sendUpdate(f.now, leader, view)
+	for index, view := range m.views {
+		if index != m.leader && !m.isolated[index] && !m.isolated[m.leader] {
+			sendUpdate(m.now, leader, view)
 		}
 	}
-	f.updateQuarantined()
+	m.updateQuarantined()
 }
 
-// note takes note of who knows the quarantine.
-func (f *model) updateQuarantined() {
-	for index, view := range f.views {
-		f.quarantinedAt[index] = view.Standing(harmfulRun) == Quarantined
+// updateQuarantined updates which routers know the quarantine.
+func (m *model) updateQuarantined() {
+	for index, view := range m.views {
+		m.knowsQuarantine[index] = view.Standing(harmfulRequest) == Quarantined
 	}
 }
 
-// crash sends the harmful request through a router, unless it refuses it.
-func (f *model) crash(through int, caller byte) {
+// crash sends the harmful request through a router, unless the router rejects it.
+func (m *model) crash(through int, caller byte) {
 	one := attempt(1)
 	one.Caller = callerAt(caller)
-	if f.views[through].Standing(one.callerRequest()) == Quarantined {
+	if m.views[through].Standing(one.callerRequest()) == Quarantined {
 		return
 	}
-	f.crashes++
-	f.views[through].RecordCrash(f.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", f.crashes)), At: f.now})
+	m.crashes++
+	m.views[through].RecordCrash(m.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", m.crashes)), At: m.now})
 }
 
-// read gives a view what is stored.
-func (f *model) read(view *View) {
-	if !f.storeUp || f.store == nil {
+// read merges the stored snapshot into a view.
+func (m *model) read(view *View) {
+	if !m.storeUp || m.store == nil {
 		return
 	}
-	snapshot, err := DecodeSnapshot(f.store)
+	snapshot, err := DecodeSnapshot(m.store)
 	if err != nil {
 		panic(err)
 	}
-	view.Merge(f.now, snapshot.Stored(f.now))
+	view.Merge(m.now, snapshot.Stored(m.now))
 }
 
-// restart lets a router begin anew with what is stored.
-func (f *model) restart(index int) {
-	f.views[index] = NewView()
-	f.read(f.views[index])
-	f.loaded = f.loaded && index != f.leader
+// restart restarts a router with the stored snapshot.
+func (m *model) restart(index int) {
+	m.views[index] = NewView()
+	m.read(m.views[index])
+	m.loaded = m.loaded && index != m.leader
 }
 
-// lead lets another router lead.
-func (f *model) lead(index int) {
-	f.leader, f.loaded = index, false
+// lead makes a router the leader.
+func (m *model) lead(index int) {
+	m.leader, m.loaded = index, false
 }
 
-// lift lets an operator lift the quarantine, as far as it is stored.
-func (f *model) lift() bool {
-	if !f.storeUp || f.store == nil {
+// lift lifts the quarantine as an operator does, in the stored snapshot; false if it is not stored.
+func (m *model) lift() bool {
+	if !m.storeUp || m.store == nil {
 		return false
 	}
-	snapshot, _ := DecodeSnapshot(f.store)
-	lifted, found := snapshot.Lift(f.now, attempt(1).Request)
+	snapshot, _ := DecodeSnapshot(m.store)
+	lifted, found := snapshot.Lift(m.now, attempt(1).Request)
 	if !found {
 		return false
 	}
-	f.store = lifted.Encode()
-	f.read(f.views[f.leader])
+	m.store = lifted.Encode()
+	m.read(m.views[m.leader])
 	return true
 }
 
-// settle ends all disturbances and lets the bound pass in which all routers have to know.
-func (f *model) settle() {
-	f.isolated, f.storeUp = [modelRouters]bool{}, true
+// settle ends all failures and waits until all routers must know the quarantine.
+func (m *model) settle() {
+	m.isolated, m.storeUp = [modelRouters]bool{}, true
 	for range propagationBound / exchangeInterval {
-		f.exchange()
+		m.exchange()
 	}
 }
 
-// modelEvents are what may happen, those more often that lead to more.
+// modelEvents are the events; those that occur more often are listed repeatedly.
 var modelEvents = []string{
 	"crash", "crash", "crash", "cut", "heal", "lead", "restart", "lose", "lose", "store", "store", "lift", "exchange", "exchange", "exchange",
 }
 
-// step plays one event. It reports whether the request was lifted.
-func (f *model) step(t *rapid.T) (lifted bool) {
-	f.now = f.now.Add(eventInterval)
+// step simulates one event. It reports whether the request was lifted.
+func (m *model) step(t *rapid.T) (lifted bool) {
+	m.now = m.now.Add(eventInterval)
 	index := rapid.IntRange(0, modelRouters-1).Draw(t, "router")
 	switch rapid.SampledFrom(modelEvents).Draw(t, "event") {
 	case "crash":
-		f.crash(index, byte(rapid.IntRange(1, 3).Draw(t, "caller")))
+		m.crash(index, byte(rapid.IntRange(1, 3).Draw(t, "caller")))
 	case "cut":
-		f.isolated[index] = true
+		m.isolated[index] = true
 	case "heal":
-		f.isolated[index] = false
+		m.isolated[index] = false
 	case "lead":
-		f.lead(index)
+		m.lead(index)
 	case "restart":
-		f.restart(index)
+		m.restart(index)
 	case "lose":
-		f.restart(f.leader)
-		f.lead(index)
+		m.restart(m.leader)
+		m.lead(index)
 	case "store":
-		f.storeUp = !f.storeUp
+		m.storeUp = !m.storeUp
 	case "lift":
-		lifted = f.lift()
+		lifted = m.lift()
 	case "exchange":
-		f.exchange()
+		m.exchange()
 	}
-	f.updateQuarantined()
+	m.updateQuarantined()
 	return lifted
 }
 
-// known reports whether a quarantine is known that must not be lost.
-func (f *model) isKnown() bool {
-	for _, held := range f.quarantinedAt {
-		if held {
+// isKnown reports whether some router or the store knows the quarantine, which then must not be lost.
+func (m *model) isKnown() bool {
+	for _, knows := range m.knowsQuarantine {
+		if knows {
 			return true
 		}
 	}
-	return f.stored
+	return m.stored
 }
 
 // crashesKnown returns how many crashes of the harmful request a view knows.
 func crashesKnown(v *View) int {
-	known := v.tracker.records[harmfulRun.Request]
+	known := v.tracker.records[harmfulRequest.Request]
 	if known == nil {
 		return 0
 	}
 	return len(known.crashTimes())
 }
 
-// ends returns how many crashes the router knows that knows most.
-func (f *model) maxCrashesKnown() int {
-	most := 0
-	for _, view := range f.views {
-		most = max(most, crashesKnown(view))
+// maxCrashesKnown returns the largest number of crashes that a router knows.
+func (m *model) maxCrashesKnown() int {
+	count := 0
+	for _, view := range m.views {
+		count = max(count, crashesKnown(view))
 	}
-	return most
+	return count
 }
 
-// Routers that stop, are cut off, lead in turn, or lose the store agree within the bound after the
-// last disturbance; no quarantine that some router knows is lost, nor two crashes or more, and none
-// that was lifted is back.
-func TestRoutersAgreeOnAQuarantineWhateverIsLost(t *testing.T) {
+// Routers that restart, are isolated, lead in turn, or lose the store agree within the bound after the
+// last failure. No quarantine that some router knows is lost, nor are two or more crashes, and no
+// lifted quarantine returns.
+func TestRoutersAgreeOnQuarantineAcrossFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newModel()
+		m := newModel()
 		lifted := false
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
-			lifted = f.step(t) || lifted
+			lifted = m.step(t) || lifted
 		}
-		known, ends := f.isKnown(), f.maxCrashesKnown()
-		f.settle()
-		want := f.views[f.leader].Standing(harmfulRun)
-		for index, view := range f.views {
-			assert.Equal(t, view.Standing(harmfulRun) == Quarantined, want == Quarantined, "router %d, led by %d", index, f.leader)
+		known, crashes := m.isKnown(), m.maxCrashesKnown()
+		m.settle()
+		want := m.views[m.leader].Standing(harmfulRequest)
+		for index, view := range m.views {
+			assert.Equal(t, view.Standing(harmfulRequest) == Quarantined, want == Quarantined, "router %d, led by %d", index, m.leader)
 		}
 		if known && !lifted {
 			assert.Equal(t, want, Quarantined)
 		}
-		if ends > 1 && !lifted {
-			leader := crashesKnown(f.views[f.leader])
-			assert.Assert(t, leader >= min(ends, crashThreshold), "the leader knows %d crashes of %d", leader, ends)
+		if crashes > 1 && !lifted {
+			leader := crashesKnown(m.views[m.leader])
+			assert.Assert(t, leader >= min(crashes, crashThreshold), "the leader knows %d crashes of %d", leader, crashes)
 		}
-		before := f.crashes
+		before := m.crashes
 		for round := range 8 {
-			f.now = f.now.Add(eventInterval)
-			f.crash(round%modelRouters, byte(round))
-			f.exchange()
+			m.now = m.now.Add(eventInterval)
+			m.crash(round%modelRouters, byte(round))
+			m.exchange()
 		}
-		assert.Assert(t, f.crashes-before <= crashThreshold, "%d more workers ended", f.crashes-before)
+		assert.Assert(t, m.crashes-before <= crashThreshold, "%d more workers crashed", m.crashes-before)
 
-		f.settle()
-		if f.lift() {
-			f.settle()
-			for index, view := range f.views {
-				assert.Equal(t, view.Standing(harmfulRun), Unsuspected, "router %d", index)
+		m.settle()
+		if m.lift() {
+			m.settle()
+			for index, view := range m.views {
+				assert.Equal(t, view.Standing(harmfulRequest), Unsuspected, "router %d", index)
 			}
 		}
 	})
--- a/internal/quarantine/observer.go
+++ b/internal/quarantine/observer.go
@@ -57,38 +57,38 @@
 
 // RecordInterrupted records an attempt that got no complete response. It reports whether the worker is
 // known to have ended at about that time, so that its end interrupted the attempt.
-func (w *CrashObserver) RecordInterrupted(now time.Time, attempt Attempt) bool {
-	if !w.endedAt.IsZero() {
-		return now.Sub(w.endedAt) < interruptedRetention
+func (o *CrashObserver) RecordInterrupted(now time.Time, attempt Attempt) bool {
+	if !o.endedAt.IsZero() {
+		return now.Sub(o.endedAt) < interruptedRetention
 	}
-	w.forget(now)
-	if len(w.interrupted) == maxInterrupted {
-		w.interrupted = slices.Delete(w.interrupted, 0, 1)
+	o.forget(now)
+	if len(o.interrupted) == maxInterrupted {
+		o.interrupted = slices.Delete(o.interrupted, 0, 1)
 	}
-	w.interrupted = append(w.interrupted, interruptedAttempt{attempt: attempt, at: now})
+	o.interrupted = append(o.interrupted, interruptedAttempt{attempt: attempt, at: now})
 	return false
 }
 
 // RecordEnd records that the worker has ended; first is false if that was already known. It returns the
 // attempts that its end interrupted, one for each request and caller.
-func (w *CrashObserver) RecordEnd(now time.Time) (attempts []Attempt, first bool) {
-	if !w.endedAt.IsZero() {
+func (o *CrashObserver) RecordEnd(now time.Time) (attempts []Attempt, first bool) {
+	if !o.endedAt.IsZero() {
 		return nil, false
 	}
-	w.endedAt = now
-	w.forget(now)
+	o.endedAt = now
+	o.forget(now)
 	seen := map[CallerRequest]bool{}
-	for _, one := range w.interrupted {
+	for _, one := range o.interrupted {
 		if !seen[one.attempt.callerRequest()] {
 			seen[one.attempt.callerRequest()] = true
 			attempts = append(attempts, one.attempt)
 		}
 	}
-	w.interrupted = nil
+	o.interrupted = nil
 	return attempts, true
 }
 
 // forget drops attempts that were interrupted too long ago to be related to an end of the worker now.
-func (w *CrashObserver) forget(now time.Time) {
-	w.interrupted = slices.DeleteFunc(w.interrupted, func(one interruptedAttempt) bool { return now.Sub(one.at) >= interruptedRetention })
+func (o *CrashObserver) forget(now time.Time) {
+	o.interrupted = slices.DeleteFunc(o.interrupted, func(one interruptedAttempt) bool { return now.Sub(one.at) >= interruptedRetention })
 }
--- a/internal/quarantine/observer_test.go
+++ b/internal/quarantine/observer_test.go
@@ -9,55 +9,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// attempt returns an attempt of a request for tests.
+// attempt returns an attempt of a numbered request.
 func attempt(request byte) Attempt { return Attempt{Request: Fingerprint{request}} }
 
-func TestWitnessNamesWhatTheEndCutOff(t *testing.T) {
+func TestCrashObserver(t *testing.T) {
 	at := func(millis int) time.Time { return start.Add(time.Duration(millis) * time.Millisecond) }
 	tests := map[string]struct {
-		cut   map[byte]int // when each request broke off, in milliseconds
-		ended int
-		want  []Attempt
+		interrupted map[byte]int // when each request was interrupted, in milliseconds
+		ended       int
+		want        []Attempt
 	}{
-		"nothing under way":      {ended: 10},
-		"under way":              {cut: map[byte]int{1: 5}, ended: 10, want: []Attempt{attempt(1)}},
-		"broke off long before":  {cut: map[byte]int{1: 5}, ended: 1005},
-		"broke off right before": {cut: map[byte]int{1: 6}, ended: 1005, want: []Attempt{attempt(1)}},
+		"nothing in progress":      {ended: 10},
+		"in progress":              {interrupted: map[byte]int{1: 5}, ended: 10, want: []Attempt{attempt(1)}},
+		"interrupted long before":  {interrupted: map[byte]int{1: 5}, ended: 1005},
+		"interrupted right before": {interrupted: map[byte]int{1: 6}, ended: 1005, want: []Attempt{attempt(1)}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var w CrashObserver
-			for request, millis := range test.cut {
-				assert.Assert(t, !w.RecordInterrupted(at(millis), attempt(request)))
+			var o CrashObserver
+			for request, millis := range test.interrupted {
+				assert.Assert(t, !o.RecordInterrupted(at(millis), attempt(request)))
 			}
-			requests, first := w.RecordEnd(at(test.ended))
+			requests, first := o.RecordEnd(at(test.ended))
 			assert.Assert(t, first)
 			assert.Assert(t, slices.Equal(requests, test.want), "%v", requests)
-			_, first = w.RecordEnd(at(test.ended + 1))
-			assert.Assert(t, !first, "a worker ends once")
-			assert.Assert(t, w.RecordInterrupted(at(test.ended+5), attempt(9)), "cut off too, and noticed later")
-			assert.Assert(t, !w.RecordInterrupted(at(test.ended+5000), attempt(9)), "too late to have been there")
+			_, first = o.RecordEnd(at(test.ended + 1))
+			assert.Assert(t, !first, "already recorded")
+			assert.Assert(t, o.RecordInterrupted(at(test.ended+5), attempt(9)), "interrupted by the end, and detected later")
+			assert.Assert(t, !o.RecordInterrupted(at(test.ended+5000), attempt(9)), "too late to be interrupted by the end")
 		})
 	}
 }
 
-// Sends that a full worker had cut off hid the one that was under way at its end.
-func TestManySendsCutOffBeforeDoNotHideTheLast(t *testing.T) {
-	for name, count := range map[string]int{"as many as are remembered": maxInterrupted, "twice as many": 2 * maxInterrupted} {
+// Guards against attempts that an overloaded worker interrupted: they must not hide the one that was in
+// progress at its end.
+func TestManyInterruptedAttemptsDoNotHideTheLast(t *testing.T) {
+	for name, count := range map[string]int{"as many as maxInterrupted": maxInterrupted, "twice maxInterrupted": 2 * maxInterrupted} {
 		t.Run(name, func(t *testing.T) {
-			var w CrashObserver
+			var o CrashObserver
 			for index := range count {
-				w.RecordInterrupted(start, Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}})
+				o.RecordInterrupted(start, Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}})
 			}
-			w.RecordInterrupted(start, attempt(1))
-			attempts, _ := w.RecordEnd(start.Add(100 * time.Millisecond))
+			o.RecordInterrupted(start, attempt(1))
+			attempts, _ := o.RecordEnd(start.Add(100 * time.Millisecond))
 			assert.Assert(t, slices.Contains(attempts, attempt(1)))
 			assert.Equal(t, len(attempts), maxInterrupted)
 		})
 	}
 }
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprint(t *testing.T) {
 	base := Request{Method: "GET", Host: "a.example", URI: "/x?y=1", Body: []byte("b"), Length: 1}
 	tests := map[string]func(r *Request){
 		"method": func(r *Request) { r.Method = "POST" },
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -12,28 +12,29 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A world in virtual time counts both errors of the book: innocent requests that are refused, and
-// sends of a harmful one once all routers have to know.
+// A simulation in virtual time counts both kinds of errors: innocent requests that are rejected, and
+// harmful ones that are sent after all routers must know the quarantine.
 const (
 	simRouters  = 6
 	simWorkers  = 24
 	simRacks    = 4
 	simDuration = 5 * time.Minute
 	simStep     = 10 * time.Millisecond
-	// propagationBound is when routers have to know, and maxLateSends how many sends may follow: the
-	// users' bounds.
+	// propagationBound is the time within which all routers must know a quarantine, and maxLateSends
+	// how many sends may follow: bounds set by the users.
 	propagationBound = 3 * time.Second
 	maxLateSends     = 3
-	// runTime is how long a run lasts, and restartDelay how long a worker is away that ended.
+	// runTime is how long a worker processes a request, and restartDelay how long a crashed worker is
+	// down.
 	runTime      = 150 * time.Millisecond
 	restartDelay = 4 * time.Second
-	// keyMoveTime is how long the keys of an owner that ended have no other, and ownerPollers ask
-	// for them all the time.
+	// keyMoveTime is how long the keys of a crashed owner have no new owner. Callers poll them with
+	// ownerPollers different requests.
 	keyMoveTime  = 2 * time.Second
 	ownerPollers = 6
 )
 
-// world is a set of routers with a leader, and workers that end by chance, by rack, and under
+// simulation simulates routers with a leader, and workers that crash at random, by rack, and because of
 // harmful requests.
 type simulation struct {
 	random      *rand.Rand
@@ -41,19 +42,18 @@
 	leader      *View
 	sentVersion uint64
 	workers     []*simWorker
-	// messages are on their way, by when they arrive.
+	// messages are those in transit.
 	messages     []message
 	nextWorkerID int
-	// owner holds the keys that the first harmful request and some pollers ask for, from
-	// ownsFrom on.
+	// owner owns the keys of the first harmful request and of some pollers, from ownedFrom on.
 	owner     *simWorker
 	ownedFrom time.Time
-	// harmful are the requests that crash workers; crashed counts the workers by request, and
-	// thirdAt is when the last one was allowed.
+	// harmful are the requests that crash workers; crashed counts the crashed workers by request,
+	// and thresholdAt is when crashThreshold was reached.
 	harmful     map[Fingerprint]bool
 	crashed     map[Fingerprint]int
 	thresholdAt map[Fingerprint]time.Time
-	// late counts the sends of a harmful request after routers had to know.
+	// lateSends counts the sends of a harmful request after propagationBound.
 	lateSends          map[Fingerprint]int
 	requests, rejected int
 	otherCrashes       int
@@ -68,94 +68,94 @@
 type simWorker struct {
 	id        workers.ID
 	rack      int
-	downUntil time.Time // away until then
+	downUntil time.Time
 	runs      []simRun
 }
 
 type simRun struct {
-	request Fingerprint
-	router  *View
-	began   time.Time
+	request   Fingerprint
+	router    *View
+	startedAt time.Time
 }
 
 func newSimulation(seed uint64) *simulation {
 	return newSimulationOf(seed, simRouters, simWorkers, simRacks)
 }
 
-// newSimulationOf returns a world of so many routers, and workers in racks.
+// newSimulationOf returns a simulation with a number of routers, and of workers in racks.
 func newSimulationOf(seed uint64, routers, workers, racks int) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), leader: NewView(), harmful: map[Fingerprint]bool{},
 		crashed: map[Fingerprint]int{}, thresholdAt: map[Fingerprint]time.Time{}, lateSends: map[Fingerprint]int{},
 	}
 	for range routers {
-		w.routers = append(w.routers, NewView())
+		s.routers = append(s.routers, NewView())
 	}
 	for index := range workers {
-		w.workers = append(w.workers, &simWorker{rack: index % racks})
-		w.restart(w.workers[index])
+		s.workers = append(s.workers, &simWorker{rack: index % racks})
+		s.restart(s.workers[index])
 	}
-	w.owner = w.workers[0]
-	return w
+	s.owner = s.workers[0]
+	return s
 }
 
-func (w *simulation) restart(worker *simWorker) {
-	w.nextWorkerID++
-	worker.id = workers.ID(fmt.Sprintf("w%d", w.nextWorkerID))
+func (s *simulation) restart(worker *simWorker) {
+	s.nextWorkerID++
+	worker.id = workers.ID(fmt.Sprintf("w%d", s.nextWorkerID))
 }
 
-// later delivers a message after a random time of at most most.
-func (w *simulation) deliverLater(now time.Time, most time.Duration, deliver func(time.Time)) {
-	w.messages = append(w.messages, message{at: now.Add(time.Duration(w.random.Int64N(int64(most)))), deliver: deliver})
+// deliverLater delivers a message after a random time below limit.
+func (s *simulation) deliverLater(now time.Time, limit time.Duration, deliver func(time.Time)) {
+	s.messages = append(s.messages, message{at: now.Add(time.Duration(s.random.Int64N(int64(limit)))), deliver: deliver})
 }
 
-// end ends a worker: each router learns of its own sends there within milliseconds, and reports
-// them.
-func (w *simulation) crash(now time.Time, worker *simWorker) {
+// crash crashes a worker: each router detects within milliseconds that its own attempts there were
+// interrupted, and reports them.
+func (s *simulation) crash(now time.Time, worker *simWorker) {
 	id := worker.id
 	for _, run := range worker.runs {
-		w.deliverLater(now, 20*time.Millisecond, func(seen time.Time) {
-			run.router.RecordCrash(seen, Attempt{Request: run.request}, Crash{Worker: id, At: seen})
+		s.deliverLater(now, 20*time.Millisecond, func(observedAt time.Time) {
+			run.router.RecordCrash(observedAt, Attempt{Request: run.request}, Crash{Worker: id, At: observedAt})
 		})
 	}
 	worker.runs, worker.downUntil = nil, now.Add(restartDelay)
-	if worker == w.owner {
-		w.owner, w.ownedFrom = w.workers[w.random.IntN(len(w.workers))], now.Add(keyMoveTime)
+	if worker == s.owner {
+		s.owner, s.ownedFrom = s.workers[s.random.IntN(len(s.workers))], now.Add(keyMoveTime)
 	}
-	w.restart(worker)
+	s.restart(worker)
 }
 
-// send sends a request through a router to a worker that is up, unless it is quarantined.
-func (w *simulation) send(now time.Time, router *View, request Fingerprint) (refused bool) {
+// send sends a request through a router to a worker, unless it is quarantined or the worker is down.
+func (s *simulation) send(now time.Time, router *View, request Fingerprint) (rejected bool) {
 	if router.Standing(CallerRequest{Request: request}) == Quarantined {
 		return true
 	}
-	worker := w.workers[w.random.IntN(len(w.workers))]
+	worker := s.workers[s.random.IntN(len(s.workers))]
 	if isKeyed(request) {
-		worker = w.owner
+		worker = s.owner
 	}
-	if now.Before(worker.downUntil) || (isKeyed(request) && now.Before(w.ownedFrom)) {
-		return false // nobody listens
+	if now.Before(worker.downUntil) || (isKeyed(request) && now.Before(s.ownedFrom)) {
+		return false // connection refused
 	}
-	worker.runs = append(worker.runs, simRun{request: request, router: router, began: now})
-	if !w.harmful[request] {
+	worker.runs = append(worker.runs, simRun{request: request, router: router, startedAt: now})
+	if !s.harmful[request] {
 		return false
 	}
-	if third := w.thresholdAt[request]; !third.IsZero() && now.After(third.Add(propagationBound)) {
-		w.lateSends[request]++
+	if reachedAt := s.thresholdAt[request]; !reachedAt.IsZero() && now.After(reachedAt.Add(propagationBound)) {
+		s.lateSends[request]++
 	}
 	return false
 }
 
-// keyed reports whether a request is for the keys of the owner.
+// isKeyed reports whether a request is for the keys of the owner.
 func isKeyed(request Fingerprint) bool {
 	return request[0] == 4 || request == Fingerprint{2, 0}
 }
 
-// step plays one step of time.
-func (w *simulation) step(now time.Time) {
+// step simulates one time step: messages are delivered, and runs end.
+func (s *simulation) step(now time.Time) {
 	due := []message{}
-	w.messages = slices.DeleteFunc(w.messages, func(one message) bool {
+	s.messages = slices.DeleteFunc(s.messages, func(one message) bool {
 		if one.at.After(now) {
 			return false
 		}
@@ -165,25 +165,25 @@
 	for _, one := range due {
 		one.deliver(now)
 	}
-	for _, worker := range w.workers {
-		w.run(now, worker)
+	for _, worker := range s.workers {
+		s.run(now, worker)
 	}
 }
 
-// run ends the runs that are due: a harmful one ends its worker.
-func (w *simulation) run(now time.Time, worker *simWorker) {
+// run ends the runs that are due: a harmful one crashes its worker.
+func (s *simulation) run(now time.Time, worker *simWorker) {
 	for _, one := range worker.runs {
-		if w.harmful[one.request] && now.Sub(one.began) >= runTime/2 {
-			w.crashed[one.request]++
-			if w.crashed[one.request] == crashThreshold {
-				w.thresholdAt[one.request] = now
+		if s.harmful[one.request] && now.Sub(one.startedAt) >= runTime/2 {
+			s.crashed[one.request]++
+			if s.crashed[one.request] == crashThreshold {
+				s.thresholdAt[one.request] = now
 			}
-			w.crash(now, worker)
+			s.crash(now, worker)
 			return
 		}
 	}
 	worker.runs = slices.DeleteFunc(worker.runs, func(one simRun) bool {
-		if now.Sub(one.began) < runTime {
+		if now.Sub(one.startedAt) < runTime {
 			return false
 		}
 		if one.router.Standing(CallerRequest{Request: one.request}) != Unsuspected {
@@ -193,116 +193,117 @@
 	})
 }
 
-// exchange lets routers report and the leader tell.
-func (w *simulation) exchange(now time.Time) {
-	for _, router := range w.routers {
+// exchange sends the routers' reports, and the leader's update if its records have changed.
+func (s *simulation) exchange(now time.Time) {
+	for _, router := range s.routers {
 		if evidence := router.CollectEvidence(now); evidence != nil {
-			w.deliverLater(now, 500*time.Millisecond, func(at time.Time) { w.leader.HandleEvidence(at, *evidence) })
+			s.deliverLater(now, 500*time.Millisecond, func(at time.Time) { s.leader.HandleEvidence(at, *evidence) })
 		}
 	}
-	w.leader.Evaluate(now)
-	snapshot, version := w.leader.Snapshot(now)
-	if version == w.sentVersion {
+	s.leader.Evaluate(now)
+	snapshot, version := s.leader.Snapshot(now)
+	if version == s.sentVersion {
 		return
 	}
-	w.sentVersion = version
-	for _, router := range w.routers {
-		// A link keeps its messages in order.
-		w.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
+	s.sentVersion = version
+	for _, router := range s.routers {
+		// Links deliver messages in order.
+		s.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
 	}
 }
 
-// play plays the whole time: callers each ask questions of their own, some of them the same
-// again and again; workers end by chance, and racks do; harmful requests come again.
-func (w *simulation) play(harmful int) {
+// play runs the whole simulation: callers send different requests, some of them the same one
+// repeatedly; workers crash at random, single ones and whole racks; harmful requests are repeated.
+func (s *simulation) play(harmful int) {
 	pollers := make([]Fingerprint, 40)
 	for index := range pollers {
 		pollers[index] = Fingerprint{1, byte(index)}
 	}
 	for index := range harmful {
-		w.harmful[Fingerprint{2, byte(index)}] = true
+		s.harmful[Fingerprint{2, byte(index)}] = true
 	}
 	for now := start; now.Before(start.Add(simDuration)); now = now.Add(simStep) {
-		w.step(now)
+		s.step(now)
 		if now.Sub(start)%(200*time.Millisecond) == 0 {
-			w.exchange(now)
+			s.exchange(now)
 		}
-		for range 2 { // 200 questions a second, a third of them by callers who repeat theirs
-			request := Fingerprint{3, byte(w.requests), byte(w.requests >> 8), byte(w.requests >> 16)}
-			if w.random.IntN(3) == 0 {
-				request = pollers[w.random.IntN(len(pollers))]
+		for range 2 { // 200 requests per second, a third of them repeated ones
+			request := Fingerprint{3, byte(s.requests), byte(s.requests >> 8), byte(s.requests >> 16)}
+			if s.random.IntN(3) == 0 {
+				request = pollers[s.random.IntN(len(pollers))]
 			}
-			w.sendInnocent(now, request)
+			s.sendInnocent(now, request)
 		}
 		if now.Sub(start)%(50*time.Millisecond) == 0 {
-			w.sendInnocent(now, Fingerprint{4, byte(w.random.IntN(ownerPollers))})
+			s.sendInnocent(now, Fingerprint{4, byte(s.random.IntN(ownerPollers))})
 		}
-		w.randomCrashes(now)
-		for request := range w.harmful {
-			w.sendHarmful(now, request)
+		s.randomCrashes(now)
+		for request := range s.harmful {
+			s.sendHarmful(now, request)
 		}
 	}
 }
 
-// ask sends an innocent request.
-func (w *simulation) sendInnocent(now time.Time, request Fingerprint) {
-	w.requests++
-	router := w.routers[w.random.IntN(len(w.routers))]
+// sendInnocent sends an innocent request.
+func (s *simulation) sendInnocent(now time.Time, request Fingerprint) {
+	s.requests++
+	router := s.routers[s.random.IntN(len(s.routers))]
 	if router.Standing(CallerRequest{Request: request}) == Suspect {
-		w.sentAsSuspects++
+		s.sentAsSuspects++
 	}
-	if w.send(now, router, request) {
-		w.rejected++
+	if s.send(now, router, request) {
+		s.rejected++
 	}
 }
 
-// mishaps ends workers by chance, one every 5 s, and whole racks, one every 40 s.
-func (w *simulation) randomCrashes(now time.Time) {
-	if w.random.IntN(500) == 0 {
-		w.crash(now, w.workers[w.random.IntN(len(w.workers))])
-		w.otherCrashes++
+// randomCrashes crashes workers at random, one every 5 s on average, and whole racks, one every 40 s.
+func (s *simulation) randomCrashes(now time.Time) {
+	if s.random.IntN(500) == 0 {
+		s.crash(now, s.workers[s.random.IntN(len(s.workers))])
+		s.otherCrashes++
 	}
-	if w.random.IntN(4000) == 0 {
-		rack := w.random.IntN(simRacks)
-		for _, worker := range w.workers {
+	if s.random.IntN(4000) == 0 {
+		rack := s.random.IntN(simRacks)
+		for _, worker := range s.workers {
 			if worker.rack == rack {
-				w.crash(now, worker)
-				w.otherCrashes++
+				s.crash(now, worker)
+				s.otherCrashes++
 			}
 		}
 	}
 }
 
-// comesAgain sends a harmful request every 3 s: by one router, or at once by two.
-func (w *simulation) sendHarmful(now time.Time, request Fingerprint) {
+// sendHarmful sends a harmful request about every 3 s: through one router, or through two at once.
+func (s *simulation) sendHarmful(now time.Time, request Fingerprint) {
 	period := 3*time.Second + time.Duration(request[1])*170*time.Millisecond
 	if now.Sub(start).Truncate(simStep)%period.Truncate(simStep) != 0 {
 		return
 	}
 	for range 1 + int(request[1])%2 {
-		w.send(now, w.routers[w.random.IntN(len(w.routers))], request)
+		s.send(now, s.routers[s.random.IntN(len(s.routers))], request)
 	}
 }
 
-// simulations are few enough for a few seconds beside the race detector.
+// simulations is the number of simulations; it is limited so that they take a few seconds with the race
+// detector.
 const simulations = 10
 
-// In worlds of five minutes, in each of which some 60 workers end by chance and 45 by racks, no
-// innocent request is refused, and no harmful one is sent more than three times once routers had
-// to know.
-func TestErrorsOfTheBook(t *testing.T) {
-	asked, refused, suspected, harmful, most, ended := 0, 0, 0, 0, 0, 0
+// In simulations of five minutes, in each of which some 60 workers crash at random and 45 with their
+// racks, no innocent request is rejected, and no harmful one is sent more than three times after all
+// routers must know the quarantine.
+func TestNoFalsePositivesOrLateSends(t *testing.T) {
+	requests, rejected, suspects, harmful, late, crashes := 0, 0, 0, 0, 0, 0
 	for seed := range uint64(simulations) {
-		w := newSimulation(seed)
-		w.play(int(seed % 5))
-		asked, refused, suspected, ended = asked+w.requests, refused+w.rejected, suspected+w.sentAsSuspects, ended+w.otherCrashes
-		for request := range w.harmful {
+		s := newSimulation(seed)
+		s.play(int(seed % 5))
+		requests, rejected, suspects, crashes = requests+s.requests, rejected+s.rejected, suspects+s.sentAsSuspects, crashes+s.otherCrashes
+		for request := range s.harmful {
 			harmful++
-			most = max(most, w.lateSends[request])
-			assert.Assert(t, w.lateSends[request] <= maxLateSends, "seed %d: %d sends after routers had to know", seed, w.lateSends[request])
+			late = max(late, s.lateSends[request])
+			assert.Assert(t, s.lateSends[request] <= maxLateSends, "seed %d: %d sends after all routers must know", seed, s.lateSends[request])
 		}
 	}
-	t.Logf("%d innocent requests, %d refused, %d sent as suspects; %d harmful ones, at most %d sends late; %d workers ended otherwise",
-		asked, refused, suspected, harmful, most, ended)
-	assert.Equal(t, refused, 0)
+	t.Logf("%d innocent requests, %d rejected, %d sent as suspects; %d harmful ones, at most %d late sends; %d other crashes",
+		requests, rejected, suspects, harmful, late, crashes)
+	assert.Equal(t, rejected, 0)
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -12,108 +12,107 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// at returns a time of a test, in seconds.
+// at returns a time in seconds after start.
 func at(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// step is one event of a test: a crash of a worker with requests under way, or a run that
-// ended well.
+// testEvent is a crash of a worker with requests in progress, or the success of a request.
 type testEvent struct {
-	at       float64
-	worker   workers.ID
-	requests []byte
-	finished byte
+	at        float64
+	worker    workers.ID
+	requests  []byte
+	succeeded byte
 }
 
-func play(b *Tracker, steps []testEvent) {
-	for _, one := range steps {
+func play(tracker *Tracker, events []testEvent) {
+	for _, one := range events {
 		for _, request := range one.requests {
-			b.RecordCrash(at(one.at), attempt(request), Crash{Worker: one.worker, At: at(one.at)})
+			tracker.RecordCrash(at(one.at), attempt(request), Crash{Worker: one.worker, At: at(one.at)})
 		}
-		if one.finished != 0 {
-			b.RecordSuccess(at(one.at), attempt(one.finished).callerRequest())
+		if one.succeeded != 0 {
+			tracker.RecordSuccess(at(one.at), attempt(one.succeeded).callerRequest())
 		}
 	}
 }
 
-func TestBookTellsTheGuiltyFromTheRest(t *testing.T) {
+func TestHarmfulRequestIsDistinguished(t *testing.T) {
 	tests := map[string]struct {
-		steps []testEvent
-		now   float64
-		want  map[byte]Standing
+		events []testEvent
+		now    float64
+		want   map[byte]Standing
 	}{
 		"nothing":   {now: 1, want: map[byte]Standing{1: Unsuspected}},
-		"one crash": {steps: []testEvent{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Unsuspected}},
+		"one crash": {events: []testEvent{{at: 0, worker: "a", requests: []byte{1, 2}}}, now: 2, want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Unsuspected}},
 		"three crashes, others there once": {
-			steps: []testEvent{
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1, 3}},
 				{at: 6, worker: "c", requests: []byte{1, 4}},
 			},
 			now: 6, want: map[byte]Standing{1: Quarantined, 2: Suspect, 3: Suspect, 4: Suspect},
 		},
-		"a good run in between": {
-			steps: []testEvent{
+		"success in between": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
-				{at: 4, finished: 1}, {at: 6, worker: "c", requests: []byte{1}},
+				{at: 4, succeeded: 1}, {at: 6, worker: "c", requests: []byte{1}},
 			},
 			now: 6, want: map[byte]Standing{1: Suspect},
 		},
-		"a good run of one that was quarantined": {
-			steps: []testEvent{
+		"success of a quarantined request": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
-				{at: 6, worker: "c", requests: []byte{1}}, {at: 6.1, finished: 1},
+				{at: 6, worker: "c", requests: []byte{1}}, {at: 6.1, succeeded: 1},
 			},
 			now: 7, want: map[byte]Standing{1: Unsuspected},
 		},
-		"one worker, reported thrice": {
-			steps: []testEvent{
+		"one worker, reported three times": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 2, worker: "a", requests: []byte{1}},
 				{at: 4, worker: "a", requests: []byte{1}},
 			},
 			now: 9, want: map[byte]Standing{1: Suspect},
 		},
-		"a rack that ends, with a question that many ask": {
-			steps: []testEvent{
+		"crash of a rack, with a common request": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.1, worker: "b", requests: []byte{1}},
 				{at: 0.2, worker: "c", requests: []byte{1}}, {at: 0.2, worker: "d", requests: []byte{2}},
 			},
 			now: 5, want: map[byte]Standing{1: Suspect},
 		},
-		"sent at once, and nothing else ends": {
-			steps: []testEvent{
+		"sent to several workers at once, no other crashes": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.1, worker: "b", requests: []byte{1, 2}},
 				{at: 0.2, worker: "c", requests: []byte{1}},
 			},
 			now: 1.3, want: map[byte]Standing{1: Quarantined, 2: Suspect},
 		},
-		"a series with less than a moment between two crashes, beside others": {
-			steps: []testEvent{
+		"series with less than clusterWindow between crashes, with others": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0.6, worker: "b", requests: []byte{1, 2}},
 				{at: 0.7, worker: "x", requests: []byte{3}}, {at: 1.2, worker: "c", requests: []byte{1}},
 			},
 			now: 1.2, want: map[byte]Standing{1: Quarantined, 2: Suspect, 3: Suspect},
 		},
-		"two at once, one later": {
-			steps: []testEvent{
+		"two at the same time, one later": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 0, worker: "b", requests: []byte{1}},
 				{at: 3, worker: "c", requests: []byte{1}},
 			},
 			now: 3, want: map[byte]Standing{1: Quarantined},
 		},
-		"a crash is forgotten": {
-			steps: []testEvent{{at: 0, worker: "a", requests: []byte{1}}},
-			now:   suspectRetention.Seconds(), want: map[byte]Standing{1: Unsuspected},
+		"expiry of a crash": {
+			events: []testEvent{{at: 0, worker: "a", requests: []byte{1}}},
+			now:    suspectRetention.Seconds(), want: map[byte]Standing{1: Unsuspected},
 		},
-		"quarantine lasts": {
-			steps: []testEvent{
+		"before expiry of the quarantine": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}},
 			},
 			now: quarantineDuration.Seconds(), want: map[byte]Standing{1: Quarantined},
 		},
-		"and ends": {
-			steps: []testEvent{
+		"expiry of the quarantine": {
+			events: []testEvent{
 				{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}},
 				{at: 6, worker: "c", requests: []byte{1}},
 			},
@@ -122,11 +121,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := NewTracker()
-			play(b, test.steps)
-			b.Evaluate(at(test.now))
+			tracker := NewTracker()
+			play(tracker, test.events)
+			tracker.Evaluate(at(test.now))
 			for request, want := range test.want {
-				assert.Equal(t, b.Standing(attempt(request).callerRequest()), want, "request %d", request)
+				assert.Equal(t, tracker.Standing(attempt(request).callerRequest()), want, "request %d", request)
 			}
 		})
 	}
@@ -135,101 +134,100 @@
 // callerAt returns one of several callers.
 func callerAt(number byte) netip.Addr { return netip.AddrFrom4([4]byte{10, 0, 0, number}) }
 
-// callerEvent is a crash of a worker with the request of a caller under way, or a run of it that
-// ended well.
+// callerEvent is a crash of a worker with the request of a caller in progress, or its success.
 type callerEvent struct {
-	at       float64
-	worker   workers.ID
-	caller   byte
-	finished bool
+	at        float64
+	worker    workers.ID
+	caller    byte
+	succeeded bool
 }
 
-func TestBookAddsUpCallersUntilARunOfAnotherEndsWell(t *testing.T) {
+func TestCrashesOfCallersAddUpUntilAnotherSucceeds(t *testing.T) {
 	for name, test := range map[string]struct {
-		steps []callerEvent
-		want  map[byte]Standing
+		events []callerEvent
+		want   map[byte]Standing
 	}{
 		"three callers": {
-			steps: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 6, worker: "c", caller: 3}},
-			want:  map[byte]Standing{1: Quarantined, 2: Quarantined, 9: Quarantined},
+			events: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 6, worker: "c", caller: 3}},
+			want:   map[byte]Standing{1: Quarantined, 2: Quarantined, 9: Quarantined},
 		},
 		"three callers, one worker": {
-			steps: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 1.5, worker: "a", caller: 2}, {at: 3, worker: "a", caller: 3}},
-			want:  map[byte]Standing{1: Suspect, 9: Suspect},
+			events: []callerEvent{{at: 0, worker: "a", caller: 1}, {at: 1.5, worker: "a", caller: 2}, {at: 3, worker: "a", caller: 3}},
+			want:   map[byte]Standing{1: Suspect, 9: Suspect},
 		},
-		"one caller's run ends well": {
-			steps: []callerEvent{
-				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 4, caller: 9, finished: true},
+		"another caller succeeds in between": {
+			events: []callerEvent{
+				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 2}, {at: 4, caller: 9, succeeded: true},
 				{at: 6, worker: "c", caller: 3},
 			},
 			want: map[byte]Standing{1: Suspect, 2: Suspect, 3: Suspect, 9: Suspect},
 		},
-		"harmful as one caller asks it": {
-			steps: []callerEvent{
-				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, finished: true}, {at: 3, worker: "b", caller: 1},
-				{at: 4, caller: 9, finished: true}, {at: 6, worker: "c", caller: 1}, {at: 7, caller: 9, finished: true},
+		"harmful for one caller only": {
+			events: []callerEvent{
+				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, succeeded: true}, {at: 3, worker: "b", caller: 1},
+				{at: 4, caller: 9, succeeded: true}, {at: 6, worker: "c", caller: 1}, {at: 7, caller: 9, succeeded: true},
 			},
 			want: map[byte]Standing{1: Quarantined, 2: Unsuspected, 9: Unsuspected},
 		},
-		"another caller's run ends well once it is quarantined": {
-			steps: []callerEvent{
+		"another caller succeeds after the quarantine": {
+			events: []callerEvent{
 				{at: 0, worker: "a", caller: 1}, {at: 3, worker: "b", caller: 1}, {at: 6, worker: "c", caller: 1},
-				{at: 6.1, caller: 9, finished: true},
+				{at: 6.1, caller: 9, succeeded: true},
 			},
 			want: map[byte]Standing{1: Quarantined, 9: Unsuspected},
 		},
-		"its own run ends well": {
-			steps: []callerEvent{
-				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, finished: true}, {at: 3, worker: "b", caller: 1},
-				{at: 4, caller: 1, finished: true}, {at: 6, worker: "c", caller: 1},
+		"the same caller succeeds": {
+			events: []callerEvent{
+				{at: 0, worker: "a", caller: 1}, {at: 1, caller: 9, succeeded: true}, {at: 3, worker: "b", caller: 1},
+				{at: 4, caller: 1, succeeded: true}, {at: 6, worker: "c", caller: 1},
 			},
 			want: map[byte]Standing{1: Suspect, 9: Suspect},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewTracker()
-			for _, one := range test.steps {
+			tracker := NewTracker()
+			for _, one := range test.events {
 				request := attempt(1)
 				request.Caller = callerAt(one.caller)
-				if one.finished {
-					b.RecordSuccess(at(one.at), request.callerRequest())
+				if one.succeeded {
+					tracker.RecordSuccess(at(one.at), request.callerRequest())
 					continue
 				}
-				b.RecordCrash(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
+				tracker.RecordCrash(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
 			}
-			told := NewTracker()
-			told.Merge(at(8), NewSnapshot(at(8), b.Records()).Received(at(8)))
+			received := NewTracker()
+			received.Merge(at(8), NewSnapshot(at(8), tracker.Records()).Received(at(8)))
 			for caller, want := range test.want {
 				run := CallerRequest{Request: attempt(1).Request, Caller: callerAt(caller)}
-				assert.Equal(t, b.Standing(run), want, "caller %d", caller)
-				assert.Equal(t, told.Standing(run), want, "caller %d, as told", caller)
+				assert.Equal(t, tracker.Standing(run), want, "caller %d", caller)
+				assert.Equal(t, received.Standing(run), want, "caller %d, from the snapshot", caller)
 			}
 		})
 	}
 }
 
-func TestBookIsBounded(t *testing.T) {
-	b := NewTracker()
-	play(b, []testEvent{
+func TestTrackerIsBounded(t *testing.T) {
+	tracker := NewTracker()
+	play(tracker, []testEvent{
 		{at: 0, worker: "a", requests: []byte{1}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
 	for index := range 2 * maxRecords {
 		one := Attempt{Request: Fingerprint{2, byte(index), byte(index >> 8)}}
-		b.RecordCrash(at(10+float64(index)), one, Crash{Worker: "d", At: at(10 + float64(index))})
+		tracker.RecordCrash(at(10+float64(index)), one, Crash{Worker: "d", At: at(10 + float64(index))})
 	}
-	assert.Assert(t, len(b.Records()) <= maxRecords)
-	assert.Equal(t, b.Standing(attempt(1).callerRequest()), Quarantined, "suspects make room, not what is quarantined")
-	assert.Equal(t, b.Standing(CallerRequest{Request: Fingerprint{2, 0, 0}}), Unsuspected)
+	assert.Assert(t, len(tracker.Records()) <= maxRecords)
+	assert.Equal(t, tracker.Standing(attempt(1).callerRequest()), Quarantined, "suspects are evicted, quarantined requests are not")
+	assert.Equal(t, tracker.Standing(CallerRequest{Request: Fingerprint{2, 0, 0}}), Unsuspected)
 }
 
-// What is stored is read by processes that start later, maybe with another time of day.
-func TestSnapshotOutlastsItsWriter(t *testing.T) {
-	b := NewTracker()
-	play(b, []testEvent{
+// A stored snapshot is read by processes that start later and whose clocks may differ.
+func TestStoredSnapshotRestoresRecords(t *testing.T) {
+	tracker := NewTracker()
+	play(tracker, []testEvent{
 		{at: 0, worker: "a", requests: []byte{1, 2}}, {at: 3, worker: "b", requests: []byte{1}}, {at: 6, worker: "c", requests: []byte{1}},
 	})
-	stored := NewSnapshot(at(10), b.Records()).Encode()
-	tests := map[string]float64{"at once": 10, "a minute later": 70, "a clock that is behind": 4}
+	stored := NewSnapshot(at(10), tracker.Records()).Encode()
+	tests := map[string]float64{"without delay": 10, "a minute later": 70, "a clock that is behind": 4}
 	for name, now := range tests {
 		t.Run(name, func(t *testing.T) {
 			snapshot, err := DecodeSnapshot(stored)
@@ -246,7 +244,7 @@
 	assert.ErrorContains(t, err, "quarantine")
 }
 
-func TestViewTellsUntilALeaderKnows(t *testing.T) {
+func TestViewReportsUntilLeaderConfirms(t *testing.T) {
 	follower, leader := NewView(), NewView()
 	assert.Assert(t, !follower.AnyRestricted())
 	assert.Assert(t, follower.CollectEvidence(at(0)) == nil)
@@ -255,68 +253,68 @@
 	first := follower.CollectEvidence(at(0.2))
 	assert.Equal(t, len(first.Crashes), 1)
 	assert.Equal(t, first.Crashes[0].Crash.AgeMillis, int64(200))
-	assert.Assert(t, follower.CollectEvidence(at(0.4)) == nil, "it is on its way")
-	assert.Equal(t, len(follower.CollectEvidence(at(1.3)).Crashes), 1, "nobody has confirmed it")
+	assert.Assert(t, follower.CollectEvidence(at(0.4)) == nil, "already reported")
+	assert.Equal(t, len(follower.CollectEvidence(at(1.3)).Crashes), 1, "not confirmed, so reported again")
 
 	other, _ := leader.Snapshot(at(1.4))
 	follower.HandleUpdate(at(1.4), other.Received(at(1.4)))
-	assert.Equal(t, follower.Standing(attempt(1).callerRequest()), Suspect, "a leader that has not heard of it takes nothing away")
+	assert.Equal(t, follower.Standing(attempt(1).callerRequest()), Suspect, "an update without it does not remove it")
 	leader.HandleEvidence(at(1.5), *first)
 	leader.HandleEvidence(at(1.6), *first)
 	snapshot, _ := leader.Snapshot(at(1.6))
 	assert.Equal(t, len(snapshot.Records), 1)
 	assert.Equal(t, len(snapshot.Records[0].Crashes), 1)
 	follower.HandleUpdate(at(1.6), snapshot.Received(at(1.6)))
-	assert.Assert(t, follower.CollectEvidence(at(5)) == nil, "a leader knows")
+	assert.Assert(t, follower.CollectEvidence(at(5)) == nil, "confirmed by the leader")
 
 	follower.RecordSuccess(at(6), attempt(1).callerRequest())
 	assert.Assert(t, !follower.AnyRestricted())
 	leader.HandleEvidence(at(6), *follower.CollectEvidence(at(6)))
-	assert.Assert(t, !leader.AnyRestricted(), "a good run clears it everywhere")
+	assert.Assert(t, !leader.AnyRestricted(), "the success clears it at the leader too")
 	follower.RecordSuccess(at(7), attempt(1).callerRequest())
 	assert.Assert(t, follower.CollectEvidence(at(7)) == nil)
 }
 
-func TestViewGivesUpTellingInTheEnd(t *testing.T) {
+func TestViewStopsReportingAfterReportDuration(t *testing.T) {
 	v := NewView()
 	v.RecordCrash(at(0), attempt(1), Crash{Worker: "a", At: at(0)})
 	assert.Equal(t, len(v.CollectEvidence(at(1)).Crashes), 1)
 	assert.Assert(t, v.CollectEvidence(at(1+reportDuration.Seconds())) == nil)
 }
 
-func TestViewNamesWhatBecomesQuarantined(t *testing.T) {
+func TestViewReturnsNewlyQuarantined(t *testing.T) {
 	leader, follower := NewView(), NewView()
 	for index, worker := range []workers.ID{"a", "b", "c"} {
 		seconds := float64(3 * index)
-		held := leader.HandleEvidence(at(seconds), Evidence{Crashes: []CrashReport{{Attempt: attempt(1), Crash: SnapshotCrash{Worker: worker}}}})
-		assert.Equal(t, len(held), index/2, "the third crash does it")
+		quarantined := leader.HandleEvidence(at(seconds), Evidence{Crashes: []CrashReport{{Attempt: attempt(1), Crash: SnapshotCrash{Worker: worker}}}})
+		assert.Equal(t, len(quarantined), index/2, "the third crash quarantines it")
 		snapshot, _ := leader.Snapshot(at(seconds))
 		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), index/2)
-		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), 0, "told before")
+		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), 0, "received before")
 	}
 	suspects, quarantined := follower.Count()
 	assert.Equal(t, suspects, 0)
 	assert.Equal(t, quarantined, 1)
 }
 
-// A worker that starts again under its ID after each crash counted as one, so a request that
-// crashed it again and again was never held.
-func TestEachLifeThatCrashesCounts(t *testing.T) {
+// Guards against counting the crashes of a worker that restarts under the same ID as one: a request that
+// crashed it repeatedly was never quarantined.
+func TestCrashOfEachIncarnationCounts(t *testing.T) {
 	for name, test := range map[string]struct {
-		lives []workers.Born
-		held  bool
+		incarnations []workers.Born
+		quarantined  bool
 	}{
-		"three lives":                {lives: []workers.Born{1, 2, 3}, held: true},
-		"one life, told three times": {lives: []workers.Born{1, 1, 1}},
+		"three incarnations":                    {incarnations: []workers.Born{1, 2, 3}, quarantined: true},
+		"one incarnation, reported three times": {incarnations: []workers.Born{1, 1, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewTracker()
-			for index, born := range test.lives {
+			tracker := NewTracker()
+			for index, born := range test.incarnations {
 				seconds := 10 * float64(index)
 				crash := Crash{Worker: "w", Born: born, At: at(seconds)}
-				b.RecordCrash(at(seconds), attempt(1), crash.toSnapshot(at(seconds)).crash(at(seconds)))
+				tracker.RecordCrash(at(seconds), attempt(1), crash.toSnapshot(at(seconds)).crash(at(seconds)))
 			}
-			assert.Equal(t, b.Standing(attempt(1).callerRequest()) == Quarantined, test.held)
+			assert.Equal(t, tracker.Standing(attempt(1).callerRequest()) == Quarantined, test.quarantined)
 		})
 	}
 }
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -37,16 +37,16 @@
 // eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
-func (s eventQueue) Len() int { return len(s) }
-func (s eventQueue) Less(i, j int) bool {
-	return s[i].at.Before(s[j].at) || s[i].at.Equal(s[j].at) && s[i].number < s[j].number
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at.Before(q[j].at) || q[i].at.Equal(q[j].at) && q[i].number < q[j].number
 }
-func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *eventQueue) Push(x any)   { *s = append(*s, x.(event)) }
-func (s *eventQueue) Pop() any {
-	old := *s
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*s = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
@@ -106,86 +106,86 @@
 }
 
 func newSimulation(seed uint64, routers int, perSecond float64) *simulation {
-	w := &simulation{now: start, random: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
-	w.worker.life = workers.Life{ID: "w", Born: 1}
+	s := &simulation{now: start, random: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
+	s.worker.life = workers.Life{ID: "w", Born: 1}
 	for range routers {
-		w.routers = append(w.routers, &simRouter{limiter: NewLimiter()})
+		s.routers = append(s.routers, &simRouter{limiter: NewLimiter()})
 	}
-	w.elect()
-	for _, one := range w.routers {
-		w.every(reportInterval, func() { w.report(one) })
+	s.elect()
+	for _, one := range s.routers {
+		s.every(reportInterval, func() { s.report(one) })
 	}
-	w.every(updateInterval, w.sendUpdates)
-	w.nextRequest()
-	return w
+	s.every(updateInterval, s.sendUpdates)
+	s.nextRequest()
+	return s
 }
 
 // after schedules an action.
-func (w *simulation) after(wait time.Duration, do func()) {
-	w.scheduled++
-	heap.Push(&w.queue, event{at: w.now.Add(wait), number: w.scheduled, do: do})
+func (s *simulation) after(wait time.Duration, do func()) {
+	s.scheduled++
+	heap.Push(&s.queue, event{at: s.now.Add(wait), number: s.scheduled, do: do})
 }
 
 // every schedules a recurring action at random intervals of up to interval.
-func (w *simulation) every(interval time.Duration, do func()) {
-	w.after(time.Duration(w.random.Int64N(int64(interval)))+1, func() {
+func (s *simulation) every(interval time.Duration, do func()) {
+	s.after(time.Duration(s.random.Int64N(int64(interval)))+1, func() {
 		do()
-		w.every(interval, do)
+		s.every(interval, do)
 	})
 }
 
 // run runs the simulation for a time.
-func (w *simulation) run(length time.Duration) {
-	for end := w.now.Add(length); w.queue.Len() > 0 && w.queue[0].at.Before(end); {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+func (s *simulation) run(length time.Duration) {
+	for end := s.now.Add(length); s.queue.Len() > 0 && s.queue[0].at.Before(end); {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
 		next.do()
 	}
 }
 
 // latency returns the random latency of a message.
-func (w *simulation) latency() time.Duration {
-	return time.Duration(1+w.random.IntN(30)) * time.Millisecond
+func (s *simulation) latency() time.Duration {
+	return time.Duration(1+s.random.IntN(30)) * time.Millisecond
 }
 
 // reaches reports whether two routers reach each other.
-func (w *simulation) reaches(a, b *simRouter) bool { return a.partition == b.partition }
+func (s *simulation) reaches(a, b *simRouter) bool { return a.partition == b.partition }
 
 // elect gives the lease to a router that reaches the store, once the previous lease has ended.
-func (w *simulation) elect() {
+func (s *simulation) elect() {
 	var candidates []*simRouter
-	for _, one := range w.routers {
+	for _, one := range s.routers {
 		if one.partition == 0 {
 			candidates = append(candidates, one)
 		}
 	}
-	if w.leader != nil || len(candidates) == 0 {
+	if s.leader != nil || len(candidates) == 0 {
 		return
 	}
-	w.leader = candidates[w.random.IntN(len(candidates))]
-	w.leader.leading, w.leader.authorityUntil = true, start.Add(simulationLength)
-	w.leader.limiter.SetLeading(true)
+	s.leader = candidates[s.random.IntN(len(candidates))]
+	s.leader.leading, s.leader.authorityUntil = true, start.Add(simulationLength)
+	s.leader.limiter.SetLeading(true)
 	for _, one := range candidates {
-		w.follow(one, w.leader)
+		s.follow(one, s.leader)
 	}
 }
 
 // follow makes a router follow another one.
-func (w *simulation) follow(one, leader *simRouter) {
+func (s *simulation) follow(one, leader *simRouter) {
 	one.following, one.version = leader, 0
 	one.limiter.QueueAll()
 }
 
 // sendUpdates sends the leaders' new facts to their followers.
-func (w *simulation) sendUpdates() {
-	for _, one := range w.routers {
+func (s *simulation) sendUpdates() {
+	for _, one := range s.routers {
 		leader := one.following
-		if leader == nil || leader == one || !leader.leading || !w.reaches(one, leader) {
+		if leader == nil || leader == one || !leader.leading || !s.reaches(one, leader) {
 			continue
 		}
 		facts, upTo := leader.limiter.Table().Since(one.version, 8)
 		one.version = upTo
-		w.after(w.latency(), func() {
+		s.after(s.latency(), func() {
 			for _, fact := range facts {
 				one.limiter.ApplyUpdate(fact)
 			}
@@ -194,13 +194,13 @@
 }
 
 // report sends a router's new facts to its leader.
-func (w *simulation) report(one *simRouter) {
+func (s *simulation) report(one *simRouter) {
 	leader := one.following
-	if leader == nil || leader == one || !w.reaches(one, leader) {
+	if leader == nil || leader == one || !s.reaches(one, leader) {
 		return
 	}
 	facts := one.limiter.TakeReport(8)
-	w.after(w.latency(), func() {
+	s.after(s.latency(), func() {
 		for _, fact := range facts {
 			leader.limiter.Add(fact)
 		}
@@ -208,68 +208,68 @@
 }
 
 // nextRequest schedules the callers' requests.
-func (w *simulation) nextRequest() {
-	w.after(time.Duration(w.random.ExpFloat64()/w.perSecond*float64(time.Second)), func() {
-		w.request(w.routers[w.random.IntN(len(w.routers))])
-		w.nextRequest()
+func (s *simulation) nextRequest() {
+	s.after(time.Duration(s.random.ExpFloat64()/s.perSecond*float64(time.Second)), func() {
+		s.request(s.routers[s.random.IntN(len(s.routers))])
+		s.nextRequest()
 	})
 }
 
 // request handles a caller's request at a router: it is sent at once while no limit is known, else once
 // the leader grants a permit.
-func (w *simulation) request(at *simRouter) {
-	w.requested++
-	fact, known := at.limiter.Table().Fact(w.worker.life)
+func (s *simulation) request(at *simRouter) {
+	s.requested++
+	fact, known := at.limiter.Table().Fact(s.worker.life)
 	if !known || fact.Ended {
-		w.send(at)
+		s.send(at)
 		return
 	}
-	if w.now.Before(at.pacedUntil) {
+	if s.now.Before(at.pacedUntil) {
 		return
 	}
 	leader := at.following
-	if leader == nil || !w.reaches(at, leader) {
-		at.pacedUntil = w.now.Add(100 * time.Millisecond)
+	if leader == nil || !s.reaches(at, leader) {
+		at.pacedUntil = s.now.Add(100 * time.Millisecond)
 		return
 	}
-	sent := w.now
-	requestLatency, answerLatency := w.latency(), w.latency()
+	sent := s.now
+	requestLatency, answerLatency := s.latency(), s.latency()
 	if leader == at {
 		requestLatency, answerLatency = 0, 0
 	}
-	w.after(requestLatency, func() {
-		permit, leading := leader.limiter.Issue(w.now, fact, 0, !w.now.Before(leader.authorityUntil))
-		w.after(answerLatency, func() { w.handlePermit(at, permit, leading && w.now.Sub(sent) < permitTimeout) })
+	s.after(requestLatency, func() {
+		permit, leading := leader.limiter.Issue(s.now, fact, 0, !s.now.Before(leader.authorityUntil))
+		s.after(answerLatency, func() { s.handlePermit(at, permit, leading && s.now.Sub(sent) < permitTimeout) })
 	})
 }
 
 // handlePermit handles a leader's answer.
-func (w *simulation) handlePermit(at *simRouter, permit Permit, answered bool) {
+func (s *simulation) handlePermit(at *simRouter, permit Permit, answered bool) {
 	switch {
 	case !answered:
-		at.pacedUntil = w.now.Add(100 * time.Millisecond)
+		at.pacedUntil = s.now.Add(100 * time.Millisecond)
 	case !permit.Granted:
-		at.pacedUntil = w.now.Add(permit.Wait)
+		at.pacedUntil = s.now.Add(permit.Wait)
 	default:
 		if permit.LimitEnded != nil {
 			at.limiter.ApplyUpdate(*permit.LimitEnded)
 		}
-		w.granted++
-		w.send(at)
+		s.granted++
+		s.send(at)
 	}
 }
 
 // send sends a request to the worker and handles its response.
-func (w *simulation) send(at *simRouter) {
-	sent := w.now
-	w.after(w.latency(), func() {
-		w.worker.arrivals = append(w.worker.arrivals, arrival{at: w.now, exempt: w.now.Before(at.exemptUntil)})
-		life := w.worker.life
-		w.after(workTime, func() {
-			limited, perSecond := w.worker.limited, w.worker.perSecond
-			w.after(w.latency(), func() {
+func (s *simulation) send(at *simRouter) {
+	sent := s.now
+	s.after(s.latency(), func() {
+		s.worker.arrivals = append(s.worker.arrivals, arrival{at: s.now, exempt: s.now.Before(at.exemptUntil)})
+		life := s.worker.life
+		s.after(workTime, func() {
+			limited, perSecond := s.worker.limited, s.worker.perSecond
+			s.after(s.latency(), func() {
 				if limited {
-					at.limiter.Add(Fact{Worker: life, Rate: perSecond, At: w.now})
+					at.limiter.Add(Fact{Worker: life, Rate: perSecond, At: s.now})
 				} else if _, known := at.limiter.Table().Rate(life); known {
 					at.limiter.Add(Fact{Worker: life, Ended: true, At: sent})
 				}
@@ -279,34 +279,34 @@
 }
 
 // setLimit makes the worker announce a limit, or none.
-func (w *simulation) setLimit(perSecond float64, limited bool) {
-	since := w.now
-	if count := len(w.worker.limits); count > 0 && w.worker.limits[count-1].to.IsZero() {
-		w.worker.limits[count-1].to, since = w.now, w.worker.limits[count-1].since
+func (s *simulation) setLimit(perSecond float64, limited bool) {
+	since := s.now
+	if count := len(s.worker.limits); count > 0 && s.worker.limits[count-1].to.IsZero() {
+		s.worker.limits[count-1].to, since = s.now, s.worker.limits[count-1].since
 	}
-	w.worker.perSecond, w.worker.limited = perSecond, limited
+	s.worker.perSecond, s.worker.limited = perSecond, limited
 	if limited {
-		w.worker.limits = append(w.worker.limits, namedLimit{perSecond: perSecond, since: since, from: w.now})
+		s.worker.limits = append(s.worker.limits, namedLimit{perSecond: perSecond, since: since, from: s.now})
 	}
 }
 
 // loseLeader restarts the leader's process; another leader is elected after a while.
-func (w *simulation) loseLeader() {
-	if w.leader != nil {
-		w.restart(w.leader)
+func (s *simulation) loseLeader() {
+	if s.leader != nil {
+		s.restart(s.leader)
 	}
 }
 
 // restart restarts a router, which knows nothing until it follows a leader.
-func (w *simulation) restart(one *simRouter) {
-	if one == w.leader {
-		w.leader = nil
-		w.after(time.Duration(300+w.random.IntN(2000))*time.Millisecond, w.elect)
+func (s *simulation) restart(one *simRouter) {
+	if one == s.leader {
+		s.leader = nil
+		s.after(time.Duration(300+s.random.IntN(2000))*time.Millisecond, s.elect)
 	}
-	*one = simRouter{limiter: NewLimiter(), partition: one.partition, exemptUntil: w.now.Add(propagationTime)}
-	if w.leader != nil && w.leader != one && w.reaches(one, w.leader) {
-		w.follow(one, w.leader)
-		for _, fact := range w.leader.limiter.Table().Facts() { // received before the router is ready
+	*one = simRouter{limiter: NewLimiter(), partition: one.partition, exemptUntil: s.now.Add(propagationTime)}
+	if s.leader != nil && s.leader != one && s.reaches(one, s.leader) {
+		s.follow(one, s.leader)
+		for _, fact := range s.leader.limiter.Table().Facts() { // received before the router is ready
 			one.limiter.ApplyUpdate(fact)
 		}
 	}
@@ -314,45 +314,45 @@
 
 // isolate cuts some routers off from the others for a time. If the leader is one of them, another one
 // is elected after the lease ends.
-func (w *simulation) isolate(count int, length time.Duration) {
+func (s *simulation) isolate(count int, length time.Duration) {
 	var isolated []*simRouter
-	for _, index := range w.random.Perm(len(w.routers))[:count] {
-		one := w.routers[index]
+	for _, index := range s.random.Perm(len(s.routers))[:count] {
+		one := s.routers[index]
 		if one.partition == 0 {
 			one.partition = 1
 			isolated = append(isolated, one)
 		}
 	}
-	if leader := w.leader; leader != nil && leader.partition == 1 {
-		leader.authorityUntil = w.now.Add(leaseTime)
-		w.after(leaseTime, func() {
-			w.leader = nil
-			w.elect()
+	if leader := s.leader; leader != nil && leader.partition == 1 {
+		leader.authorityUntil = s.now.Add(leaseTime)
+		s.after(leaseTime, func() {
+			s.leader = nil
+			s.elect()
 		})
 	}
-	w.after(length, func() {
+	s.after(length, func() {
 		for _, one := range isolated {
-			one.partition, one.exemptUntil = 0, w.now.Add(propagationTime)
-			if one.leading && one != w.leader {
+			one.partition, one.exemptUntil = 0, s.now.Add(propagationTime)
+			if one.leading && one != s.leader {
 				one.leading = false
 				one.limiter.SetLeading(false)
 			}
-			if w.leader != nil {
-				w.follow(one, w.leader)
+			if s.leader != nil {
+				s.follow(one, s.leader)
 			}
 		}
 	})
 	for _, one := range isolated {
-		one.exemptUntil = w.now.Add(length + propagationTime)
+		one.exemptUntil = s.now.Add(length + propagationTime)
 	}
 }
 
 // violations returns the limits that were exceeded within a window.
-func (w *simulation) violations() []string {
+func (s *simulation) violations() []string {
 	var violations []string
-	for _, limit := range w.worker.limits {
+	for _, limit := range s.worker.limits {
 		var within []time.Time
-		for _, one := range w.worker.arrivals {
+		for _, one := range s.worker.arrivals {
 			ended := !limit.to.IsZero() && one.at.After(limit.to)
 			applies := one.at.After(limit.since.Add(propagationTime)) && one.at.After(limit.from.Add(time.Second/2))
 			if applies && !ended && !one.exempt {
--- a/internal/workerlimit/table_test.go
+++ b/internal/workerlimit/table_test.go
@@ -13,13 +13,13 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // nameLimit merges a limit that a response announced at a time.
-func nameLimit(b Table, now time.Time, life workers.Life, perSecond float64) bool {
-	return b.Merge(Fact{Worker: life, Rate: perSecond, At: now})
+func nameLimit(t Table, now time.Time, life workers.Life, perSecond float64) bool {
+	return t.Merge(Fact{Worker: life, Rate: perSecond, At: now})
 }
 
 // endLimit merges the end of a limit, from the response to a request sent at a time.
-func endLimit(b Table, sent time.Time, life workers.Life) bool {
-	return b.Merge(Fact{Worker: life, Ended: true, At: sent})
+func endLimit(t Table, sent time.Time, life workers.Life) bool {
+	return t.Merge(Fact{Worker: life, Ended: true, At: sent})
 }
 
 // at returns a time in seconds after start.
@@ -35,46 +35,46 @@
 		limited bool
 	}{
 		"nothing":                                        {update: func(Table) {}, of: first, limited: true},
-		"a response to a later request":                  {update: func(b Table) { endLimit(b, at(11), first) }, of: first},
-		"not a response to an earlier request":           {update: func(b Table) { endLimit(b, at(9), first) }, of: first, limited: true},
+		"a response to a later request":                  {update: func(t Table) { endLimit(t, at(11), first) }, of: first},
+		"not a response to an earlier request":           {update: func(t Table) { endLimit(t, at(9), first) }, of: first, limited: true},
 		"another incarnation of the worker":              {update: func(Table) {}, of: second},
 		"not an incarnation whose start is unknown":      {update: func(Table) {}, of: workers.Life{ID: "w"}, limited: true},
-		"not an earlier announcement that arrives later": {update: func(b Table) { endLimit(b, at(11), first); nameLimit(b, at(10.5), first, 3) }, of: first},
-		"announced again":                                {update: func(b Table) { endLimit(b, at(11), first); nameLimit(b, at(12), first, 3) }, of: first, limited: true},
-		"not a response of another worker":               {update: func(b Table) { endLimit(b, at(11), workers.Life{ID: "x"}) }, of: first, limited: true},
+		"not an earlier announcement that arrives later": {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(10.5), first, 3) }, of: first},
+		"announced again":                                {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(12), first, 3) }, of: first, limited: true},
+		"not a response of another worker":               {update: func(t Table) { endLimit(t, at(11), workers.Life{ID: "x"}) }, of: first, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewTable()
-			assert.Assert(t, nameLimit(b, at(10), first, 2.5))
-			test.update(b)
-			_, limited := b.Rate(test.of)
+			table := NewTable()
+			assert.Assert(t, nameLimit(table, at(10), first, 2.5))
+			test.update(table)
+			_, limited := table.Rate(test.of)
 			assert.Equal(t, limited, test.limited)
 		})
 	}
 }
 
 func TestLatestLimitHolds(t *testing.T) {
-	b, life := NewTable(), workers.Life{ID: "w"}
-	assert.Assert(t, nameLimit(b, at(1), life, 5))
-	assert.Assert(t, !nameLimit(b, at(2), life, 4.9)) // equivalent to the published rate
-	rate, _ := b.Rate(life)
+	table, life := NewTable(), workers.Life{ID: "w"}
+	assert.Assert(t, nameLimit(table, at(1), life, 5))
+	assert.Assert(t, !nameLimit(table, at(2), life, 4.9)) // equivalent to the published rate
+	rate, _ := table.Rate(life)
 	assert.Equal(t, rate, 4.9)
-	assert.Assert(t, !nameLimit(b, at(3), life, 4.6))
-	assert.Assert(t, nameLimit(b, at(4), life, 4.4)) // small steps add up
-	assert.Assert(t, !nameLimit(b, at(2), life, 1))  // arrives late
-	rate, _ = b.Rate(life)
+	assert.Assert(t, !nameLimit(table, at(3), life, 4.6))
+	assert.Assert(t, nameLimit(table, at(4), life, 4.4)) // small steps add up
+	assert.Assert(t, !nameLimit(table, at(2), life, 1))  // arrives late
+	rate, _ = table.Rate(life)
 	assert.Equal(t, rate, 4.4)
 }
 
 func TestForget(t *testing.T) {
-	b := NewTable()
+	table := NewTable()
 	for _, id := range []workers.ID{"gone", "ended", "stays"} {
-		nameLimit(b, at(0), workers.Life{ID: id}, 1)
+		nameLimit(table, at(0), workers.Life{ID: id}, 1)
 	}
-	endLimit(b, at(1), workers.Life{ID: "ended"})
-	b.Forget(at(2).Add(endedRetention), func(id workers.ID) bool { return id == "gone" })
-	assert.Equal(t, len(b.Facts()), 1)
-	assert.Equal(t, b.ActiveCount(), 1)
+	endLimit(table, at(1), workers.Life{ID: "ended"})
+	table.Forget(at(2).Add(endedRetention), func(id workers.ID) bool { return id == "gone" })
+	assert.Equal(t, len(table.Facts()), 1)
+	assert.Equal(t, table.ActiveCount(), 1)
 }
 
 func drawFact(t *rapid.T) Fact {
@@ -91,11 +91,11 @@
 		facts := rapid.SliceOfN(rapid.Custom(drawFact), 1, 8).Draw(t, "facts")
 		other := rapid.Permutation(facts).Draw(t, "other")
 		merged := func(list []Fact) map[workers.ID]Fact {
-			b, seen := NewTable(), map[workers.ID]Fact{}
+			table, seen := NewTable(), map[workers.ID]Fact{}
 			for _, one := range append(list, list...) {
-				b.Merge(one)
+				table.Merge(one)
 			}
-			for _, one := range b.Facts() {
+			for _, one := range table.Facts() {
 				if one.Ended {
 					one.Rate = 0
 				}
