--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -10,7 +10,7 @@
 
 // Fact says that an incarnation of a worker is leaving.
 type Fact struct {
-	Worker workers.Life
+	Worker workers.Incarnation
 	// Since is when the first process learned of it.
 	Since time.Time
 }
@@ -20,7 +20,7 @@
 const sinceTolerance = 250 * time.Millisecond
 
 // Key implements facts.Fact: each incarnation has a fact of its own.
-func (f Fact) Key() workers.Life { return f.Worker }
+func (f Fact) Key() workers.Incarnation { return f.Worker }
 
 // Replaces reports whether a fact has been known for longer than another one about the same
 // incarnation.
@@ -35,18 +35,18 @@
 // Message is a fact as processes send it to each other. Their clocks differ, so times are sent as
 // ages.
 type Message struct {
-	Worker    workers.ID   `json:"w"`
-	Born      workers.Born `json:"b,omitempty"`
-	AgeMillis int64        `json:"a,omitempty"`
+	Worker    workers.ID        `json:"w"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	AgeMillis int64             `json:"a,omitempty"`
 }
 
 // NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
-	return Message{Worker: fact.Worker.ID, Born: fact.Worker.Born, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
+	return Message{Worker: fact.Worker.ID, Born: fact.Worker.StartTime, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
 }
 
 // Fact decodes a fact that was received at now.
 func (m Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
-	return Fact{Worker: workers.Life{ID: m.Worker, Born: m.Born}, Since: now.Add(-age)}
+	return Fact{Worker: workers.Incarnation{ID: m.Worker, StartTime: m.Born}, Since: now.Add(-age)}
 }
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -7,7 +7,7 @@
 // Fact is a piece of information about a worker, or about one incarnation of it.
 type Fact[F any] interface {
 	// Key identifies the subject of the fact: a worker's ID alone, or one incarnation of it.
-	Key() workers.Life
+	Key() workers.Incarnation
 	// Replaces reports whether the fact takes the place of another one with the same key. It defines
 	// a total order of the facts with one key.
 	Replaces(other F) bool
--- a/internal/facts/replica.go
+++ b/internal/facts/replica.go
@@ -15,12 +15,12 @@
 	// leading says that this process follows no other, so there is none to report to.
 	leading bool
 	// pending are the keys of facts that are still to be reported to the followed process.
-	pending map[workers.Life]struct{}
+	pending map[workers.Incarnation]struct{}
 }
 
 // NewReplica returns an empty replica.
 func NewReplica[F Fact[F]]() *Replica[F] {
-	return &Replica[F]{table: NewTable[F](), pending: map[workers.Life]struct{}{}}
+	return &Replica[F]{table: NewTable[F](), pending: map[workers.Incarnation]struct{}{}}
 }
 
 // Table returns the facts of the replica.
--- a/internal/facts/table.go
+++ b/internal/facts/table.go
@@ -16,7 +16,7 @@
 	activeCount atomic.Int32
 	mu          sync.Mutex
 	version     uint64
-	entries     map[workers.Life]*tableEntry[F]
+	entries     map[workers.Incarnation]*tableEntry[F]
 }
 
 // tableEntry is the current fact for a key, and the published one, which is equivalent to it, with
@@ -27,13 +27,15 @@
 }
 
 // NewTable returns an empty table.
-func NewTable[F Fact[F]]() *Table[F] { return &Table[F]{entries: map[workers.Life]*tableEntry[F]{}} }
+func NewTable[F Fact[F]]() *Table[F] {
+	return &Table[F]{entries: map[workers.Incarnation]*tableEntry[F]{}}
+}
 
 // ActiveCount returns the number of active facts.
 func (t *Table[F]) ActiveCount() int { return int(t.activeCount.Load()) }
 
 // Fact returns the current fact for a key; false if there is none.
-func (t *Table[F]) Fact(key workers.Life) (F, bool) {
+func (t *Table[F]) Fact(key workers.Incarnation) (F, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if one := t.entries[key]; one != nil {
@@ -107,7 +109,7 @@
 func (t *Table[F]) Forget(drop func(F) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.entries, func(_ workers.Life, one *tableEntry[F]) bool { return drop(one.fact) })
+	maps.DeleteFunc(t.entries, func(_ workers.Incarnation, one *tableEntry[F]) bool { return drop(one.fact) })
 	t.updateActiveCount()
 }
 
@@ -136,6 +138,6 @@
 	return facts
 }
 
-func compareKeys(a, b workers.Life) int {
-	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+func compareKeys(a, b workers.Incarnation) int {
+	return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartTime, b.StartTime))
 }
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -8,14 +8,14 @@
 		file: "internal/workers/workers.go",
 		old:  "!evacuated && worker.State == StateReady",
 		new:  "(evacuated || !evacuated) && worker.State == StateReady",
-		pkg:  "./internal/proxy", test: "TestNoWorkGoesToAnEvacuatedZone",
+		pkg:  "./internal/proxy", test: "TestEvacuatedZoneReceivesNoRequests",
 	},
 	{
 		name: "owner-in-an-evacuated-zone-used",
 		file: "internal/proxy/keyed.go",
 		old:  "\tcase c.proxy.fleet.directory.EvacuatedFor(to.info().Zone) > c.evacuationGrace():",
 		new:  "\tcase false:",
-		pkg:  "./internal/proxy", test: "TestOwnersInAnEvacuatedZoneGetWorkForAWhile",
+		pkg:  "./internal/proxy", test: "TestOwnersInEvacuatedZoneReceiveRequestsBriefly",
 	},
 	{
 		name: "keys-stay-in-an-evacuated-zone",
@@ -27,7 +27,7 @@
 	{
 		name: "older-word-undoes-an-evacuation",
 		file: "internal/router/configview.go",
-		old:  "\tif news.Revision <= v.at {",
+		old:  "\tif changes.Revision <= v.at {",
 		new:  "\tif false {",
 		pkg:  "./internal/router", test: "TestEvacuationsFromTheLeader",
 	},
@@ -111,7 +111,7 @@
 	{
 		name: "age-of-news-not-told",
 		file: "internal/peerlink/entries.go",
-		old:  "	return max(0, now.Sub(learned).Milliseconds())",
+		old:  "	return max(0, now.Sub(learnedAt).Milliseconds())",
 		new:  "	return 0",
 		pkg:  "./internal/peerlink", test: "TestEntryChangesCarryTheirAge",
 	},
@@ -133,7 +133,7 @@
 		name: "silent-relay-relied-on",
 		file: "internal/router/updatesource.go",
 		old:  "clock.Nanos(now) < until",
-		new:  "t.liveUntil.Load() > 0",
+		new:  "u.liveUntil.Load() > 0",
 		pkg:  "./internal/router", test: "TestUpdateSourceExpires",
 	},
 	{
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -8,19 +8,19 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// The model drives the real books through every order of events within bounds: two
-// workers, one run of keys, a leader and its successor, orders that are answered,
-// left without an answer or taken late, a worker that is cut off and comes back, a
-// store that is slow, a leader that no longer reaches it, and a standby that renews
-// what it was told of whenever it may. Time passes in ticks.
+// The model drives real ledgers through every order of events within bounds. It has two workers,
+// one key range, a leader and its successor, and a standby that renews the holds that it knows
+// whenever it may. Orders are answered, remain unanswered or are accepted with a delay; a worker is
+// partitioned and returns; the store is slow, or a leader can no longer reach it. Time passes in
+// ticks.
 
 const (
 	modelTick = time.Second
-	// modelWorkers is the number of workers; the clock of the first one runs slow.
-	modelWorkers = 2
+	// modelWorkerCount is the number of workers. The clock of the first one runs slow.
+	modelWorkerCount = 2
 )
 
-// modelConfig has times of a few ticks.
+// modelConfig uses times of a few ticks.
 var modelConfig = Config{
 	Hold:          2 * modelTick,
 	RenewInterval: modelTick,
@@ -32,147 +32,150 @@
 
 const modelLease = 2 * modelTick
 
-// modelBounds bound what may happen on one path.
+// modelBounds limit the number of events of each kind on a path.
 type modelBounds struct {
-	ticks, moves, lates, losses, cuts, leaders int
-	// restarts of workers under their IDs.
+	ticks, moves, delays, lostReplies, partitions, leaders int
+	// restarts are restarts of workers that keep their ID.
 	restarts int
-	// tellings of holds to the standby, its renewals, and successors that ask it to
-	// stop and need not outwait it.
-	tellings, renewals, asks int
+	// holdReports are reports of holds to the standby and renewals are its renewals. revocations
+	// are successors that ask the standby to stop and therefore need not wait for its delegation to
+	// end.
+	holdReports, renewals, revocations int
 }
 
-// modelHolder is a worker's side.
-type modelHolder struct {
-	id     workers.ID
-	length time.Duration
-	fence  Fence
-	until  time.Time
-	seen   Fence
-	cut    bool
-	// lateCut says that the hold was taken late, and the worker was cut off while
-	// the order was on its way: nobody could tell it of a higher fence.
-	lateCut bool
-	// born tells its lives apart; zero if it does not tell them. before is the highest fence of
-	// its earlier lives.
-	born   workers.Born
-	before Fence
-	// untold says that nobody can have told this life of a higher fence yet.
-	untold bool
+// modelWorker is the state of a worker.
+type modelWorker struct {
+	id           workers.ID
+	length       time.Duration
+	fence        Fence
+	until        time.Time
+	highestFence Fence
+	partitioned  bool
+	// unpreventable means that the current hold comes from a grant during whose delivery no leader
+	// could have informed the worker of a higher fence, because the worker was partitioned or had
+	// restarted unnoticed. Such holds are not checked.
+	unpreventable bool
+	// incarnation identifies the run of the worker; zero if it does not report it. previousFence is
+	// the highest fence of its earlier incarnations.
+	incarnation   workers.StartTime
+	previousFence Fence
+	// unaware means that no leader can have informed this incarnation of a higher fence yet.
+	unaware bool
 }
 
-func (h *modelHolder) holds(now time.Time) bool { return now.Before(h.until) }
+func (w *modelWorker) holds(now time.Time) bool { return now.Before(w.until) }
 
-// modelOrder is an order on its way.
+// modelOrder is an order that has been sent.
 type modelOrder struct {
 	order   Order
 	renewal Renewal
-	// leader that sent it, or fromStandby.
+	// leader is the index of the leader that sent it, or fromStandby.
 	leader int
-	// late orders were given up and may still be taken, until then.
-	late  bool
-	until time.Time
-	// cut says that the worker was cut off while the order was late.
-	cut bool
-	// born is the life of the worker that the sender had heard of.
-	born workers.Born
+	// delayed means that the sender gave up waiting for a reply; the worker may still accept the
+	// order by the time until.
+	delayed bool
+	until   time.Time
+	// partitioned means that the worker was partitioned while the order was delayed.
+	partitioned bool
+	// incarnation is the worker's incarnation that the sender knew.
+	incarnation workers.StartTime
 }
 
-// modelWrite is a record on its way to the store.
+// modelWrite is a record that is being written to the store.
 type modelWrite struct {
-	change uint64
-	value  []byte
+	recordVersion uint64
+	value         []byte
 }
 
 type modelLeader struct {
-	book      *Ledger
+	ledger    *Ledger
 	term      Term
 	authority time.Time
-	// cutOff leaders no longer reach the store.
-	cutOff, dead bool
-	write        *modelWrite
-	// lives are those that the leader was told of.
-	lives [modelWorkers]workers.Born
+	// storeUnreachable means that the leader can't reach the store.
+	storeUnreachable, dead bool
+	write                  *modelWrite
+	// incarnations are the workers' incarnations that the leader was notified of.
+	incarnations [modelWorkerCount]workers.StartTime
 }
 
-// model is one state, reached by a path of choices.
+// model is a state that is reached by a path of choices.
 type model struct {
-	bounds  modelBounds
-	now     time.Time
-	holders []*modelHolder
-	leaders []*modelLeader
-	standby *modelStandby
-	orders  []*modelOrder
-	record  []byte
-	lease   time.Time
-	broken  string
+	bounds    modelBounds
+	now       time.Time
+	workers   []*modelWorker
+	leaders   []*modelLeader
+	standby   *modelStandby
+	orders    []*modelOrder
+	record    []byte
+	lease     time.Time
+	violation string
 }
 
 func newModel(bounds modelBounds) *model {
-	m := &model{bounds: bounds, now: time.Unix(1000, 0), standby: &modelStandby{pure: NewStandby(modelConfig)}}
-	for index := range modelWorkers {
+	m := &model{bounds: bounds, now: time.Unix(1000, 0), standby: &modelStandby{standby: NewStandby(modelConfig)}}
+	for index := range modelWorkerCount {
 		length := modelConfig.Hold
 		if index == 0 {
 			length = time.Duration(float64(length) * (1 + modelConfig.ClockSlack))
 		}
-		holder := &modelHolder{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
+		worker := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
 		if bounds.restarts > 0 {
-			holder.born = 1
+			worker.incarnation = 1
 		}
-		m.holders = append(m.holders, holder)
+		m.workers = append(m.workers, worker)
 	}
 	m.elect(0)
-	book := m.leaders[0].book
-	book.Assign(m.now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: m.holders[0].id, Address: "a"}})
-	value, _ := book.Encode(1, "")
+	ledger := m.leaders[0].ledger
+	ledger.Assign(m.now, []Owner{{Keys: KeyRange{0, KeyCount - 1}, Worker: m.workers[0].id, Address: "a"}})
+	value, _ := ledger.Encode(1, "")
 	m.record = value
-	book.MarkStored(book.RecordVersion())
-	m.drive()
+	ledger.MarkStored(ledger.RecordVersion())
+	m.sendDueOrders()
 	return m
 }
 
-// choices are the names of what may happen next, in a fixed order.
+// choices returns the names of the events that may happen next, in a fixed order.
 func (m *model) choices() []string {
 	var list []string
 	waiting := false
-	for index, one := range m.orders {
-		if one.late {
+	for index, sent := range m.orders {
+		if sent.delayed {
 			list = append(list, fmt.Sprintf("taken-late %d", index))
 			continue
 		}
 		waiting = true
 		list = append(list, fmt.Sprintf("answered %d", index))
-		if m.bounds.losses > 0 {
+		if m.bounds.lostReplies > 0 {
 			list = append(list, fmt.Sprintf("lost %d", index))
 		}
-		if m.bounds.lates > 0 && !one.order.Release {
+		if m.bounds.delays > 0 && !sent.order.Release {
 			list = append(list, fmt.Sprintf("late %d", index))
 		}
 	}
-	for index, one := range m.leaders {
-		if one.dead {
+	for index, leader := range m.leaders {
+		if leader.dead {
 			continue
 		}
-		if one.write != nil {
+		if leader.write != nil {
 			list = append(list, fmt.Sprintf("written %d", index))
 		}
-		if m.mayMove(one) {
+		if m.mayMove(leader) {
 			list = append(list, fmt.Sprintf("move %d", index))
 		}
-		if !one.cutOff && m.bounds.leaders > 0 {
+		if !leader.storeUnreachable && m.bounds.leaders > 0 {
 			list = append(list, fmt.Sprintf("cut-off %d", index))
 		}
 	}
 	list = append(list, m.standbyChoices()...)
-	for index, one := range m.holders {
-		if one.cut || m.bounds.cuts > 0 {
+	for index, worker := range m.workers {
+		if worker.partitioned || m.bounds.partitions > 0 {
 			list = append(list, fmt.Sprintf("cut %d", index))
 		}
 	}
-	list = append(list, m.lifeChoices()...)
+	list = append(list, m.restartChoices()...)
 	if !m.now.Before(m.lease) && m.bounds.leaders > 0 {
 		switch {
-		case m.bounds.asks == 0:
+		case m.bounds.revocations == 0:
 			list = append(list, "elect 0")
 		case len(m.orders) == 0:
 			list = append(list, "elect-after-asking 0")
@@ -184,13 +187,13 @@
 	return list
 }
 
-func (m *model) mayMove(one *modelLeader) bool {
-	span := one.book.spans[0]
-	return m.bounds.moves > 0 && !m.now.After(one.authority) && one.write == nil && !span.busy && span.planned == nil
+func (m *model) mayMove(leader *modelLeader) bool {
+	span := leader.ledger.spans[0]
+	return m.bounds.moves > 0 && !m.now.After(leader.authority) && leader.write == nil && !span.inFlight && span.pending == nil
 }
 
-// take makes a choice.
-func (m *model) take(choice string) {
+// apply makes the event of a choice happen.
+func (m *model) apply(choice string) {
 	var verb string
 	var index int
 	_, _ = fmt.Sscanf(choice, "%s %d", &verb, &index)
@@ -198,35 +201,35 @@
 	case "answered":
 		m.answer(index, true)
 	case "lost":
-		m.bounds.losses--
+		m.bounds.lostReplies--
 		m.answer(index, false)
 	case "late":
-		m.bounds.lates--
-		one := m.orders[index]
-		one.late, one.until, one.cut = true, m.now.Add(modelConfig.MaxOrderDelay), m.holder(one.order.Target.ID).cut
-		m.tell(one, Reply{Outcome: OutcomeUnanswered})
+		m.bounds.delays--
+		sent := m.orders[index]
+		sent.delayed, sent.until, sent.partitioned = true, m.now.Add(modelConfig.MaxOrderDelay), m.worker(sent.order.Target.ID).partitioned
+		m.handleReply(sent, Reply{Outcome: OutcomeUnanswered})
 	case "taken-late":
-		one := m.orders[index]
+		sent := m.orders[index]
 		m.orders = slices.Delete(m.orders, index, index+1)
-		m.deliver(one.order, one.cut || m.holder(one.order.Target.ID).untold, false)
+		m.deliver(sent.order, sent.partitioned || m.worker(sent.order.Target.ID).unaware, false)
 	case "written":
 		m.written(m.leaders[index])
 	case "move":
 		m.bounds.moves--
 		m.move(m.leaders[index])
 	case "cut-off":
-		m.leaders[index].cutOff = true
+		m.leaders[index].storeUnreachable = true
 	case "cut":
-		m.bounds.cuts--
-		m.cut(m.holders[index])
+		m.bounds.partitions--
+		m.togglePartition(m.workers[index])
 	case "restart":
 		m.bounds.restarts--
-		m.restart(m.holders[index])
+		m.restart(m.workers[index])
 	case "restart-heard":
-		m.hearRestart(index/modelWorkers, index%modelWorkers)
+		m.observeRestart(index/modelWorkerCount, index%modelWorkerCount)
 	case "tell-standby":
-		m.bounds.tellings--
-		m.tellStandby(m.leaders[index])
+		m.bounds.holdReports--
+		m.sendHoldsToStandby(m.leaders[index])
 	case "standby-renews":
 		m.bounds.renewals--
 		m.renewByStandby()
@@ -235,165 +238,167 @@
 		m.elect(modelConfig.RenewalGrace)
 	case "elect-after-asking":
 		m.bounds.leaders--
-		m.bounds.asks--
-		m.stopAll()
+		m.bounds.revocations--
+		m.revokeAll()
 		m.elect(0)
 	case "tick":
 		m.bounds.ticks--
-		m.tellLives()
+		m.propagateFences()
 		m.now = m.now.Add(modelTick)
-		m.orders = slices.DeleteFunc(m.orders, func(one *modelOrder) bool { return one.late && m.now.After(one.until) })
+		m.orders = slices.DeleteFunc(m.orders, func(sent *modelOrder) bool { return sent.delayed && m.now.After(sent.until) })
 		m.renew()
 	}
-	m.drive()
+	m.sendDueOrders()
 	m.check()
 }
 
-// cut cuts a worker off, or ends that.
-func (m *model) cut(holder *modelHolder) {
-	holder.cut = !holder.cut
-	for _, one := range m.orders {
-		one.cut = one.cut || (one.late && one.order.Target.ID == holder.id)
+// togglePartition starts or ends a worker's partition from the leaders.
+func (m *model) togglePartition(worker *modelWorker) {
+	worker.partitioned = !worker.partitioned
+	for _, sent := range m.orders {
+		sent.partitioned = sent.partitioned || (sent.delayed && sent.order.Target.ID == worker.id)
 	}
 }
 
-func (m *model) holder(id workers.ID) *modelHolder {
-	index := slices.IndexFunc(m.holders, func(h *modelHolder) bool { return h.id == id })
-	return m.holders[index]
+func (m *model) worker(id workers.ID) *modelWorker {
+	index := slices.IndexFunc(m.workers, func(w *modelWorker) bool { return w.id == id })
+	return m.workers[index]
 }
 
-// answer delivers an order, and its answer unless that is lost.
-func (m *model) answer(index int, heard bool) {
-	one := m.orders[index]
+// answer delivers an order, and its reply unless that is lost.
+func (m *model) answer(index int, received bool) {
+	sent := m.orders[index]
 	m.orders = slices.Delete(m.orders, index, index+1)
-	// Cut workers are cut off from the leaders: the standby may reach them still.
-	reply := m.deliver(one.order, m.unaware(one), one.leader == fromStandby)
-	if !heard && reply.Outcome != OutcomeUnreachable {
+	// Partitions separate workers from leaders; the standby may still reach them.
+	reply := m.deliver(sent.order, m.senderOutdated(sent), sent.leader == fromStandby)
+	if !received && reply.Outcome != OutcomeUnreachable {
 		reply = Reply{Outcome: OutcomeUnanswered}
 	}
-	m.tell(one, reply)
+	m.handleReply(sent, reply)
 }
 
-func (m *model) tell(one *modelOrder, reply Reply) {
-	if one.leader == fromStandby {
-		m.standby.pure.HandleOutcome(m.now, one.renewal, reply.Outcome)
+func (m *model) handleReply(sent *modelOrder, reply Reply) {
+	if sent.leader == fromStandby {
+		m.standby.standby.HandleOutcome(m.now, sent.renewal, reply.Outcome)
 		return
 	}
-	if from := m.leaders[one.leader]; !from.dead {
-		from.book.HandleReply(m.now, one.order, reply)
+	if from := m.leaders[sent.leader]; !from.dead {
+		from.ledger.HandleReply(m.now, sent.order, reply)
 	}
 }
 
-// deliver hands an order over. lateCut says that it is late, and the worker was cut
-// off meanwhile; apart, that its sender reaches workers that leaders do not.
-func (m *model) deliver(order Order, lateCut, apart bool) Reply {
-	to := m.holder(order.Target.ID)
-	if to.cut && !lateCut && !apart {
+// deliver carries out an order at its worker. unpreventable means that no leader could have
+// informed the worker of a higher fence in time, so violations are not counted; bypassPartition
+// means that the sender can reach workers that leaders can't.
+func (m *model) deliver(order Order, unpreventable, bypassPartition bool) Reply {
+	to := m.worker(order.Target.ID)
+	if to.partitioned && !unpreventable && !bypassPartition {
 		return Reply{Outcome: OutcomeUnreachable}
 	}
-	to.untold = to.untold && lateCut
+	to.unaware = to.unaware && unpreventable
 	if order.Release {
-		to.seen = max(to.seen, order.Fence)
+		to.highestFence = max(to.highestFence, order.Fence)
 		to.until = m.now
 		return Reply{Outcome: OutcomeDone}
 	}
-	if to.seen > order.Fence {
+	if to.highestFence > order.Fence {
 		return Reply{Outcome: OutcomeFenced}
 	}
-	if !lateCut && m.broken == "" && order.Fence <= to.before {
-		m.broken = fmt.Sprintf("%s starts again and takes keys under fence %d, its life before had %d", to.id, order.Fence, to.before)
+	if !unpreventable && m.violation == "" && order.Fence <= to.previousFence {
+		m.violation = fmt.Sprintf("%s restarts and accepts keys under fence %d, its previous incarnation had fence %d", to.id, order.Fence, to.previousFence)
 	}
-	for _, other := range m.holders {
-		if other != to && other.holds(m.now) && other.fence >= order.Fence && !lateCut {
-			m.broken = fmt.Sprintf("%s takes keys under fence %d, %s holds them under %d", to.id, order.Fence, other.id, other.fence)
+	for _, other := range m.workers {
+		if other != to && other.holds(m.now) && other.fence >= order.Fence && !unpreventable {
+			m.violation = fmt.Sprintf("%s accepts keys under fence %d, %s holds them under fence %d", to.id, order.Fence, other.id, other.fence)
 		}
 	}
-	to.seen, to.fence, to.until, to.lateCut = order.Fence, order.Fence, m.now.Add(to.length), lateCut
+	to.highestFence, to.fence, to.until, to.unpreventable = order.Fence, order.Fence, m.now.Add(to.length), unpreventable
 	return Reply{Outcome: OutcomeDone}
 }
 
-// written ends a write: it holds only if the leader still has the lease.
-func (m *model) written(one *modelLeader) {
-	if one.cutOff {
-		return // it never arrives
+// written ends a write, which takes effect only if the leader still has the lease.
+func (m *model) written(leader *modelLeader) {
+	if leader.storeUnreachable {
+		return // the write never reaches the store
 	}
-	write := one.write
-	one.write = nil
-	if one.term != m.leaders[len(m.leaders)-1].term || !m.now.Before(m.lease) {
-		one.dead = true
+	write := leader.write
+	leader.write = nil
+	if leader.term != m.leaders[len(m.leaders)-1].term || !m.now.Before(m.lease) {
+		leader.dead = true
 		return
 	}
 	m.record = write.value
-	one.book.MarkStored(write.change)
+	leader.ledger.MarkStored(write.recordVersion)
 }
 
-func (m *model) move(one *modelLeader) {
-	for index, holder := range m.holders {
-		if holder.id == one.book.spans[0].owner {
-			to := m.holders[1-index]
-			one.book.Move(KeyRange{0, KeyCount - 1}, to.id, "a")
+func (m *model) move(leader *modelLeader) {
+	for index, worker := range m.workers {
+		if worker.id == leader.ledger.spans[0].owner {
+			to := m.workers[1-index]
+			leader.ledger.Move(KeyRange{0, KeyCount - 1}, to.id, "a")
 			return
 		}
 	}
 }
 
-// elect makes the next leader, which outwaits renewals of the one before for a time.
-func (m *model) elect(stale time.Duration) {
+// elect starts the next leader, which waits renewalGrace longer for the holds of the previous
+// leader to end.
+func (m *model) elect(renewalGrace time.Duration) {
 	next := &modelLeader{term: Term(len(m.leaders) + 1), authority: m.now.Add(modelLease)}
-	next.book = NewLedger(modelConfig, next.term)
+	next.ledger = NewLedger(modelConfig, next.term)
 	if m.record != nil {
-		until := m.now.Add(stale + modelConfig.MaxHold())
-		if err := next.book.Load(m.now, m.record, until); err != nil {
+		until := m.now.Add(renewalGrace + modelConfig.MaxHold())
+		if err := next.ledger.Load(m.now, m.record, until); err != nil {
 			panic(err)
 		}
 	}
 	m.lease = m.now.Add(modelLease)
 	m.leaders = append(m.leaders, next)
-	for index := range m.holders {
-		m.hearRestart(len(m.leaders)-1, index)
+	for index := range m.workers {
+		m.observeRestart(len(m.leaders)-1, index)
 	}
 }
 
-// renew renews the lease of the last leader, if it reaches the store.
+// renew renews the lease of the last leader if it can reach the store.
 func (m *model) renew() {
 	last := m.leaders[len(m.leaders)-1]
-	if !last.cutOff && !last.dead && m.now.Before(m.lease) {
+	if !last.storeUnreachable && !last.dead && m.now.Before(m.lease) {
 		m.lease = m.now.Add(modelLease)
 		last.authority = m.lease
 	}
 }
 
-// drive is what the keeper does for each leader.
-func (m *model) drive() {
-	for index, one := range m.leaders {
-		if one.dead || m.now.After(one.authority.Add(modelConfig.RenewalGrace)) {
+// sendDueOrders does what the keeper does for each leader.
+func (m *model) sendDueOrders() {
+	for index, leader := range m.leaders {
+		if leader.dead || m.now.After(leader.authority.Add(modelConfig.RenewalGrace)) {
 			continue
 		}
-		renewOnly := m.now.After(one.authority)
-		if !renewOnly && one.write == nil && one.book.RecordVersion() != one.book.StoredVersion() {
-			value, err := one.book.Encode(one.term, "")
+		renewOnly := m.now.After(leader.authority)
+		if !renewOnly && leader.write == nil && leader.ledger.RecordVersion() != leader.ledger.StoredVersion() {
+			value, err := leader.ledger.Encode(leader.term, "")
 			if err != nil {
 				panic(err)
 			}
-			one.write = &modelWrite{change: one.book.RecordVersion(), value: value}
+			leader.write = &modelWrite{recordVersion: leader.ledger.RecordVersion(), value: value}
 		}
-		for _, order := range one.book.Due(m.now, renewOnly) {
-			born := one.lives[slices.Index(m.holders, m.holder(order.Target.ID))]
-			m.orders = append(m.orders, &modelOrder{order: order, leader: index, born: born})
+		for _, order := range leader.ledger.Due(m.now, renewOnly) {
+			incarnation := leader.incarnations[slices.Index(m.workers, m.worker(order.Target.ID))]
+			m.orders = append(m.orders, &modelOrder{order: order, leader: index, incarnation: incarnation})
 		}
 	}
 }
 
-// check: no two workers hold the keys, but for a grant that was taken late by a
-// worker that was cut off then, as in the worlds.
+// check verifies that no two workers hold the keys. Unpreventable holds are excluded, as in the
+// simulation.
 func (m *model) check() {
 	holding := 0
-	for _, one := range m.holders {
-		if one.holds(m.now) && !one.lateCut {
+	for _, worker := range m.workers {
+		if worker.holds(m.now) && !worker.unpreventable {
 			holding++
 		}
 	}
-	if holding > 1 && m.broken == "" {
-		m.broken = "two workers hold the keys"
+	if holding > 1 && m.violation == "" {
+		m.violation = "two workers hold the keys"
 	}
 }
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -19,152 +19,159 @@
 	"github.com/shalefork/shalefork/internal/workerlimit"
 )
 
-// Times of a link.
+// Timeouts and limits of links.
 const (
-	// heartbeat is the longest that the leader stays silent.
-	heartbeat = 350 * time.Millisecond
-	// SilenceLimit is the silence after which a leader counts as lost. Until then its
-	// links know nothing of changes that it does not tell.
+	// heartbeatInterval is the longest time for which the leader sends nothing.
+	heartbeatInterval = 350 * time.Millisecond
+	// SilenceLimit is the silence after which a leader is considered lost. Until then its followers
+	// don't learn of changes that it does not send.
 	SilenceLimit = 1100 * time.Millisecond
-	// reportSilence is the same for a process that follows.
+	// reportSilence is the silence after which a follower is considered lost.
 	reportSilence = 10 * SilenceLimit
-	// helloTimeout bounds the wait for the first line.
+	// helloTimeout limits the wait for the first line.
 	helloTimeout = 2 * time.Second
-	// writeTimeout bounds the time in which a link takes nothing, and writePiece is how many
-	// bytes are handed to it at once.
+	// writeTimeout is how long a link may accept no bytes, and writeChunk is the number of bytes
+	// that are written at once.
 	writeTimeout = time.Second
-	writePiece   = 4 << 10
+	writeChunk   = 4 << 10
 	dialTimeout  = 500 * time.Millisecond
 	maxLine      = 4 << 20
 )
 
-// Hub is the leader's side. A process keeps one Hub and opens it while it leads.
+// Hub is the leader's and the relay's side of links. A process keeps one Hub and opens it while it
+// leads.
 type Hub struct {
-	// Strength of this process's machine.
+	// Strength is the relative strength of this process's machine.
 	Strength float64
-	// DirectNodes is up to how many processes the leader speaks with each of them.
+	// DirectNodes is the number of processes up to which the leader is linked with all of them
+	// directly, without relays.
 	DirectNodes int
-	// LinkRate is the bandwidth of this process's machine, in bytes a second; zero: not known.
+	// LinkRate is the bandwidth of this process's machine in bytes per second, or zero if unknown.
 	LinkRate float64
-	// Traffic counts what is said to processes that follow this one; nil: nobody wants to know.
+	// Traffic counts the bytes exchanged with processes that follow this one. It may be nil.
 	Traffic *traffic.Counter
-	// Limits are what this process knows of workers' limits, and tells its links; nil: nothing.
+	// Limits are the known limits of workers, which are sent to the links. It may be nil.
 	Limits *facts.Table[workerlimit.Fact]
-	// Leaving are the workers that say that they leave, as told to links; nil: none.
+	// Leaving are the workers that have announced their departure, which are sent to the links. It
+	// may be nil.
 	Leaving *facts.Table[departure.Fact]
 
 	mu      sync.Mutex
 	leading bool
-	// doubtful says that the leader's authority has ended for now.
-	doubtful bool
-	// superseded is closed once a leader of a later term has asked.
+	// leadershipUncertain is set while the leader's authority has ended.
+	leadershipUncertain bool
+	// superseded is closed once a leader of a later term has sent a query.
 	superseded chan struct{}
 	term       owner.Term
 	openedAt   time.Time
-	owners     map[routing.ServiceName]published
-	stamps     uint64
+	owners     map[routing.ServiceName]publishedOwners
+	lastStamp  uint64
 	links      map[*link]struct{}
-	// relays are the leader's, by zone; upstream is set while this process is one.
+	// relays are the leader's relays by zone. upstream is set while this process is a relay.
 	relays   map[string]*link
 	upstream *upstream
-	// mostNodes is the greatest number of processes lately, as of mostNodesAt.
-	mostNodes   int
-	mostNodesAt time.Time
-	reports     chan<- Report
-	process     string
-	known       func() ReadState
-	entries     entryLog
-	packed      packedEntries
-	pages       entryPages
-	bulk        bulk
-	difference  ownerChanges
-	config      configLog
-	suspects    quarantine.ChangeLog
-	deaf        bool
-	standbys    standbys
-	// asked is called with the term of a leader that asks; nil: nobody wants to know.
-	asked func(term owner.Term)
-	// reported is called with the reports of processes that follow this relay.
-	reported func(Report)
-	// evidence is called with what linked processes have seen of crashes.
-	evidence func(quarantine.Evidence)
-	quotas   quotaLinks
-	// limitsTold and leavingTold are called with what linked processes have learned of workers, and
-	// permit answers those that ask for permits.
-	limitsTold  func([]workerlimit.Message)
-	leavingTold func([]departure.Message)
-	permit      func(PermitRequest) (Permit, bool)
-	// backoffs are those that owners of keys have asked for, as operators are told.
+	// maxNodes is the greatest recent number of processes, as of maxNodesAt.
+	maxNodes         int
+	maxNodesAt       time.Time
+	reports          chan<- Report
+	process          string
+	readState        func() ReadState
+	entries          entryLog
+	packedEntries    packedEntries
+	pages            entryPages
+	bulkTransfers    bulkTransfers
+	ownerChanges     ownerChangesCache
+	config           configLog
+	suspects         quarantine.ChangeLog
+	storeUnreachable bool
+	standbys         standbys
+	// onLeaderQuery is called with the term of a leader that sends a query. It may be nil.
+	onLeaderQuery func(term owner.Term)
+	// onFollowerReport is called with the reports of processes that follow this relay.
+	onFollowerReport func(Report)
+	// onEvidence is called with the evidence of crashes that linked processes report.
+	onEvidence  func(quarantine.Evidence)
+	quotaRoutes quotaRoutes
+	// onLimits and onLeaving are called with the limits and the departures of workers that linked
+	// processes report, and answerPermit answers their permit requests.
+	onLimits     func([]workerlimit.Message)
+	onLeaving    func([]departure.Message)
+	answerPermit func(PermitRequest) (Permit, bool)
+	// backoffs are the backoffs that owners of keys have requested, for operators.
 	backoffs []BackoffShare
-	// followed is the address of the leader that this process follows; empty: none.
-	followed string
-	// linked is called with the addresses of processes that follow this one; nil: nobody wants them.
-	linked func(addresses ...string)
+	// followedLeader is the address of the leader that this process follows, or empty if there is
+	// none.
+	followedLeader string
+	// onLinked is called with the addresses of processes that follow this one. It may be nil.
+	onLinked func(addresses ...string)
 }
 
-// published are the owners of a service as they are told.
-type published struct {
+// publishedOwners are the owners of a service as they are sent to the links.
+type publishedOwners struct {
 	owners []owner.Owner
-	// version counts the leader's changes of them, and part says that more of it is to come.
+	// version counts the leader's changes of the owners. partial is set if the rest of this version
+	// is still to come.
 	version uint64
-	part    bool
-	// stamp differs for any two owners that were published here.
+	partial bool
+	// stamp is unique to each state of owners that was published by this hub.
 	stamp uint64
 }
 
-// NewHub returns a closed hub that passes reports on to a channel. process is
-// unique to the life of this process; known returns what it has read.
-func NewHub(process string, reports chan<- Report, known func() ReadState) *Hub {
+// NewHub returns a closed hub that forwards reports to a channel. process is unique to this
+// incarnation of the process; readState returns what the process has read from the key-value
+// service.
+func NewHub(process string, reports chan<- Report, readState func() ReadState) *Hub {
 	h := &Hub{
-		process: process, owners: map[routing.ServiceName]published{}, links: map[*link]struct{}{},
-		relays: map[string]*link{}, reports: reports, known: known,
+		process: process, owners: map[routing.ServiceName]publishedOwners{}, links: map[*link]struct{}{},
+		relays: map[string]*link{}, reports: reports, readState: readState,
 	}
 	h.standbys.reset()
 	return h
 }
 
-// link is one connected process.
+// link is the connection with one process.
 type link struct {
-	conn net.Conn
-	wake chan struct{}
-	sent map[routing.ServiceName]sentOwners
-	// term is that of the leader whose owners were sent, and since is when the link began.
+	conn       net.Conn
+	wake       chan struct{}
+	sentOwners map[routing.ServiceName]sentOwners
+	// term is the term of the leader whose owners were sent, and since is when the link began.
 	term  owner.Term
 	since time.Time
-	// followers is how many processes follow the link's process, and subRelay says that this
-	// process, a relay, sends others to it.
+	// followers is how many processes follow the link's process. subRelay is set if this process is
+	// a relay and redirects others to the link's process.
 	followers int
 	subRelay  bool
-	// entries is the revision up to which the link knows of workers' entries, and
-	// entriesAt is when it was told last; config is the one that it has.
-	entries   coord.Revision
-	entriesAt time.Time
-	config    coord.Revision
-	// list is what the link was told of a list that has several pages.
-	list listPosition
-	// suspects is the version of the suspects that it was told, and suspectsAt is when.
-	suspects   uint64
-	suspectsAt time.Time
-	// limits and leaving are what it was told of workers' limits, and of those that leave.
-	limits, leaving factsTold
-	// quota waits to be sent.
-	quota []quota.Grant
-	// hello is how the process introduced itself.
+	// entriesRevision is the revision up to which the link's process knows the workers' entries,
+	// and entriesSentAt is when changes were last sent; configRevision is the revision of its
+	// configuration.
+	entriesRevision coord.Revision
+	entriesSentAt   time.Time
+	configRevision  coord.Revision
+	// listPosition is how much of a list that takes several pages was sent.
+	listPosition listPosition
+	// suspectsVersion is the version of the suspects that was sent, and suspectsSentAt is when.
+	suspectsVersion uint64
+	suspectsSentAt  time.Time
+	// limits and leaving track the sent facts on workers' limits and on workers that leave.
+	limits, leaving factsSent
+	// pendingGrants are quota grants that are to be sent.
+	pendingGrants []quota.Grant
+	// hello is the introduction of the process.
 	hello Hello
-	// stamp is the last one that it sent, and holds are the versions that it was sent,
-	// if it is a standby.
-	stamp   int64
-	holds   map[routing.ServiceName]uint64
-	holdsAt time.Time
-	// peersAt is when the link was last told of other processes.
-	peersAt time.Time
+	// For a standby, stamp is the last one that it sent, and holdVersions are the versions of the
+	// holds that it was sent.
+	stamp        int64
+	holdVersions map[routing.ServiceName]uint64
+	holdsSentAt  time.Time
+	// peersSentAt is when addresses of other processes were last sent.
+	peersSentAt time.Time
 }
 
-// Open begins to lead.
+// Open starts leading in a term.
 func (h *Hub) Open(term owner.Term) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leading, h.term, h.doubtful, h.openedAt = true, term, false, clock.Now()
+	h.leading, h.term, h.leadershipUncertain, h.openedAt = true, term, false, clock.Now()
 	h.upstream = nil
 	h.superseded = make(chan struct{})
 	clear(h.owners)
@@ -172,39 +179,39 @@
 	h.standbys.reset()
 }
 
-// OnAsked sets what is called when a leader of a term asks whether this process leads,
-// before it gets an answer.
-func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.asked = call }
+// OnLeaderQuery sets a function that is called when a leader queries whether this process leads,
+// before the query is answered.
+func (h *Hub) OnLeaderQuery(call func(term owner.Term)) { h.onLeaderQuery = call }
 
-// Superseded is closed once a leader of a later term has asked.
+// Superseded returns a channel that is closed once a leader of a later term has sent a query.
 func (h *Hub) Superseded() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.superseded
 }
 
-// Leading reports whether this process leads and no later leader has asked.
+// Leading reports whether this process leads and no later leader has sent a query.
 func (h *Hub) Leading() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leading
 }
 
-// SetDoubtful tells the links that another process may lead.
-func (h *Hub) SetLeadershipUncertain(doubtful bool) { h.set(&h.doubtful, doubtful) }
+// SetLeadershipUncertain notifies the links whether another process may lead.
+func (h *Hub) SetLeadershipUncertain(uncertain bool) { h.setFlag(&h.leadershipUncertain, uncertain) }
 
-// SetDeaf tells the links that this process does not reach the key-value service.
-func (h *Hub) SetStoreUnreachable(deaf bool) { h.set(&h.deaf, deaf) }
+// SetStoreUnreachable notifies the links whether this process fails to reach the key-value service.
+func (h *Hub) SetStoreUnreachable(unreachable bool) { h.setFlag(&h.storeUnreachable, unreachable) }
 
-// Deaf reports whether this process leads, and does not reach the key-value service.
+// StoreUnreachable reports whether this process leads and does not reach the key-value service.
 func (h *Hub) StoreUnreachable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.leading && h.deaf
+	return h.leading && h.storeUnreachable
 }
 
-// set changes what the links are told.
-func (h *Hub) set(flag *bool, to bool) {
+// setFlag sets a flag that is part of updates, and notifies the links if it changes.
+func (h *Hub) setFlag(flag *bool, to bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if *flag == to {
@@ -214,7 +221,7 @@
 	h.wakeAll()
 }
 
-// Wake tells the links at once what this process knows.
+// Wake sends the current state to all links immediately.
 func (h *Hub) Wake() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,20 +229,20 @@
 }
 
 func (h *Hub) wakeAll() {
-	for one := range h.links {
-		one.rouse()
+	for l := range h.links {
+		l.signal()
 	}
 }
 
-// rouse lets the link send what is new.
-func (l *link) rouse() {
+// signal makes the link send an update without waiting for the next heartbeat.
+func (l *link) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends leading and drops all links.
+// Close stops leading and closes all links.
 func (h *Hub) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -243,10 +250,10 @@
 	h.dropAll()
 }
 
-// dropAll ends all links. The caller holds mu.
+// dropAll closes all links. The caller holds mu.
 func (h *Hub) dropAll() {
-	for one := range h.links {
-		_ = one.conn.Close()
+	for l := range h.links {
+		_ = l.conn.Close()
 	}
 }
 
@@ -254,18 +261,18 @@
 func (h *Hub) Publish(service routing.ServiceName, owners []owner.Owner) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.publish(service, published{owners: owners, version: h.owners[service].version + 1})
+	h.publish(service, publishedOwners{owners: owners, version: h.owners[service].version + 1})
 }
 
-// publish sets the owners of a service as the links are to know them. The caller holds mu.
-func (h *Hub) publish(service routing.ServiceName, now published) {
-	h.stamps++
-	now.stamp = h.stamps
-	h.owners[service] = now
+// publish sets the owners of a service and notifies the links. The caller holds mu.
+func (h *Hub) publish(service routing.ServiceName, owners publishedOwners) {
+	h.lastStamp++
+	owners.stamp = h.lastStamp
+	h.owners[service] = owners
 	h.wakeAll()
 }
 
-// Nodes returns how many processes there are, this one included.
+// Nodes returns the number of processes, including this one.
 func (h *Hub) Nodes() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -294,13 +301,13 @@
 	}
 	conn.OnBytes(func(bytes int) { h.Traffic.Add(traffic.Peers, topology.Zone(hello.Zone), bytes) })
 	if hello.Permits {
-		if h.permit != nil {
+		if h.answerPermit != nil {
 			h.servePermits(conn, reader)
 		}
 		return
 	}
-	if h.asked != nil && hello.Term > 0 {
-		h.asked(hello.Term)
+	if h.onLeaderQuery != nil && hello.Term > 0 {
+		h.onLeaderQuery(hello.Term)
 	}
 	h.mu.Lock()
 	if h.leading && hello.Term > h.term {
@@ -308,37 +315,37 @@
 		close(h.superseded)
 	}
 	leading, term := h.leading, h.term
-	one := &link{
+	l := &link{
 		conn: conn, wake: make(chan struct{}, 1),
-		sent:    map[routing.ServiceName]sentOwners{},
-		entries: hello.Entries, config: hello.Config, hello: hello, holds: map[routing.ServiceName]uint64{},
-		list:  listPosition{after: hello.ListAfter, at: hello.ListAt},
-		since: clock.Now(), followers: hello.Followers,
+		sentOwners:      map[routing.ServiceName]sentOwners{},
+		entriesRevision: hello.Entries, configRevision: hello.Config, hello: hello, holdVersions: map[routing.ServiceName]uint64{},
+		listPosition: listPosition{after: hello.ListAfter, revision: hello.ListAt},
+		since:        clock.Now(), followers: hello.Followers,
 	}
-	h.expectNodes(hello.Nodes, one.since)
+	h.noteNodeCount(hello.Nodes, l.since)
 	redirect := ""
-	takes := !hello.QueryOnly && (leading || h.takesFollowers())
+	follows := !hello.QueryOnly && (leading || h.acceptsFollowers())
 	switch {
-	case takes && leading:
-		redirect = h.relayFor(one, one.since)
-	case takes:
-		redirect = h.subRelayFor(one, one.since)
+	case follows && leading:
+		redirect = h.relayFor(l, l.since)
+	case follows:
+		redirect = h.subRelayFor(l, l.since)
 	}
-	if takes = takes && redirect == ""; takes {
-		h.links[one] = struct{}{}
+	if follows = follows && redirect == ""; follows {
+		h.links[l] = struct{}{}
 	}
-	followed := h.followed
+	followed := h.followedLeader
 	h.mu.Unlock()
-	if !takes {
+	if !follows {
 		answer := Update{Leading: leading, Term: term, Process: h.process, Redirect: redirect, FollowedLeader: followed}
-		h.addNotices(hello, &answer, one.since)
+		h.addWorkerNotices(hello, &answer, l.since)
 		_ = writeLine(conn, answer)
 		return
 	}
-	if h.linked != nil {
-		h.linked(hello.Address)
+	if h.onLinked != nil {
+		h.onLinked(hello.Address)
 	}
-	defer h.drop(one)
-	go h.receive(one, reader)
-	h.send(one)
+	defer h.drop(l)
+	go h.receive(l, reader)
+	h.send(l)
 }
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -14,110 +14,115 @@
 	"github.com/shalefork/shalefork/internal/workerlimit"
 )
 
-// PermitRequest asks the leader whether a request may leave for a worker that names a limit.
+// PermitRequest asks the leader whether a request may be sent to a worker that has announced a
+// limit.
 type PermitRequest struct {
-	// Number names the question on its connection.
+	// Number identifies the request on its connection.
 	Number uint64 `json:"n"`
-	// Limit is what the process that asks knows of the worker's limit.
+	// Limit is what the sender knows of the worker's limit.
 	Limit workerlimit.Message `json:"l"`
-	// PatienceMillis is for how long the request may wait.
+	// MaxWaitMillis is the longest time that the request may wait.
 	MaxWaitMillis int64 `json:"p,omitempty"`
 }
 
 // Permit is the leader's answer.
 type Permit struct {
 	Number uint64 `json:"n"`
-	// Granted says that the request may leave after WaitMillis. Else that is when to ask again.
+	// Granted is set if the request may be sent after WaitMillis. Otherwise, WaitMillis is when to
+	// ask again.
 	Granted    bool  `json:"g,omitempty"`
 	WaitMillis int64 `json:"w,omitempty"`
-	// Ended is told if the worker names no limit any longer.
+	// LimitEnded is set if the worker no longer announces a limit.
 	LimitEnded *workerlimit.Message `json:"e,omitempty"`
 }
 
-// Wait is how long the request waits, or is kept from asking again.
+// Wait returns how long the request waits, or how long the sender must not ask again.
 func (p Permit) Wait() time.Duration { return time.Duration(p.WaitMillis) * time.Millisecond }
 
-// OnPermit sets what answers other processes that ask for permits while this one leads; false: it
-// does not lead.
-func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.permit = call }
+// OnPermit sets the function that answers permit requests of other processes while this process
+// leads. It returns false if this process does not lead.
+func (h *Hub) OnPermit(call func(PermitRequest) (Permit, bool)) { h.answerPermit = call }
 
-// servePermits answers one process until it is silent for long, or this one leads no longer.
+// servePermits answers the permit requests of one process until that process is silent for
+// reportSilence or this process no longer leads.
 func (h *Hub) servePermits(conn net.Conn, reader *bufio.Reader) {
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(reportSilence))
-		var ask PermitRequest
-		if readLine(reader, &ask) != nil {
+		var request PermitRequest
+		if readLine(reader, &request) != nil {
 			return
 		}
-		permit, leading := h.permit(ask)
+		permit, leading := h.answerPermit(request)
 		if !leading || writeLine(conn, permit) != nil {
 			return
 		}
 	}
 }
 
-// Followed returns the address of the leader that this process follows; empty: none.
+// FollowedLeader returns the address of the leader that this process follows, or empty if there is
+// none.
 func (h *Hub) FollowedLeader() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.followed
+	return h.followedLeader
 }
 
-// ErrNoPermit: the leader did not answer in time.
+// ErrNoPermit is returned if the leader did not answer in time.
 var ErrNoPermit = errs.New("no answer from the leader")
 
-// PermitClient asks the leader for permits, over one connection that is opened when the first is
-// asked for. It is safe for concurrent use.
+// PermitClient requests permits from the leader over one connection, which is opened by the first
+// request. It is safe for concurrent use.
 type PermitClient struct {
 	// Node and Zone are those of this process.
 	Node, Zone string
 
-	mu   sync.Mutex
-	open *permitConn
+	mu      sync.Mutex
+	current *permitConn
 }
 
-// Ask asks the leader at an address, until ctx ends.
-func (l *PermitClient) Request(ctx context.Context, address string, ask PermitRequest) (Permit, error) {
-	conn := l.connect(address)
-	asked := clock.Now()
-	permit, err := conn.ask(ctx, ask)
-	if err != nil && !conn.heardSince(asked) { // it may be silent for good
+// Request sends a request to the leader at an address and waits for the answer until ctx ends.
+func (c *PermitClient) Request(ctx context.Context, address string, request PermitRequest) (Permit, error) {
+	conn := c.connect(address)
+	start := clock.Now()
+	permit, err := conn.request(ctx, request)
+	if err != nil && !conn.answeredSince(start) { // the connection may be broken without an error
 		conn.close()
 	}
 	return permit, err
 }
 
-// connect returns the connection to an address, or begins to open one.
-func (l *PermitClient) connect(address string) *permitConn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.open != nil && l.open.address == address && !l.open.isClosed() {
-		return l.open
+// connect returns the connection to an address, or starts to open one.
+func (c *PermitClient) connect(address string) *permitConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current != nil && c.current.address == address && !c.current.isClosed() {
+		return c.current
 	}
-	if l.open != nil {
-		l.open.close()
+	if c.current != nil {
+		c.current.close()
 	}
-	l.open = &permitConn{
-		address: address, hello: Hello{Node: l.Node, Zone: l.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), waiting: map[uint64]chan Permit{},
+	c.current = &permitConn{
+		address: address, hello: Hello{Node: c.Node, Zone: c.Zone, QueryOnly: true, Permits: true}, opened: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan Permit{},
 	}
-	go l.open.run()
-	return l.open
+	go c.current.run()
+	return c.current
 }
 
-// permitConn is one connection to a leader.
+// permitConn is a connection to a leader.
 type permitConn struct {
 	address string
 	hello   Hello
-	// opened is closed once conn is there, and closed once it is not to be used any longer.
+	// opened is closed once conn is set, and closed is closed once the connection must no longer be
+	// used.
 	opened, closed chan struct{}
 	closeOnce      sync.Once
-	// heard is when the leader last answered, a number of clock.Nanos.
-	heard atomic.Int64
+	// lastAnswer is when the leader last answered, as returned by clock.Nanos.
+	lastAnswer atomic.Int64
 
-	mu      sync.Mutex
-	conn    net.Conn
-	next    uint64
-	waiting map[uint64]chan Permit
+	mu         sync.Mutex
+	conn       net.Conn
+	lastNumber uint64
+	pending    map[uint64]chan Permit
 }
 
 func (c *permitConn) close() { c.closeOnce.Do(func() { close(c.closed) }) }
@@ -131,9 +136,9 @@
 	}
 }
 
-func (c *permitConn) heardSince(at time.Time) bool { return c.heard.Load() >= clock.Nanos(at) }
+func (c *permitConn) answeredSince(at time.Time) bool { return c.lastAnswer.Load() >= clock.Nanos(at) }
 
-// run opens the connection and takes answers until it is closed.
+// run opens the connection and receives answers until it is closed.
 func (c *permitConn) run() {
 	defer c.close()
 	conn, err := net.DialTimeout("tcp", c.address, dialTimeout)
@@ -158,23 +163,23 @@
 		if readLine(reader, &permit) != nil {
 			return
 		}
-		c.heard.Store(clock.Nanos(clock.Now()))
-		c.answered(permit)
+		c.lastAnswer.Store(clock.Nanos(clock.Now()))
+		c.deliver(permit)
 	}
 }
 
-// answered hands an answer to who asked.
-func (c *permitConn) answered(permit Permit) {
+// deliver passes an answer to the caller that waits for it.
+func (c *permitConn) deliver(permit Permit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if asked := c.waiting[permit.Number]; asked != nil {
-		asked <- permit
-		delete(c.waiting, permit.Number)
+	if waiter := c.pending[permit.Number]; waiter != nil {
+		waiter <- permit
+		delete(c.pending, permit.Number)
 	}
 }
 
-// ask sends a question and waits for its answer.
-func (c *permitConn) ask(ctx context.Context, ask PermitRequest) (Permit, error) {
+// request sends a request and waits for its answer.
+func (c *permitConn) request(ctx context.Context, request PermitRequest) (Permit, error) {
 	select {
 	case <-c.opened:
 	case <-c.closed:
@@ -183,7 +188,7 @@
 		return Permit{}, ErrNoPermit
 	}
 	answer := make(chan Permit, 1)
-	number, err := c.send(ask, answer)
+	number, err := c.send(request, answer)
 	if err != nil {
 		c.close()
 		return Permit{}, Error.Wrap(err)
@@ -196,16 +201,16 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, number)
+	delete(c.pending, number)
 	return Permit{}, ErrNoPermit
 }
 
-// send writes a question whose answer goes to a channel.
-func (c *permitConn) send(ask PermitRequest, answer chan Permit) (uint64, error) {
+// send writes a request whose answer is delivered to a channel.
+func (c *permitConn) send(request PermitRequest, answer chan Permit) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	ask.Number = c.next
-	c.waiting[ask.Number] = answer
-	return ask.Number, writeLine(c.conn, ask)
+	c.lastNumber++
+	request.Number = c.lastNumber
+	c.pending[request.Number] = answer
+	return request.Number, writeLine(c.conn, request)
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -49,14 +49,16 @@
 	Worker workers.ID
 	// Born distinguishes the incarnations of a worker that restarts under its ID: the crash of each
 	// counts.
-	Born workers.Born
+	Born workers.StartTime
 	// Caller is the one whose request was in progress.
 	Caller netip.Addr
 	At     time.Time
 }
 
 // incarnation returns the incarnation of the worker that crashed.
-func (c Crash) incarnation() workers.Life { return workers.Life{ID: c.Worker, Born: c.Born} }
+func (c Crash) incarnation() workers.Incarnation {
+	return workers.Incarnation{ID: c.Worker, StartTime: c.Born}
+}
 
 // same reports whether both are the same crash, with a request of the same caller in progress. Their
 // times may differ by the latency of messages.
@@ -226,7 +228,7 @@
 // crashTimes returns when each of the request's workers crashed, sorted.
 func (r Record) crashTimes() []time.Time {
 	var times []time.Time
-	seen := make(map[workers.Life]bool, len(r.Crashes))
+	seen := make(map[workers.Incarnation]bool, len(r.Crashes))
 	for _, crash := range r.Crashes {
 		if !seen[crash.incarnation()] {
 			seen[crash.incarnation()] = true
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -44,8 +44,8 @@
 type SnapshotCrash struct {
 	Worker workers.ID `json:"w"`
 	// Born identifies the incarnation of the worker; zero if the worker reports none.
-	Born      workers.Born `json:"b,omitempty"`
-	AgeMillis int64        `json:"a"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	AgeMillis int64             `json:"a"`
 	// Caller is the one whose request was in progress.
 	Caller netip.Addr `json:"c,omitzero"`
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -20,7 +20,7 @@
 	records map[Fingerprint]*Record
 	// crashedAt are the workers that crashed recently, whatever was in progress there, and
 	// crashCounts counts them by time.
-	crashedAt   map[workers.Life]time.Time
+	crashedAt   map[workers.Incarnation]time.Time
 	crashCounts crashCounts
 	version     uint64
 	// evicted counts the suspects that were removed to limit the number of records.
@@ -29,7 +29,7 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{records: map[Fingerprint]*Record{}, crashedAt: map[workers.Life]time.Time{}, crashCounts: crashCounts{}}
+	return &Tracker{records: map[Fingerprint]*Record{}, crashedAt: map[workers.Incarnation]time.Time{}, crashCounts: crashCounts{}}
 }
 
 // Version counts the changes of the records.
@@ -174,7 +174,7 @@
 		}
 		return old
 	})
-	maps.DeleteFunc(t.crashedAt, func(_ workers.Life, at time.Time) bool { return now.Sub(at) >= suspectRetention })
+	maps.DeleteFunc(t.crashedAt, func(_ workers.Incarnation, at time.Time) bool { return now.Sub(at) >= suspectRetention })
 	t.crashCounts.forget(now.Add(-suspectRetention))
 }
 
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -301,11 +301,11 @@
 // crashed it repeatedly was never quarantined.
 func TestCrashOfEachIncarnationCounts(t *testing.T) {
 	for name, test := range map[string]struct {
-		incarnations []workers.Born
+		incarnations []workers.StartTime
 		quarantined  bool
 	}{
-		"three incarnations":                    {incarnations: []workers.Born{1, 2, 3}, quarantined: true},
-		"one incarnation, reported three times": {incarnations: []workers.Born{1, 1, 1}},
+		"three incarnations":                    {incarnations: []workers.StartTime{1, 2, 3}, quarantined: true},
+		"one incarnation, reported three times": {incarnations: []workers.StartTime{1, 1, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := NewTracker()
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/coord"
 )
 
-// registerGauges registers what this process believes.
+// registerMetrics registers metrics of this process's state.
 func (r *Router) registerMetrics(registerer prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
@@ -25,11 +25,11 @@
 		func() float64 { return gaugeValue(r.updates.live()) })
 	gauge("shalefork_router_workers", "Workers that are announced.", func() float64 { return float64(r.workers.Count()) })
 	gauge("shalefork_router_kept_workers", "Workers that are kept although their entries went: these may have lapsed with the key-value service.",
-		func() float64 { return float64(r.workers.Kept()) })
+		func() float64 { return float64(r.workers.KeptCount()) })
 	gauge("shalefork_router_evacuated_zones", "Zones whose workers are to get no work.", func() float64 {
 		return float64(len(r.workers.EvacuatedZones()))
 	})
-	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.Cold()) })
+	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.ColdCount()) })
 	gauge("shalefork_router_leaving_workers", "Workers that have said in an answer that they leave, here or to another router.",
 		func() float64 { return float64(r.leaving.member.Table().ActiveCount()) })
 	gauge("shalefork_router_limited_workers", "Workers that name a limit of requests a second from all routers together.",
@@ -75,24 +75,24 @@
 	return 0
 }
 
-// meteredStore counts the calls to a store.
+// meteredStore counts and times the calls to a store.
 type meteredStore struct {
 	coord.Store
 	calls   *prometheus.CounterVec
 	latency *prometheus.HistogramVec
-	// quickest is the time of the quickest call, in nanoseconds; zero: there was none.
+	// minLatency is the duration of the fastest call in nanoseconds; zero if there was none.
 	minLatency atomic.Int64
 }
 
-// distance returns the time of the quickest call so far, which is mostly that of the way to the
-// service and back; zero if there was none.
+// roundTrip returns the duration of the fastest call so far, which is mostly network round trip to
+// the service; zero if there was none.
 func (s *meteredStore) roundTrip() time.Duration { return time.Duration(s.minLatency.Load()) }
 
-// measure notes the time of a call.
-func (s *meteredStore) noteLatency(took time.Duration) {
+// noteLatency records the duration of a call.
+func (s *meteredStore) noteLatency(latency time.Duration) {
 	for {
 		fastest := s.minLatency.Load()
-		if fastest > 0 && fastest <= int64(took) || s.minLatency.CompareAndSwap(fastest, max(1, int64(took))) {
+		if fastest > 0 && fastest <= int64(latency) || s.minLatency.CompareAndSwap(fastest, max(1, int64(latency))) {
 			return
 		}
 	}
@@ -115,7 +115,7 @@
 	return metered
 }
 
-// outcomeLabel names what came of a call.
+// outcomeLabel returns the metric label for the result of a call.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
--- a/internal/router/updatesource.go
+++ b/internal/router/updatesource.go
@@ -8,42 +8,44 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// told is until when a leader or a relay is relied on to tell of changes. It lapses by
-// itself after a silence, whatever became of the link, so that a process reads the
-// key-value service again. It is safe for concurrent use; the zero value has lapsed.
+// updateSource tracks until when the updates of a leader or relay are trusted to be complete. Trust
+// expires after peerlink.SilenceLimit without an update, even if the connection stays open, so that
+// the process reads the key-value service again. It is safe for concurrent use; the zero value is
+// expired.
 type updateSource struct {
-	// until is a number of clock.Nanos; zero: nobody tells.
+	// liveUntil is in clock.Nanos; 0: no process sends updates.
 	liveUntil atomic.Int64
-	// asOf is as of when all changes were told last, in the same form.
+	// asOf is the time, in clock.Nanos, up to which the received updates are complete.
 	asOf atomic.Int64
 }
 
-// heard notes that changes are told, as they stood age ago, or that they are not.
-func (t *updateSource) received(now time.Time, age time.Duration, trusted bool) {
+// received records an update that is complete up to now-age. An update that is not trusted ends the
+// trust in the source.
+func (u *updateSource) received(now time.Time, age time.Duration, trusted bool) {
 	if !trusted {
-		t.invalidate()
+		u.invalidate()
 		return
 	}
-	t.asOf.Store(clock.Nanos(now.Add(-age)))
-	t.liveUntil.Store(clock.Nanos(now.Add(peerlink.SilenceLimit)))
+	u.asOf.Store(clock.Nanos(now.Add(-age)))
+	u.liveUntil.Store(clock.Nanos(now.Add(peerlink.SilenceLimit)))
 }
 
-// known returns as of when all changes were told last, a number of clock.Nanos.
-func (t *updateSource) currentAsOf() int64 {
-	if at := t.asOf.Load(); at != 0 {
+// currentAsOf returns the time, in clock.Nanos, up to which the received updates are complete.
+func (u *updateSource) currentAsOf() int64 {
+	if at := u.asOf.Load(); at != 0 {
 		return at
 	}
 	return distantPast
 }
 
-// end stops relying on what is told.
-func (t *updateSource) invalidate() { t.liveUntil.Store(0) }
+// invalidate ends the trust in the source until the next trusted update.
+func (u *updateSource) invalidate() { u.liveUntil.Store(0) }
 
-// holds reports whether changes are told at a time.
-func (t *updateSource) liveAt(now time.Time) bool {
-	until := t.liveUntil.Load()
+// liveAt reports whether the source is trusted at the given time.
+func (u *updateSource) liveAt(now time.Time) bool {
+	until := u.liveUntil.Load()
 	return until != 0 && clock.Nanos(now) < until
 }
 
-// now reports whether changes are told now.
-func (t *updateSource) live() bool { return t.liveAt(clock.Now()) }
+// live reports whether the source is trusted now.
+func (u *updateSource) live() bool { return u.liveAt(clock.Now()) }
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -76,7 +76,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pacer != nil {
-		l.pacer.RemoveUnlimited(func(life workers.Life) bool {
+		l.pacer.RemoveUnlimited(func(life workers.Incarnation) bool {
 			_, limited := l.table.Rate(life)
 			return limited
 		})
--- a/internal/workerlimit/message.go
+++ b/internal/workerlimit/message.go
@@ -9,17 +9,17 @@
 // Message is a fact as processes send it to each other. Their clocks differ, so times are sent as
 // ages.
 type Message struct {
-	Worker    workers.ID   `json:"w"`
-	Born      workers.Born `json:"b,omitempty"`
-	PerSecond float64      `json:"r,omitempty"`
-	Ended     bool         `json:"e,omitempty"`
-	AgeMillis int64        `json:"a,omitempty"`
+	Worker    workers.ID        `json:"w"`
+	Born      workers.StartTime `json:"b,omitempty"`
+	PerSecond float64           `json:"r,omitempty"`
+	Ended     bool              `json:"e,omitempty"`
+	AgeMillis int64             `json:"a,omitempty"`
 }
 
 // NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
 	return Message{
-		Worker: fact.Worker.ID, Born: fact.Worker.Born, PerSecond: fact.Rate, Ended: fact.Ended,
+		Worker: fact.Worker.ID, Born: fact.Worker.StartTime, PerSecond: fact.Rate, Ended: fact.Ended,
 		AgeMillis: max(0, now.Sub(fact.At).Milliseconds()),
 	}
 }
@@ -28,6 +28,6 @@
 func (m Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
 	return Fact{
-		Worker: workers.Life{ID: m.Worker, Born: m.Born}, Rate: max(0, m.PerSecond), Ended: m.Ended, At: now.Add(-age),
+		Worker: workers.Incarnation{ID: m.Worker, StartTime: m.Born}, Rate: max(0, m.PerSecond), Ended: m.Ended, At: now.Add(-age),
 	}
 }
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -28,7 +28,7 @@
 
 // bucket is the pacing state of one worker.
 type bucket struct {
-	life workers.Life
+	life workers.Incarnation
 	// due is when the next request would be sent if all were sent at an even pace.
 	due time.Time
 	// refused counts the requests refused, less those granted since; it is reset once due has passed.
@@ -41,7 +41,7 @@
 // Take asks whether a request may be sent, within maxWait, to a worker that accepts perSecond requests
 // per second. If it is granted, it is sent after wait; else wait is the delay before the next try.
 // leadershipUncertain says that another process may lead.
-func (p *Pacer) Take(now time.Time, life workers.Life, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
+func (p *Pacer) Take(now time.Time, life workers.Incarnation, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
 	burst := maxBurstTime
 	perSecond = max(perSecond, minRate)
 	if leadershipUncertain {
@@ -68,9 +68,9 @@
 
 // bucket returns a worker's bucket. A new one has accumulated no requests: until the worker announced
 // its limit it received all requests, and another process may have led before.
-func (p *Pacer) bucket(now time.Time, life workers.Life) *bucket {
+func (p *Pacer) bucket(now time.Time, life workers.Incarnation) *bucket {
 	b := p.buckets[life.ID]
-	if b == nil || (b.life.Born != life.Born && b.life.Born != 0 && life.Born != 0) {
+	if b == nil || (b.life.StartTime != life.StartTime && b.life.StartTime != 0 && life.StartTime != 0) {
 		b = &bucket{life: life, due: now.Add(maxBurstTime)}
 		p.buckets[life.ID] = b
 	}
@@ -78,7 +78,7 @@
 }
 
 // RemoveUnlimited drops the state of workers that no longer announce a limit.
-func (p *Pacer) RemoveUnlimited(limited func(workers.Life) bool) {
+func (p *Pacer) RemoveUnlimited(limited func(workers.Incarnation) bool) {
 	for id, b := range p.buckets {
 		if !limited(b.life) {
 			delete(p.buckets, id)
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -85,7 +85,7 @@
 
 // simWorker is a simulated worker that announces limits.
 type simWorker struct {
-	life      workers.Life
+	life      workers.Incarnation
 	perSecond float64
 	limited   bool
 	// limits are those that it has announced.
@@ -107,7 +107,7 @@
 
 func newSimulation(seed uint64, routers int, perSecond float64) *simulation {
 	s := &simulation{now: start, random: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
-	s.worker.life = workers.Life{ID: "w", Born: 1}
+	s.worker.life = workers.Incarnation{ID: "w", StartTime: 1}
 	for range routers {
 		s.routers = append(s.routers, &simRouter{limiter: NewLimiter()})
 	}
--- a/internal/workerlimit/table.go
+++ b/internal/workerlimit/table.go
@@ -18,9 +18,9 @@
 func NewTable() Table { return Table{facts.NewTable[Fact]()} }
 
 // Fact returns what is known about the limit of an incarnation of a worker; false if nothing is.
-func (t Table) Fact(life workers.Life) (Fact, bool) {
-	fact, known := t.Table.Fact(workers.Life{ID: life.ID})
-	if !known || !fact.Worker.MayBe(life) {
+func (t Table) Fact(life workers.Incarnation) (Fact, bool) {
+	fact, known := t.Table.Fact(workers.Incarnation{ID: life.ID})
+	if !known || !fact.Worker.MayEqual(life) {
 		return Fact{}, false
 	}
 	return fact, true
@@ -28,7 +28,7 @@
 
 // Rate returns how many requests per second a worker accepts from all routers together; false if it
 // announces no limit.
-func (t Table) Rate(life workers.Life) (perSecond float64, limited bool) {
+func (t Table) Rate(life workers.Incarnation) (perSecond float64, limited bool) {
 	if t.ActiveCount() == 0 {
 		return 0, false
 	}
--- a/internal/workerlimit/table_test.go
+++ b/internal/workerlimit/table_test.go
@@ -13,12 +13,12 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // nameLimit merges a limit that a response announced at a time.
-func nameLimit(t Table, now time.Time, life workers.Life, perSecond float64) bool {
+func nameLimit(t Table, now time.Time, life workers.Incarnation, perSecond float64) bool {
 	return t.Merge(Fact{Worker: life, Rate: perSecond, At: now})
 }
 
 // endLimit merges the end of a limit, from the response to a request sent at a time.
-func endLimit(t Table, sent time.Time, life workers.Life) bool {
+func endLimit(t Table, sent time.Time, life workers.Incarnation) bool {
 	return t.Merge(Fact{Worker: life, Ended: true, At: sent})
 }
 
@@ -28,20 +28,20 @@
 }
 
 func TestLimitEnd(t *testing.T) {
-	first, second := workers.Life{ID: "w", Born: 1}, workers.Life{ID: "w", Born: 2}
+	first, second := workers.Incarnation{ID: "w", StartTime: 1}, workers.Incarnation{ID: "w", StartTime: 2}
 	for name, test := range map[string]struct {
 		update  func(Table)
-		of      workers.Life
+		of      workers.Incarnation
 		limited bool
 	}{
 		"nothing":                                        {update: func(Table) {}, of: first, limited: true},
 		"a response to a later request":                  {update: func(t Table) { endLimit(t, at(11), first) }, of: first},
 		"not a response to an earlier request":           {update: func(t Table) { endLimit(t, at(9), first) }, of: first, limited: true},
 		"another incarnation of the worker":              {update: func(Table) {}, of: second},
-		"not an incarnation whose start is unknown":      {update: func(Table) {}, of: workers.Life{ID: "w"}, limited: true},
+		"not an incarnation whose start is unknown":      {update: func(Table) {}, of: workers.Incarnation{ID: "w"}, limited: true},
 		"not an earlier announcement that arrives later": {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(10.5), first, 3) }, of: first},
 		"announced again":                                {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(12), first, 3) }, of: first, limited: true},
-		"not a response of another worker":               {update: func(t Table) { endLimit(t, at(11), workers.Life{ID: "x"}) }, of: first, limited: true},
+		"not a response of another worker":               {update: func(t Table) { endLimit(t, at(11), workers.Incarnation{ID: "x"}) }, of: first, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -54,7 +54,7 @@
 }
 
 func TestLatestLimitHolds(t *testing.T) {
-	table, life := NewTable(), workers.Life{ID: "w"}
+	table, life := NewTable(), workers.Incarnation{ID: "w"}
 	assert.Assert(t, nameLimit(table, at(1), life, 5))
 	assert.Assert(t, !nameLimit(table, at(2), life, 4.9)) // equivalent to the published rate
 	rate, _ := table.Rate(life)
@@ -69,9 +69,9 @@
 func TestForget(t *testing.T) {
 	table := NewTable()
 	for _, id := range []workers.ID{"gone", "ended", "stays"} {
-		nameLimit(table, at(0), workers.Life{ID: id}, 1)
+		nameLimit(table, at(0), workers.Incarnation{ID: id}, 1)
 	}
-	endLimit(table, at(1), workers.Life{ID: "ended"})
+	endLimit(table, at(1), workers.Incarnation{ID: "ended"})
 	table.Forget(at(2).Add(endedRetention), func(id workers.ID) bool { return id == "gone" })
 	assert.Equal(t, len(table.Facts()), 1)
 	assert.Equal(t, table.ActiveCount(), 1)
@@ -79,7 +79,7 @@
 
 func drawFact(t *rapid.T) Fact {
 	return Fact{
-		Worker: workers.Life{ID: workers.ID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "worker")), Born: workers.Born(rapid.IntRange(0, 2).Draw(t, "born"))},
+		Worker: workers.Incarnation{ID: workers.ID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "worker")), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))},
 		Rate:   float64(rapid.IntRange(1, 3).Draw(t, "rate")),
 		Ended:  rapid.Bool().Draw(t, "ended"),
 		At:     at(float64(rapid.IntRange(0, 5).Draw(t, "at"))),
