--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -1,5 +1,6 @@
 // Package departure records which workers have announced in their responses that they are leaving,
-// regardless of their registry entries. Such an announcement is final for an incarnation of a worker.
+// regardless of their registry entries. Such an announcement is final for an incarnation of a
+// worker.
 package departure
 
 import (
@@ -36,17 +37,17 @@
 // ages.
 type Message struct {
 	Worker    workers.ID        `json:"w"`
-	Born      workers.StartTime `json:"b,omitempty"`
+	StartTime workers.StartTime `json:"b,omitempty"`
 	AgeMillis int64             `json:"a,omitempty"`
 }
 
 // NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
-	return Message{Worker: fact.Worker.ID, Born: fact.Worker.StartTime, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
+	return Message{Worker: fact.Worker.ID, StartTime: fact.Worker.StartTime, AgeMillis: max(0, now.Sub(fact.Since).Milliseconds())}
 }
 
 // Fact decodes a fact that was received at now.
 func (m Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
-	return Fact{Worker: workers.Incarnation{ID: m.Worker, StartTime: m.Born}, Since: now.Add(-age)}
+	return Fact{Worker: workers.Incarnation{ID: m.Worker, StartTime: m.StartTime}, Since: now.Add(-age)}
 }
--- a/internal/departure/departure_test.go
+++ b/internal/departure/departure_test.go
@@ -14,8 +14,8 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func drawFact(t *rapid.T) Fact {
-	life := workers.Incarnation{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))}
-	return Fact{Worker: life, Since: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "since")) * time.Second)}
+	worker := workers.Incarnation{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))}
+	return Fact{Worker: worker, Since: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "since")) * time.Second)}
 }
 
 func TestMergeOrderDoesNotMatter(t *testing.T) {
@@ -23,23 +23,23 @@
 		list := rapid.SliceOfN(rapid.Custom(drawFact), 1, 8).Draw(t, "facts")
 		other := rapid.Permutation(list).Draw(t, "other")
 		merged := func(list []Fact) []Fact {
-			book := facts.NewTable[Fact]()
+			table := facts.NewTable[Fact]()
 			for _, one := range append(list, list...) {
-				book.Merge(one)
+				table.Merge(one)
 			}
-			return book.Facts()
+			return table.Facts()
 		}
 		assert.DeepEqual(t, merged(list), merged(other))
 	})
 }
 
 func TestEarliestDepartureWins(t *testing.T) {
-	book, life := facts.NewTable[Fact](), workers.Incarnation{ID: "w", StartTime: 1}
-	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start}))
-	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(time.Second)}))
-	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sinceTolerance)}), "within the tolerance of times")
-	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start.Add(-time.Second)}))
-	known, _ := book.Fact(life)
+	table, worker := facts.NewTable[Fact](), workers.Incarnation{ID: "w", StartTime: 1}
+	assert.Assert(t, table.Merge(Fact{Worker: worker, Since: start}))
+	assert.Assert(t, !table.Merge(Fact{Worker: worker, Since: start.Add(time.Second)}))
+	assert.Assert(t, !table.Merge(Fact{Worker: worker, Since: start.Add(-sinceTolerance)}), "within the tolerance of times")
+	assert.Assert(t, table.Merge(Fact{Worker: worker, Since: start.Add(-time.Second)}))
+	known, _ := table.Fact(worker)
 	assert.Equal(t, known.Since, start.Add(-time.Second))
 	assert.Equal(t, NewMessage(start, known).Fact(start), known)
 }
--- a/internal/facts/table.go
+++ b/internal/facts/table.go
@@ -113,8 +113,8 @@
 	t.updateActiveCount()
 }
 
-// Published returns the published facts of the keys whose current fact is active, sorted by key. Their
-// times are those of publication: later equivalent facts do not change them.
+// Published returns the published facts of the keys whose current fact is active, sorted by key.
+// Their times are those of publication: later equivalent facts do not change them.
 func (t *Table[F]) Published() []F {
 	return t.list(func(one *tableEntry[F]) (F, bool) { return one.published, one.fact.Active() })
 }
--- a/internal/quarantine/changelog.go
+++ b/internal/quarantine/changelog.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxRemovals is how many removals a change log remembers: as many as a tracker holds records. A process
-// whose state is older receives all records.
+// maxRemovals is how many removals a change log remembers: as many as a tracker holds records. A
+// process whose state is older receives all records.
 const maxRemovals = maxRecords
 
 // Changes are the changes of a change log's records since an earlier version.
@@ -20,8 +20,9 @@
 	Removed []Fingerprint `json:"g,omitempty"`
 }
 
-// ChangeLog is a versioned list of records, of which other processes receive the changes. The zero value
-// is uninitialized: it is unknown whether there are records. It is not safe for concurrent use.
+// ChangeLog is a versioned list of records, of which other processes receive the changes. The zero
+// value is uninitialized: it is unknown whether there are records. It is not safe for concurrent
+// use.
 type ChangeLog struct {
 	version uint64
 	entries map[Fingerprint]logEntry
@@ -109,7 +110,8 @@
 		slices.EqualFunc(a.Crashes, b.Crashes, Crash.same)
 }
 
-// sameEvent reports whether two times are those of one event, within the error of ages, or both zero.
+// sameEvent reports whether two times are those of one event, within the error of ages, or both
+// zero.
 func sameEvent(a, b time.Time) bool { return !isLater(a, b) && !isLater(b, a) }
 
 // prune drops the oldest removals.
@@ -130,9 +132,9 @@
 	})
 }
 
-// Since returns the changes after a version, at most limit of them and the oldest first, and the version
-// that they lead up to. It returns all records if the version is zero or too old. Quarantined requests
-// are always included: they must not be sent to any worker.
+// Since returns the changes after a version, at most limit of them and the oldest first, and the
+// version that they lead up to. It returns all records if the version is zero or too old.
+// Quarantined requests are always included: they must not be sent to any worker.
 func (l *ChangeLog) Since(now time.Time, version uint64, limit int) (Changes, uint64) {
 	if version == 0 || version < l.prunedVersion {
 		return Changes{Full: true, Updated: NewSnapshot(now, l.Records())}, l.version
--- a/internal/quarantine/changelog_test.go
+++ b/internal/quarantine/changelog_test.go
@@ -27,8 +27,8 @@
 	return numbers
 }
 
-// A process that receives changes, a few at a time and through a relay, finally has the same records as
-// the leader.
+// A process that receives changes, a few at a time and through a relay, finally has the same
+// records as the leader.
 func TestChangesReplicateRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var leader, relay, follower ChangeLog
--- a/internal/quarantine/evict.go
+++ b/internal/quarantine/evict.go
@@ -11,8 +11,8 @@
 	// maxRecords bounds the number of records. Those with the least evidence are evicted; requests
 	// that are or were quarantined never are.
 	maxRecords = 512
-	// evictionBatch is how many extra records are evicted at once, so that a burst of crashes does not
-	// sort the records at each crash.
+	// evictionBatch is how many extra records are evicted at once, so that a burst of crashes does
+	// not sort the records at each crash.
 	evictionBatch = maxRecords / 16
 )
 
@@ -40,8 +40,8 @@
 type evictionRank struct {
 	request Fingerprint
 	// crashes counts the workers that crashed with the request, and concurrent how many of all
-	// workers crashed around the time of its last crash: the more, the weaker the evidence against one
-	// request.
+	// workers crashed around the time of its last crash: the more, the weaker the evidence against
+	// one request.
 	crashes, concurrent int
 	lastCrashAt         time.Time
 }
@@ -66,8 +66,8 @@
 
 func (c crashCounts) add(at time.Time) { c[bucketOf(at)]++ }
 
-// near returns how many workers crashed less than clusterWindow before or after a time, to the resolution
-// of the buckets.
+// near returns how many workers crashed less than clusterWindow before or after a time, to the
+// resolution of the buckets.
 func (c crashCounts) near(at time.Time) int {
 	count := 0
 	for bucket := bucketOf(at) - bucketsPerWindow + 1; bucket < bucketOf(at)+bucketsPerWindow; bucket++ {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine detects requests that crash the workers that process them, from the requests that
-// were in progress at workers that crashed, and decides which requests may no longer be sent.
+// Package quarantine detects requests that crash the workers that process them, from the requests
+// that were in progress at workers that crashed, and decides which requests may no longer be sent.
 //
 // It opens no sockets, reads no clock and starts no goroutines.
 package quarantine
@@ -49,8 +49,8 @@
 	return short
 }
 
-// ForCaller returns the fingerprint of the request as one caller sends it: the headers of the caller,
-// which are not part of the fingerprint, may change what the request does.
+// ForCaller returns the fingerprint of the request as one caller sends it: the headers of the
+// caller, which are not part of the fingerprint, may change what the request does.
 func (f Fingerprint) ForCaller(caller netip.Addr) Fingerprint {
 	sum := sha256.Sum256(append(f[:], caller.AsSlice()...))
 	return Fingerprint(sum[:len(f)])
--- a/internal/quarantine/leaders_test.go
+++ b/internal/quarantine/leaders_test.go
@@ -38,8 +38,8 @@
 	return v
 }
 
-// Guards against a new leader that does not know a quarantine: its update must not revoke the quarantine
-// at the routers.
+// Guards against a new leader that does not know a quarantine: its update must not revoke the
+// quarantine at the routers.
 func TestLeaderWithoutQuarantineDoesNotRevokeIt(t *testing.T) {
 	first, follower, second := quarantinedView(), NewView(), NewView()
 	assert.Equal(t, len(sendUpdate(at(7), first, follower)), 1)
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -20,8 +20,8 @@
 	exchangeInterval = 500 * time.Millisecond
 )
 
-// model is a model, in virtual time, of routers that share evidence about one harmful request. One of
-// them leads; any may be isolated from it, and the store may be unreachable.
+// model is a model, in virtual time, of routers that share evidence about one harmful request. One
+// of them leads; any may be isolated from it, and the store may be unreachable.
 type model struct {
 	now      time.Time
 	views    [modelRouters]*View
@@ -32,8 +32,8 @@
 	store   []byte
 	storeUp bool
 	crashes int
-	// knowsQuarantine are the routers where the request is quarantined; stored says that the quarantine
-	// is stored.
+	// knowsQuarantine are the routers where the request is quarantined; stored says that the
+	// quarantine is stored.
 	knowsQuarantine [modelRouters]bool
 	stored          bool
 }
@@ -176,7 +176,8 @@
 	return lifted
 }
 
-// isKnown reports whether some router or the store knows the quarantine, which then must not be lost.
+// isKnown reports whether some router or the store knows the quarantine, which then must not be
+// lost.
 func (m *model) isKnown() bool {
 	for _, knows := range m.knowsQuarantine {
 		if knows {
@@ -204,9 +205,9 @@
 	return count
 }
 
-// Routers that restart, are isolated, lead in turn, or lose the store agree within the bound after the
-// last failure. No quarantine that some router knows is lost, nor are two or more crashes, and no
-// lifted quarantine returns.
+// Routers that restart, are isolated, lead in turn, or lose the store agree within the bound after
+// the last failure. No quarantine that some router knows is lost, nor are two or more crashes, and
+// no lifted quarantine returns.
 func TestRoutersAgreeOnQuarantineAcrossFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
--- a/internal/quarantine/observer.go
+++ b/internal/quarantine/observer.go
@@ -11,8 +11,8 @@
 	// detected: a connection to its address is refused within milliseconds, and an attempt that was
 	// given up may still run for a while.
 	interruptedRetention = time.Second
-	// maxInterrupted bounds the attempts that are remembered for one worker, which are the latest ones.
-	// A worker has fewer slots.
+	// maxInterrupted bounds the attempts that are remembered for one worker, which are the latest
+	// ones. A worker has fewer slots.
 	maxInterrupted = 64
 )
 
@@ -42,8 +42,8 @@
 	return a
 }
 
-// CrashObserver collects what one process observes of the end of one worker: whether it has ended, and
-// which requests were in progress there. Its zero value has observed nothing.
+// CrashObserver collects what one process observes of the end of one worker: whether it has ended,
+// and which requests were in progress there. Its zero value has observed nothing.
 type CrashObserver struct {
 	interrupted []interruptedAttempt
 	endedAt     time.Time
@@ -55,8 +55,8 @@
 	at      time.Time
 }
 
-// RecordInterrupted records an attempt that got no complete response. It reports whether the worker is
-// known to have ended at about that time, so that its end interrupted the attempt.
+// RecordInterrupted records an attempt that got no complete response. It reports whether the worker
+// is known to have ended at about that time, so that its end interrupted the attempt.
 func (o *CrashObserver) RecordInterrupted(now time.Time, attempt Attempt) bool {
 	if !o.endedAt.IsZero() {
 		return now.Sub(o.endedAt) < interruptedRetention
@@ -69,8 +69,8 @@
 	return false
 }
 
-// RecordEnd records that the worker has ended; first is false if that was already known. It returns the
-// attempts that its end interrupted, one for each request and caller.
+// RecordEnd records that the worker has ended; first is false if that was already known. It returns
+// the attempts that its end interrupted, one for each request and caller.
 func (o *CrashObserver) RecordEnd(now time.Time) (attempts []Attempt, first bool) {
 	if !o.endedAt.IsZero() {
 		return nil, false
@@ -88,7 +88,8 @@
 	return attempts, true
 }
 
-// forget drops attempts that were interrupted too long ago to be related to an end of the worker now.
+// forget drops attempts that were interrupted too long ago to be related to an end of the worker
+// now.
 func (o *CrashObserver) forget(now time.Time) {
 	o.interrupted = slices.DeleteFunc(o.interrupted, func(one interruptedAttempt) bool { return now.Sub(one.at) >= interruptedRetention })
 }
--- a/internal/quarantine/observer_test.go
+++ b/internal/quarantine/observer_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Guards against attempts that an overloaded worker interrupted: they must not hide the one that was in
-// progress at its end.
+// Guards against attempts that an overloaded worker interrupted: they must not hide the one that
+// was in progress at its end.
 func TestManyInterruptedAttemptsDoNotHideTheLast(t *testing.T) {
 	for name, count := range map[string]int{"as many as maxInterrupted": maxInterrupted, "twice maxInterrupted": 2 * maxInterrupted} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,8 +25,8 @@
 	// clearedRetention is how long it is remembered that a suspect was cleared: evidence against it
 	// may still be in transit.
 	clearedRetention = time.Minute
-	// maxAgeError is the largest difference between the times that processes have of one event: times
-	// are sent as ages, to which the latency of messages is added.
+	// maxAgeError is the largest difference between the times that processes have of one event:
+	// times are sent as ages, to which the latency of messages is added.
 	maxAgeError = time.Second
 )
 
@@ -66,8 +66,8 @@
 	return c.incarnation() == other.incarnation() && c.Caller == other.Caller
 }
 
-// Record is what is known about a request. Records can be merged in any order. Crashes from before the
-// request was cleared or lifted no longer count.
+// Record is what is known about a request. Records can be merged in any order. Crashes from before
+// the request was cleared or lifted no longer count.
 type Record struct {
 	// Attempt was in progress at a crash: usually the latest attempt that is known to have been.
 	Attempt Attempt
@@ -114,8 +114,8 @@
 	return !event.IsZero() && !at.After(event.Add(maxAgeError))
 }
 
-// ExpiresAt returns when the record expires. That a quarantine was lifted is remembered for as long as
-// some process may know only of the quarantine.
+// ExpiresAt returns when the record expires. That a quarantine was lifted is remembered for as long
+// as some process may know only of the quarantine.
 func (r Record) ExpiresAt() time.Time {
 	switch {
 	case !r.QuarantinedAt.IsZero():
@@ -199,10 +199,10 @@
 	return isLater(other.ClearedAt, r.ClearedAt) || isLater(other.LiftedAt, r.LiftedAt) || isLater(other.QuarantinedAt, r.QuarantinedAt)
 }
 
-// mustReport reports whether this record must be reported to a leader that has published the other one:
-// it contains a later decision, clears a request that the leader suspects, or has crashes that the
-// leader does not know. A record with a single crash need not be reported: if a leader has lost it, that
-// costs no more than one worker.
+// mustReport reports whether this record must be reported to a leader that has published the other
+// one: it contains a later decision, clears a request that the leader suspects, or has crashes that
+// the leader does not know. A record with a single crash need not be reported: if a leader has lost
+// it, that costs no more than one worker.
 func (r Record) mustReport(leader Record) bool {
 	switch {
 	case !r.QuarantinedAt.IsZero() && leader.missesDecision(r):
@@ -256,7 +256,8 @@
 	return count
 }
 
-// markQuarantined sets QuarantinedAt if the request has become quarantined. It reports whether it has.
+// markQuarantined sets QuarantinedAt if the request has become quarantined. It reports whether it
+// has.
 func (r *Record) markQuarantined(now time.Time) bool {
 	if !r.isQuarantined() || (!r.QuarantinedAt.IsZero() && !r.isCleared(r.QuarantinedAt)) {
 		return false
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -24,8 +24,8 @@
 	// how many sends may follow: bounds set by the users.
 	propagationBound = 3 * time.Second
 	maxLateSends     = 3
-	// runTime is how long a worker processes a request, and restartDelay how long a crashed worker is
-	// down.
+	// runTime is how long a worker processes a request, and restartDelay how long a crashed worker
+	// is down.
 	runTime      = 150 * time.Millisecond
 	restartDelay = 4 * time.Second
 	// keyMoveTime is how long the keys of a crashed owner have no new owner. Callers poll them with
@@ -34,8 +34,8 @@
 	ownerPollers = 6
 )
 
-// simulation simulates routers with a leader, and workers that crash at random, by rack, and because of
-// harmful requests.
+// simulation simulates routers with a leader, and workers that crash at random, by rack, and
+// because of harmful requests.
 type simulation struct {
 	random      *rand.Rand
 	routers     []*View
@@ -256,7 +256,8 @@
 	}
 }
 
-// randomCrashes crashes workers at random, one every 5 s on average, and whole racks, one every 40 s.
+// randomCrashes crashes workers at random, one every 5 s on average, and whole racks, one every
+// 40 s.
 func (s *simulation) randomCrashes(now time.Time) {
 	if s.random.IntN(500) == 0 {
 		s.crash(now, s.workers[s.random.IntN(len(s.workers))])
@@ -284,8 +285,8 @@
 	}
 }
 
-// simulations is the number of simulations; it is limited so that they take a few seconds with the race
-// detector.
+// simulations is the number of simulations; it is limited so that they take a few seconds with the
+// race detector.
 const simulations = 10
 
 // In simulations of five minutes, in each of which some 60 workers crash at random and 45 with their
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -9,15 +9,16 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// StoreKey returns the key under which the snapshot is stored, below the prefix of the system's own keys.
+// StoreKey returns the key under which the snapshot is stored, below the prefix of the system's own
+// keys.
 func StoreKey(prefix string) string { return prefix + "suspects" }
 
 // maxSnapshotCrashes bounds the crashes of a quarantined request in a snapshot.
 const maxSnapshotCrashes = 8
 
 // Snapshot is the encoding of a tracker's records that is stored and sent. Times are ages as of its
-// writing: processes do not share a clock. The age of a stored one follows from the time of day, which
-// may be off by seconds.
+// writing: processes do not share a clock. The age of a stored one follows from the time of day,
+// which may be off by seconds.
 type Snapshot struct {
 	// WrittenMillis is the time of writing by the writer's clock, in milliseconds since 1970.
 	WrittenMillis int64           `json:"t"`
@@ -43,8 +44,8 @@
 // SnapshotCrash is the encoding of one crash, which was AgeMillis ago.
 type SnapshotCrash struct {
 	Worker workers.ID `json:"w"`
-	// Born identifies the incarnation of the worker; zero if the worker reports none.
-	Born      workers.StartTime `json:"b,omitempty"`
+	// StartTime identifies the incarnation of the worker; zero if the worker reports none.
+	StartTime workers.StartTime `json:"b,omitempty"`
 	AgeMillis int64             `json:"a"`
 	// Caller is the one whose request was in progress.
 	Caller netip.Addr `json:"c,omitzero"`
@@ -53,12 +54,12 @@
 // crash decodes the crash, whose age is as of now.
 func (c SnapshotCrash) crash(now time.Time) Crash {
 	at := now.Add(-time.Duration(c.AgeMillis) * time.Millisecond)
-	return Crash{Worker: c.Worker, Born: c.Born, Caller: c.Caller, At: at}
+	return Crash{Worker: c.Worker, Born: c.StartTime, Caller: c.Caller, At: at}
 }
 
 // toSnapshot encodes the crash as of now.
 func (c Crash) toSnapshot(now time.Time) SnapshotCrash {
-	return SnapshotCrash{Worker: c.Worker, Born: c.Born, Caller: c.Caller, AgeMillis: now.Sub(c.At).Milliseconds()}
+	return SnapshotCrash{Worker: c.Worker, StartTime: c.Born, Caller: c.Caller, AgeMillis: now.Sub(c.At).Milliseconds()}
 }
 
 // NewSnapshot encodes records as of now.
@@ -77,7 +78,8 @@
 	return snapshot
 }
 
-// ageMillis returns how long ago an event was, in milliseconds and at least 1; zero if it never happened.
+// ageMillis returns how long ago an event was, in milliseconds and at least 1; zero if it never
+// happened.
 func ageMillis(now, event time.Time) int64 {
 	if event.IsZero() {
 		return 0
@@ -93,8 +95,8 @@
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// snapshotCrashes returns the crashes that are part of a snapshot: of a quarantined request with many,
-// only the first and the last ones.
+// snapshotCrashes returns the crashes that are part of a snapshot: of a quarantined request with
+// many, only the first and the last ones.
 func (r Record) snapshotCrashes() []Crash {
 	if len(r.Crashes) <= maxSnapshotCrashes || r.Standing() != Quarantined {
 		return r.Crashes
@@ -118,8 +120,8 @@
 	return value
 }
 
-// Lift returns the snapshot with a request lifted at now, by the operator's clock, for an operator to
-// store; false if no crashes count against the request.
+// Lift returns the snapshot with a request lifted at now, by the operator's clock, for an operator
+// to store; false if no crashes count against the request.
 func (s Snapshot) Lift(now time.Time, request Fingerprint) (Snapshot, bool) {
 	index := slices.IndexFunc(s.Records, func(one SnapshotEntry) bool { return one.Request == request && len(one.Crashes) > 0 })
 	if index < 0 {
@@ -132,8 +134,8 @@
 	return s, true
 }
 
-// clampAge returns the smallest of an age and those of the entry's crashes and quarantine, so that the
-// operator's clock may be behind the leader's. The result is never zero.
+// clampAge returns the smallest of an age and those of the entry's crashes and quarantine, so that
+// the operator's clock may be behind the leader's. The result is never zero.
 func (e SnapshotEntry) clampAge(age int64) int64 {
 	for _, crash := range e.Crashes {
 		age = min(age, crash.AgeMillis)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -12,10 +12,11 @@
 // Tracker decides which requests are suspects or quarantined, from the crashes at which they were in
 // progress. Its zero value is not usable; see NewTracker.
 //
-// All requests that were in progress when a worker crashed are suspects. A harmful one is recognized
-// by three crashes, not all within one cluster, without a successful run in between: such a run clears
-// the request. The crashes of all callers' requests are added up; once the request of one caller has
-// succeeded, a crash during another caller's request counts against that caller's requests only.
+// All requests that were in progress when a worker crashed are suspects. A harmful one is
+// recognized by three crashes, not all within one cluster (but see Evaluate), without a successful
+// run in between: such a run clears the request. The crashes of all callers' requests are added up;
+// once the request of one caller succeeds, earlier crashes during other callers' requests count
+// against the requests of those callers only.
 type Tracker struct {
 	records map[Fingerprint]*Record
 	// crashedAt are the workers that crashed recently, whatever was in progress there, and
@@ -107,8 +108,8 @@
 	return known.markQuarantined(now)
 }
 
-// record returns the record of a request, of one caller or of all if caller is zero. It adds an empty
-// one if there is none.
+// record returns the record of a request, of one caller or of all if caller is zero. It adds an
+// empty one if there is none.
 func (t *Tracker) record(attempt Attempt, caller netip.Addr) *Record {
 	known := t.records[attempt.Request]
 	if known == nil {
@@ -118,8 +119,8 @@
 	return known
 }
 
-// RecordSuccess records that a request of a caller succeeded, so that it does not crash workers as this
-// caller sends it. It reports whether the request was a suspect or quarantined.
+// RecordSuccess records that a request of a caller succeeded, so that it does not crash workers as
+// this caller sends it. It reports whether the request was a suspect or quarantined.
 func (t *Tracker) RecordSuccess(now time.Time, request CallerRequest) bool {
 	if t.Standing(request) == Unsuspected {
 		return false
@@ -182,11 +183,11 @@
 // running its request.
 func (t *Tracker) isIsolated(record *Record) bool {
 	first, last := record.Crashes[0].At.Add(-clusterWindow), record.lastCrashAt().Add(clusterWindow)
-	for life, at := range t.crashedAt {
+	for incarnation, at := range t.crashedAt {
 		if at.Before(first) || at.After(last) {
 			continue
 		}
-		if !slices.ContainsFunc(record.Crashes, func(one Crash) bool { return one.incarnation() == life }) {
+		if !slices.ContainsFunc(record.Crashes, func(one Crash) bool { return one.incarnation() == incarnation }) {
 			return false
 		}
 	}
@@ -208,8 +209,8 @@
 	return list
 }
 
-// firstCrashAt returns the time of the first counted crash; without one, when the request was cleared
-// or lifted.
+// firstCrashAt returns the time of the first counted crash; without one, when the request was
+// cleared or lifted.
 func (r Record) firstCrashAt() time.Time {
 	if len(r.Crashes) == 0 {
 		return r.clearedOrLiftedAt()
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -297,8 +297,8 @@
 	assert.Equal(t, quarantined, 1)
 }
 
-// Guards against counting the crashes of a worker that restarts under the same ID as one: a request that
-// crashed it repeatedly was never quarantined.
+// Guards against counting the crashes of a worker that restarts under the same ID as one: a request
+// that crashed it repeatedly was never quarantined.
 func TestCrashOfEachIncarnationCounts(t *testing.T) {
 	for name, test := range map[string]struct {
 		incarnations []workers.StartTime
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -11,8 +11,8 @@
 	// reportRetryInterval is the interval at which evidence is reported again until a leader has
 	// confirmed it: a report may be lost with its link, and takes half of that time through a relay.
 	reportRetryInterval = time.Second
-	// reportDuration is how long evidence is reported: a leader that has not accepted it by then has no
-	// room for it.
+	// reportDuration is how long evidence is reported: a leader that has not accepted it by then
+	// has no room for it.
 	reportDuration = 30 * time.Second
 	// maxOwnCrashes is the number of crashes above which a process drops those that a leader knows.
 	maxOwnCrashes = maxRecords
@@ -33,8 +33,8 @@
 	Crash SnapshotCrash `json:"x"`
 }
 
-// View is what one process knows: updates received from leaders, and its own evidence, not all of which
-// a leader may know. It is safe for concurrent use.
+// View is what one process knows: updates received from leaders, and its own evidence, not all of
+// which a leader may know. It is safe for concurrent use.
 type View struct {
 	// anyRestricted says that some request is a suspect or quarantined.
 	anyRestricted atomic.Bool
@@ -49,8 +49,8 @@
 
 // delivery is the state of reporting a piece of evidence to the leader.
 type delivery struct {
-	// firstAt is when it was first reported; zero: never. lastAt is when it was last reported, or when
-	// the wait for the first report began; zero: never.
+	// firstAt is when it was first reported; zero: never. lastAt is when it was last reported, or
+	// when the wait for the first report began; zero: never.
 	firstAt, lastAt time.Time
 }
 
@@ -69,7 +69,8 @@
 	return true
 }
 
-// ownCrash is a crash observed by this process, or by one that reports to the leader through this one.
+// ownCrash is a crash observed by this process, or by one that reports to the leader through this
+// one.
 type ownCrash struct {
 	delivery
 	attempt Attempt
@@ -85,8 +86,8 @@
 	return &View{tracker: NewTracker(), missing: map[Fingerprint]*delivery{}, changed: make(chan struct{}, 1)}
 }
 
-// AnyRestricted reports whether any request is a suspect or quarantined. While none is, requests need
-// no fingerprint.
+// AnyRestricted reports whether any request is a suspect or quarantined. While none is, requests
+// need no fingerprint.
 func (v *View) AnyRestricted() bool { return v.anyRestricted.Load() }
 
 // Standing returns whether and how the request of a caller may be sent.
@@ -114,8 +115,8 @@
 	v.anyRestricted.Store(suspects+quarantined > 0)
 }
 
-// RecordCrash records that an attempt was in progress at a worker that crashed. It returns what becomes
-// quarantined as a result.
+// RecordCrash records that an attempt was in progress at a worker that crashed. It returns what
+// becomes quarantined as a result.
 func (v *View) RecordCrash(now time.Time, attempt Attempt, crash Crash) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -141,8 +142,8 @@
 	}
 }
 
-// HandleEvidence adds the evidence of another process. It returns the requests that become quarantined
-// as a result.
+// HandleEvidence adds the evidence of another process. It returns the requests that become
+// quarantined as a result.
 func (v *View) HandleEvidence(now time.Time, evidence Evidence) []Attempt {
 	var quarantined []Attempt
 	for _, one := range evidence.Crashes {
@@ -182,8 +183,8 @@
 	return evidence
 }
 
-// collectMissing returns the records that the leader lacks and that are to be reported now. The caller
-// holds mu.
+// collectMissing returns the records that the leader lacks and that are to be reported now. The
+// caller holds mu.
 func (v *View) collectMissing(now time.Time) Snapshot {
 	var records []Record
 	for request, one := range v.missing {
@@ -194,8 +195,8 @@
 	return NewSnapshot(now, records)
 }
 
-// forget drops crashes that are expired or cleared, and beyond maxOwnCrashes the oldest of those that a
-// leader knows. The caller holds mu.
+// forget drops crashes that are expired or cleared, and beyond maxOwnCrashes the oldest of those
+// that a leader knows. The caller holds mu.
 func (v *View) forget(now time.Time) {
 	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool { return now.Sub(one.crash.At) >= suspectRetention || v.isCleared(one) })
 	surplus := len(v.ownCrashes) - maxOwnCrashes
@@ -215,8 +216,8 @@
 	return (known != nil && known.isLifted(one.crash.At)) || (perCaller != nil && perCaller.isCleared(one.crash.At))
 }
 
-// HandleUpdate merges a leader's records. A leader may lack evidence: what this process knows is kept,
-// and reported to the leader. It returns what becomes quarantined as a result.
+// HandleUpdate merges a leader's records. A leader may lack evidence: what this process knows is
+// kept, and reported to the leader. It returns what becomes quarantined as a result.
 func (v *View) HandleUpdate(now time.Time, records []Record) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -255,8 +256,8 @@
 	}
 }
 
-// confirms reports whether a leader's records contain a crash, or no longer need it because the request
-// is quarantined.
+// confirms reports whether a leader's records contain a crash, or no longer need it because the
+// request is quarantined.
 func confirms(leaderRecords map[Fingerprint]Record, crash *ownCrash) bool {
 	for _, request := range []Fingerprint{crash.attempt.Request, crash.perCaller.Request} {
 		one, known := leaderRecords[request]
@@ -267,8 +268,8 @@
 	return false
 }
 
-// Merge adds records that another process has sent or stored. It returns what becomes quarantined as a
-// result.
+// Merge adds records that another process has sent or stored. It returns what becomes quarantined
+// as a result.
 func (v *View) Merge(now time.Time, records []Record) []Attempt {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -292,8 +293,8 @@
 	return lifted
 }
 
-// Evaluate does the time-dependent work; see Tracker.Evaluate. Only a process that has the evidence of all
-// processes calls it.
+// Evaluate does the time-dependent work; see Tracker.Evaluate. Only a process that has the evidence
+// of all processes calls it.
 func (v *View) Evaluate(now time.Time) []Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/quarantine/zones_test.go
+++ b/internal/quarantine/zones_test.go
@@ -16,8 +16,8 @@
 	zoneSimRequests = 27
 )
 
-// crashZone crashes all workers of a zone, a third of all, at the same time, and retries the requests that
-// were in progress there.
+// crashZone crashes all workers of a zone, a third of all, at the same time, and retries the
+// requests that were in progress there.
 func (s *simulation) crashZone(now time.Time, zone int) {
 	for _, worker := range s.workers {
 		if worker.rack != zone {
@@ -44,8 +44,8 @@
 // zoneSimHarmfulPeriod is the average number of steps between two sends of the harmful request.
 const zoneSimHarmfulPeriod = 3
 
-// A third of all workers crashes at the same time, three times in 20 s, alone and beside a request that
-// crashes dozens of workers.
+// A third of all workers crashes at the same time, three times in 20 s, alone and beside a request
+// that crashes dozens of workers.
 func TestZoneCrashesQuarantineNoInnocentRequest(t *testing.T) {
 	for name, harmful := range map[string]bool{"alone": false, "beside a harmful request": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/workerlimit/fact.go
+++ b/internal/workerlimit/fact.go
@@ -1,8 +1,8 @@
-// Package workerlimit enforces the rate limits that workers announce in their responses: requests per
-// second from all routers together.
+// Package workerlimit enforces the rate limits that workers announce in their responses: requests
+// per second from all routers together.
 //
-// A Table holds the limits that a process knows, as facts whose merge order does not matter. A Pacer,
-// in the leader's process, decides when each request may be sent.
+// A Table holds the limits that a process knows, as facts whose merge order does not matter. A
+// Pacer, in the leader's process, decides when each request may be sent.
 package workerlimit
 
 import (
@@ -18,15 +18,15 @@
 	Rate float64
 	// Ended says that the worker no longer announces a limit.
 	Ended bool
-	// At is the time as of which the fact is known: when a response arrived that announced the limit,
-	// or when the request was sent whose response announced none. A response to an earlier request
-	// does not prove that a limit announced later has ended.
+	// At is the time as of which the fact is known: when a response arrived that announced the
+	// limit, or when the request was sent whose response announced none. A response to an earlier
+	// request does not prove that a limit announced later has ended.
 	At time.Time
 }
 
 // rateTolerance is the difference, as a share of the greater rate, up to which two rates are
-// equivalent. The leader paces by the latest rate that it knows, and each process that asks for a permit
-// sends along the one that it knows, so smaller changes need not be published.
+// equivalent. The leader paces by the latest rate that it knows, and each process that asks for a
+// permit sends along the one that it knows, so smaller changes need not be published.
 const rateTolerance = 0.1
 
 // Key implements facts.Fact: one fact is kept for each worker.
@@ -47,8 +47,8 @@
 	return difference <= rateTolerance*max(f.Rate, other.Rate)
 }
 
-// Replaces reports whether a fact takes the place of another one about the same worker: the later one
-// does, and of two with the same time the more restrictive one.
+// Replaces reports whether a fact takes the place of another one about the same worker: the later
+// one does, and of two with the same time the more restrictive one.
 func (f Fact) Replaces(other Fact) bool {
 	switch {
 	case !f.At.Equal(other.At):
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -76,8 +76,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pacer != nil {
-		l.pacer.RemoveUnlimited(func(life workers.Incarnation) bool {
-			_, limited := l.table.Rate(life)
+		l.pacer.RemoveUnlimited(func(worker workers.Incarnation) bool {
+			_, limited := l.table.Rate(worker)
 			return limited
 		})
 	}
--- a/internal/workerlimit/limiter_test.go
+++ b/internal/workerlimit/limiter_test.go
@@ -22,7 +22,7 @@
 			"a router restarts":    func() { s.restart(s.routers[rapid.IntRange(0, routers-1).Draw(t, "router")]) },
 			"routers are isolated": func() { s.isolate(1+s.random.IntN(routers/2), time.Duration(500+s.random.IntN(6000))*time.Millisecond) },
 			"nothing":              func() {},
-			"a worker restarts":    func() { s.setLimit(0, false); s.worker.life.StartTime++ },
+			"a worker restarts":    func() { s.setLimit(0, false); s.worker.incarnation.StartTime++ },
 		}
 		names := slices.Sorted(func(yield func(string) bool) {
 			for name := range events {
--- a/internal/workerlimit/message.go
+++ b/internal/workerlimit/message.go
@@ -10,7 +10,7 @@
 // ages.
 type Message struct {
 	Worker    workers.ID        `json:"w"`
-	Born      workers.StartTime `json:"b,omitempty"`
+	StartTime workers.StartTime `json:"b,omitempty"`
 	PerSecond float64           `json:"r,omitempty"`
 	Ended     bool              `json:"e,omitempty"`
 	AgeMillis int64             `json:"a,omitempty"`
@@ -19,7 +19,7 @@
 // NewMessage encodes a fact as of now.
 func NewMessage(now time.Time, fact Fact) Message {
 	return Message{
-		Worker: fact.Worker.ID, Born: fact.Worker.StartTime, PerSecond: fact.Rate, Ended: fact.Ended,
+		Worker: fact.Worker.ID, StartTime: fact.Worker.StartTime, PerSecond: fact.Rate, Ended: fact.Ended,
 		AgeMillis: max(0, now.Sub(fact.At).Milliseconds()),
 	}
 }
@@ -28,6 +28,6 @@
 func (m Message) Fact(now time.Time) Fact {
 	age := time.Duration(max(0, m.AgeMillis)) * time.Millisecond
 	return Fact{
-		Worker: workers.Incarnation{ID: m.Worker, StartTime: m.Born}, Rate: max(0, m.PerSecond), Ended: m.Ended, At: now.Add(-age),
+		Worker: workers.Incarnation{ID: m.Worker, StartTime: m.StartTime}, Rate: max(0, m.PerSecond), Ended: m.Ended, At: now.Add(-age),
 	}
 }
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -28,27 +28,28 @@
 
 // bucket is the pacing state of one worker.
 type bucket struct {
-	life workers.Incarnation
+	incarnation workers.Incarnation
 	// due is when the next request would be sent if all were sent at an even pace.
 	due time.Time
-	// refused counts the requests refused, less those granted since; it is reset once due has passed.
+	// refused counts the requests refused, less those granted since; it is reset once due has
+	// passed.
 	refused int
 }
 
 // NewPacer returns a pacer that has granted no requests.
 func NewPacer() *Pacer { return &Pacer{buckets: map[workers.ID]*bucket{}} }
 
-// Take asks whether a request may be sent, within maxWait, to a worker that accepts perSecond requests
-// per second. If it is granted, it is sent after wait; else wait is the delay before the next try.
-// leadershipUncertain says that another process may lead.
-func (p *Pacer) Take(now time.Time, life workers.Incarnation, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
+// Take asks whether a request may be sent, within maxWait, to a worker that accepts perSecond
+// requests per second. If it is granted, it is sent after wait; else wait is the delay before the
+// next try. leadershipUncertain says that another process may lead.
+func (p *Pacer) Take(now time.Time, worker workers.Incarnation, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
 	burst := maxBurstTime
 	perSecond = max(perSecond, minRate)
 	if leadershipUncertain {
 		burst, perSecond = 0, uncertainShare*perSecond
 	}
 	period := time.Duration(float64(time.Second) / perSecond)
-	b := p.bucket(now, life)
+	b := p.bucket(now, worker)
 	if latest := now.Add(maxBurstTime + maxWait + period); b.due.After(latest) { // the limit was raised
 		b.due = latest
 	}
@@ -66,13 +67,13 @@
 	return min(wait, maxRetryDelay), false
 }
 
-// bucket returns a worker's bucket. A new one has accumulated no requests: until the worker announced
-// its limit it received all requests, and another process may have led before.
-func (p *Pacer) bucket(now time.Time, life workers.Incarnation) *bucket {
-	b := p.buckets[life.ID]
-	if b == nil || (b.life.StartTime != life.StartTime && b.life.StartTime != 0 && life.StartTime != 0) {
-		b = &bucket{life: life, due: now.Add(maxBurstTime)}
-		p.buckets[life.ID] = b
+// bucket returns a worker's bucket. A new one has accumulated no requests: until the worker
+// announced its limit it received all requests, and another process may have led before.
+func (p *Pacer) bucket(now time.Time, worker workers.Incarnation) *bucket {
+	b := p.buckets[worker.ID]
+	if b == nil || (b.incarnation.StartTime != worker.StartTime && b.incarnation.StartTime != 0 && worker.StartTime != 0) {
+		b = &bucket{incarnation: worker, due: now.Add(maxBurstTime)}
+		p.buckets[worker.ID] = b
 	}
 	return b
 }
@@ -80,7 +81,7 @@
 // RemoveUnlimited drops the state of workers that no longer announce a limit.
 func (p *Pacer) RemoveUnlimited(limited func(workers.Incarnation) bool) {
 	for id, b := range p.buckets {
-		if !limited(b.life) {
+		if !limited(b.incarnation) {
 			delete(p.buckets, id)
 		}
 	}
--- a/internal/workerlimit/pacer_test.go
+++ b/internal/workerlimit/pacer_test.go
@@ -43,7 +43,7 @@
 		"more than are requested":  {perSecond: 1e300, requested: 200, used: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, random, life := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Incarnation{ID: "w"}
+			p, random, worker := NewPacer(), rand.New(rand.NewPCG(1, 1)), workers.Incarnation{ID: "w"}
 			const length = 200 * time.Second
 			var sent []time.Time
 			requested := 0
@@ -52,7 +52,7 @@
 					continue
 				}
 				requested++
-				if _, granted := p.Take(now, life, test.perSecond, 0, false); granted {
+				if _, granted := p.Take(now, worker, test.perSecond, 0, false); granted {
 					sent = append(sent, now)
 				}
 			}
@@ -65,45 +65,45 @@
 }
 
 func TestWaitingRequestsAreSpacedEvenly(t *testing.T) {
-	p, life := NewPacer(), workers.Incarnation{ID: "w"}
-	wait, granted := p.Take(start, life, 10, 250*time.Millisecond, false)
+	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
+	wait, granted := p.Take(start, worker, 10, 250*time.Millisecond, false)
 	assert.Assert(t, granted && wait == 0)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} {
-		wait, granted = p.Take(start, life, 10, 250*time.Millisecond, false)
+		wait, granted = p.Take(start, worker, 10, 250*time.Millisecond, false)
 		assert.Assert(t, granted)
 		assert.Equal(t, wait, want)
 	}
-	_, granted = p.Take(start, life, 10, 250*time.Millisecond, false)
+	_, granted = p.Take(start, worker, 10, 250*time.Millisecond, false)
 	assert.Assert(t, !granted)
 }
 
 func TestRetryDelaysOfRefusedRequestsAreStaggered(t *testing.T) {
-	p, life := NewPacer(), workers.Incarnation{ID: "w"}
-	p.Take(start, life, 10, 0, false)
+	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
+	p.Take(start, worker, 10, 0, false)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
-		wait, granted := p.Take(start, life, 10, 0, false)
+		wait, granted := p.Take(start, worker, 10, 0, false)
 		assert.Assert(t, !granted)
 		assert.Equal(t, wait, want)
 	}
 	for range 100 {
-		wait, _ := p.Take(start, life, 10, 0, false)
+		wait, _ := p.Take(start, worker, 10, 0, false)
 		assert.Assert(t, wait <= maxRetryDelay)
 	}
 }
 
 func TestUncertainLeaderAndItsSuccessorKeepTheLimit(t *testing.T) {
 	for _, perSecond := range []float64{0.5, 2.5, 5, 40, 500} {
-		before, after, life := NewPacer(), NewPacer(), workers.Incarnation{ID: "w"}
+		before, after, worker := NewPacer(), NewPacer(), workers.Incarnation{ID: "w"}
 		uncertainFrom := start.Add(10 * time.Second)
 		var sent []time.Time
 		for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(time.Millisecond) {
-			if _, granted := before.Take(now, life, perSecond, 0, now.After(uncertainFrom)); granted {
+			if _, granted := before.Take(now, worker, perSecond, 0, now.After(uncertainFrom)); granted {
 				sent = append(sent, now)
 			}
 			if !now.After(uncertainFrom) {
 				continue
 			}
-			if _, granted := after.Take(now, life, perSecond, 0, false); granted {
+			if _, granted := after.Take(now, worker, perSecond, 0, false); granted {
 				sent = append(sent, now)
 			}
 		}
@@ -112,13 +112,13 @@
 }
 
 func TestRaisedLimitIsUsedAtOnce(t *testing.T) {
-	p, life := NewPacer(), workers.Incarnation{ID: "w"}
+	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
 	for second := range 10 {
-		p.Take(at(float64(second)), life, 0, 0, false)
+		p.Take(at(float64(second)), worker, 0, 0, false)
 	}
 	count := 0
 	for now := at(10); now.Before(at(12)); now = now.Add(time.Millisecond) {
-		if _, granted := p.Take(now, life, 20, 0, false); granted {
+		if _, granted := p.Take(now, worker, 20, 0, false); granted {
 			count++
 		}
 	}
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -85,9 +85,9 @@
 
 // simWorker is a simulated worker that announces limits.
 type simWorker struct {
-	life      workers.Incarnation
-	perSecond float64
-	limited   bool
+	incarnation workers.Incarnation
+	perSecond   float64
+	limited     bool
 	// limits are those that it has announced.
 	limits   []namedLimit
 	arrivals []arrival
@@ -107,7 +107,7 @@
 
 func newSimulation(seed uint64, routers int, perSecond float64) *simulation {
 	s := &simulation{now: start, random: rand.New(rand.NewPCG(seed, uint64(routers))), perSecond: perSecond}
-	s.worker.life = workers.Incarnation{ID: "w", StartTime: 1}
+	s.worker.incarnation = workers.Incarnation{ID: "w", StartTime: 1}
 	for range routers {
 		s.routers = append(s.routers, &simRouter{limiter: NewLimiter()})
 	}
@@ -215,11 +215,11 @@
 	})
 }
 
-// request handles a caller's request at a router: it is sent at once while no limit is known, else once
-// the leader grants a permit.
+// request handles a caller's request at a router: it is sent at once while no limit is known, else
+// once the leader grants a permit.
 func (s *simulation) request(at *simRouter) {
 	s.requested++
-	fact, known := at.limiter.Table().Fact(s.worker.life)
+	fact, known := at.limiter.Table().Fact(s.worker.incarnation)
 	if !known || fact.Ended {
 		s.send(at)
 		return
@@ -264,14 +264,14 @@
 	sent := s.now
 	s.after(s.latency(), func() {
 		s.worker.arrivals = append(s.worker.arrivals, arrival{at: s.now, exempt: s.now.Before(at.exemptUntil)})
-		life := s.worker.life
+		incarnation := s.worker.incarnation
 		s.after(workTime, func() {
 			limited, perSecond := s.worker.limited, s.worker.perSecond
 			s.after(s.latency(), func() {
 				if limited {
-					at.limiter.Add(Fact{Worker: life, Rate: perSecond, At: s.now})
-				} else if _, known := at.limiter.Table().Rate(life); known {
-					at.limiter.Add(Fact{Worker: life, Ended: true, At: sent})
+					at.limiter.Add(Fact{Worker: incarnation, Rate: perSecond, At: s.now})
+				} else if _, known := at.limiter.Table().Rate(incarnation); known {
+					at.limiter.Add(Fact{Worker: incarnation, Ended: true, At: sent})
 				}
 			})
 		})
@@ -312,8 +312,8 @@
 	}
 }
 
-// isolate cuts some routers off from the others for a time. If the leader is one of them, another one
-// is elected after the lease ends.
+// isolate cuts some routers off from the others for a time. If the leader is one of them, another
+// one is elected after the lease ends.
 func (s *simulation) isolate(count int, length time.Duration) {
 	var isolated []*simRouter
 	for _, index := range s.random.Perm(len(s.routers))[:count] {
--- a/internal/workerlimit/table.go
+++ b/internal/workerlimit/table.go
@@ -7,8 +7,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// endedRetention is how long the end of a limit is remembered: responses that announced the limit may
-// still be in transit to this process.
+// endedRetention is how long the end of a limit is remembered: responses that announced the limit
+// may still be in transit to this process.
 const endedRetention = 30 * time.Second
 
 // Table holds the workers' limits that a process knows. It is safe for concurrent use.
@@ -18,9 +18,9 @@
 func NewTable() Table { return Table{facts.NewTable[Fact]()} }
 
 // Fact returns what is known about the limit of an incarnation of a worker; false if nothing is.
-func (t Table) Fact(life workers.Incarnation) (Fact, bool) {
-	fact, known := t.Table.Fact(workers.Incarnation{ID: life.ID})
-	if !known || !fact.Worker.MayEqual(life) {
+func (t Table) Fact(worker workers.Incarnation) (Fact, bool) {
+	fact, known := t.Table.Fact(workers.Incarnation{ID: worker.ID})
+	if !known || !fact.Worker.MayEqual(worker) {
 		return Fact{}, false
 	}
 	return fact, true
@@ -28,11 +28,11 @@
 
 // Rate returns how many requests per second a worker accepts from all routers together; false if it
 // announces no limit.
-func (t Table) Rate(life workers.Incarnation) (perSecond float64, limited bool) {
+func (t Table) Rate(worker workers.Incarnation) (perSecond float64, limited bool) {
 	if t.ActiveCount() == 0 {
 		return 0, false
 	}
-	fact, known := t.Fact(life)
+	fact, known := t.Fact(worker)
 	if !known || fact.Ended {
 		return 0, false
 	}
--- a/internal/workerlimit/table_test.go
+++ b/internal/workerlimit/table_test.go
@@ -13,13 +13,13 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // nameLimit merges a limit that a response announced at a time.
-func nameLimit(t Table, now time.Time, life workers.Incarnation, perSecond float64) bool {
-	return t.Merge(Fact{Worker: life, Rate: perSecond, At: now})
+func nameLimit(t Table, now time.Time, worker workers.Incarnation, perSecond float64) bool {
+	return t.Merge(Fact{Worker: worker, Rate: perSecond, At: now})
 }
 
 // endLimit merges the end of a limit, from the response to a request sent at a time.
-func endLimit(t Table, sent time.Time, life workers.Incarnation) bool {
-	return t.Merge(Fact{Worker: life, Ended: true, At: sent})
+func endLimit(t Table, sent time.Time, worker workers.Incarnation) bool {
+	return t.Merge(Fact{Worker: worker, Ended: true, At: sent})
 }
 
 // at returns a time in seconds after start.
@@ -54,15 +54,15 @@
 }
 
 func TestLatestLimitHolds(t *testing.T) {
-	table, life := NewTable(), workers.Incarnation{ID: "w"}
-	assert.Assert(t, nameLimit(table, at(1), life, 5))
-	assert.Assert(t, !nameLimit(table, at(2), life, 4.9)) // equivalent to the published rate
-	rate, _ := table.Rate(life)
+	table, worker := NewTable(), workers.Incarnation{ID: "w"}
+	assert.Assert(t, nameLimit(table, at(1), worker, 5))
+	assert.Assert(t, !nameLimit(table, at(2), worker, 4.9)) // equivalent to the published rate
+	rate, _ := table.Rate(worker)
 	assert.Equal(t, rate, 4.9)
-	assert.Assert(t, !nameLimit(table, at(3), life, 4.6))
-	assert.Assert(t, nameLimit(table, at(4), life, 4.4)) // small steps add up
-	assert.Assert(t, !nameLimit(table, at(2), life, 1))  // arrives late
-	rate, _ = table.Rate(life)
+	assert.Assert(t, !nameLimit(table, at(3), worker, 4.6))
+	assert.Assert(t, nameLimit(table, at(4), worker, 4.4)) // small steps add up
+	assert.Assert(t, !nameLimit(table, at(2), worker, 1))  // arrives late
+	rate, _ = table.Rate(worker)
 	assert.Equal(t, rate, 4.4)
 }
 
