--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -6,8 +6,8 @@
 	{
 		name: "chunks-pass-the-limit",
 		file: "internal/proxy/body.go",
-		old:  "length < 0 && most > 0 {",
-		new:  "false && most > 0 {",
+		old:  "length < 0 && limit > 0 {",
+		new:  "false && limit > 0 {",
 		pkg:  "./internal/proxy", test: "TestBodyBeyondLimitIsRefused",
 	},
 	{
--- a/internal/lab/mutate/mutations_fair.go
+++ b/internal/lab/mutate/mutations_fair.go
@@ -47,8 +47,8 @@
 	{
 		name: "owner-with-room-turns-back",
 		file: "internal/proxy/fairness.go",
-		old:  "	if !short {",
-		new:  "	if false && !short {",
+		old:  "	if !rejecting {",
+		new:  "	if false && !rejecting {",
 		pkg:  "./internal/proxy", test: "TestOwnerWithCapacityRefusesNoRequests",
 	},
 	{
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_harm.go
@@ -75,8 +75,8 @@
 	{
 		name: "starting-router-serves-without-the-list",
 		file: "internal/proxy/handler.go",
-		old:  "	if used == nil || p.Starting.Load() {",
-		new:  "	if used == nil {",
+		old:  "	if active == nil || p.Starting.Load() {",
+		new:  "	if active == nil {",
 		pkg:  "./internal/proxy", test: "TestStartingRouterSendsNothingBeforeQuarantineIsKnown",
 	},
 }
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -19,8 +19,8 @@
 	{
 		name: "large-body-crosses-without-room",
 		file: "internal/proxy/crossing.go",
-		old:  "if short && spare() {",
-		new:  "if short {",
+		old:  "if regionLate && linkHasCapacity() {",
+		new:  "if regionLate {",
 		pkg:  "./internal/proxy", test: "TestChoiceByDistance",
 	},
 	{
@@ -33,8 +33,8 @@
 	{
 		name: "parts-are-owed-without-end",
 		file: "internal/proxy/swaps.go",
-		old:  "if s.owed[pair] < maxOwed && where(dealt) == inOtherRegion && where(part.Service) == inSameRegion {",
-		new:  "if where(dealt) == inOtherRegion && where(part.Service) == inSameRegion {",
+		old:  "if s.owed[pair] < maxOwed && locate(picked) == inOtherRegion && locate(part.Service) == inSameRegion {",
+		new:  "if locate(picked) == inOtherRegion && locate(part.Service) == inSameRegion {",
 		pkg:  "./internal/proxy", test: "TestSwapsPreserveWeights",
 	},
 	{
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -33,7 +33,7 @@
 	{
 		name: "cold-worker-gets-any-number",
 		file: "internal/proxy/coldlimiter.go",
-		old:  "\treturn g.tokens >= 1",
+		old:  "\treturn l.tokens >= 1",
 		new:  "\treturn true",
 		pkg:  "./internal/proxy", test: "TestColdWorkerRateHoldsOverAllProcesses",
 	},
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -12,76 +12,80 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Bounds of bodies.
+// Parameters of buffering bodies.
 const (
-	// maxBufferedBody is the most of a request's body that is read before a worker is asked, in
-	// bytes: a photo or a report. What is longer is passed on as it comes, sent once, and
-	// takes the worker's time while its caller sends.
+	// maxBufferedBody is the maximum length in bytes of the part of a request's body that is read
+	// before the request is sent to a worker, enough for a photo or a report. A longer body is
+	// streamed: it is sent once, and occupies the worker while its caller sends.
 	maxBufferedBody = 512 << 10
-	// maxBufferedAnswer is the largest answer, in bytes, that is read whole before it is passed on,
-	// where answers are small: a broken one can be asked for again.
+	// maxBufferedAnswer is the maximum length in bytes of an answer that is read completely before
+	// it is forwarded, on routes with small answers. If a buffered answer is truncated, the request
+	// can be sent again.
 	maxBufferedAnswer = 256 << 10
-	// maxBufferedDownload is the same where answers are large, and the most that is held of an answer
-	// whose caller reads slowly.
+	// maxBufferedDownload is the same for routes with large answers. It is also the maximum length
+	// that is buffered of an answer whose caller reads slowly.
 	maxBufferedDownload = 1 << 20
-	// downloadBufferShare of the target is the longest that a large answer is kept back until it is
-	// whole: so much later may its end come.
+	// downloadBufferShare is the fraction of the target latency for which a large answer is held
+	// back until it is complete. The end of the answer may be delayed by that much.
 	downloadBufferShare = 0.125
-	// bodyMemoryWaitShare of the target is how long a large body waits for memory; a refusal should come
-	// early in the time that its caller has.
+	// bodyMemoryWaitShare is the fraction of the target latency for which a large body waits for
+	// memory. It is small, so that a refusal leaves the caller time to retry.
 	bodyMemoryWaitShare = 0.1
-	// unreadBodyTimeout bounds the wait for what a caller still sends after its answer, in which it can
-	// read the answer: a connection that is closed with unread bytes may lose it.
+	// unreadBodyTimeout is for how long the rest of a caller's body is read after the answer. The
+	// caller can read the answer during that time; if the connection is closed with unread bytes,
+	// the answer may be lost.
 	unreadBodyTimeout = time.Second
 )
 
-// holding is what a request holds of the memory for bodies. A second copy of the request may
-// end after it.
+// cleanupList holds the functions that release a request's body memory. A second copy of the
+// request may end after the request itself.
 type cleanupList struct {
 	mu      sync.Mutex
 	pending []func()
 	ended   bool
-	// few is where the first of them stand, so that a small request allocates nothing more.
+	// inline is the initial storage of pending, which saves an allocation for small requests.
 	inline [3]func()
 }
 
-// add notes what is to be freed at the end.
-func (h *cleanupList) add(free func()) {
-	h.mu.Lock()
-	ended := h.ended
+// add registers a function to be called at the end; it is called immediately if the request has
+// already ended.
+func (l *cleanupList) add(cleanup func()) {
+	l.mu.Lock()
+	ended := l.ended
 	if !ended {
-		if h.pending == nil {
-			h.pending = h.inline[:0]
+		if l.pending == nil {
+			l.pending = l.inline[:0]
 		}
-		h.pending = append(h.pending, free)
+		l.pending = append(l.pending, cleanup)
 	}
-	h.mu.Unlock()
+	l.mu.Unlock()
 	if ended {
-		free()
+		cleanup()
 	}
 }
 
-// end frees all.
-func (h *cleanupList) run() {
-	h.mu.Lock()
-	free := h.pending
-	h.pending, h.ended = nil, true
-	h.mu.Unlock()
-	for _, one := range free {
-		one()
+// run calls all registered functions.
+func (l *cleanupList) run() {
+	l.mu.Lock()
+	pending := l.pending
+	l.pending, l.ended = nil, true
+	l.mu.Unlock()
+	for _, cleanup := range pending {
+		cleanup()
 	}
 }
 
-// keepBack says how much of an answer is kept back until it is whole, and for how long.
-func (c *call) answerBuffering() (most int64, hold time.Duration) {
+// answerBuffering returns the maximum length of an answer that is held back until it is complete,
+// and for how long it is held back.
+func (c *call) answerBuffering() (maxBytes int64, maxDelay time.Duration) {
 	if c.route.Class == routing.BulkDown {
 		return maxBufferedDownload, time.Duration(downloadBufferShare * float64(c.route.Target))
 	}
 	return maxBufferedAnswer, 0
 }
 
-// readBody reads the body, or the beginning of a long one, before any worker is asked; false if
-// the request was answered.
+// readBody reads the body, or the beginning of a long one, before the request is sent to a worker.
+// It returns false if it has already answered the request.
 func (c *call) readBody() bool {
 	body, length := c.request.Body, c.request.ContentLength
 	if body == nil || body == http.NoBody {
@@ -89,11 +93,11 @@
 		return true
 	}
 	c.bodyUnread = true
-	if most := c.bodyLimit(); most > 0 && length > most {
+	if limit := c.bodyLimit(); limit > 0 && length > limit {
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
 		return false
 	}
-	small := length <= bodies.Small // or not known yet
+	small := length <= bodies.Small // or unknown
 	spool := bodies.NewSpool(c.proxy.Room, small)
 	c.cleanups.add(spool.Free)
 	if !small && !c.awaitBodyMemory(spool) {
@@ -127,7 +131,8 @@
 	return true
 }
 
-// awaitRoom takes memory for a large body; false if the request was answered.
+// awaitBodyMemory reserves memory for a large body. It returns false if it has already answered the
+// request.
 func (c *call) awaitBodyMemory(spool *bodies.Spool) bool {
 	if spool.Await(c.request.Context(), time.Duration(bodyMemoryWaitShare*float64(c.route.Target))) {
 		c.proxy.uploads.Add(1)
@@ -138,7 +143,8 @@
 	return false
 }
 
-// bodyBroke answers a request whose body could not be read. No worker has been asked.
+// refuseBodyError answers a request whose body could not be read. The request has not been sent to
+// a worker.
 func (c *call) refuseBodyError(err error) {
 	switch {
 	case errors.Is(err, errTooLong):
@@ -152,7 +158,7 @@
 	}
 }
 
-// bodyLimit is the longest body that the request may have; zero: any.
+// bodyLimit returns the maximum length of the request's body in bytes; zero means unlimited.
 func (c *call) bodyLimit() int64 {
 	if c.service.BodyBytes > 0 {
 		return c.service.BodyBytes
@@ -160,20 +166,21 @@
 	return c.config.Limits.BodyBytes
 }
 
-var errTooLong = errors.New("the body is longer than it may be")
+var errTooLong = errors.New("request body exceeds the size limit")
 
-// limited bounds a body whose length is not known before it is read.
+// limitBody limits a body whose length is unknown before it is read.
 func (c *call) limitBody(body io.Reader, length int64) io.Reader {
-	if most := c.bodyLimit(); length < 0 && most > 0 {
-		return &limitedReader{reader: body, left: most}
+	if limit := c.bodyLimit(); length < 0 && limit > 0 {
+		return &limitedReader{reader: body, left: limit}
 	}
 	return body
 }
 
-// limitedReader fails beyond its limit, so that what was read is never taken for whole.
+// limitedReader returns an error beyond its limit, so that a truncated body is never taken for a
+// complete one.
 type limitedReader struct {
 	reader io.Reader
-	// left is how many bytes may still come.
+	// left is the number of bytes that may still be read.
 	left int64
 }
 
@@ -187,8 +194,8 @@
 	return count, err
 }
 
-// leaveUnread lets an answer go out before the rest of the caller's body is in, which would
-// else be read first.
+// answerBeforeBodyEnd allows the answer to be sent before the rest of the caller's body has been
+// read. By default net/http reads the body first.
 func (c *call) answerBeforeBodyEnd() {
 	controller := http.NewResponseController(c.writer)
 	_ = controller.EnableFullDuplex()
--- a/internal/proxy/bulklimiter.go
+++ b/internal/proxy/bulklimiter.go
@@ -6,40 +6,43 @@
 	"time"
 )
 
-// bulkLinkRate is what large bodies may take of a link between regions, in bytes a second, all
-// routers together: a sixteenth of a link of 64 Mbit/s. Thirty routers then send one body of
-// 90 kB each 170 ms on average; five of them in the same 46 ms, which would hold up renewals of
-// what workers hold for 50 ms, come about once in two hundred rounds of 5 s.
+// bulkLinkRate is the rate in bytes per second at which all routers together may send large bodies
+// over a link between regions: a sixteenth of a link of 64 Mbit/s. Thirty routers then send one
+// body of 90 kB every 170 ms on average. Five of them within 46 ms, which would delay renewals of
+// workers' holds by 50 ms, occur about once in two hundred periods of 5 s.
 const bulkLinkRate = 512 << 10
 
-// bulkLimiter lets one router's part of the large bodies through between regions. Each router
-// may use an equal part by the number of routers that it heard of last, also while it is cut
-// off: nothing is asked and nothing lent, so that no message is late when the link is full.
+// bulkLimiter limits the large bodies that one router sends to another region. Each router may use
+// an equal share, by the number of routers last reported to it, even while it is cut off from the
+// others. Routers neither request nor lend shares, so that no such message can be delayed while the
+// link is full.
 //
-// A router that has sent none for a while waits a random part of its pause first: the region
-// is short of workers for all routers at the same moment, and thirty of them that each send a
-// body of 90 kB at once fill a link of 62 Mbit/s for 350 ms. It is safe for concurrent use.
+// A router that has not sent any for a while first waits for a random part of its interval: the
+// local region runs out of workers for all routers at the same time, and thirty of them that each
+// send a body of 90 kB at once would fill a link of 62 Mbit/s for 350 ms. It is safe for concurrent
+// use.
 type bulkLimiter struct {
 	mu sync.Mutex
-	// next is when the next body may pass.
+	// next is the time from which the next body may be sent.
 	next time.Time
 }
 
-// take asks whether a body of that many bytes may pass now.
-func (g *bulkLimiter) take(now time.Time, bytes float64, routers int) bool {
+// take reserves the link for a body of the given length. It returns false if the body may not be
+// sent now.
+func (l *bulkLimiter) take(now time.Time, bytes float64, routers int) bool {
 	if routers <= 0 {
 		routers = defaultNodes
 	}
-	pause := time.Duration(bytes * float64(routers) / bulkLinkRate * float64(time.Second))
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	interval := time.Duration(bytes * float64(routers) / bulkLinkRate * float64(time.Second))
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
-	case now.Sub(g.next) > pause:
-		g.next = now.Add(time.Duration(rand.Float64() * float64(pause)))
+	case now.Sub(l.next) > interval:
+		l.next = now.Add(time.Duration(rand.Float64() * float64(interval)))
 		return false
-	case now.Before(g.next):
+	case now.Before(l.next):
 		return false
 	}
-	g.next = now.Add(pause)
+	l.next = now.Add(interval)
 	return true
 }
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -18,52 +18,56 @@
 )
 
 const (
-	// probeTimeout bounds the look whether anybody listens at a worker's address. A port at
-	// which nobody listens refuses within a round trip; silence shows nothing.
+	// probeTimeout is the timeout of a connection attempt that tests whether a process listens at a
+	// worker's address. Without a listener the connection is refused within a round trip; a timeout
+	// proves nothing.
 	probeTimeout = 300 * time.Millisecond
-	// probeInterval is the least pause between two looks at one worker. A full one closes many
-	// connections, and each look is one more; a crash may be seen that much later.
+	// probeInterval is the minimum interval between two probes of a worker. An overloaded worker
+	// closes many connections, and each probe opens one more. Detecting a crash may take that much
+	// longer.
 	probeInterval = 250 * time.Millisecond
-	// maxFingerprintedBody is how much of a body makes a request's fingerprint, in bytes.
+	// maxFingerprintedBody is the length of the part of a body that the request's fingerprint
+	// covers, in bytes.
 	maxFingerprintedBody = 128 << 10
 )
 
-// fingerprint names the request over all its attempts.
+// fingerprint returns the identifier that all attempts of the request share.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if known := c.fingerprintCache.Load(); known != nil {
-		return *known
+	if cached := c.fingerprintCache.Load(); cached != nil {
+		return *cached
 	}
-	named := quarantine.Request{
+	fingerprint := quarantine.Request{
 		Method: c.message.Method, Host: c.message.Host, URI: c.message.URI,
 		Body: c.message.Body.Start(maxFingerprintedBody), Length: c.message.Length,
 	}.Fingerprint()
-	c.fingerprintCache.Store(&named)
-	return named
+	c.fingerprintCache.Store(&fingerprint)
+	return fingerprint
 }
 
-// run returns whose request this is.
+// quarantineRun identifies the request and its caller.
 func (c *call) quarantineRun() quarantine.Run {
 	return quarantine.Run{Request: c.fingerprint(), Caller: callerAddress(c.request.RemoteAddr)}
 }
 
-// caller returns the address that a request came from; the zero one if there is none.
+// callerAddress returns the IP address that a request came from; the zero address if there is none.
 func callerAddress(remote string) netip.Addr {
 	address, err := netip.ParseAddrPort(remote)
-	if err != nil { // not a request from a network
+	if err != nil { // the request did not come from the network
 		return netip.Addr{}
 	}
 	return address.Addr()
 }
 
-// endEvidence tells what the end of a send shows of its worker's end.
-func endEvidence(r *upstream.Result) (cutOff, closed, ended bool) {
-	closed = r.Outcome == upstream.Broken && closedByPeer(r.Err)
-	cutOff = closed || (r.Written && (r.Outcome == upstream.Late || r.Outcome == upstream.Gone || r.Outcome == upstream.BodyCut))
-	ended = r.Outcome == upstream.Misdirected || (r.Outcome == upstream.NotSent && errors.Is(r.Err, syscall.ECONNREFUSED))
+// endEvidence returns what the result of a send shows about its worker's process: whether the
+// request was cut off, whether the worker closed the connection, and whether the worker has ended.
+func endEvidence(result *upstream.Result) (cutOff, closed, ended bool) {
+	closed = result.Outcome == upstream.Broken && closedByPeer(result.Err)
+	cutOff = closed || (result.Written && (result.Outcome == upstream.Late || result.Outcome == upstream.Gone || result.Outcome == upstream.BodyCut))
+	ended = result.Outcome == upstream.Misdirected || (result.Outcome == upstream.NotSent && errors.Is(result.Err, syscall.ECONNREFUSED))
 	return cutOff, closed, ended
 }
 
-// closedByPeer reports whether an error says that the other side closed the connection.
+// closedByPeer reports whether an error means that the peer closed the connection.
 func closedByPeer(err error) bool {
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closed) {
@@ -73,10 +77,11 @@
 	return false
 }
 
-// watchEnd learns from the end of a send whether its worker crashed, and which requests were
-// under way there. What a send that was given up ran may end the worker too.
-func (c *call) recordWorkerEnd(to *backend, got *upstream.Result) {
-	cutOff, closed, ended := endEvidence(got)
+// recordWorkerEnd determines from the result of a send whether its worker crashed, and which
+// requests were in progress there. That includes requests that timed out here: they may still run,
+// and crash the worker.
+func (c *call) recordWorkerEnd(to *backend, result *upstream.Result) {
+	cutOff, closed, ended := endEvidence(result)
 	if ended {
 		c.proxy.workerEnded(to, false)
 	}
@@ -96,24 +101,24 @@
 	}
 }
 
-// cutOff notes a request that was sent and got no whole answer; true if the worker's end,
-// which is known, cut it off.
+// recordCutOff records a request that was sent and got no complete answer. It returns true if the
+// worker is known to have ended, so that its end cut the request off.
 func (b *backend) recordCutOff(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.witness.CutOff(now, attempt)
 }
 
-// hasEnded notes that the worker has ended; first is false if that was known. It returns the
-// requests that its end cut off.
+// recordEnd records that the worker has ended. It returns the requests that were cut off by that;
+// first is false if the end was already known.
 func (b *backend) recordEnd(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.witness.Ended(now)
 }
 
-// nextProbe says after which time the worker's address is to be looked at; due is false if a
-// look is to begin already.
+// scheduleProbe returns the delay after which to probe the worker's address; due is false if a
+// probe is already scheduled.
 func (b *backend) scheduleProbe(now time.Time) (wait time.Duration, due bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,9 +132,9 @@
 	return wait, true
 }
 
-// probe looks whether a worker has ended that closed a connection with a request under way: a
-// full worker resets connections too, and an answer may break off. served says whether the worker
-// was announced, and did not leave, when it closed the connection.
+// probe tests whether a worker has ended after it closed a connection with a request in progress:
+// overloaded workers reset connections too, and an answer may be interrupted. served tells whether
+// the worker was announced and not draining when it closed the connection.
 func (p *Proxy) probe(to *backend, served bool) {
 	bounded, cancel := context.WithTimeout(p.ending, probeTimeout)
 	defer cancel()
@@ -143,9 +148,9 @@
 	}
 }
 
-// workerEnded notes that a worker has ended. Unless it was leaving, it crashed, and the
-// requests under way there are suspects. The entry of one that crashed may be gone by the time
-// of a look: served tells what it was before.
+// workerEnded records that a worker has ended. Unless it was draining, it has crashed, and the
+// requests that were in progress there become suspects. The entry of a crashed worker may be gone
+// by the time of the probe; served tells what its state was before.
 func (p *Proxy) workerEnded(to *backend, served bool) {
 	if _, announced := p.fleet.directory.Get(to.id()); announced || !served {
 		served = p.wasServing(to)
@@ -165,8 +170,8 @@
 	}
 }
 
-// wasServing reports whether a worker is announced and does not leave; one that has started
-// again meanwhile, whether it did not then.
+// wasServing reports whether a worker is announced as ready. For a worker that has restarted since,
+// it reports whether the previous incarnation was.
 func (p *Proxy) wasServing(to *backend) bool {
 	life := to.info().Life()
 	worker, announced := p.fleet.directory.Get(life.ID)
@@ -177,18 +182,18 @@
 	return announced && worker.State == workers.StateReady
 }
 
-// suspect notes that a request was under way at a worker that crashed.
+// recordSuspect records that a request was in progress at a worker that crashed.
 func (p *Proxy) recordSuspect(to *backend, attempt quarantine.Attempt) {
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 	life := to.info().Life()
-	for _, held := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
-		LogQuarantined(p.Log, held)
+	for _, quarantined := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
+		LogQuarantined(p.Log, quarantined)
 	}
 }
 
-// LogQuarantined logs that a request is sent no longer.
+// LogQuarantined logs that a request has been quarantined and is no longer sent.
 func LogQuarantined(log *decision.Log, attempt quarantine.Attempt) {
 	log.Line(decision.KindQuarantined).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
@@ -201,7 +206,8 @@
 	}
 }
 
-// standing says how the request may be sent. While no request is suspected it costs one load.
+// standing returns the request's quarantine standing. It costs one atomic load while no request is
+// suspected.
 func (c *call) standing() quarantine.Standing {
 	if !c.proxy.Suspects.Watching() {
 		return quarantine.Free
@@ -209,8 +215,8 @@
 	return c.proxy.Suspects.Standing(c.quarantineRun())
 }
 
-// quarantined refuses a request that may not be sent; false if it may. No time to come back is
-// told: it would be refused again.
+// refuseIfQuarantined refuses the request if it is quarantined. It returns false if the request may
+// be sent. The answer has no Retry-After header, since the request would be refused again.
 func (c *call) refuseIfQuarantined() bool {
 	if c.standing() != quarantine.Quarantined {
 		return false
@@ -219,20 +225,20 @@
 	return true
 }
 
-// cleared tells that a suspected request ran to a good end.
-func (c *call) clearSuspect(got *upstream.Result) {
-	if got.Outcome == upstream.Answered && got.Status < http.StatusInternalServerError && c.standing() != quarantine.Free {
+// clearSuspect reports that a suspected request was answered without a server error.
+func (c *call) clearSuspect(result *upstream.Result) {
+	if result.Outcome == upstream.Answered && result.Status < http.StatusInternalServerError && c.standing() != quarantine.Free {
 		c.proxy.Suspects.Finished(clock.Now(), c.quarantineRun())
 	}
 }
 
-// maxClosedConnections is how many workers may close the connection of one attempt in mid-run. One is
-// often a worker's own fault, and another may well answer; a second one speaks against the
-// request.
+// maxClosedConnections is the number of workers that may close the connection while they run one
+// attempt. One is often the worker's own fault, and another worker may well answer; a second one is
+// evidence against the request.
 const maxClosedConnections = 2
 
-// maySpread reports whether the request may be sent to a second worker while it may run, or
-// have run, at a first: a request that crashes its workers would crash that one too.
+// mayRunOnSeveralWorkers reports whether the request may be sent to a second worker while it may
+// run, or have run, at a first: a request that crashes its workers would crash that one too.
 func (c *call) mayRunOnSeveralWorkers() bool {
 	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < maxClosedConnections && c.standing() != quarantine.Quarantined
 }
--- a/internal/proxy/crossing.go
+++ b/internal/proxy/crossing.go
@@ -7,100 +7,102 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// crossing says what a request must gain to leave its zone, and its region. Gains are
-// shares of requests that are answered in time.
+// crossingPolicy defines by how much the share of requests that are answered in time must rise for
+// a request to leave its zone or region.
 type crossingPolicy struct {
-	// zone is for another zone of the region, and region for another region.
+	// minZoneGain applies to other zones of the region, and minRegionGain to other regions.
 	minZoneGain, minRegionGain float64
-	// perKilobyte is what each kilobyte of request and answer must gain beyond that to cross
-	// the link between regions.
+	// minGainPerKilobyte is added to minRegionGain for each kilobyte of the request and its answer.
 	minGainPerKilobyte float64
-	// defaultBulkLateShare is the share of answers that would be late in the own region from which
-	// large bodies may cross.
+	// bulkLateShare is the share of late answers in the local region from which on large bodies may
+	// cross to another region; zero treats them like small ones.
 	bulkLateShare float64
 }
 
-// Bounds of leaving a zone or region.
+// Parameters of leaving a zone or region.
 const (
-	// defaultZoneGain is the share of requests that must be answered in time beyond what a
-	// worker of the own zone can do for another zone's to be taken: bytes between zones
-	// have their price.
+	// defaultZoneGain is the share of requests that must be answered in time beyond what the local
+	// zone's best worker achieves to choose a worker of another zone, since traffic between zones
+	// has a cost.
 	defaultZoneGain = 0.07
-	// defaultRegionGain is that for another region: each request that crosses delays others there
-	// whose callers are near.
+	// defaultRegionGain is the same for another region: each request that crosses delays requests
+	// of nearby callers there.
 	defaultRegionGain = 0.1
-	// defaultKilobyteGain is that for each kilobyte: a link that hundreds of routers share carries
-	// about thirty small requests in the time that one answer of 100 kB takes, and these must
-	// then gain more than all callers can.
+	// defaultKilobyteGain is the additional gain for each kilobyte: in the time that a link shared
+	// by hundreds of routers takes for one answer of 100 kB it could carry about thirty small
+	// requests. An answer of that size would have to gain more than is possible.
 	defaultKilobyteGain = 0.03
-	// defaultBulkLateShare: where fewer answers than one in five come in time, callers are better off
-	// with a worker beyond the link.
+	// defaultBulkLateShare: if fewer than one in five answers would come in time, callers are
+	// better served by a worker in another region.
 	defaultBulkLateShare = 0.8
-	// minBulkBytes is the size from which bodies count as large whatever their route says: eight
-	// times what a request and its answer usually have.
+	// minBulkBytes is the size from which on bodies count as large regardless of their route's
+	// class: eight times the usual size of a request and its answer.
 	minBulkBytes = 32 << 10
 )
 
-// zoned knows zones only: the next region is as near as the next zone.
+// singleRegionPolicy only distinguishes zones: another region is treated like another zone.
 var singleRegionPolicy = crossingPolicy{minZoneGain: defaultZoneGain, minRegionGain: defaultZoneGain, bulkLateShare: 0}
 
-// regional weighs the link between regions.
+// multiRegionPolicy takes the capacity of the link between regions into account.
 var multiRegionPolicy = crossingPolicy{minZoneGain: defaultZoneGain, minRegionGain: defaultRegionGain, minGainPerKilobyte: defaultKilobyteGain, bulkLateShare: defaultBulkLateShare}
 
-// need is what a request asks of the worker that it is sent to.
+// requirements are what a request requires of the worker that it is sent to.
 type requirements struct {
-	// target is the time within which an answer is worth most.
+	// target is the latency within which an answer is in time and of most value.
 	target time.Duration
-	// bytes is the expected size of the request and its answer, and bulk says that it is
-	// large.
+	// bytes is the expected size of the request and its answer; bulk reports that it is large.
 	bytes float64
 	bulk  bool
-	// stay says that the request must not leave its region.
+	// sameRegionOnly reports that the request must not leave its region.
 	sameRegionOnly bool
-	// spare says that a second copy looks for a worker: one that is short of room is none.
+	// forHedge reports that the worker is for a second copy, which must not go to a worker with a
+	// rate limit.
 	forHedge bool
-	// free says that only a worker will do at which the request need not wait.
+	// freeSlotOnly reports that the request must not wait at the worker.
 	freeSlotOnly bool
-	// serves reports whether a region may serve the request; nil: any may.
+	// regionAllowed reports whether the request may be served in a region; nil means that any
+	// region may serve it.
 	regionAllowed func(topology.Region) bool
 }
 
-// bulky reports whether bodies of a class and expected size are large.
+// isBulk reports whether bodies of a class and expected size count as large.
 func isBulk(class routing.BodyClass, bytes float64) bool {
 	return class != routing.Small || bytes >= minBulkBytes
 }
 
-// nearest are the best workers at each distance; those without a backend can't be sent to.
+// bestByDistance holds the best worker at each distance. A choice without a backend means that no
+// worker at that distance may be sent to.
 type bestByDistance [topology.OtherRegion + 1]choice
 
-// choose returns the worker that a request goes to, none without a backend. late returns the
-// share of answers that miss the target, given their mean time. spare is asked last, and for
-// large bodies only: whether the link between regions has room for one more.
-func (c crossingPolicy) choose(by bestByDistance, of requirements, late func(mean time.Duration) float64, spare func() bool) choice {
-	best := by[topology.SameZone]
-	if next := by[topology.SameRegion]; c.gainsEnough(best, next, late, c.minZoneGain) {
-		best = next
+// choose returns the worker that a request goes to; the choice has no backend if there is none.
+// lateShare returns the share of answers that miss the target, given their mean latency.
+// linkHasCapacity reports whether the link between regions can carry one more large body. It is
+// called last, and only for large bodies that would cross.
+func (c crossingPolicy) choose(candidates bestByDistance, required requirements, lateShare func(mean time.Duration) float64, linkHasCapacity func() bool) choice {
+	best := candidates[topology.SameZone]
+	if sameRegion := candidates[topology.SameRegion]; c.gainsEnough(best, sameRegion, lateShare, c.minZoneGain) {
+		best = sameRegion
 	}
-	across := by[topology.OtherRegion]
+	otherRegion := candidates[topology.OtherRegion]
 	switch {
-	case across.backend == nil || of.sameRegionOnly:
+	case otherRegion.backend == nil || required.sameRegionOnly:
 		return best
-	case of.bulk && c.bulkLateShare > 0:
-		short := best.backend == nil || late(best.estimate) >= c.bulkLateShare && late(across.estimate) < late(best.estimate)
-		if short && spare() {
-			return across
+	case required.bulk && c.bulkLateShare > 0:
+		regionLate := best.backend == nil || lateShare(best.estimate) >= c.bulkLateShare && lateShare(otherRegion.estimate) < lateShare(best.estimate)
+		if regionLate && linkHasCapacity() {
+			return otherRegion
 		}
 		return best
-	case c.gainsEnough(best, across, late, c.minRegionGain+c.minGainPerKilobyte*of.bytes/1000):
-		return across
+	case c.gainsEnough(best, otherRegion, lateShare, c.minRegionGain+c.minGainPerKilobyte*required.bytes/1000):
+		return otherRegion
 	}
 	return best
 }
 
-// gains reports whether a worker farther away answers so many more requests in time.
-func (c crossingPolicy) gainsEnough(near, far choice, late func(time.Duration) float64, least float64) bool {
+// gainsEnough reports whether the more distant worker answers enough more requests in time.
+func (c crossingPolicy) gainsEnough(near, far choice, lateShare func(time.Duration) float64, minGain float64) bool {
 	if far.backend == nil || near.backend == nil {
 		return far.backend != nil
 	}
-	return late(near.estimate)-late(far.estimate) > least
+	return lateShare(near.estimate)-lateShare(far.estimate) > minGain
 }
--- a/internal/proxy/fairness.go
+++ b/internal/proxy/fairness.go
@@ -10,23 +10,26 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// minOwnerRequests is of how many requests one worker's own counts say more than those of the service:
-// of fewer, chance decides who seems to ask for much.
+// minOwnerRequests is the number of recent requests for one worker from which on its own counts are
+// used rather than those of the service. With fewer requests chance determines which tenant seems
+// to request too much.
 const minOwnerRequests = 10
 
-// claim is what a request counts for where workers are short. Its zero value is that of a
-// configuration without tenants, under which nothing is counted.
+// claim is the request's tenant, priority and weight for fair sharing of scarce workers. The zero
+// value belongs to a configuration without tenants, for which nothing is counted.
 type claim struct {
 	caller fair.Caller
 	weight float64
-	// yields says that the request takes a free worker only, and waits for one: its tenant
-	// asks for more than its part.
+	// yields reports that the request may only go to a worker with a free slot, and waits for one,
+	// because its tenant requests more than its share.
 	yields bool
-	// owner is the worker of the request's key, where it has counted the request.
+	// owner is the owner of the request's key whose shares have counted the request; nil if there
+	// is none.
 	owner *backend
 }
 
-// meanTenantRate returns the weight of tenants without a limit: the mean of the others.
+// meanTenantRate returns the mean limit of the tenants that have one, which is the weight of the
+// others.
 func meanTenantRate(config *routing.Config) float64 {
 	total, count := 0.0, 0
 	for _, one := range config.Tenants {
@@ -41,12 +44,12 @@
 	return total / float64(count)
 }
 
-// demand counts the request for its tenant, if the configuration has any.
-func (c *call) recordDemand(used *activeConfig) {
-	if used.keys == nil {
+// recordDemand counts the request for its tenant if the configuration has tenants.
+func (c *call) recordDemand(active *activeConfig) {
+	if active.keys == nil {
 		return
 	}
-	c.claim.weight = used.defaultWeight
+	c.claim.weight = active.defaultWeight
 	c.claim.caller.Priority = routing.Priority(c.route, c.tenant)
 	if c.tenant != nil {
 		c.claim.caller.Name = string(c.tenant.Name)
@@ -63,8 +66,8 @@
 	}
 }
 
-// turnedBack returns why a request is refused without asking its owner, which turns others
-// away; empty: it is not.
+// refusalReason returns the reason for which a request is refused without sending it to its owner,
+// because the owner rejects requests. It returns an empty string if the request may be sent.
 func (c *call) refusalReason(now time.Time, to *backend) string {
 	if c.claim.weight == 0 {
 		if to.throttled(now, rand.Float64()) {
@@ -72,31 +75,31 @@
 		}
 		return ""
 	}
-	share, short := to.refusalShare(now)
-	if !short {
+	refuseShare, rejecting := to.refusalShare(now)
+	if !rejecting {
 		return ""
 	}
 	if c.claim.owner != to {
 		c.claim.owner = to
 		to.shares.RecordRequest(now, c.claim.caller, c.claim.weight)
 	}
-	judged := to.shares.RefusalShares(now, c.claim.caller)
-	if judged.All > 0 && to.shares.RecentRequests(now) >= minOwnerRequests {
-		share = max(share, judged.All)
+	shares := to.shares.RefusalShares(now, c.claim.caller)
+	if shares.All > 0 && to.shares.RecentRequests(now) >= minOwnerRequests {
+		refuseShare = max(refuseShare, shares.All)
 	} else {
-		judged = c.state.shares.RefusalShares(now, c.claim.caller)
+		shares = c.state.shares.RefusalShares(now, c.claim.caller)
 	}
-	if rand.Float64() >= judged.Scaled(share) {
+	if rand.Float64() >= shares.Scaled(refuseShare) {
 		return ""
 	}
 	to.recordThrottled(now)
-	if judged.Own > judged.All {
+	if shares.Own > shares.All {
 		return reasonOverShare
 	}
 	return reasonBusy
 }
 
-// countLost counts a request that there was no room for.
+// recordUnserved counts a request that was refused for lack of capacity.
 func (c *call) recordUnserved(reason string) {
 	if c.claim.weight == 0 || c.state == nil {
 		return
@@ -115,7 +118,7 @@
 	}
 }
 
-// countOverShare counts a request that is refused for its tenant's share.
+// recordShareRefusal counts a request that is refused because of its tenant's share.
 func (c *call) recordShareRefusal() {
 	if c.tenant != nil {
 		counters := c.proxy.Metrics.tenants
@@ -127,7 +130,7 @@
 	}
 }
 
-// tellShare writes a line where a tenant begins or ends to be refused for its share.
+// logShareChange logs that requests of a tenant begin or cease to be refused because of its share.
 func (c *call) logShareChange(over bool, shares fair.RefusalShares) {
 	c.proxy.Log.Line(decision.KindShare).Str("tenant", c.claim.caller.Name).Str("service", string(c.service.Name)).
 		Int("priority", c.claim.caller.Priority).Bool("over", over).
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -10,24 +10,27 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// fleet holds the backends by worker. Workers that are no longer announced are
-// forgotten once nothing is under way at them.
+// fleet holds the backends by worker. The state of workers that are no longer announced is removed
+// once no request is in flight to them.
 type fleet struct {
 	zone      string
 	directory *workers.Directory
 	mu        sync.Mutex
 	byID      map[workers.ID]*backend
 	services  map[routing.ServiceName]*serviceState
-	// means are those of what each service's workers tell.
+	// loadMeans are the averages of the loads that each service's workers report.
 	loadMeans map[routing.ServiceName]*reportedMeans
 	limits    BudgetLimits
-	// ended is called with what is known of a worker that has started again, outside of mu.
+	// onIncarnationEnd is called, without holding mu, with the previous backend of a worker that
+	// has restarted.
 	onIncarnationEnd func(*backend)
-	// keptAway reports whether a worker gets no more for now, by what it says of itself.
+	// isBlocked reports whether a worker gets no requests for now because of its rate limit or a
+	// backoff.
 	isBlocked func(now time.Time, to *backend) bool
-	// seed makes the subsets of this process its own.
+	// seed makes the worker subsets of this process differ from those of others.
 	seed maphash.Seed
-	// places are the zones' regions, and policy says what a request must gain to leave them.
+	// topology assigns zones to regions, and crossing defines the gain required to leave a zone or
+	// region.
 	topology    topology.Map
 	crossing    crossingPolicy
 	sizes       *sizes
@@ -43,36 +46,37 @@
 	}
 }
 
-// get returns the backend of a worker. Another life of it is another worker to this process: it
-// is cold and empty, has no connections, and has failed nothing yet.
+// get returns the backend of a worker. Another incarnation of the worker gets a new backend, since
+// it is cold and idle, has no connections, and has not failed yet.
 func (f *fleet) get(worker workers.Worker) *backend {
-	known, before := f.getOrReplace(worker)
-	if before != nil {
-		before.pool.DropIdle()
+	known, previous := f.getOrReplace(worker)
+	if previous != nil {
+		previous.pool.DropIdle()
 		if f.onIncarnationEnd != nil {
-			f.onIncarnationEnd(before)
+			f.onIncarnationEnd(previous)
 		}
 	}
 	return known
 }
 
-// take returns the backend of a worker, and that of the life before if it has just ended.
-func (f *fleet) getOrReplace(worker workers.Worker) (known, before *backend) {
+// getOrReplace returns the backend of a worker, and that of its previous incarnation if that has
+// just ended.
+func (f *fleet) getOrReplace(worker workers.Worker) (known, previous *backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known = f.byID[worker.ID]
 	if known != nil && known.isOtherIncarnation(worker) {
-		known, before = nil, known
+		known, previous = nil, known
 	}
 	if known == nil {
 		known = newBackend(worker, f.meansOf(worker.Service))
 		f.byID[worker.ID] = known
 	}
 	known.update(worker)
-	return known, before
+	return known, previous
 }
 
-// meansOf returns the means of what a service's workers tell. The caller holds mu.
+// meansOf returns the averages of the loads that a service's workers report. The caller holds mu.
 func (f *fleet) meansOf(service routing.ServiceName) *reportedMeans {
 	known := f.loadMeans[service]
 	if known == nil {
@@ -82,36 +86,36 @@
 	return known
 }
 
-// service returns what this process keeps of a service, over all configurations.
-func (f *fleet) service(of *routing.Service) *serviceState {
+// service returns this process's state of a service, which is kept across configurations.
+func (f *fleet) service(service *routing.Service) *serviceState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.services[of.Name]
+	known := f.services[service.Name]
 	if known == nil {
 		known = &serviceState{budget: newBudget(f.limits)}
-		f.services[of.Name] = known
+		f.services[service.Name] = known
 	}
-	known.budget.setLimits(f.limitsOf(of))
+	known.budget.setLimits(f.limitsOf(service))
 	return known
 }
 
-// limitsOf returns the limits of a service's second sends.
-func (f *fleet) limitsOf(of *routing.Service) BudgetLimits {
+// limitsOf returns the limits of a service's retry budget.
+func (f *fleet) limitsOf(service *routing.Service) BudgetLimits {
 	limits := f.limits
-	if of.RetryRatio > 0 {
-		limits.Ratio = of.RetryRatio
+	if service.RetryRatio > 0 {
+		limits.Ratio = service.RetryRatio
 	}
 	return limits
 }
 
-// setLimits takes effect with each service's next request.
+// setLimits changes the default limits. It takes effect with each service's next request.
 func (f *fleet) setLimits(limits BudgetLimits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.limits = limits
 }
 
-// dropIdle closes all resting connections.
+// dropIdle closes all idle connections.
 func (f *fleet) dropIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +124,7 @@
 	}
 }
 
-// prune closes resting connections and forgets workers that are gone.
+// prune closes expired idle connections and removes the state of workers that are gone.
 func (f *fleet) prune(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -1,6 +1,6 @@
-// Package proxy takes clients' requests, finds the worker for each, sends it
-// and answers. A request that may run only once is sent again only when it is
-// proved that it did not run.
+// Package proxy accepts clients' requests, chooses a worker for each, sends the request to it and
+// returns the answer. A request that must not run twice is sent again only if it is proved that it
+// has not run.
 package proxy
 
 import (
@@ -24,19 +24,20 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Bounds of requests.
+// Limits of request handling.
 const (
-	// answerMargin is kept from the deadline to bring the answer to the client.
+	// answerMargin is the part of the time before the deadline that is reserved for returning the
+	// answer to the client.
 	answerMargin = 15 * time.Millisecond
 )
 
-// Reasons of answers that no worker gave.
+// Reasons of answers that the router gives in place of a worker.
 const (
 	reasonNoConfig = "no-configuration"
 	reasonNoRoute  = "no-route"
 	reasonNoWorker = "no-worker"
 	reasonNoOwner  = "no-owner"
-	// reasonRegion: the request may be served in regions only that have no worker for it.
+	// reasonRegion: the request may be served only in regions without a worker for it.
 	reasonRegion     = "region-not-allowed"
 	reasonMoving     = "key-moving"
 	reasonOwnerDown  = "owner-unusable"
@@ -52,159 +53,162 @@
 	reasonMalformed  = "malformed"
 	reasonBody       = "body"
 	reasonQueue      = "queue-full"
-	// reasonBodiesFull: there is no memory for one more large body.
+	// reasonBodiesFull: there is no memory for another large body.
 	reasonBodiesFull = "bodies-full"
-	// reasonCallerSlow: the caller sent its body, or read its answer, too slowly.
+	// reasonCallerSlow: the caller sent its body or read its answer too slowly.
 	reasonCallerSlow = "caller-slow"
-	// Answers that ended before they were whole: by their worker, at the deadline, or since
-	// the caller has left.
+	// Answers that were truncated: by the worker, at the deadline, or because the caller
+	// disconnected.
 	reasonCutByWorker   = "cut-by-worker"
 	reasonCutAtDeadline = "cut-at-deadline"
 	reasonCutByClient   = "cut-by-client"
-	// reasonLimited: the worker, or all of them, name limits, and get no more for now.
+	// reasonLimited: the worker, or each of them, has a rate limit that admits no more requests for
+	// now.
 	reasonLimited = "worker-limit"
-	// reasonBackoff: the worker, or all of them, have asked this process to send nothing for now.
+	// reasonBackoff: the worker, or each of them, has requested a backoff from this process.
 	reasonBackoff = "worker-backoff"
-	// reasonOverQuota: the tenant is beyond its limit.
+	// reasonOverQuota: the tenant exceeds its limit.
 	reasonOverQuota = "over-quota"
-	// reasonOverShare: there is not room for all, and the tenant asks for more than its share.
+	// reasonOverShare: the workers' capacity is scarce, and the tenant requests more than its
+	// share.
 	reasonOverShare = "tenant-over-share"
 	// reasonQuarantined: the request has crashed workers that ran it.
 	reasonQuarantined = "request-quarantined"
 )
 
-// active is a configuration with what deals its requests out.
+// activeConfig is a configuration in force with the state for distributing its requests.
 type activeConfig struct {
 	config   *routing.Config
 	splitter *routing.Splitter
 	swaps    *swaps
-	// keys are the API keys of the configuration's tenants; nil if it has none.
+	// keys are the API keys of the configuration's tenants; nil if it has no tenants.
 	keys *tenant.Index
-	// weight is that of a tenant without a limit.
+	// defaultWeight is the weight of tenants without a limit.
 	defaultWeight float64
 	since         time.Time
 }
 
-// Proxy is the handler of clients' requests.
+// Proxy is the HTTP handler of clients' requests.
 type Proxy struct {
 	Headers upstream.Headers
 	Table   *keytable.Table
 	Meter   *peerlink.Meter
 	Log     *decision.Log
-	// Nodes is how many processes there are; zero if not known.
+	// Nodes is the number of router processes; zero if unknown.
 	Nodes   *atomic.Int32
 	Metrics *Metrics
-	// Traffic counts the bytes to and from workers; nil: nobody wants to know.
+	// Traffic counts the bytes exchanged with workers; nil disables counting.
 	Traffic *traffic.Counter
-	// Suspects are the requests that were under way at workers that crashed.
+	// Suspects holds the requests that were in progress at workers that crashed.
 	Suspects *quarantine.View
-	// Quota of the tenants; nil: nobody has one.
+	// Quota enforces the tenants' limits; nil if no tenant has one.
 	Quota Quota
-	// Limits are what workers take from all routers together; nil: nobody keeps to them.
+	// Limits enforces the workers' rate limits over all routers; nil disables them.
 	Limits Limits
-	// Leaving is called with the workers that say in their answers that they leave; nil: nobody wants
-	// to know.
+	// OnWorkerLeaving is called for workers whose answers report that they are leaving; may be nil.
 	OnWorkerLeaving func(workers.Life)
-	// KeysStay reports whether no key can move now, since the leader can't store a move; nil: they can.
+	// KeyMovesBlocked reports whether no key can be moved for now, because the leader can't store a
+	// move; nil means that keys can always be moved.
 	KeyMovesBlocked func() bool
-	// Outdated reports whether keys may have been taken away that are known here still, so that
-	// callers with keys are refused; nil: they never are for that.
+	// Outdated reports whether API keys that this process still accepts may have been revoked, in
+	// which case callers with keys are refused; nil means never.
 	Outdated func() bool
-	// Starting says that this process does not know yet which requests are quarantined.
+	// Starting reports that this process does not know yet which requests are quarantined.
 	Starting atomic.Bool
-	// Room bounds the memory of bodies in flight, and Turns what large ones put on the link.
+	// Room bounds the memory of bodies in flight, and Turns the rate at which large ones use the
+	// link.
 	Room  *bodies.Room
 	Turns *bodies.Turns
-	// Drain is how long workers that leave may get requests.
+	// DrainPeriod is for how long workers that are leaving may get requests.
 	DrainPeriod time.Duration
-	// Evacuate is how long the workers of an evacuated zone may get requests.
+	// EvacuationPeriod is for how long the workers of an evacuated zone may get requests.
 	EvacuationPeriod time.Duration
 	// uploads and downloads count the large bodies in flight.
 	uploads, downloads atomic.Int64
 	fleet              *fleet
 	unread             *unreadHeaders
-	// secret keys the hash under which API keys are looked up.
+	// secret keys the hash by which API keys are looked up.
 	secret   tenant.Secret
 	current  atomic.Pointer[activeConfig]
 	stopping atomic.Bool
-	// ending is done once the process is about to end; end makes it so.
+	// ending is canceled by end once the process is about to exit.
 	ending context.Context
 	end    context.CancelFunc
 }
 
-// New returns a proxy in a zone over the announced workers.
+// New returns a proxy in the given zone that sends to the workers of the directory.
 func New(zone string, directory *workers.Directory, limits BudgetLimits) *Proxy {
 	ending, end := context.WithCancel(context.Background())
 	p := &Proxy{
 		fleet: newFleet(zone, directory, limits), Nodes: &atomic.Int32{}, Suspects: quarantine.NewView(),
 		Room: bodies.NewRoom(0), Turns: bodies.NewTurns(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
-	_, _ = cryptorand.Read(p.secret[:]) // it never fails
+	_, _ = cryptorand.Read(p.secret[:]) // never fails
 	p.fleet.isBlocked = p.isBlocked
 	p.fleet.onIncarnationEnd = func(before *backend) { p.workerEnded(before, false) }
 	return p
 }
 
-// Use puts a configuration into force unless a newer one is.
+// Use puts a configuration into force. It returns false if the current one is as new or newer.
 func (p *Proxy) Use(config *routing.Config) bool {
 	for {
 		old := p.current.Load()
 		if old != nil && old.config.Version >= config.Version {
 			return false
 		}
-		fresh := &activeConfig{
+		next := &activeConfig{
 			config: config, splitter: routing.NewSplitter(rand.IntN), swaps: newSwaps(), keys: p.buildKeyIndex(config, old),
 			defaultWeight: meanTenantRate(config), since: clock.Now(),
 		}
-		if p.current.CompareAndSwap(old, fresh) {
+		if p.current.CompareAndSwap(old, next) {
 			p.fleet.sizes.retain(config)
 			return true
 		}
 	}
 }
 
-// ConfigAge returns for how long the configuration is in force here.
+// ConfigAge returns how long the configuration has been in force in this process.
 func (p *Proxy) ConfigAge() time.Duration {
-	if used := p.current.Load(); used != nil {
-		return clock.Since(used.since)
+	if active := p.current.Load(); active != nil {
+		return clock.Since(active.since)
 	}
 	return 0
 }
 
-// SetLimits changes what bounds second sends.
+// SetLimits changes the retry budget's limits.
 func (p *Proxy) SetLimits(limits BudgetLimits) { p.fleet.setLimits(limits) }
 
-// Beside reports whether a request may run before those are answered that its caller has sent ahead
-// of it on the same connection: it may be repeated, and its answer is small.
+// MayRunConcurrently reports whether a request may run before earlier requests on the same client
+// connection have been answered: it must be repeatable, and its body and answer small.
 func (p *Proxy) MayRunConcurrently(request *http.Request) bool {
-	used := p.current.Load()
-	if used == nil {
+	active := p.current.Load()
+	if active == nil {
 		return false
 	}
-	route := used.config.Match(request.Host, request.URL.Path)
+	route := active.config.Match(request.Host, request.URL.Path)
 	return route != nil && route.Repeatable && route.Class != routing.BulkDown && route.Class != routing.BulkUp
 }
 
-// Config returns the configuration in force, nil if there is none.
+// Config returns the configuration in force; nil if there is none.
 func (p *Proxy) Config() *routing.Config {
-	if used := p.current.Load(); used != nil {
-		return used.config
+	if active := p.current.Load(); active != nil {
+		return active.config
 	}
 	return nil
 }
 
-// Stop makes the proxy ask clients to leave with each answer.
+// BeginShutdown makes each further answer close its client connection.
 func (p *Proxy) BeginShutdown() { p.stopping.Store(true) }
 
-// End answers all requests that are still under way, since the process is about to end: a
-// request that is at no worker yet is refused with a promise, in place of a connection that
-// breaks.
+// CancelRequests ends the requests in progress because the process is about to exit. A request that
+// has not been sent to a worker yet is refused with a Retry-After header, rather than having its
+// connection aborted.
 func (p *Proxy) CancelRequests() { p.end() }
 
-// DropIdle closes all resting connections to workers: they may have ended unseen.
+// DropIdle closes all idle connections to workers, which may have ended unnoticed.
 func (p *Proxy) DropIdle() { p.fleet.dropIdle() }
 
-// Run keeps the connections to workers tidy until ctx ends.
+// Run closes expired connections to workers and removes the state of departed ones until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -231,22 +235,22 @@
 	if p.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	used := p.current.Load()
-	if used == nil || p.Starting.Load() {
+	active := p.current.Load()
+	if active == nil || p.Starting.Load() {
 		c.refuse(http.StatusServiceUnavailable, reasonNoConfig, 300*time.Millisecond)
 		return
 	}
-	c.config = used.config
-	if c.route = used.config.Match(request.Host, request.URL.Path); c.route == nil {
+	c.config = active.config
+	if c.route = active.config.Match(request.Host, request.URL.Path); c.route == nil {
 		c.refuse(http.StatusNotFound, reasonNoRoute, 0)
 		return
 	}
-	if !c.identify(used.keys) || !c.takeQuota() {
+	if !c.identify(active.keys) || !c.takeQuota() {
 		return
 	}
 	defer c.returnQuota()
 	c.sends.maxRuns = max(1, c.route.Attempts)
-	c.service = c.selectService(used)
+	c.service = c.selectService(active)
 	if !c.prepare() {
 		return
 	}
@@ -256,7 +260,7 @@
 	c.initialStanding = c.standing()
 	c.state = p.fleet.service(c.service)
 	c.state.budget.recordRequest(int(p.Nodes.Load()), c.began)
-	c.recordDemand(used)
+	c.recordDemand(active)
 	if c.service.Keyed {
 		c.serveKeyed()
 	} else {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -9,65 +9,70 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Limits keep workers within the limits that they name, over all routers together. They are safe
-// for concurrent use.
+// Limits enforces the rate limits that workers report, over all routers together. It is safe for
+// concurrent use.
 type Limits interface {
-	// Count returns how many workers name a limit, and Limited reports whether one does.
+	// Count returns the number of workers with a rate limit, and Limited reports whether a worker
+	// has one.
 	Count() int
 	Limited(worker workers.Life) bool
-	// Take asks whether a request may leave for a worker within some patience: it then leaves after
-	// wait. If it may not, wait is when to ask again. The answer comes within a time.
-	Take(worker workers.Life, patience, within time.Duration) (wait time.Duration, granted bool)
-	// Answered takes what an answer says of its worker's limit.
+	// Take requests a permit for sending a request to a worker at most maxWait from now. If
+	// granted, the request may be sent after wait; if not, wait is the time after which to ask
+	// again. Take returns within timeout.
+	Take(worker workers.Life, maxWait, timeout time.Duration) (wait time.Duration, granted bool)
+	// Answered processes what an answer reports about its worker's rate limit.
 	Answered(worker workers.Life, answer *upstream.Result)
 }
 
-// permitTimeoutShare is the share of a request's target within which its permit must come.
+// permitTimeoutShare is the fraction of a request's target latency within which its permit must be
+// granted.
 const permitTimeoutShare = 0.25
 
-// limitRetryJitter is by which part of the time at most callers come back later than their requests may
-// leave, so that not all are back at once.
+// limitRetryJitter is the maximum random increase of the Retry-After delay, as a fraction of the
+// delay. It prevents all callers from retrying at the same time.
 const limitRetryJitter = 0.25
 
-// anyLimited reports whether any worker names a limit.
+// anyLimited reports whether any worker has a rate limit.
 func (p *Proxy) anyLimited() bool { return p.Limits != nil && p.Limits.Count() > 0 }
 
-// isLimited reports whether a worker names a limit. While none does it costs one load.
+// isLimited reports whether a worker has a rate limit. It costs one atomic load while none has.
 func (p *Proxy) isLimited(to *backend) bool {
 	return p.anyLimited() && p.Limits.Limited(to.info().Life())
 }
 
-// permitted asks whether the request may leave for a worker that may name a limit, within some
-// patience: it then leaves after wait. If it may not, wait is after which time one may.
-func (c *call) acquirePermit(to *backend, patience time.Duration) (wait time.Duration, ok bool) {
+// acquirePermit requests permission to send the request to a worker, which may have a rate limit,
+// at most maxWait from now. If granted, the request may be sent after wait; if not, wait is the
+// time after which one may be sent.
+func (c *call) acquirePermit(to *backend, maxWait time.Duration) (wait time.Duration, ok bool) {
 	if !c.proxy.isLimited(to) {
 		return 0, true
 	}
 	now := clock.Now()
-	if until := to.limitedUntil(); until.Sub(now) > patience {
+	if until := to.limitedUntil(); until.Sub(now) > maxWait {
 		return until.Sub(now), false
 	}
-	within := min(time.Duration(permitTimeoutShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
-	wait, ok = c.proxy.Limits.Take(to.info().Life(), patience, within)
+	timeout := min(time.Duration(permitTimeoutShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
+	wait, ok = c.proxy.Limits.Take(to.info().Life(), maxWait, timeout)
 	if !ok {
 		to.setLimitedUntil(clock.Now().Add(wait))
 	}
 	return wait, ok
 }
 
-// limit keeps requests away from the worker until a time.
+// setLimitedUntil blocks the worker until the given time.
 func (b *backend) setLimitedUntil(until time.Time) { b.limitUntil.Store(clock.Nanos(until)) }
 
-// limitedUntil returns until when requests are kept away from the worker if it names a limit.
+// limitedUntil returns the time until which the worker is blocked if it has a rate limit.
 func (b *backend) limitedUntil() time.Time { return clock.OfNanos(b.limitUntil.Load()) }
 
-// limitRetryAfter is when a caller may come back whose request a limit keeps away for some time.
+// limitRetryAfter returns the Retry-After delay of a request that a rate limit blocks for the given
+// time.
 func limitRetryAfter(wait time.Duration) time.Duration {
 	return wait + time.Duration(limitRetryJitter*rand.Float64()*float64(wait))
 }
 
-// watchLimit learns from the end of a send whether its worker names a limit.
-func (c *call) recordLimit(worker *workers.Worker, got *upstream.Result) {
+// recordLimit processes what the result of a send reports about the worker's rate limit.
+func (c *call) recordLimit(worker *workers.Worker, result *upstream.Result) {
 	limits := c.proxy.Limits
 	if limits == nil {
 		return
@@ -75,5 +80,5 @@
 	if limits.Count() > 0 && limits.Limited(worker.Life()) {
 		c.proxy.Metrics.recordLimitedSend(c.service.Name)
 	}
-	limits.Answered(worker.Life(), got)
+	limits.Answered(worker.Life(), result)
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// Metrics are the proxy's counters and latencies.
+// Metrics are the proxy's counters and latency histograms.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	sends    *prometheus.CounterVec
@@ -22,10 +22,10 @@
 	tenants  *tenantCounters
 }
 
-// latencyBuckets are upper bounds in seconds.
+// latencyBuckets are the buckets' upper bounds in seconds.
 var latencyBuckets = []float64{0.01, 0.03, 0.06, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4}
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -57,8 +57,8 @@
 	return metrics
 }
 
-func (m *Metrics) recordSend(service routing.ServiceName, ended upstream.Outcome) {
-	m.sends.WithLabelValues(string(service), string(ended)).Inc()
+func (m *Metrics) recordSend(service routing.ServiceName, outcome upstream.Outcome) {
+	m.sends.WithLabelValues(string(service), string(outcome)).Inc()
 }
 
 func (m *Metrics) recordCrash(service routing.ServiceName) {
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -8,20 +8,20 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// regionRetryAfter is when a caller may come back whose request may be served in regions only
-// that have no worker: one that starts is announced within a second or two.
+// regionRetryAfter is the Retry-After delay of a request that may be served only in regions without
+// a worker: a worker that starts is announced within a second or two.
 const regionRetryAfter = time.Second
 
-// Locate says which regions the zones belong to. It is called before the first request.
-func (p *Proxy) SetTopology(places topology.Map) {
-	p.fleet.topology = places
+// SetTopology sets the assignment of zones to regions. It must be called before the first request.
+func (p *Proxy) SetTopology(zoneMap topology.Map) {
+	p.fleet.topology = zoneMap
 	p.fleet.crossing = singleRegionPolicy
-	if places.Regions() > 1 {
+	if zoneMap.Regions() > 1 {
 		p.fleet.crossing = multiRegionPolicy
 	}
 }
 
-// distance returns how far a zone is from this process.
+// distance returns the distance of a zone from this process.
 func (f *fleet) distance(zone string) topology.Distance {
 	return f.topology.Distance(topology.Zone(f.zone), topology.Zone(zone))
 }
@@ -31,40 +31,41 @@
 	return f.topology.Region(topology.Zone(worker.Zone))
 }
 
-// bound reports whether the request may be served in some regions only.
+// regionBound reports whether the request may be served in some regions only.
 func (c *call) regionBound() bool {
 	return len(c.route.Regions) > 0 || c.tenant != nil && len(c.tenant.Regions) > 0
 }
 
-// servedIn reports whether the request may be served in a region.
+// allowedIn reports whether the request may be served in a region.
 func (c *call) allowedIn(region topology.Region) bool {
 	return routing.ServedIn(region, c.route, c.tenant)
 }
 
-// need returns what the request asks of a worker.
+// requirements returns what the request requires of a worker.
 func (c *call) requirements() requirements {
 	bytes := c.proxy.fleet.sizes.expected(c.route)
-	of := requirements{target: c.route.Target, bytes: bytes, bulk: isBulk(c.route.Class, bytes), freeSlotOnly: c.claim.yields}
+	required := requirements{target: c.route.Target, bytes: bytes, bulk: isBulk(c.route.Class, bytes), freeSlotOnly: c.claim.yields}
 	if c.regionBound() {
-		of.regionAllowed = c.allowedIn
+		required.regionAllowed = c.allowedIn
 	}
-	return of
+	return required
 }
 
-// usable returns how many workers there are that may serve the request.
+// usableWorkerCount returns the number of workers that may serve the request.
 func (c *call) usableWorkerCount() int {
 	list, _ := c.proxy.fleet.directory.Usable(c.service.Name)
 	if !c.regionBound() {
 		return len(list)
 	}
 	count := 0
-	for _, one := range list {
-		if c.allowedIn(c.proxy.fleet.regionOf(one)) {
+	for _, worker := range list {
+		if c.allowedIn(c.proxy.fleet.regionOf(worker)) {
 			count++
 		}
 	}
 	return count
 }
 
-// nowhere reports whether the request may be served in regions only that have no worker.
+// noWorkerInAllowedRegions reports whether the request may be served only in regions without a
+// worker.
 func (c *call) noWorkerInAllowedRegions() bool { return c.regionBound() && c.usableWorkerCount() == 0 }
--- a/internal/proxy/sizes.go
+++ b/internal/proxy/sizes.go
@@ -11,16 +11,17 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Sizes of requests and answers of which nothing is known yet, in bytes, heads included.
+// Default sizes in bytes of a request and its answer, including headers, on a route without
+// measurements.
 const (
 	defaultSmallBytes = 4 << 10
 	defaultBulkBytes  = 100 << 10
-	// sizeWeight is the weight of a new answer: some tens of them tell the mean.
+	// sizeWeight is the weight of a new measurement: the mean adapts within some tens of answers.
 	sizeWeight = 0.05
 )
 
-// sizes are the mean bytes of a request and its answer, by route. It is safe for concurrent
-// use.
+// sizes holds the mean size in bytes of a request and its answer for each route. It is safe for
+// concurrent use.
 type sizes struct {
 	mu   sync.Mutex
 	mean map[string]float64
@@ -28,7 +29,7 @@
 
 func newSizes() *sizes { return &sizes{mean: map[string]float64{}} }
 
-// add takes the size of one request and its answer.
+// add records the size of one request and its answer.
 func (s *sizes) add(route *routing.Route, bytes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,14 +37,14 @@
 	s.mean[route.Name] = mean + sizeWeight*(bytes-mean)
 }
 
-// of returns the expected size.
+// expected returns the expected size of a request and its answer.
 func (s *sizes) expected(route *routing.Route) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.expectedLocked(route)
 }
 
-// meanOf is of for a caller that holds mu.
+// expectedLocked is like expected for a caller that holds mu.
 func (s *sizes) expectedLocked(route *routing.Route) float64 {
 	if mean, known := s.mean[route.Name]; known {
 		return mean
@@ -54,7 +55,7 @@
 	return defaultSmallBytes
 }
 
-// keep forgets the routes that a configuration does not have.
+// retain removes the routes that the configuration does not have.
 func (s *sizes) retain(config *routing.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,13 +66,14 @@
 	}
 }
 
-// headBytes is what the heads of a request and its answer have on average.
+// headBytes is the average size of the headers of a request and its answer together.
 const headBytes = 600
 
-// weigh notes the size of the request and of a worker's answer, as far as their heads tell. Where
-// they don't, the exchange counts as one of its route's usual size, and says nothing of it.
-func (c *call) recordSize(worker *workers.Worker, got *upstream.Result) {
-	bytes, known := c.exchangeSize(got)
+// recordSize records the size of the request and of a worker's answer if both are known from their
+// headers. Otherwise the exchange is counted as traffic of at least the route's expected size, and
+// not added to the route's mean.
+func (c *call) recordSize(worker *workers.Worker, result *upstream.Result) {
+	bytes, known := c.exchangeSize(result)
 	if known {
 		c.proxy.fleet.sizes.add(c.route, bytes)
 	} else {
@@ -87,14 +89,14 @@
 	c.proxy.Traffic.Add(kind, topology.Zone(worker.Zone), int(bytes))
 }
 
-// weight is the size of the request and of a worker's answer in bytes; known is false if one of
-// them comes in chunks that are passed on, so that it is larger.
-func (c *call) exchangeSize(got *upstream.Result) (bytes float64, known bool) {
-	size := got.Body.Length()
-	length, err := strconv.ParseInt(got.Header.Get("Content-Length"), 10, 64)
+// exchangeSize returns the size of the request and of a worker's answer in bytes. known is false if
+// either is streamed in chunks, so that the actual size is larger.
+func (c *call) exchangeSize(result *upstream.Result) (bytes float64, known bool) {
+	size := result.Body.Length()
+	length, err := strconv.ParseInt(result.Header.Get("Content-Length"), 10, 64)
 	if err == nil {
 		size = max(size, length)
 	}
-	known = c.message.Length >= 0 && (got.Stream == nil || err == nil)
+	known = c.message.Length >= 0 && (result.Stream == nil || err == nil)
 	return float64(headBytes + max(0, c.message.Length) + size), known
 }
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -10,56 +10,57 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Where many processes share many workers, each process that sends to all of them hears
-// of each too seldom to know how fast and how busy it is, and finds no connection to it
-// that still rests. So each prefers a few, chosen by rendezvous hashing with a seed of its
-// own: subsets as in "Site Reliability Engineering", chapter 20, but random, since the
-// processes are not numbered; a worker that comes or goes changes one place of them.
+// If many processes share many workers and each sends to all of them, a process gets answers from
+// each worker too rarely to estimate its latency and load, and finds no idle connection to it. Each
+// process therefore prefers a few workers, chosen by rendezvous hashing with a seed per process.
+// These are subsets as in "Site Reliability Engineering", chapter 20, but random, since the
+// processes are not numbered. A worker that is added or removed changes at most one member of a
+// subset.
 const (
-	// subsetOverlap is how many processes prefer each worker on average.
+	// subsetOverlap is the average number of processes that prefer a worker.
 	subsetOverlap = 4
-	// minSubsetSize is how many workers a process prefers at the least.
+	// minSubsetSize is the minimum number of workers that a process prefers.
 	minSubsetSize = 4
-	// maxConsidered is how many workers of its own zone a process chooses among, and
-	// maxConsideredRemote those of each other zone: more of them cost each choice, and memory for
-	// each, and are heard of once in minutes. Other processes choose among others.
+	// maxConsidered is the number of workers of the local zone that a process chooses among, and
+	// maxConsideredRemote that for each other zone. More workers would make each choice slower and
+	// take memory each, while a process would get an answer from each only once in minutes. Other
+	// processes choose among other workers.
 	maxConsidered       = 128
 	maxConsideredRemote = 32
 )
 
-// subset is the workers of one service that this process prefers. It is safe for
-// concurrent use.
+// subset holds the workers of one service that this process prefers. It is safe for concurrent use.
 type subset struct {
 	mu sync.Mutex
-	// version of the list of workers, and size, that preferred was made for.
+	// version of the worker list and size for which preferred was computed.
 	version   uint64
 	size      int
 	preferred map[workers.ID]bool
 }
 
-// subsetSize returns how many of a zone's workers each of its processes prefers.
+// subsetSize returns how many of a zone's workers each process of the zone prefers.
 func subsetSize(zoneWorkers, zoneProcesses int) int {
 	shared := float64(subsetOverlap*zoneWorkers) / float64(max(1, zoneProcesses))
 	return max(minSubsetSize, int(math.Ceil(shared)))
 }
 
-// considered returns the workers of a service that this process chooses among: all, or of large
-// zones a part, which is its own and changes little as workers come and go. The preferred ones,
-// of which there are so many, are a part of them.
+// considered returns the workers of a service that this process chooses among: all of a small zone,
+// and of a large zone a part that depends on the process and changes little as workers are added or
+// removed. The part contains the preferred workers, whose number is given.
 func (f *fleet) considered(announced []workers.Worker, preferred int) []workers.Worker {
 	count := map[string]int{}
 	for _, worker := range announced {
 		count[worker.Zone]++
 	}
-	limits, all := map[string]uint64{}, true
+	maxHash, all := map[string]uint64{}, true
 	for zone, inZone := range count {
-		most := maxConsideredRemote
+		maxInZone := maxConsideredRemote
 		if zone == f.zone {
-			most = max(maxConsidered, 2*preferred)
+			maxInZone = max(maxConsidered, 2*preferred)
 		}
-		limits[zone] = math.MaxUint64
-		if inZone > most {
-			all, limits[zone] = false, math.MaxUint64/uint64(inZone)*uint64(most)
+		maxHash[zone] = math.MaxUint64
+		if inZone > maxInZone {
+			all, maxHash[zone] = false, math.MaxUint64/uint64(inZone)*uint64(maxInZone)
 		}
 	}
 	if all {
@@ -67,14 +68,14 @@
 	}
 	var list []workers.Worker
 	for _, worker := range announced {
-		if maphash.String(f.seed, string(worker.ID)) <= limits[worker.Zone] {
+		if maphash.String(f.seed, string(worker.ID)) <= maxHash[worker.Zone] {
 			list = append(list, worker)
 		}
 	}
 	return list
 }
 
-// of returns the preferred ones of a zone's ready workers. A list of the same version has
+// choose returns the preferred ones of a zone's ready workers. Lists of the same version contain
 // the same workers.
 func (s *subset) choose(seed maphash.Seed, ready []workers.ID, version uint64, size int) map[workers.ID]bool {
 	s.mu.Lock()
--- a/internal/proxy/swaps.go
+++ b/internal/proxy/swaps.go
@@ -9,24 +9,25 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// maxOwed bounds how many requests of a part this process has dealt to another one and not
-// made up for yet, so that the weights hold over any few requests of each process.
+// maxOwed is the maximum number of requests of one part that this process may have assigned to
+// another one without having compensated for them. It keeps the weights accurate even over few
+// requests of each process.
 const maxOwed = 4
 
-// swaps exchange requests with large bodies between the parts of a weighted route: one whose
-// key has its owner in another region goes to a pool of the route instead, and for it one of
-// the pool's requests goes to the owner of its key, if that is near. The weights hold, and the
-// large bodies stay in the region.
+// swaps exchanges requests with large bodies between the parts of a weighted route. A request whose
+// key's owner is in another region goes to a pool of the route instead. In return, one of the
+// pool's requests goes to the owner of its key if that owner is in the local region. This preserves
+// the weights and keeps large bodies within the region.
 //
-// On a quiet day with a quarter of the downloads at a service that is divided by key, 42 of
-// 92 MB that crossed between regions were downloads of it (counted by kind at 61 routers). It
-// is safe for concurrent use.
+// On a day with low load, on which a quarter of the downloads went to a service that is partitioned
+// by key, they made up 42 of the 92 MB that crossed between regions (counted by kind at 61
+// routers). It is safe for concurrent use.
 type swaps struct {
 	mu   sync.Mutex
 	owed map[partPair]int
 }
 
-// swapped names two parts of a route.
+// partPair is a partitioned part and a pool of one route.
 type partPair struct {
 	route       *routing.Route
 	keyed, pool routing.ServiceName
@@ -34,59 +35,60 @@
 
 func newSwaps() *swaps { return &swaps{owed: map[partPair]int{}} }
 
-// whereabouts says where one part of a route would serve a request.
+// serviceLocation is where a service would serve a request.
 type serviceLocation int
 
 const (
-	// unserved: the request has no key, or the part has no worker that would take it now.
+	// notServed: the request has no key, or the service has no worker that would accept it now.
 	notServed serviceLocation = iota
-	// inSameRegion: in this process's region.
+	// inSameRegion: in the region of this process.
 	inSameRegion
 	// inOtherRegion: in another region.
 	inOtherRegion
 )
 
-// pick returns the part that a request goes to, given the part that was dealt to it. keyed
-// reports whether a service is divided by key, and where says where each would serve the request:
-// only what the other part can serve in the region is exchanged.
-func (s *swaps) pick(route *routing.Route, dealt routing.ServiceName, keyed func(routing.ServiceName) bool,
-	where func(routing.ServiceName) serviceLocation) routing.ServiceName {
+// pick returns the part that a request goes to, given the part that was picked by weight. isKeyed
+// reports whether a service is partitioned by key, and locate where a service would serve the
+// request. A request is exchanged only if the other part can serve it in the local region.
+func (s *swaps) pick(route *routing.Route, picked routing.ServiceName, isKeyed func(routing.ServiceName) bool,
+	locate func(routing.ServiceName) serviceLocation) routing.ServiceName {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, part := range route.Parts {
-		if part.Weight <= 0 || keyed(part.Service) == keyed(dealt) {
+		if part.Weight <= 0 || isKeyed(part.Service) == isKeyed(picked) {
 			continue
 		}
-		if keyed(dealt) {
-			pair := partPair{route, dealt, part.Service}
-			if s.owed[pair] < maxOwed && where(dealt) == inOtherRegion && where(part.Service) == inSameRegion {
+		if isKeyed(picked) {
+			pair := partPair{route, picked, part.Service}
+			if s.owed[pair] < maxOwed && locate(picked) == inOtherRegion && locate(part.Service) == inSameRegion {
 				s.owed[pair]++
 				return part.Service
 			}
 			continue
 		}
-		pair := partPair{route, part.Service, dealt}
-		if s.owed[pair] > 0 && where(part.Service) == inSameRegion {
+		pair := partPair{route, part.Service, picked}
+		if s.owed[pair] > 0 && locate(part.Service) == inSameRegion {
 			s.owed[pair]--
 			return part.Service
 		}
 	}
-	return dealt
+	return picked
 }
 
-// part returns the service that the request goes to, of the route's parts. Bound requests are not
-// exchanged: an owner that is near need not be allowed.
-func (c *call) selectService(used *activeConfig) *routing.Service {
-	dealt := used.splitter.Pick(c.route)
+// selectService returns the service that the request goes to, out of the route's parts.
+// Region-bound requests are not exchanged, because the owner in the local region may not be allowed
+// to serve them.
+func (c *call) selectService(active *activeConfig) *routing.Service {
+	picked := active.splitter.Pick(c.route)
 	fleet := c.proxy.fleet
 	if len(c.route.Parts) > 1 && fleet.topology.Regions() > 1 && !c.regionBound() && isBulk(c.route.Class, fleet.sizes.expected(c.route)) {
-		keyed := func(name routing.ServiceName) bool { return c.config.Services[name].Keyed }
-		dealt = used.swaps.pick(c.route, dealt, keyed, c.locateService)
+		isKeyed := func(name routing.ServiceName) bool { return c.config.Services[name].Keyed }
+		picked = active.swaps.pick(c.route, picked, isKeyed, c.locateService)
 	}
-	return c.config.Services[dealt]
+	return c.config.Services[picked]
 }
 
-// whereabouts says where a part would serve the request.
+// locateService returns where a service would serve the request.
 func (c *call) locateService(name routing.ServiceName) serviceLocation {
 	if service := c.config.Services[name]; service.Keyed {
 		return c.locateOwner(service)
@@ -104,18 +106,18 @@
 	return notServed
 }
 
-// ownerWhereabouts says where the owner of the request's key stands.
+// locateOwner returns where the owner of the request's key would serve the request.
 func (c *call) locateOwner(service *routing.Service) serviceLocation {
 	key, found := c.readKey(service)
 	if !found {
 		return notServed
 	}
-	held, known := c.proxy.Table.Lookup(service.Name, key)
-	if !known || held.Moving {
+	assigned, known := c.proxy.Table.Lookup(service.Name, key)
+	if !known || assigned.Moving {
 		return notServed
 	}
 	fleet := c.proxy.fleet
-	worker, announced := fleet.directory.Get(held.Worker)
+	worker, announced := fleet.directory.Get(assigned.Worker)
 	switch {
 	case !announced || worker.State != workers.StateReady || !fleet.get(worker).usableAsOwner(clock.Now()),
 		fleet.get(worker).backoffLeft(clock.Now()) > 0:
--- a/internal/proxy/tenantmetrics.go
+++ b/internal/proxy/tenantmetrics.go
@@ -9,28 +9,28 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// maxTenantSeries is how many tenants have series of their own in one process; the others are
-// counted together. Four series each are a third of what a router shows besides.
+// maxTenantSeries is the maximum number of tenants with separate metric series in one process; the
+// others are counted together. At four series each, these are a third of a router's other series.
 const maxTenantSeries = 100
 
-// otherTenantsLabel is the label of those that are counted together. No tenant has that name: a label of
-// a tenant with it would stand for the others too, and only in the sum.
+// otherTenantsLabel is the label of the tenants that are counted together. No tenant can have this
+// name; otherwise its series would include the other tenants.
 const otherTenantsLabel = "(others)"
 
-// Ends of a tenant's request.
+// Values of the label "end" for a tenant's requests.
 const (
 	endServed  = "served"
 	endRefused = "refused"
 	endFailed  = "failed"
 )
 
-// tenantCounters count the ends of requests by tenant. It is safe for concurrent use.
+// tenantCounters counts the ends of requests by tenant. It is safe for concurrent use.
 type tenantCounters struct {
 	requests *prometheus.CounterVec
-	// overShare counts those refused for their tenant's share.
+	// overShare counts the requests refused because of their tenant's share.
 	overShare *prometheus.CounterVec
 	mu        sync.RWMutex
-	// named are the tenants that have series of their own: those that asked first.
+	// named contains the tenants with separate series: those that sent requests first.
 	named map[routing.TenantName]bool
 }
 
@@ -48,12 +48,12 @@
 	}
 }
 
-// ended counts the end of a request.
+// recordEnd counts the end of a request.
 func (t *tenantCounters) recordEnd(name routing.TenantName, status int) {
 	t.requests.WithLabelValues(t.label(name), endOf(status)).Inc()
 }
 
-// label returns what a tenant is counted as.
+// label returns the label under which a tenant is counted.
 func (t *tenantCounters) label(name routing.TenantName) string {
 	t.mu.RLock()
 	known := t.named[name]
@@ -70,7 +70,7 @@
 	return string(name)
 }
 
-// endOf returns how a request ended, by its status; zero: its caller left.
+// endOf returns the end of a request by its status; zero means that the caller disconnected.
 func endOf(status int) string {
 	switch {
 	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable,
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -8,23 +8,23 @@
 	"github.com/shalefork/shalefork/internal/tenant"
 )
 
-// Reasons of answers to callers that no tenant answers for.
+// Reasons of answers to callers that are not identified as a tenant.
 const (
 	reasonKeyMissing   = string(tenant.Missing)
 	reasonKeyMalformed = string(tenant.Malformed)
 	reasonKeyUnknown   = string(tenant.Unknown)
 	reasonKeyTakenAway = string(tenant.TakenAway)
-	// reasonOutdated: keys may have been taken away that are known here still.
+	// reasonOutdated: API keys that this process still accepts may have been revoked.
 	reasonOutdated = "configuration-outdated"
 )
 
-// outdatedRetryAfter is when a caller may come back to a router whose configuration may be out of
-// date: one that the store refuses hears its neighbours within that time, and other routers
-// are in touch.
+// outdatedRetryAfter is the Retry-After delay of a router whose configuration may be out of date. A
+// router whose requests the store refuses receives updates from its peers within that time, and
+// other routers are up to date.
 const outdatedRetryAfter = 300 * time.Millisecond
 
-// index returns the index of a configuration's API keys; nil if it has no tenants. old is what
-// was in force before; nil if nothing was.
+// buildKeyIndex returns the index of a configuration's API keys; nil if it has no tenants. old is
+// the previous configuration; nil if there was none.
 func (p *Proxy) buildKeyIndex(config *routing.Config, old *activeConfig) *tenant.Index {
 	switch {
 	case config.Tenants == nil:
@@ -35,9 +35,9 @@
 	return tenant.NewIndex(p.secret, config, old.keys)
 }
 
-// identify finds out which tenant the caller belongs to; false if the request was answered.
-// A worker gets neither the key nor what the caller says of its tenant, but the tenant that was
-// proved.
+// identify determines the caller's tenant by its API key. It returns false if it has already
+// answered the request. The worker receives neither the key nor a tenant name set by the caller,
+// but the name of the authenticated tenant.
 func (c *call) identify(keys *tenant.Index) bool {
 	if keys == nil || c.route.Open {
 		return true
@@ -65,8 +65,8 @@
 	return true
 }
 
-// publicReason is what a caller is told of the reason of an answer: whoever shows a key that was
-// taken away need not learn that it once was good.
+// publicReason returns the reason that is shown to the caller. A caller with a revoked key must not
+// learn that the key was once valid.
 func publicReason(reason string) string {
 	if reason == reasonKeyTakenAway {
 		return reasonKeyUnknown
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -7,8 +7,8 @@
 	"github.com/shalefork/shalefork/internal/upstream"
 )
 
-// throttled reports whether a request is refused without asking the worker, since it
-// turns most of them away. random is from 0 to 1.
+// throttled reports whether a request is refused without sending it to the worker, because the
+// worker rejects most requests. random is from 0 to 1.
 func (b *backend) throttled(now time.Time, random float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -19,32 +19,32 @@
 	return true
 }
 
-// count notes whether the worker has turned a request away. The caller holds mu.
-func (b *backend) recordThrottleResult(now time.Time, got *upstream.Result) {
-	switch got.Outcome {
+// recordThrottleResult records whether the worker rejected a request. The caller holds mu.
+func (b *backend) recordThrottleResult(now time.Time, result *upstream.Result) {
+	switch result.Outcome {
 	case upstream.Answered, upstream.Late:
 		b.throttle.Sent(now, true)
 	case upstream.TurnedAway:
 		b.throttle.Sent(now, false)
 	case upstream.NotRun:
-		if got.Status != http.StatusMisdirectedRequest && !got.Load.Idle(got.Loaded) {
+		if result.Status != http.StatusMisdirectedRequest && !result.Load.Idle(result.Loaded) {
 			b.throttle.Sent(now, false)
 		}
 	case upstream.Broken:
-		b.throttle.Sent(now, got.Status != 0 || got.Took > rejectionResetWindow)
-	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // say nothing of the worker's room
+		b.throttle.Sent(now, result.Status != 0 || result.Took > rejectionResetWindow)
+	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // independent of the worker's capacity
 	}
 }
 
-// shortage returns which share of the requests for a worker of keys is to be refused unasked,
-// and whether it has turned any away lately.
-func (b *backend) refusalShare(now time.Time) (share float64, short bool) {
+// refusalShare returns the share of the requests for an owner of keys that are to be refused
+// without sending them, and whether the worker has recently rejected any.
+func (b *backend) refusalShare(now time.Time) (share float64, rejecting bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.throttle.Share(now), b.throttle.Short(now)
 }
 
-// refuseUnasked counts a request for the worker that is refused without asking it.
+// recordThrottled counts a request that is refused without sending it to the worker.
 func (b *backend) recordThrottled(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/unread.go
+++ b/internal/proxy/unread.go
@@ -8,18 +8,19 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Bounds of what is kept of headers that are only passed on.
+// Bounds on the state about headers that the router only forwards.
 const (
-	// maxUnreadNames is how many names are counted each by itself.
+	// maxUnreadNames is the maximum number of header names with separate counters.
 	maxUnreadNames = 32
-	// maxUnreadSenders is how many workers' headers are remembered, and logged.
+	// maxUnreadSenders is the maximum number of pairs of worker and header that are remembered and
+	// logged.
 	maxUnreadSenders = 1024
-	// otherHeadersLabel stands for the names beyond.
+	// otherHeadersLabel is the label under which all other names are counted.
 	otherHeadersLabel = "other"
 )
 
-// commonHeaders are headers of answers that say nothing to a router: they are for callers, or about one
-// connection.
+// commonHeaders are answer headers that carry no information for a router: they are meant for
+// callers, or concern one connection.
 var commonHeaders = map[string]bool{
 	"Accept-Ranges": true, "Age": true, "Allow": true, "Cache-Control": true, "Connection": true, "Content-Disposition": true,
 	"Content-Encoding": true, "Content-Language": true, "Content-Length": true, "Content-Location": true, "Content-Range": true,
@@ -28,15 +29,15 @@
 	"Vary": true, "Www-Authenticate": true,
 }
 
-// unreadHeaders remember which headers of workers' answers nobody here reads: a worker may say something
-// of itself with one. They are safe for concurrent use.
+// unreadHeaders records headers of workers' answers that the router does not read, since a worker
+// may report something about itself with them. It is safe for concurrent use.
 type unreadHeaders struct {
 	mu      sync.Mutex
 	names   map[string]bool
 	senders map[workerHeader]bool
 }
 
-// sender is a worker that has sent a header.
+// workerHeader identifies a header sent by a worker.
 type workerHeader struct {
 	worker workers.ID
 	name   string
@@ -46,24 +47,25 @@
 	return &unreadHeaders{names: map[string]bool{}, senders: map[workerHeader]bool{}}
 }
 
-// note returns the name by which a header is counted, and whether it is the first of its worker.
-func (u *unreadHeaders) record(one workerHeader) (label string, first bool) {
+// record returns the label under which a header is counted, and whether the worker sent it for the
+// first time.
+func (u *unreadHeaders) record(header workerHeader) (label string, first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.senders[one] && len(u.senders) < maxUnreadSenders {
-		u.senders[one], first = true, true
+	if !u.senders[header] && len(u.senders) < maxUnreadSenders {
+		u.senders[header], first = true, true
 	}
-	if !u.names[one.name] && len(u.names) == maxUnreadNames {
+	if !u.names[header.name] && len(u.names) == maxUnreadNames {
 		return otherHeadersLabel, first
 	}
-	u.names[one.name] = true
-	return one.name, first
+	u.names[header.name] = true
+	return header.name, first
 }
 
-// countUnread counts the headers of a worker's answer that nobody here reads, by name. Their values are
-// neither kept nor logged.
-func (p *Proxy) countUnread(from workers.ID, answered http.Header) {
-	for name := range answered {
+// countUnread counts the headers of a worker's answer that the router does not read, by name. Their
+// values are neither stored nor logged.
+func (p *Proxy) countUnread(from workers.ID, headers http.Header) {
+	for name := range headers {
 		if commonHeaders[name] || p.Headers.Owns(name) {
 			continue
 		}
