--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_news.go
@@ -27,7 +27,7 @@
 	{
 		name: "older-word-undoes-an-evacuation",
 		file: "internal/router/configview.go",
-		old:  "\tif news.Revision <= v.at {",
+		old:  "\tif changes.Revision <= v.at {",
 		new:  "\tif false {",
 		pkg:  "./internal/router", test: "TestEvacuationsFromTheLeader",
 	},
@@ -111,7 +111,7 @@
 	{
 		name: "age-of-news-not-told",
 		file: "internal/peerlink/entries.go",
-		old:  "	return max(0, now.Sub(learned).Milliseconds())",
+		old:  "	return max(0, now.Sub(learnedAt).Milliseconds())",
 		new:  "	return 0",
 		pkg:  "./internal/peerlink", test: "TestEntryChangesCarryTheirAge",
 	},
@@ -133,7 +133,7 @@
 		name: "silent-relay-relied-on",
 		file: "internal/router/updatesource.go",
 		old:  "clock.Nanos(now) < until",
-		new:  "t.liveUntil.Load() > 0",
+		new:  "u.liveUntil.Load() > 0",
 		pkg:  "./internal/router", test: "TestUpdateSourceExpires",
 	},
 	{
--- /dev/null
+++ b/internal/owner/restart.go
@@ -0,0 +1,72 @@
+package owner
+
+import (
+	"time"
+
+	"github.com/shalefork/shalefork/internal/workers"
+)
+
+// ObserveIncarnation records the announced incarnation of a worker, and its address if the worker
+// has restarted. It reports whether it has. An announcement without a start time is attributed to
+// the known incarnation.
+//
+// The ledger does not know when a worker restarted: its last replies may have come from either
+// incarnation. Earlier holds therefore still have to expire or be released. Meanwhile the worker is
+// granted its own keys again under a higher fence, and fences that it has to know are sent again,
+// since a new incarnation has seen none of the earlier ones.
+func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Incarnation, address string) bool {
+	previous, known := l.incarnations[incarnation.ID]
+	if incarnation.StartTime == 0 || previous == incarnation.StartTime {
+		return false
+	}
+	l.incarnations[incarnation.ID] = incarnation.StartTime
+	if !known {
+		return false
+	}
+	delete(l.ended, incarnation.ID)
+	delete(l.failing, incarnation.ID)
+	delete(l.lastUnanswered, incarnation.ID)
+	if l.addresses[incarnation.ID] != address {
+		l.addresses[incarnation.ID] = address
+		l.assignmentVersion++
+	}
+	for _, s := range l.spans {
+		l.handleRestart(now, s, incarnation.ID)
+	}
+	for _, grant := range l.unconfirmed {
+		if grant.worker == incarnation.ID {
+			grant.acknowledged, grant.nextOrderAt = false, now
+		}
+	}
+	return true
+}
+
+// handleRestart treats the keys of a restarted worker as not held by any worker yet. If the worker
+// is a previous owner, the order to it is due at once, for what its new incarnation may have been
+// granted.
+func (l *Ledger) handleRestart(now time.Time, s *span, worker workers.ID) {
+	for _, old := range s.previous {
+		if old.worker == worker {
+			s.nextOrderAt = now
+		}
+	}
+	if s.owner != worker || !s.mayHaveGrant() {
+		return
+	}
+	if s.granted {
+		l.assignmentVersion++
+	}
+	l.holdsVersion++
+	s.granted = false
+	s.fence = l.nextFence()
+	s.nextOrderAt = now
+}
+
+// reportsIncarnation reports whether a worker announces its start time. Workers that do not get a
+// new ID when they restart.
+func (l *Ledger) reportsIncarnation(id workers.ID) bool { return l.incarnations[id] != 0 }
+
+// target returns the address and incarnation that a worker's orders are sent to.
+func (l *Ledger) target(id workers.ID) Target {
+	return Target{ID: id, Address: l.addresses[id], Incarnation: l.incarnations[id]}
+}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -78,7 +78,7 @@
 // answerBuffering returns the maximum length of an answer that is held back until it is complete,
 // and for how long it is held back.
 func (c *call) answerBuffering() (maxBytes int64, maxDelay time.Duration) {
-	if c.route.Class == routing.BulkDown {
+	if c.route.Class == routing.BulkDownload {
 		return maxBufferedDownload, time.Duration(downloadBufferShare * float64(c.route.Target))
 	}
 	return maxBufferedAnswer, 0
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -45,8 +45,8 @@
 }
 
 // quarantineRun identifies the request and its caller.
-func (c *call) quarantineRun() quarantine.Run {
-	return quarantine.Run{Request: c.fingerprint(), Caller: callerAddress(c.request.RemoteAddr)}
+func (c *call) quarantineRun() quarantine.CallerRequest {
+	return quarantine.CallerRequest{Request: c.fingerprint(), Caller: callerAddress(c.request.RemoteAddr)}
 }
 
 // callerAddress returns the IP address that a request came from; the zero address if there is none.
@@ -106,7 +106,7 @@
 func (b *backend) recordCutOff(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.CutOff(now, attempt)
+	return b.witness.RecordInterrupted(now, attempt)
 }
 
 // recordEnd records that the worker has ended. It returns the requests that were cut off by that;
@@ -114,7 +114,7 @@
 func (b *backend) recordEnd(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.Ended(now)
+	return b.witness.RecordEnd(now)
 }
 
 // scheduleProbe returns the delay after which to probe the worker's address; due is false if a
@@ -173,11 +173,11 @@
 // wasServing reports whether a worker is announced as ready. For a worker that has restarted since,
 // it reports whether the previous incarnation was.
 func (p *Proxy) wasServing(to *backend) bool {
-	life := to.info().Life()
+	life := to.info().Incarnation()
 	worker, announced := p.fleet.directory.Get(life.ID)
-	if announced && life.Born != 0 && worker.Born != life.Born {
-		worker, announced = p.fleet.directory.Before(life.ID)
-		announced = announced && worker.Born == life.Born
+	if announced && life.StartTime != 0 && worker.StartTime != life.StartTime {
+		worker, announced = p.fleet.directory.PreviousIncarnation(life.ID)
+		announced = announced && worker.StartTime == life.StartTime
 	}
 	return announced && worker.State == workers.StateReady
 }
@@ -187,8 +187,8 @@
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
-	life := to.info().Life()
-	for _, quarantined := range p.Suspects.Crashed(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.Born, At: now}) {
+	life := to.info().Incarnation()
+	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.StartTime, At: now}) {
 		LogQuarantined(p.Log, quarantined)
 	}
 }
@@ -209,8 +209,8 @@
 // standing returns the request's quarantine standing. It costs one atomic load while no request is
 // suspected.
 func (c *call) standing() quarantine.Standing {
-	if !c.proxy.Suspects.Watching() {
-		return quarantine.Free
+	if !c.proxy.Suspects.AnyRestricted() {
+		return quarantine.Unsuspected
 	}
 	return c.proxy.Suspects.Standing(c.quarantineRun())
 }
@@ -227,8 +227,8 @@
 
 // clearSuspect reports that a suspected request was answered without a server error.
 func (c *call) clearSuspect(result *upstream.Result) {
-	if result.Outcome == upstream.Answered && result.Status < http.StatusInternalServerError && c.standing() != quarantine.Free {
-		c.proxy.Suspects.Finished(clock.Now(), c.quarantineRun())
+	if result.Outcome == upstream.Answered && result.Status < http.StatusInternalServerError && c.standing() != quarantine.Unsuspected {
+		c.proxy.Suspects.RecordSuccess(clock.Now(), c.quarantineRun())
 	}
 }
 
@@ -240,5 +240,5 @@
 // mayRunOnSeveralWorkers reports whether the request may be sent to a second worker while it may
 // run, or have run, at a first: a request that crashes its workers would crash that one too.
 func (c *call) mayRunOnSeveralWorkers() bool {
-	return c.initialStanding == quarantine.Free && c.closedConnections.Load() < maxClosedConnections && c.standing() != quarantine.Quarantined
+	return c.initialStanding == quarantine.Unsuspected && c.closedConnections.Load() < maxClosedConnections && c.standing() != quarantine.Quarantined
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -120,10 +120,10 @@
 // The state that a worker had when it closed the connection counts only if its current entry does
 // not show another state.
 func TestCrashClassificationAfterEntryChange(t *testing.T) {
-	ready := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady, Born: 1}
+	ready := workers.Worker{ID: "w1", Service: "keyed", Address: "127.0.0.1:1", State: workers.StateReady, StartTime: 1}
 	draining, again := ready, ready
 	draining.State = workers.StateDraining
-	again.Born = 2
+	again.StartTime = 2
 	for name, test := range map[string]struct {
 		then    []workers.Worker
 		gone    bool
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -65,10 +65,10 @@
 			c.claim.owner = nil
 			to := newBackend(workers.Worker{ID: "w"}, &reportedMeans{})
 			for range 20 {
-				to.throttle.Sent(now, false)
+				to.throttle.RecordSent(now, false)
 			}
 			for range 8 {
-				to.throttle.Sent(now, true)
+				to.throttle.RecordSent(now, true)
 			}
 			counts[c.refusalReason(now, to)]++
 		}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -106,7 +106,7 @@
 	// Limits enforces the workers' rate limits over all routers; nil disables them.
 	Limits Limits
 	// OnWorkerLeaving is called for workers whose answers report that they are leaving; may be nil.
-	OnWorkerLeaving func(workers.Life)
+	OnWorkerLeaving func(workers.Incarnation)
 	// KeyMovesBlocked reports whether no key can be moved for now, because the leader can't store a
 	// move; nil means that keys can always be moved.
 	KeyMovesBlocked func() bool
@@ -186,7 +186,7 @@
 		return false
 	}
 	route := active.config.Match(request.Host, request.URL.Path)
-	return route != nil && route.Repeatable && route.Class != routing.BulkDown && route.Class != routing.BulkUp
+	return route != nil && route.Repeatable && route.Class != routing.BulkDownload && route.Class != routing.BulkUpload
 }
 
 // Config returns the configuration in force; nil if there is none.
--- a/internal/proxy/regionlink_test.go
+++ b/internal/proxy/regionlink_test.go
@@ -47,7 +47,7 @@
 		f.proxy.SetTopology(twoRegions)
 		f.proxy.Nodes.Store(routers)
 		config := testConfig(t, 2)
-		config.Match("app.example", "/safe/").Class = routing.BulkDown
+		config.Match("app.example", "/safe/").Class = routing.BulkDownload
 		assert.Assert(t, f.proxy.Use(config))
 		// The routers' first sends are spaced evenly here instead of randomly, so that the result
 		// does not depend on chance.
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -16,7 +16,7 @@
 func (p *Proxy) SetTopology(zoneMap topology.Map) {
 	p.fleet.topology = zoneMap
 	p.fleet.crossing = singleRegionPolicy
-	if zoneMap.Regions() > 1 {
+	if zoneMap.RegionCount() > 1 {
 		p.fleet.crossing = multiRegionPolicy
 	}
 }
--- a/internal/proxy/swaps.go
+++ b/internal/proxy/swaps.go
@@ -54,7 +54,7 @@
 	locate func(routing.ServiceName) serviceLocation) routing.ServiceName {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, part := range route.Parts {
+	for _, part := range route.Services {
 		if part.Weight <= 0 || isKeyed(part.Service) == isKeyed(picked) {
 			continue
 		}
@@ -81,7 +81,7 @@
 func (c *call) selectService(active *activeConfig) *routing.Service {
 	picked := active.splitter.Pick(c.route)
 	fleet := c.proxy.fleet
-	if len(c.route.Parts) > 1 && fleet.topology.Regions() > 1 && !c.regionBound() && isBulk(c.route.Class, fleet.sizes.expected(c.route)) {
+	if len(c.route.Services) > 1 && fleet.topology.RegionCount() > 1 && !c.regionBound() && isBulk(c.route.Class, fleet.sizes.expected(c.route)) {
 		isKeyed := func(name routing.ServiceName) bool { return c.config.Services[name].Keyed }
 		picked = active.swaps.pick(c.route, picked, isKeyed, c.locateService)
 	}
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -26,7 +26,7 @@
 		"pool without weight": {[2]int{1, 0}, 2100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			route := &routing.Route{Parts: []routing.Part{{Service: "keyed", Weight: test.weights[0]}, {Service: "pool", Weight: test.weights[1]}}}
+			route := &routing.Route{Services: []routing.WeightedService{{Service: "keyed", Weight: test.weights[0]}, {Service: "pool", Weight: test.weights[1]}}}
 			splitter := routing.NewSplitter(func(int) int { return 0 })
 			s := newSwaps()
 			toKeyed, crossed := 0, 0
@@ -63,8 +63,8 @@
 	f.proxy.SetTopology(twoRegions)
 	config := testConfig(t, 2)
 	route := config.Match("app.example", "/safe/")
-	route.Class = routing.BulkDown
-	route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}
+	route.Class = routing.BulkDownload
+	route.Services = []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}
 	assert.Assert(t, f.proxy.Use(config))
 	half := owner.KeyCount / 2
 	f.proxy.Table.Replace(1, "keyed", []owner.Owner{
@@ -86,7 +86,7 @@
 // is moving would wait there although the pool that it was assigned to is free.
 func TestSwapsRequireServableRequests(t *testing.T) {
 	isKeyed := func(name routing.ServiceName) bool { return name == "keyed" }
-	route := &routing.Route{Parts: []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
+	route := &routing.Route{Services: []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
 	for name, test := range map[string]struct {
 		dealt       routing.ServiceName
 		keyed, pool serviceLocation
@@ -133,8 +133,8 @@
 			f.proxy.SetTopology(twoRegions)
 			config := testConfig(t, 2)
 			route := config.Match("app.example", "/safe/")
-			route.Class = routing.BulkDown
-			route.Parts = []routing.Part{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
+			route.Class = routing.BulkDownload
+			route.Services = []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 99}}
 			assert.Assert(t, f.proxy.Use(config))
 			if test.owner != "" {
 				f.proxy.Table.Replace(1, "keyed", []owner.Owner{{Keys: owner.KeyRange{From: 0, To: owner.KeyCount - 1}, Worker: test.owner}})
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -15,7 +15,7 @@
 	if random >= b.throttle.Share(now) {
 		return false
 	}
-	b.throttle.Refused(now)
+	b.throttle.RecordRefused(now)
 	return true
 }
 
@@ -23,15 +23,15 @@
 func (b *backend) recordThrottleResult(now time.Time, result *upstream.Result) {
 	switch result.Outcome {
 	case upstream.Answered, upstream.Late:
-		b.throttle.Sent(now, true)
+		b.throttle.RecordSent(now, true)
 	case upstream.TurnedAway:
-		b.throttle.Sent(now, false)
+		b.throttle.RecordSent(now, false)
 	case upstream.NotRun:
 		if result.Status != http.StatusMisdirectedRequest && !result.Load.Idle(result.Loaded) {
-			b.throttle.Sent(now, false)
+			b.throttle.RecordSent(now, false)
 		}
 	case upstream.Broken:
-		b.throttle.Sent(now, result.Status != 0 || result.Took > rejectionResetWindow)
+		b.throttle.RecordSent(now, result.Status != 0 || result.Took > rejectionResetWindow)
 	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // independent of the worker's capacity
 	}
 }
@@ -41,12 +41,12 @@
 func (b *backend) refusalShare(now time.Time) (share float64, rejecting bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.throttle.Share(now), b.throttle.Short(now)
+	return b.throttle.Share(now), b.throttle.HasRecentRejection(now)
 }
 
 // recordThrottled counts a request that is refused without sending it to the worker.
 func (b *backend) recordThrottled(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.throttle.Refused(now)
+	b.throttle.RecordRefused(now)
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -31,9 +31,9 @@
 }
 
 // leave lets the standby renew one run of keys for some time after a stamp of its own.
-func leave(stamp, left time.Duration) *peerlink.Mandate {
+func leave(stamp, left time.Duration) *peerlink.Delegation {
 	holds := []owner.Hold{{Keys: owner.KeyRange{From: 0, To: 9}, Target: owner.Target{ID: "w", Address: "a:1"}, Fence: 7}}
-	return &peerlink.Mandate{
+	return &peerlink.Delegation{
 		Stamp: stamp.Milliseconds(), RemainingMillis: left.Milliseconds(),
 		Services: []peerlink.ServiceHolds{peerlink.EncodeHolds("s", 5, holds)},
 	}
@@ -41,19 +41,19 @@
 
 func TestAStandbyRenewsWithinItsLeave(t *testing.T) {
 	for name, c := range map[string]struct {
-		mandate *peerlink.Mandate
+		mandate *peerlink.Delegation
 		then    func(s *Standby)
 		least   int32
 		most    int32
 	}{
 		"the leader is heard":        {mandate: leave(time.Second, 6*time.Second), then: func(*Standby) {}},
-		"the leader is lost":         {mandate: leave(time.Second, 6*time.Second), then: (*Standby).Lost, least: 5, most: 8},
-		"little is left":             {mandate: leave(time.Second, time.Second), then: (*Standby).Lost, least: 1, most: 1},
-		"told long after its stamp":  {mandate: leave(time.Millisecond, time.Second), then: (*Standby).Lost},
-		"no standby":                 {then: (*Standby).Lost},
-		"asked to stop":              {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); s.Stop(4) }},
-		"suspended beyond its leave": {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); clock.Suspend(7 * time.Second) }},
-		"found again":                {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.Lost(); s.Heard(3, nil) }},
+		"the leader is lost":         {mandate: leave(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
+		"little is left":             {mandate: leave(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
+		"told long after its stamp":  {mandate: leave(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
+		"no standby":                 {then: (*Standby).LeaderLost},
+		"asked to stop":              {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
+		"suspended beyond its leave": {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
+		"found again":                {mandate: leave(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -65,7 +65,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				go s.Run(ctx)
 				time.Sleep(time.Second)
-				s.Heard(3, c.mandate)
+				s.HandleUpdate(3, c.mandate)
 				c.then(s)
 				time.Sleep(15 * time.Second)
 				stop()
@@ -83,11 +83,11 @@
 		defer log.Close()
 		s := New(&counting{}, owner.DefaultConfig(10*time.Second), log)
 		var report peerlink.Report
-		s.Tell(&report)
+		s.AddToReport(&report)
 		assert.Assert(t, report.Empty(), "it is no standby")
 		time.Sleep(time.Second)
-		s.Heard(3, leave(time.Second, time.Second))
-		s.Tell(&report)
+		s.HandleUpdate(3, leave(time.Second, time.Second))
+		s.AddToReport(&report)
 		assert.Equal(t, report.Stamp, int64(1000))
 		assert.Equal(t, report.HoldVersions["s"], uint64(5))
 	})
