--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -37,8 +37,8 @@
 	unreadBodyTimeout = time.Second
 )
 
-// cleanupList holds the functions that release a request's body memory. A second copy of the
-// request may end after the request itself.
+// cleanupList holds the functions that release a request's body memory and other resources. A second
+// copy of the request may end after the request itself.
 type cleanupList struct {
 	mu      sync.Mutex
 	pending []func()
@@ -75,8 +75,8 @@
 	}
 }
 
-// answerBuffering returns the maximum length of an answer that is held back until it is complete,
-// and for how long it is held back.
+// answerBuffering returns the maximum length in bytes of an answer that is held back until it is
+// complete, and for how long it is held back; zero means until the end of the send.
 func (c *call) answerBuffering() (maxBytes int64, maxDelay time.Duration) {
 	if c.route.Class == routing.BulkDownload {
 		return maxBufferedDownload, time.Duration(downloadBufferShare * float64(c.route.Target))
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -44,8 +44,8 @@
 	return fingerprint
 }
 
-// quarantineRun identifies the request and its caller.
-func (c *call) quarantineRun() quarantine.CallerRequest {
+// callerRequest returns the fingerprint of the request and its caller.
+func (c *call) callerRequest() quarantine.CallerRequest {
 	return quarantine.CallerRequest{Request: c.fingerprint(), Caller: callerAddress(c.request.RemoteAddr)}
 }
 
@@ -59,12 +59,13 @@
 }
 
 // endEvidence returns what the result of a send shows about its worker's process: whether the
-// request was cut off, whether the worker closed the connection, and whether the worker has ended.
-func endEvidence(result *upstream.Result) (cutOff, closed, ended bool) {
+// request was interrupted, whether the worker closed the connection, and whether the worker has
+// ended.
+func endEvidence(result *upstream.Result) (interrupted, closed, ended bool) {
 	closed = result.Outcome == upstream.Broken && closedByPeer(result.Err)
-	cutOff = closed || (result.Written && (result.Outcome == upstream.Late || result.Outcome == upstream.Gone || result.Outcome == upstream.BodyCut))
+	interrupted = closed || (result.Written && (result.Outcome == upstream.Late || result.Outcome == upstream.Gone || result.Outcome == upstream.BodyCut))
 	ended = result.Outcome == upstream.Misdirected || (result.Outcome == upstream.NotSent && errors.Is(result.Err, syscall.ECONNREFUSED))
-	return cutOff, closed, ended
+	return interrupted, closed, ended
 }
 
 // closedByPeer reports whether an error means that the peer closed the connection.
@@ -81,14 +82,14 @@
 // requests were in progress there. That includes requests that timed out here: they may still run,
 // and crash the worker.
 func (c *call) recordWorkerEnd(to *backend, result *upstream.Result) {
-	cutOff, closed, ended := endEvidence(result)
+	interrupted, closed, ended := endEvidence(result)
 	if ended {
 		c.proxy.workerEnded(to, false)
 	}
-	if !cutOff {
+	if !interrupted {
 		return
 	}
-	if to.recordCutOff(clock.Now(), c.attempt()) {
+	if to.recordInterrupted(clock.Now(), c.attempt()) {
 		c.proxy.recordSuspect(to, c.attempt())
 	}
 	if !closed {
@@ -102,15 +103,15 @@
 }
 
 // recordCutOff records a request that was sent and got no complete answer. It returns true if the
-// worker is known to have ended, so that its end cut the request off.
-func (b *backend) recordCutOff(now time.Time, attempt quarantine.Attempt) bool {
+// worker is known to have ended, so that its end interrupted the request.
+func (b *backend) recordInterrupted(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.witness.RecordInterrupted(now, attempt)
 }
 
-// recordEnd records that the worker has ended. It returns the requests that were cut off by that;
-// first is false if the end was already known.
+// recordEnd records that the worker has ended. It returns the requests that were interrupted by
+// that; first is false if the end was already known.
 func (b *backend) recordEnd(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,11 +174,11 @@
 // wasServing reports whether a worker is announced as ready. For a worker that has restarted since,
 // it reports whether the previous incarnation was.
 func (p *Proxy) wasServing(to *backend) bool {
-	life := to.info().Incarnation()
-	worker, announced := p.fleet.directory.Get(life.ID)
-	if announced && life.StartTime != 0 && worker.StartTime != life.StartTime {
-		worker, announced = p.fleet.directory.PreviousIncarnation(life.ID)
-		announced = announced && worker.StartTime == life.StartTime
+	incarnation := to.info().Incarnation()
+	worker, announced := p.fleet.directory.Get(incarnation.ID)
+	if announced && incarnation.StartTime != 0 && worker.StartTime != incarnation.StartTime {
+		worker, announced = p.fleet.directory.PreviousIncarnation(incarnation.ID)
+		announced = announced && worker.StartTime == incarnation.StartTime
 	}
 	return announced && worker.State == workers.StateReady
 }
@@ -187,8 +188,8 @@
 	now := clock.Now()
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
-	life := to.info().Incarnation()
-	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: life.ID, Born: life.StartTime, At: now}) {
+	incarnation := to.info().Incarnation()
+	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: incarnation.ID, Born: incarnation.StartTime, At: now}) {
 		LogQuarantined(p.Log, quarantined)
 	}
 }
@@ -212,7 +213,7 @@
 	if !c.proxy.Suspects.AnyRestricted() {
 		return quarantine.Unsuspected
 	}
-	return c.proxy.Suspects.Standing(c.quarantineRun())
+	return c.proxy.Suspects.Standing(c.callerRequest())
 }
 
 // refuseIfQuarantined refuses the request if it is quarantined. It returns false if the request may
@@ -228,7 +229,7 @@
 // clearSuspect reports that a suspected request was answered without a server error.
 func (c *call) clearSuspect(result *upstream.Result) {
 	if result.Outcome == upstream.Answered && result.Status < http.StatusInternalServerError && c.standing() != quarantine.Unsuspected {
-		c.proxy.Suspects.RecordSuccess(clock.Now(), c.quarantineRun())
+		c.proxy.Suspects.RecordSuccess(clock.Now(), c.callerRequest())
 	}
 }
 
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -145,7 +145,7 @@
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // never fails
 	p.fleet.isBlocked = p.isBlocked
-	p.fleet.onIncarnationEnd = func(before *backend) { p.workerEnded(before, false) }
+	p.fleet.onIncarnationEnd = func(previous *backend) { p.workerEnded(previous, false) }
 	return p
 }
 
