--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -22,43 +22,43 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// obeying are workers that do every order at once.
-type obeying struct {
+// obeyingWorkers simulates workers that execute every order at once.
+type obeyingWorkers struct {
 	mu     sync.Mutex
 	grants map[workers.ID][]owner.Grant
-	// leaving says that it leaves.
+	// leaving is a worker that reports that it is leaving.
 	leaving workers.ID
 }
 
-func (o *obeying) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
+func (o *obeyingWorkers) Grant(_ context.Context, to owner.Target, grant owner.Grant) owner.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.grants[to.ID] = append(o.grants[to.ID], grant)
 	return owner.Reply{Outcome: owner.OutcomeDone, Leaving: to.ID == o.leaving}
 }
 
-func (o *obeying) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
+func (o *obeyingWorkers) Release(context.Context, owner.Target, owner.KeyRange, owner.Fence) owner.Reply {
 	return owner.Reply{Outcome: owner.OutcomeDone, Handover: "h"}
 }
 
-// bench is a keeper with all that it needs.
-type bench struct {
+// testBench is a keeper with its dependencies.
+type testBench struct {
 	t        *testing.T
 	store    *memory.Store
 	election *election.Election
 	keeper   *Keeper
-	orders   *obeying
+	orders   *obeyingWorkers
 	count    int
 }
 
-func (b *bench) nonce() string {
+func (b *testBench) nonce() string {
 	b.count++
 	return fmt.Sprintf("nonce-%d", b.count)
 }
 
-func play(t *testing.T, run func(b *bench)) {
+func runBench(t *testing.T, run func(b *testBench)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{t: t, store: memory.New(), orders: &obeying{grants: map[workers.ID][]owner.Grant{}}}
+		b := &testBench{t: t, store: memory.New(), orders: &obeyingWorkers{grants: map[workers.ID][]owner.Grant{}}}
 		config, err := routing.Build(1, nil, map[routing.ServiceName]*routing.Service{"s": {Name: "s", Keyed: true}}, routing.Limits{})
 		assert.NilError(t, err)
 		store := memory.TimeoutStore{Store: b.store, CommitTimeout: time.Second}
@@ -79,7 +79,7 @@
 }
 
 // announce replaces the list of workers.
-func (b *bench) announce(ids ...workers.ID) {
+func (b *testBench) announce(ids ...workers.ID) {
 	var list []workers.Worker
 	for _, id := range ids {
 		list = append(list, workers.Worker{ID: id, Service: "s", Address: string(id), Slots: 2, State: workers.StateReady})
@@ -87,8 +87,8 @@
 	b.keeper.Workers.Replace(list, nil, time.Now())
 }
 
-// lead leads for some time.
-func (b *bench) lead(length time.Duration, meanwhile func()) {
+// lead lets the keeper lead for some time, and runs meanwhile concurrently.
+func (b *testBench) lead(length time.Duration, meanwhile func()) {
 	tenure, err := b.election.Campaign(b.t.Context(), 0)
 	assert.NilError(b.t, err)
 	ctx, cancel := context.WithTimeout(b.t.Context(), length)
@@ -101,10 +101,10 @@
 	limited, stop := context.WithTimeout(b.t.Context(), time.Second)
 	defer stop()
 	tenure.Resign(limited)
-	time.Sleep(3 * time.Second) // all that was under way ends
+	time.Sleep(3 * time.Second) // pending calls end
 }
 
-func (b *bench) owner(key int) workers.ID {
+func (b *testBench) owner(key int) workers.ID {
 	held, known := b.keeper.Table.Lookup("s", key)
 	if !known || held.Moving {
 		return ""
@@ -112,7 +112,7 @@
 	return held.Worker
 }
 
-func (b *bench) stored() []owner.Owner {
+func (b *testBench) stored() []owner.Owner {
 	item, found, err := b.store.Get(b.t.Context(), RecordKey("cell/", "s"))
 	assert.NilError(b.t, err)
 	assert.Assert(b.t, found)
@@ -121,8 +121,8 @@
 	return owners
 }
 
-func TestKeysGetOwnersAndTheRecordNamesThem(t *testing.T) {
-	play(t, func(b *bench) {
+func TestInitialOwnersAreStored(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(4*time.Second, nil)
 		assert.Equal(t, b.owner(0), workers.ID("w1"))
 		assert.Equal(t, b.owner(owner.KeyCount-1), workers.ID("w2"))
@@ -130,11 +130,11 @@
 	})
 }
 
-func TestNoGrantGoesOutBeforeItsRecordIsStored(t *testing.T) {
-	play(t, func(b *bench) {
+func TestNoGrantBeforeRecordIsStored(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.store.LoseAnswers(0, 0)
 		b.lead(4*time.Second, func() {
-			time.Sleep(time.Second) // before the first owners are chosen
+			time.Sleep(time.Second) // before the initial owners are assigned
 			b.store.SetDown(true)
 			time.Sleep(700 * time.Millisecond)
 			b.orders.mu.Lock()
@@ -145,12 +145,12 @@
 	})
 }
 
-func TestALostAnswerOfARecordWriteIsResolved(t *testing.T) {
-	for _, late := range []time.Duration{0, 500 * time.Millisecond} {
-		play(t, func(b *bench) {
+func TestLostRecordWriteResponseIsResolved(t *testing.T) {
+	for _, delay := range []time.Duration{0, 500 * time.Millisecond} {
+		runBench(t, func(b *testBench) {
 			b.lead(8*time.Second, func() {
 				time.Sleep(100 * time.Millisecond)
-				b.store.LoseAnswers(1, late)
+				b.store.LoseAnswers(1, delay)
 			})
 			assert.Equal(t, b.owner(0), workers.ID("w1"))
 			assert.Equal(t, len(b.stored()), 2)
@@ -158,19 +158,19 @@
 	}
 }
 
-func TestTheNextLeaderRenewsWhatIsHeld(t *testing.T) {
-	play(t, func(b *bench) {
+func TestNextLeaderRenewsHolds(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(4*time.Second, nil)
 		before := len(b.orders.grants["w1"])
 		b.announce("w1", "w2", "w3")
 		b.lead(2*time.Second, nil)
 		assert.Assert(t, len(b.orders.grants["w1"]) > before)
-		assert.Equal(t, len(b.orders.grants["w3"]), 0, "nothing moves without a load that asks for it")
+		assert.Equal(t, len(b.orders.grants["w3"]), 0, "no keys move without load")
 	})
 }
 
-func TestALeavingWorkersKeysMove(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysOfRemovedWorkerMove(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(10*time.Second, func() {
 			time.Sleep(5 * time.Second)
 			b.announce("w1")
@@ -184,8 +184,8 @@
 	})
 }
 
-func TestKeysLeaveAnEvacuatedZone(t *testing.T) {
-	play(t, func(b *bench) {
+func TestKeysMoveOutOfEvacuatedZone(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		near := workers.Worker{ID: "w1", Service: "s", Address: "w1", Zone: "near", Slots: 2, State: workers.StateReady}
 		far := workers.Worker{ID: "w2", Service: "s", Address: "w2", Zone: "far", Slots: 2, State: workers.StateReady}
 		b.keeper.Workers.Replace([]workers.Worker{near, far}, nil, time.Now())
@@ -200,7 +200,7 @@
 			b.keeper.Workers.SetEvacuated([]string{"near", "far"}, time.Now())
 			time.Sleep(2 * time.Second)
 			for _, key := range keys {
-				assert.Equal(t, b.owner(key), workers.ID("w2"), "no worker is left elsewhere")
+				assert.Equal(t, b.owner(key), workers.ID("w2"), "no other zone has workers")
 			}
 		})
 		for _, held := range b.stored() {
@@ -209,18 +209,18 @@
 	})
 }
 
-// A cold worker bears a rate that its slots do not show.
-func TestAColdWorkerIsTakenToBearLittle(t *testing.T) {
+// While a worker is cold, the rate that it can run is less than its slots suggest.
+func TestColdWorkerHasReducedCapacity(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
 		warmAt   time.Time
 		coldRate float64
 		want     float64
 	}{
-		"warm":                     {warmAt: now, coldRate: 4, want: 25},
-		"cold, bears any number":   {warmAt: now.Add(time.Second), want: 12.5},
-		"cold, bears a few":        {warmAt: now.Add(time.Second), coldRate: 4, want: 4},
-		"cold, bears more than is": {warmAt: now.Add(time.Second), coldRate: 40, want: 12.5},
+		"warm":                               {warmAt: now, coldRate: 4, want: 25},
+		"cold, no cold rate":                 {warmAt: now.Add(time.Second), want: 12.5},
+		"cold, cold rate below its capacity": {warmAt: now.Add(time.Second), coldRate: 4, want: 4},
+		"cold, cold rate above its capacity": {warmAt: now.Add(time.Second), coldRate: 40, want: 12.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			of := newService("s")
@@ -231,11 +231,12 @@
 	}
 }
 
-// Nobody asked for the keys of a worker that said that it leaves, and they stayed.
-func TestKeysLeaveAWorkerThatSaysToALeaderThatItLeaves(t *testing.T) {
-	play(t, func(b *bench) {
+// A worker that receives no requests reports that it is leaving only in its replies to the leader's
+// orders. Without handling those, its keys stayed with it.
+func TestKeysMoveFromWorkerThatReportsLeaving(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.orders.leaving = "w1"
-		b.keeper.OnWorkerLeaving = func(life workers.Incarnation) { b.keeper.Workers.MarkLeaving(life, time.Now()) }
+		b.keeper.OnWorkerLeaving = func(incarnation workers.Incarnation) { b.keeper.Workers.MarkLeaving(incarnation, time.Now()) }
 		b.lead(6*time.Second, nil)
 		for _, held := range b.stored() {
 			assert.Equal(b.t, held.Worker, workers.ID("w2"))
@@ -243,26 +244,26 @@
 	})
 }
 
-func TestAWorkerThatAsksRoutersForBackoffsIsTakenToBearLess(t *testing.T) {
-	play(t, func(b *bench) {
-		t := &tenancy{Keeper: b.keeper}
+func TestBackoffsReduceCapacity(t *testing.T) {
+	runBench(t, func(b *testBench) {
+		t := &tenureKeeper{Keeper: b.keeper}
 		of, now := newService("s"), time.Now()
 		worker, _ := b.keeper.Workers.Get("w1")
 		before := t.candidate(now, of, worker)
-		of.backedOff(now, "w1", 1, 3*time.Second) // the only router there is
+		of.addBackoffs(now, "w1", 1, 3*time.Second) // the only router there is
 		during := t.candidate(now.Add(time.Second), of, worker)
-		assert.Equal(b.t, during.Capacity, leastCapacity*before.Capacity)
+		assert.Equal(b.t, during.Capacity, minCapacityShare*before.Capacity)
 		assert.Assert(b.t, during.Limited && during.Cold)
 		later := t.candidate(now.Add(4*time.Second), of, worker)
 		assert.Equal(b.t, later.Capacity, before.Capacity)
-		assert.Assert(b.t, !later.Limited && later.Cold, "most ask again: it gets no more keys for now")
+		assert.Assert(b.t, !later.Limited && later.Cold, "most workers request another backoff, so it gets no more keys for now")
 		assert.Equal(b.t, t.candidate(now.Add(time.Minute), of, worker), before)
 		assert.Equal(b.t, len(of.backoffs), 0)
 	})
 }
 
-func TestAnOutageMovesNothingAndRenewsForAWhile(t *testing.T) {
-	play(t, func(b *bench) {
+func TestOutageMovesNoKeysAndKeepsRenewing(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		b.lead(8*time.Second, func() {
 			time.Sleep(4 * time.Second)
 			b.store.SetDown(true)
@@ -272,7 +273,7 @@
 			b.orders.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			b.orders.mu.Lock()
-			assert.Assert(t, len(b.orders.grants["w2"]) > before, "its keys are still renewed")
+			assert.Assert(t, len(b.orders.grants["w2"]) > before, "the holds of its keys must still be renewed")
 			b.orders.mu.Unlock()
 			assert.Equal(t, b.owner(owner.KeyCount-1), workers.ID("w2"))
 			b.store.SetDown(false)
@@ -280,18 +281,18 @@
 	})
 }
 
-// A process that has just started may lead by a list of which others had lapsed while
-// the store was away.
-func TestANewLeaderWaitsForEntriesThatMayHaveLapsed(t *testing.T) {
+// A process that has just started may lead with a list of workers in which entries are missing that
+// expired while the store was unreachable.
+func TestNewLeaderWaitsForExpiredEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		lead time.Duration
 		want workers.ID
 	}{
-		"at first":              {lead: 2 * time.Second, want: "w2"},
-		"when all had the time": {lead: 5 * time.Second, want: "w1"},
+		"at first":               {lead: 2 * time.Second, want: "w2"},
+		"after the grace period": {lead: 5 * time.Second, want: "w1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				b.lead(4*time.Second, nil)
 				b.keeper.Workers = workers.NewDirectory()
 				b.announce("w1")
@@ -302,29 +303,29 @@
 	}
 }
 
-// Suspected on trouble-3 of tawila-gw-large: the leader renewed its lease, but what it
-// followed in the service did not come, and all relied on it.
-func TestALeaderThatReadsNothingSaysSo(t *testing.T) {
+// Guards against a leader that still renews its lease but no longer receives the changes that it
+// follows in the key-value service, while all other processes rely on it.
+func TestStoreUnreachable(t *testing.T) {
 	for name, test := range map[string]struct {
 		readBefore, leaseBefore time.Duration
 		unknown                 bool
-		deaf                    bool
+		unreachable             bool
 	}{
-		"all well":                     {readBefore: 1500 * time.Millisecond},
-		"a watch was lost":             {readBefore: unreadAfter + time.Millisecond, deaf: true},
-		"no renewal was answered":      {leaseBefore: deafAfter + time.Millisecond, deaf: true},
-		"what was read is not counted": {unknown: true},
+		"store is reachable":      {readBefore: 1500 * time.Millisecond},
+		"a watch was dropped":     {readBefore: staleAfter + time.Millisecond, unreachable: true},
+		"no renewal was answered": {leaseBefore: storeTimeout + time.Millisecond, unreachable: true},
+		"sync time unknown":       {unknown: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				tenure, err := b.election.Campaign(b.t.Context(), 0)
 				assert.NilError(t, err)
 				if !test.unknown {
 					read := time.Now().Add(test.leaseBefore - test.readBefore)
 					b.keeper.SyncedAt = func() time.Time { return read }
 				}
-				one := &tenancy{Keeper: b.keeper, tenure: tenure}
-				assert.Equal(t, one.deaf(time.Now().Add(test.leaseBefore)), test.deaf)
+				one := &tenureKeeper{Keeper: b.keeper, tenure: tenure}
+				assert.Equal(t, one.storeUnreachable(time.Now().Add(test.leaseBefore)), test.unreachable)
 			})
 		})
 	}
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -6,23 +6,23 @@
 	{
 		name: "routers-do-not-read-that-a-worker-leaves",
 		file: "internal/upstream/notice.go",
-		old:  "SaysLeaving(response.Header.Values(h.Leaving))",
-		new:  "SaysLeaving(nil)",
+		old:  "ParseLeaving(response.Header.Values(h.Leaving))",
+		new:  "ParseLeaving(nil)",
 		pkg:  "./platform/session", test: "TestAWorkerThatSaysInAnswersThatItLeavesGetsNoMoreRequests",
 	},
 	{
 		name: "entry-ends-a-workers-word",
 		file: "internal/workers/workers.go",
-		old:  "	d.noteLeaving()\n	for id, worker := range d.byID {",
+		old:  "	d.applyLeaving()\n	for id, worker := range d.byID {",
 		new:  "	for id, worker := range d.byID {",
-		pkg:  "./internal/workers", test: "TestWhatDoesNotEndAWorkersOwnWordThatItLeaves",
+		pkg:  "./internal/workers", test: "TestLeavingEndsOnlyWithTheIncarnation",
 	},
 	{
 		name: "word-of-one-life-counts-for-another",
 		file: "internal/workers/leaving.go",
-		old:  "if !announced || !life.MayEqual(worker.Incarnation()) {",
+		old:  "if !announced || !incarnation.MayEqual(worker.Incarnation()) {",
 		new:  "if !announced {",
-		pkg:  "./internal/workers", test: "TestWhatDoesNotEndAWorkersOwnWordThatItLeaves",
+		pkg:  "./internal/workers", test: "TestLeavingEndsOnlyWithTheIncarnation",
 	},
 	{
 		name: "later-departure-replaces-the-first",
@@ -48,8 +48,8 @@
 	{
 		name: "orders-do-not-tell-that-a-worker-leaves",
 		file: "platform/orders.go",
-		old:  "upstream.SaysLeaving(response.Header.Values(leavingHeader))",
-		new:  "upstream.SaysLeaving(nil)",
+		old:  "upstream.ParseLeaving(response.Header.Values(leavingHeader))",
+		new:  "upstream.ParseLeaving(nil)",
 		pkg:  "./platform", test: "TestOrdersTellThatTheirWorkerLeaves",
 	},
 	{
@@ -97,9 +97,9 @@
 	{
 		name: "leader-does-not-count-backoffs",
 		file: "internal/keeper/service.go",
-		old:  "	if backoffs := of.backoffs[worker.ID]; backoffs != nil {",
-		new:  "	if backoffs := of.backoffs[worker.ID]; backoffs != nil && false {",
-		pkg:  "./internal/keeper", test: "TestAWorkerThatAsksRoutersForBackoffsIsTakenToBearLess",
+		old:  "	if backoffs := svc.backoffs[worker.ID]; backoffs != nil {",
+		new:  "	if backoffs := svc.backoffs[worker.ID]; backoffs != nil && false {",
+		pkg:  "./internal/keeper", test: "TestBackoffsReduceCapacity",
 	},
 	{
 		name: "keys-of-a-limited-worker-overload-another",
@@ -125,8 +125,8 @@
 	{
 		name: "slow-worker-is-never-asked-again",
 		file: "internal/estimate/latency.go",
-		old:  "	kept := math.Exp(-silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
-		new:  "	kept := math.Exp(0 * -silent.Seconds() / meanMemory.Seconds())\n	return toDuration((latencyPrior",
+		old:  "	decay := math.Exp(-idle.Seconds() / meanDecay.Seconds())\n	return toDuration((latencyPrior",
+		new:  "	decay := math.Exp(0 * -idle.Seconds() / meanDecay.Seconds())\n	return toDuration((latencyPrior",
 		pkg:  "./internal/proxy", test: "TestFormerlySlowWorkerIsTriedAgain",
 	},
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -97,7 +97,7 @@
 		c.refuse(http.StatusRequestEntityTooLarge, reasonBody, 0)
 		return false
 	}
-	small := length <= bodies.Small // or unknown
+	small := length <= bodies.MaxSmall // or unknown
 	spool := bodies.NewSpool(c.proxy.Room, small)
 	c.cleanups.add(spool.Free)
 	if !small && !c.awaitBodyMemory(spool) {
@@ -105,7 +105,7 @@
 	}
 	controller := http.NewResponseController(c.writer)
 	reader := c.limitBody(bodies.NewReader(body, c.deadline.Add(-answerMargin), controller), length)
-	whole, err := spool.Fill(reader, length, bodies.Small)
+	whole, err := spool.Fill(reader, length, bodies.MaxSmall)
 	if err == nil && !whole {
 		if small && !c.awaitBodyMemory(spool) {
 			return false
@@ -113,10 +113,10 @@
 		whole, err = spool.Fill(reader, length, maxBufferedBody)
 	}
 	switch {
-	case small && errors.Is(err, bodies.ErrNoRoom):
+	case small && errors.Is(err, bodies.ErrNoMemory):
 		c.giveUp(reasonBodiesFull, c.jitteredRetryAfter())
 		return false
-	case err != nil && !errors.Is(err, bodies.ErrNoRoom):
+	case err != nil && !errors.Is(err, bodies.ErrNoMemory):
 		c.refuseBodyError(err)
 		return false
 	}
@@ -134,7 +134,7 @@
 // awaitBodyMemory reserves memory for a large body. It returns false if it has already answered the
 // request.
 func (c *call) awaitBodyMemory(spool *bodies.Spool) bool {
-	if spool.Await(c.request.Context(), time.Duration(bodyMemoryWaitShare*float64(c.route.Target))) {
+	if spool.ReserveNext(c.request.Context(), time.Duration(bodyMemoryWaitShare*float64(c.route.Target))) {
 		c.proxy.uploads.Add(1)
 		c.cleanups.add(func() { c.proxy.uploads.Add(-1) })
 		return true
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -38,7 +38,7 @@
 	}
 	fingerprint := quarantine.Request{
 		Method: c.message.Method, Host: c.message.Host, URI: c.message.URI,
-		Body: c.message.Body.Start(maxFingerprintedBody), Length: c.message.Length,
+		Body: c.message.Body.Prefix(maxFingerprintedBody), Length: c.message.Length,
 	}.Fingerprint()
 	c.fingerprintCache.Store(&fingerprint)
 	return fingerprint
@@ -63,7 +63,7 @@
 // ended.
 func endEvidence(result *upstream.Result) (interrupted, closed, ended bool) {
 	closed = result.Outcome == upstream.Broken && closedByPeer(result.Err)
-	interrupted = closed || (result.Written && (result.Outcome == upstream.Late || result.Outcome == upstream.Gone || result.Outcome == upstream.BodyCut))
+	interrupted = closed || (result.Written && (result.Outcome == upstream.TimedOut || result.Outcome == upstream.ClientGone || result.Outcome == upstream.BodyTruncated))
 	ended = result.Outcome == upstream.Misdirected || (result.Outcome == upstream.NotSent && errors.Is(result.Err, syscall.ECONNREFUSED))
 	return interrupted, closed, ended
 }
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -163,7 +163,7 @@
 	f.proxy.workerEnded(to, false)
 	f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 	c := &call{proxy: f.proxy, request: httptest.NewRequest("GET", "/keyed/", nil), route: &routing.Route{Name: "keyed"}}
-	c.recordWorkerEnd(to, &upstream.Result{Outcome: upstream.Late, Written: true})
+	c.recordWorkerEnd(to, &upstream.Result{Outcome: upstream.TimedOut, Written: true})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if logged.count(decision.KindSuspect) > 0 {
 			return poll.Success()
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -117,8 +117,8 @@
 	Starting atomic.Bool
 	// Room bounds the memory of bodies in flight, and Turns the rate at which large ones use the
 	// link.
-	Room  *bodies.Room
-	Turns *bodies.Turns
+	Room  *bodies.MemoryBudget
+	Turns *bodies.LinkShaper
 	// DrainPeriod is for how long workers that are leaving may get requests.
 	DrainPeriod time.Duration
 	// EvacuationPeriod is for how long the workers of an evacuated zone may get requests.
@@ -141,7 +141,7 @@
 	ending, end := context.WithCancel(context.Background())
 	p := &Proxy{
 		fleet: newFleet(zone, directory, limits), Nodes: &atomic.Int32{}, Suspects: quarantine.NewView(),
-		Room: bodies.NewRoom(0), Turns: bodies.NewTurns(0), unread: newUnreadHeaders(), ending: ending, end: end,
+		Room: bodies.NewMemoryBudget(0), Turns: bodies.NewLinkShaper(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // never fails
 	p.fleet.isBlocked = p.isBlocked
@@ -231,7 +231,7 @@
 	c := &call{proxy: p, writer: writer, request: request.WithContext(ctx), began: clock.Now(), tried: map[workers.ID]bool{}, detach: detach}
 	defer c.cleanups.run()
 	c.message.ID = request.Header.Get(p.Headers.RequestID)
-	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.Small
+	c.bodyUnread = request.ContentLength < 0 || request.ContentLength > bodies.MaxSmall
 	if p.stopping.Load() {
 		writer.Header().Set("Connection", "close")
 	}
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -205,5 +205,5 @@
 	f.proxy.Headers.Limit = "X-Limit"
 	response, _ := f.get(t, "GET", "/safe/", "")
 	assert.Equal(t, response.Header.Get("X-Limit"), "2.5", "the header is forwarded to the caller")
-	assert.DeepEqual(t, limits.answers, []upstream.Limit{{Naming: upstream.Limited, PerSecond: 2.5}})
+	assert.DeepEqual(t, limits.answers, []upstream.Limit{{Status: upstream.Limited, PerSecond: 2.5}})
 }
--- a/internal/proxy/throttle.go
+++ b/internal/proxy/throttle.go
@@ -22,17 +22,17 @@
 // recordThrottleResult records whether the worker rejected a request. The caller holds mu.
 func (b *backend) recordThrottleResult(now time.Time, result *upstream.Result) {
 	switch result.Outcome {
-	case upstream.Answered, upstream.Late:
+	case upstream.Answered, upstream.TimedOut:
 		b.throttle.RecordSent(now, true)
-	case upstream.TurnedAway:
+	case upstream.ConnectionRejected:
 		b.throttle.RecordSent(now, false)
 	case upstream.NotRun:
-		if result.Status != http.StatusMisdirectedRequest && !result.Load.Idle(result.Loaded) {
+		if result.Status != http.StatusMisdirectedRequest && !result.Load.HasFreeSlot(result.HasLoad) {
 			b.throttle.RecordSent(now, false)
 		}
 	case upstream.Broken:
 		b.throttle.RecordSent(now, result.Status != 0 || result.Took > rejectionResetWindow)
-	case upstream.Misdirected, upstream.Gone, upstream.BodyCut, upstream.NotSent, upstream.Withheld: // independent of the worker's capacity
+	case upstream.Misdirected, upstream.ClientGone, upstream.BodyTruncated, upstream.NotSent, upstream.Withheld: // independent of the worker's capacity
 	}
 }
 
--- a/internal/proxy/unread.go
+++ b/internal/proxy/unread.go
@@ -66,7 +66,7 @@
 // values are neither stored nor logged.
 func (p *Proxy) countUnread(from workers.ID, headers http.Header) {
 	for name := range headers {
-		if commonHeaders[name] || p.Headers.Owns(name) {
+		if commonHeaders[name] || p.Headers.IsSystemHeader(name) {
 			continue
 		}
 		label, first := p.unread.record(workerHeader{from, name})
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -8,30 +8,31 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Defaults of what a bundle leaves out.
+// Defaults for values that a bundle does not set, and fixed values of routes.
 const (
-	// noDeadline holds requests of services without one.
-	noDeadline = 24 * time.Hour
-	// targetShare of the deadline is the time within which an answer is worth most.
-	targetShare = 4
-	// longestTarget bounds it for services with long deadlines.
-	longestTarget = time.Second
-	// attempts is the most workers that one request is sent to.
-	attempts       = 2
-	defaultBody    = 1 << 20
-	defaultQueue   = 256
-	defaultMoves   = 12
-	defaultRetries = 0.1
+	// defaultDeadline is the deadline of requests to services that set none.
+	defaultDeadline = 24 * time.Hour
+	// targetDivisor divides the deadline to get the target latency, within which a response has its
+	// highest value.
+	targetDivisor = 4
+	// maxTarget is the longest target latency, for services with long deadlines.
+	maxTarget = time.Second
+	// maxAttempts is the maximum number of workers to which one request is sent.
+	maxAttempts      = 2
+	defaultBodyBytes = 1 << 20
+	defaultQueue     = 256
+	defaultMoves     = 12
+	defaultRetries   = 0.1
 )
 
-// Compiled is what the routers need of all bundles in force.
+// Compiled is the configuration and the workers of all bundles in force, as routers use them.
 type Compiled struct {
 	Config  *routing.Config
 	Workers []workers.Worker
 }
 
-// Compile turns the teams' bundles into routes, services and workers. Its version
-// is the sum of theirs, which rises whenever one of them does.
+// Compile compiles the teams' bundles to routes, services and workers. The version of the
+// configuration is the sum of their versions, which rises whenever one of them does.
 func Compile(bundles []bundle.Bundle) (Compiled, error) {
 	var version routing.Version
 	var routes []*routing.Route
@@ -58,7 +59,7 @@
 	compiled := &routing.Service{
 		Name:       name,
 		Keyed:      service.Kind == bundle.KindKeyed,
-		BodyBytes:  orDefault(limits.MaxBodyBytes, defaultBody),
+		BodyBytes:  orDefault(limits.MaxBodyBytes, defaultBodyBytes),
 		Queue:      orDefault(limits.Queue, defaultQueue),
 		HedgeAfter: limits.HedgeAfter.Std(),
 		RetryRatio: orDefault(limits.RetryRatio, defaultRetries),
@@ -68,7 +69,7 @@
 	}
 	if compiled.Keyed {
 		compiled.Key = keyReader(service)
-		compiled.Placement = places(service)
+		compiled.Placement = partitionPlacement(service)
 		compiled.ChurnWeight = service.Placement.ChurnWeight
 		compiled.MovesPerMinute = orDefault(service.Placement.MovesPerMinute, defaultMoves)
 	}
@@ -86,7 +87,7 @@
 	name := routing.ServiceName(one.ServiceName(service))
 	deadline := service.Limits.Deadline.Std()
 	if deadline == 0 {
-		deadline = noDeadline
+		deadline = defaultDeadline
 	}
 	prefix := service.Route.PathPrefix
 	if prefix == "" {
@@ -97,14 +98,14 @@
 		Host:       service.Route.Host,
 		Prefix:     prefix,
 		Repeatable: service.Repeatable,
-		Class:      classes[service.Bodies],
+		Class:      bodyClasses[service.Bodies],
 		Public:     service.Public,
 		Open:       len(one.Tenants) == 0,
 		Scope:      routing.Scope(one.Team),
 		Regions:    compileRegions(service.Regions),
 		Timeout:    deadline,
-		Target:     min(deadline/targetShare, longestTarget),
-		Attempts:   attempts,
+		Target:     min(deadline/targetDivisor, maxTarget),
+		Attempts:   maxAttempts,
 		Services:   []routing.WeightedService{{Service: name, Weight: 1}},
 	}
 }
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -12,30 +12,29 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// block returns the numbers of the keys of one of a service's partitions, which
-// share all numbers evenly in the order of their names: a new order in the file
-// moves no key.
-func block(service bundle.Service, of bundle.PartitionName) (first, last int) {
+// keyBlock returns the range of key numbers of one partition of a service. The partitions share all
+// numbers evenly in the order of their names, so that reordering them in the file moves no key.
+func keyBlock(service bundle.Service, of bundle.PartitionName) (first, last int) {
 	names := make([]bundle.PartitionName, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
 		names = append(names, partition.Name)
 	}
 	slices.Sort(names)
-	place := slices.Index(names, of)
-	return place * owner.KeyCount / len(names), (place+1)*owner.KeyCount/len(names) - 1
+	index := slices.Index(names, of)
+	return index * owner.KeyCount / len(names), (index+1)*owner.KeyCount/len(names) - 1
 }
 
-// number returns the number of a key: in the block of its partition, by its hash.
-func number(service bundle.Service, key string) (int, bool) {
+// keyNumber returns the number of a key, chosen by its hash in the block of its partition.
+func keyNumber(service bundle.Service, key string) (int, bool) {
 	partition, found := service.PartitionOf(key)
 	if !found {
 		return 0, false
 	}
-	first, last := block(service, partition.Name)
+	first, last := keyBlock(service, partition.Name)
 	return first + int(xxh3.HashString(key)%uint64(last-first+1)), true
 }
 
-// keyReader returns how a request's key is read.
+// keyReader returns a function that reads the key number of a request.
 func keyReader(service bundle.Service) routing.KeyReader {
 	source := *service.Key
 	return func(request *http.Request) (int, bool) {
@@ -43,12 +42,11 @@
 		if !found {
 			return 0, false
 		}
-		return number(service, key)
+		return keyNumber(service, key)
 	}
 }
 
-// readKey finds the key's text. A path or a query that can be read in two ways
-// has none.
+// readKey returns the key string of a request. An ambiguous path or query has no key.
 func readKey(source bundle.KeySource, request *http.Request) (string, bool) {
 	var key string
 	switch {
@@ -74,10 +72,10 @@
 	return key, key != ""
 }
 
-// isAmbiguous reports whether a path has segments that a server may drop or join.
+// isAmbiguous reports whether a path has segments that a server may remove or merge.
 func isAmbiguous(segments []string) bool {
-	for place, segment := range segments {
-		last := place == len(segments)-1
+	for index, segment := range segments {
+		last := index == len(segments)-1
 		if segment == "." || segment == ".." || (segment == "" && !last) {
 			return true
 		}
@@ -87,21 +85,21 @@
 
 func parseQuery(request *http.Request) (map[string][]string, error) {
 	if strings.Contains(request.URL.RawQuery, ";") {
-		return nil, Error.New("the query can be read in two ways")
+		return nil, Error.New("the query contains a semicolon, which servers parse differently")
 	}
 	return request.URL.Query(), nil
 }
 
-// places returns the zones that may hold each block of keys.
-func places(service bundle.Service) []routing.PlacementRule {
+// partitionPlacement returns the zones that may hold each partition's block of keys.
+func partitionPlacement(service bundle.Service) []routing.PlacementRule {
 	list := make([]routing.PlacementRule, 0, len(service.Partitions))
 	for _, partition := range service.Partitions {
-		first, last := block(service, partition.Name)
-		place := routing.PlacementRule{From: first, To: last}
+		first, last := keyBlock(service, partition.Name)
+		rule := routing.PlacementRule{From: first, To: last}
 		for _, zone := range partition.Zones {
-			place.Zones = append(place.Zones, string(zone))
+			rule.Zones = append(rule.Zones, string(zone))
 		}
-		list = append(list, place)
+		list = append(list, rule)
 	}
 	slices.SortFunc(list, func(a, b routing.PlacementRule) int { return a.From - b.From })
 	return list
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,9 +1,9 @@
-// Package standby runs a process's part as a standby of the leader: it keeps what the
-// leader says is held, and renews it when the leader is lost, so that keys stay served
-// while the key-value service is away too and nobody else can lead.
+// Package standby implements a process's role as a standby of the leader: it stores the holds that
+// the leader reports, and renews them when the leader is lost, so that keys stay served if the
+// key-value service is unreachable too and no other process can lead.
 //
-// What may be renewed and until when is decided by owner.Standby; the next leader
-// learns from the key-value service which processes are standbys and asks them to stop.
+// owner.Standby decides what may be renewed and until when. The next leader reads from the key-value
+// service which processes are standbys and asks them to stop.
 package standby
 
 import (
@@ -20,91 +20,92 @@
 )
 
 const (
-	// tick is the pause between looks for renewals that are due.
+	// tick is the interval between checks for renewals that are due.
 	tick = 50 * time.Millisecond
 	// renewalTimeout bounds one renewal.
 	renewalTimeout = 600 * time.Millisecond
-	// patience is how long a leader is lost until its holds are renewed: another may
-	// lead at once.
-	patience = 400 * time.Millisecond
+	// renewalDelay is the delay between the loss of the leader and the first renewal: another process
+	// may become the leader at once.
+	renewalDelay = 400 * time.Millisecond
 )
 
-// Standby is safe for concurrent use.
+// Standby renews the holds of all services for a lost leader. It is safe for concurrent use.
 type Standby struct {
 	Orders owner.OrderSender
 	Times  owner.Config
 	Log    *decision.Log
-	// Workers are the announced workers; nil: their lives are not known.
+	// Workers are the announced workers. It is nil if their incarnations are not known.
 	Workers *workers.Directory
 
-	began time.Time
-	mu    sync.Mutex
-	// appointed says that the leader wants stamps.
-	appointed bool
-	lost      bool
-	lostAt    time.Time
-	// stopped is the term before which all leaves have ended.
-	stopped  owner.Term
-	services map[routing.ServiceName]*owner.Standby
-	renewing bool
+	startedAt time.Time
+	mu        sync.Mutex
+	// appointed is true if the leader has appointed this process and needs stamps in its reports.
+	appointed    bool
+	leaderLost   bool
+	leaderLostAt time.Time
+	// revokedTerm is the term before which all delegations are revoked.
+	revokedTerm owner.Term
+	services    map[routing.ServiceName]*owner.Standby
+	renewing    bool
 }
 
-// New returns a standby of no leader yet.
+// New returns a standby that has no leader yet.
 func New(orders owner.OrderSender, times owner.Config, log *decision.Log) *Standby {
 	return &Standby{
-		Orders: orders, Times: times, Log: log, began: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
+		Orders: orders, Times: times, Log: log, startedAt: clock.Now(), services: map[routing.ServiceName]*owner.Standby{},
 	}
 }
 
-// Heard takes what the leader of a term says; mandate is nil for all but standbys.
-func (s *Standby) HandleUpdate(term owner.Term, mandate *peerlink.Delegation) {
+// HandleUpdate handles an update from the leader of a term. delegation is nil unless this process is
+// one of its standbys.
+func (s *Standby) HandleUpdate(term owner.Term, delegation *peerlink.Delegation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.appointed = mandate != nil
-	s.stop(term)
-	s.setLost(false)
-	if mandate == nil || mandate.Stamp == 0 {
+	s.appointed = delegation != nil
+	s.revoke(term)
+	s.setLeaderLost(false)
+	if delegation == nil || delegation.Stamp == 0 {
 		return
 	}
-	left := time.Duration(mandate.Stamp+mandate.RemainingMillis) * time.Millisecond
-	until := s.began.Add(left)
-	for _, told := range mandate.Services {
-		holds, ok := told.Holds()
+	left := time.Duration(delegation.Stamp+delegation.RemainingMillis) * time.Millisecond
+	until := s.startedAt.Add(left)
+	for _, serviceHolds := range delegation.Services {
+		holds, ok := serviceHolds.Holds()
 		if !ok {
 			continue
 		}
-		s.of(told.Service).SetHolds(term, told.Version, holds, until)
+		s.forService(serviceHolds.Service).SetHolds(term, serviceHolds.Version, holds, until)
 	}
 	for _, service := range s.services {
 		service.ExtendUntil(term, until)
 	}
 }
 
-// of returns the standby of a service. The caller holds mu.
-func (s *Standby) of(service routing.ServiceName) *owner.Standby {
+// forService returns the standby of a service. The caller holds mu.
+func (s *Standby) forService(service routing.ServiceName) *owner.Standby {
 	known := s.services[service]
 	if known == nil {
 		known = owner.NewStandby(s.Times)
-		known.Revoke(s.stopped)
+		known.Revoke(s.revokedTerm)
 		s.services[service] = known
 	}
 	return known
 }
 
-// Lost tells that the leader is no longer heard.
+// LeaderLost records that no updates from the leader are received any more.
 func (s *Standby) LeaderLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appointed = false
-	s.setLost(true)
+	s.setLeaderLost(true)
 }
 
-// setLost is called with mu held.
-func (s *Standby) setLost(lost bool) {
-	if lost && !s.lost {
-		s.lostAt = clock.Now()
+// setLeaderLost records whether the leader is lost. The caller holds mu.
+func (s *Standby) setLeaderLost(lost bool) {
+	if lost && !s.leaderLost {
+		s.leaderLostAt = clock.Now()
 	}
-	s.lost = lost
+	s.leaderLost = lost
 	for _, service := range s.services {
 		if lost {
 			service.LeaderLost()
@@ -114,35 +115,36 @@
 	}
 }
 
-// Stop ends all that leaders before a term allowed, for good.
+// Revoke permanently revokes the delegations given by leaders before a term.
 func (s *Standby) Revoke(term owner.Term) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stop(term)
+	s.revoke(term)
 }
 
-func (s *Standby) stop(term owner.Term) {
-	s.stopped = max(s.stopped, term)
+func (s *Standby) revoke(term owner.Term) {
+	s.revokedTerm = max(s.revokedTerm, term)
 	for _, service := range s.services {
 		service.Revoke(term)
 	}
 }
 
-// Tell adds to a report what the leader of a standby needs.
+// AddToReport adds the stamp and the versions of known holds to a report, if this process is a
+// standby.
 func (s *Standby) AddToReport(report *peerlink.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.appointed {
 		return
 	}
-	report.Stamp = max(1, clock.Since(s.began).Milliseconds())
+	report.Stamp = max(1, clock.Since(s.startedAt).Milliseconds())
 	report.HoldVersions = map[routing.ServiceName]uint64{}
 	for name, service := range s.services {
 		report.HoldVersions[name] = service.HoldsVersion()
 	}
 }
 
-// Run renews what is due until ctx ends.
+// Run sends due renewals until ctx ends.
 func (s *Standby) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, tick)
@@ -154,12 +156,12 @@
 func (s *Standby) step(ctx context.Context, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if (!s.lost && !s.renewing) || (s.lost && now.Sub(s.lostAt) < patience) {
+	if (!s.leaderLost && !s.renewing) || (s.leaderLost && now.Sub(s.leaderLostAt) < renewalDelay) {
 		return
 	}
 	renewing := false
 	for name, service := range s.services {
-		s.tellLives(name, service)
+		s.observeIncarnations(name, service)
 		renewing = renewing || service.Renewing(now)
 		for _, renewal := range service.Due(now) {
 			go s.send(ctx, service, renewal)
@@ -171,8 +173,8 @@
 	}
 }
 
-// tellLives drops the holds of workers that have started again. The caller holds mu.
-func (s *Standby) tellLives(name routing.ServiceName, service *owner.Standby) {
+// observeIncarnations drops the holds of workers that have restarted. The caller holds mu.
+func (s *Standby) observeIncarnations(name routing.ServiceName, service *owner.Standby) {
 	if s.Workers == nil {
 		return
 	}
@@ -182,12 +184,12 @@
 	}
 }
 
-// send sends one renewal and takes its end.
+// send sends one renewal and handles its outcome.
 func (s *Standby) send(ctx context.Context, service *owner.Standby, renewal owner.Renewal) {
 	bounded, cancel := context.WithTimeout(ctx, renewalTimeout)
 	defer cancel()
 	reply := owner.Reply{Outcome: owner.OutcomeUnreachable}
-	if clock.Refresh() == 0 { // else it was decided before the machine was suspended
+	if clock.Refresh() == 0 { // otherwise the renewal predates a suspension of the machine
 		reply = s.Orders.Grant(bounded, renewal.Target, renewal.Grant)
 	}
 	s.mu.Lock()
