--- a/cmd/shalefork/explain.go
+++ b/cmd/shalefork/explain.go
@@ -53,11 +53,11 @@
 
 func choose(lines []explain.Line, request, around string) ([]explain.Line, error) {
 	if request != "" {
-		return explain.Course(lines, request), nil
+		return explain.TraceRequest(lines, request), nil
 	}
 	at, err := time.Parse(time.RFC3339, around)
 	if err != nil {
 		return nil, explain.Error.Wrap(err)
 	}
-	return explain.Around(lines, at), nil
+	return explain.StateAt(lines, at), nil
 }
--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -43,7 +43,7 @@
 }
 
 func (f *storeFlags) output() operator.Output {
-	return operator.Output{Result: os.Stdout, Complaint: os.Stderr, JSON: f.json}
+	return operator.Output{Result: os.Stdout, Errors: os.Stderr, JSON: f.json}
 }
 
 // run calls action with the key-value service, for as long as its patience lasts.
@@ -177,7 +177,7 @@
 	flags.attach(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
-			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ReadWorker}
+			announced := operator.WorkerEntries{Prefix: platform.WorkersPrefix, Parse: platform.ReadWorker}
 			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
 	}}
--- a/internal/bundle/tenant.go
+++ b/internal/bundle/tenant.go
@@ -15,10 +15,10 @@
 const (
 	// BodiesSmall are kept whole until they are passed on.
 	BodiesSmall Bodies = "small"
-	// BodiesBulkUp are large requests.
-	BodiesBulkUp Bodies = "bulk-up"
-	// BodiesBulkDown are large answers.
-	BodiesBulkDown Bodies = "bulk-down"
+	// BodiesBulkUpload are large requests.
+	BodiesBulkUpload Bodies = "bulk-up"
+	// BodiesBulkDownload are large answers.
+	BodiesBulkDownload Bodies = "bulk-down"
 )
 
 // KeyDigest is the SHA-256 of an API key, in 64 hexadecimal digits of lower case. A bundle never
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -96,7 +96,7 @@
 	}
 	l.told = now
 	for kind, count := range l.leftOut {
-		l.logger.Info().Str("kind", string(KindLeftOut)).Str("of", string(kind)).Int("lines", count).
+		l.logger.Info().Str("kind", string(KindLinesLeftOut)).Str("of", string(kind)).Int("lines", count).
 			Int64("dropped", l.writer.dropped.Load()).Msg("over the budget")
 	}
 	l.leftOut = map[Kind]int{}
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -80,7 +80,7 @@
 		fmt.Sprintf("A kind may take %d lines a second, %d at once; what is over that is\ncounted in `lines-left-out`. Requests that went as planned are only counted in the metrics.\n", linesPerSecond, burstLines) +
 		"This page is made from the code by a test of `internal/decision`.\n\n| kind | tells | fields |\n|---|---|---|\n"
 	for _, one := range Descriptions() {
-		page += fmt.Sprintf("| `%s` | %s | %s |\n", one.Kind, one.Tells, one.Fields)
+		page += fmt.Sprintf("| `%s` | %s | %s |\n", one.Kind, one.Meaning, one.Fields)
 	}
 	golden.Assert(t, page, "../../../docs/operations/logs.md")
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -74,7 +74,7 @@
 // Course returns the lines that name a request, those that tell of crashes and quarantine of
 // the same request in other attempts, and the last word before it that each process on its way
 // had on its configuration, its leader and the workers it was sent to.
-func Course(lines []Line, id string) []Line {
+func TraceRequest(lines []Line, id string) []Line {
 	var named []Line
 	nodes := map[string]time.Time{}
 	workers := map[string]bool{}
@@ -170,11 +170,11 @@
 // by one of the workers.
 func subject(line Line, workers map[string]bool) string {
 	switch line.Kind {
-	case decision.KindConfig, decision.KindConfigBad:
+	case decision.KindConfig, decision.KindConfigRefused:
 		return "configuration"
 	case decision.KindLeaderFound, decision.KindLeaderLost, decision.KindElected, decision.KindResigned:
 		return "leader"
-	case decision.KindStoreLost, decision.KindStoreBack:
+	case decision.KindStoreLost, decision.KindStoreRegained:
 		return "store " + asText(line.Fields["for"])
 	case decision.KindStart, decision.KindReady:
 		return "life"
@@ -188,7 +188,7 @@
 }
 
 // Around returns what each process believed at a time.
-func Around(lines []Line, at time.Time) []Line {
+func StateAt(lines []Line, at time.Time) []Line {
 	nodes := map[string]bool{}
 	for _, line := range lines {
 		nodes[line.Node] = true
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -24,7 +24,7 @@
 
 func TestCourseOfARequest(t *testing.T) {
 	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, Course(read(t), "f1c46b03ca431df2")))
+	assert.NilError(t, Write(&shown, TraceRequest(read(t), "f1c46b03ca431df2")))
 	golden.Assert(t, shown.String(), "course.golden")
 }
 
@@ -32,12 +32,12 @@
 	at, err := time.Parse(time.RFC3339, "2026-07-02T04:30:20Z")
 	assert.NilError(t, err)
 	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, Around(read(t), at)))
+	assert.NilError(t, Write(&shown, StateAt(read(t), at)))
 	golden.Assert(t, shown.String(), "around.golden")
 }
 
 func TestUnknownRequestHasNoCourse(t *testing.T) {
-	assert.Equal(t, len(Course(read(t), "none")), 0)
+	assert.Equal(t, len(TraceRequest(read(t), "none")), 0)
 }
 
 // A request that crashes workers comes under a new id each time: its course shows the others too.
@@ -49,7 +49,7 @@
 `
 	lines, _, err := Read(strings.NewReader(log))
 	assert.NilError(t, err)
-	course := Course(lines, "three")
+	course := TraceRequest(lines, "three")
 	assert.Equal(t, len(course), 3)
 	assert.Equal(t, course[0].ID, "one")
 	assert.Equal(t, course[1].ID, "two")
@@ -69,7 +69,7 @@
 	lines, _, err := Read(strings.NewReader(log))
 	assert.NilError(t, err)
 	versions := func(id string) (found []float64) {
-		for _, line := range Course(lines, id) {
+		for _, line := range TraceRequest(lines, id) {
 			if line.Kind == "config" {
 				assert.Equal(t, line.Node, "r1")
 				found = append(found, line.Fields["version"].(float64))
--- a/internal/explain/quota.go
+++ b/internal/explain/quota.go
@@ -13,7 +13,7 @@
 	for tenant, at := range overQuota(named) {
 		var last *Line
 		for index, line := range lines {
-			if line.Kind != decision.KindQuota || asText(line.Fields["tenant"]) != tenant || line.Time.After(at) {
+			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(at) {
 				continue
 			}
 			if last == nil || last.Time.Before(line.Time) {
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -17,7 +17,7 @@
 {"time":"2026-01-01T00:00:05Z","node":"l","kind":"tenant-over-limit","tenant":"a","over":false}
 `))
 	assert.NilError(t, err)
-	course := Course(lines, "i")
+	course := TraceRequest(lines, "i")
 	assert.Equal(t, len(course), 2)
 	assert.Equal(t, course[0].Fields["used"], 99.0)
 	assert.Equal(t, course[1].ID, "i")
--- a/internal/keeper/plan.go
+++ b/internal/keeper/plan.go
@@ -34,7 +34,7 @@
 		svc.addBalanceMove(now)
 	}
 	t.Metrics.countMove(svc.name, move.Forced)
-	t.Log.Line(decision.KindMoved).Str("service", string(svc.name)).Int("from", move.Keys.From).Int("to", move.Keys.To).
+	t.Log.Line(decision.KindKeysMoved).Str("service", string(svc.name)).Int("from", move.Keys.From).Int("to", move.Keys.To).
 		Str("old", string(move.From)).Str("worker", string(move.To)).Bool("forced", move.Forced).
 		Float64("rate", move.Rate).Float64("old_load", move.FromLoad).Float64("load", move.ToLoad).
 		Float64("capacity", t.capacity(now, svc, move.To)).Uint64("change", svc.ledger.RecordVersion()).Msg("")
@@ -51,7 +51,7 @@
 		return
 	}
 	svc.ledger.Assign(now, owners)
-	t.Log.Line(decision.KindAssigned).Str("service", string(svc.name)).Int("candidates", len(candidates)).Msg("")
+	t.Log.Line(decision.KindKeysAssigned).Str("service", string(svc.name)).Int("candidates", len(candidates)).Msg("")
 }
 
 // rules returns the rules for planning moves: those of the configuration, with balancing only once
--- a/internal/operator/apikey_test.go
+++ b/internal/operator/apikey_test.go
@@ -16,7 +16,7 @@
 func TestAnAPIKeyGoesToItsFileOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	var result, complaint bytes.Buffer
-	output := Output{Result: &result, Complaint: &complaint}
+	output := Output{Result: &result, Errors: &complaint}
 	assert.Equal(t, GenerateAPIKey(output, path), ExitOK)
 	text, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -41,6 +41,6 @@
 	path := filepath.Join(t.TempDir(), "key")
 	assert.NilError(t, os.WriteFile(path, []byte("sk-1 sk-2\n"), keyFileMode))
 	var result, complaint bytes.Buffer
-	assert.Equal(t, DigestAPIKey(Output{Result: &result, Complaint: &complaint}, path), ExitInvalid)
+	assert.Equal(t, DigestAPIKey(Output{Result: &result, Errors: &complaint}, path), ExitInvalid)
 	assert.Assert(t, !strings.Contains(result.String()+complaint.String(), "sk-1"), complaint.String())
 }
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -36,15 +36,15 @@
 
 // Output is where a command writes.
 type Output struct {
-	Result    io.Writer
-	Complaint io.Writer
+	Result io.Writer
+	Errors io.Writer
 	// JSON asks for results as JSON rather than text.
 	JSON bool
 }
 
 // Fail writes the error for people and returns the code that belongs to it.
 func (o Output) Fail(err error) ExitCode {
-	fmt.Fprintln(o.Complaint, err)
+	fmt.Fprintln(o.Errors, err)
 	if errors.Is(err, registry.ErrUnavailable) {
 		return ExitUnreachable
 	}
@@ -59,9 +59,9 @@
 	case outcome.OK():
 		return o.bundle(*outcome.Status)
 	}
-	fmt.Fprintf(o.Complaint, "%s: %s\n", outcome.Kind, outcome.Message)
+	fmt.Fprintf(o.Errors, "%s: %s\n", outcome.Kind, outcome.Message)
 	if outcome.Status != nil {
-		fmt.Fprintf(o.Complaint, "version %d by %s is %s\n",
+		fmt.Fprintf(o.Errors, "version %d by %s is %s\n",
 			outcome.Status.Version, outcome.Status.ProposedBy, outcome.Status.State)
 	}
 	return ExitRefused
--- a/internal/operator/notices.go
+++ b/internal/operator/notices.go
@@ -9,20 +9,20 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// AskNotices asks the router that leads, at an address, what workers say of themselves in their answers.
-type AskNotices func(ctx context.Context, leader string) (peerlink.WorkerNotices, error)
+// QueryNotices asks the router that leads, at an address, what workers say of themselves in their answers.
+type QueryNotices func(ctx context.Context, leader string) (peerlink.WorkerNotices, error)
 
 // Notices are what workers say of themselves in their answers, as the leader knows.
 type Notices struct {
-	Limits   []NamedLimit   `json:"limits,omitempty"`
-	Leaving  []Leaving      `json:"leaving,omitempty"`
-	Backoffs []AskedBackoff `json:"backoffs,omitempty"`
+	Limits   []WorkerLimit      `json:"limits,omitempty"`
+	Leaving  []LeavingWorker    `json:"leaving,omitempty"`
+	Backoffs []RequestedBackoff `json:"backoffs,omitempty"`
 	// Error says why the leader was not asked or did not answer.
 	Error string `json:"notices_error,omitempty"`
 }
 
-// NamedLimit is a worker that takes so many requests a second from all routers together.
-type NamedLimit struct {
+// WorkerLimit is a worker that takes so many requests a second from all routers together.
+type WorkerLimit struct {
 	Worker    workers.ID `json:"worker"`
 	PerSecond float64    `json:"per_second"`
 	// SinceSeconds is for how long the leader has known the limit as it is.
@@ -30,7 +30,7 @@
 }
 
 // Leaving is a worker that says that it leaves, whatever its entry says.
-type Leaving struct {
+type LeavingWorker struct {
 	Worker workers.ID `json:"worker"`
 	// Entry is what its entry says; empty if it has none.
 	Entry workers.State `json:"entry,omitempty"`
@@ -38,8 +38,8 @@
 	SinceSeconds float64 `json:"since_seconds"`
 }
 
-// AskedBackoff is an owner of keys that has asked routers to send it nothing.
-type AskedBackoff struct {
+// RequestedBackoff is an owner of keys that has asked routers to send it nothing.
+type RequestedBackoff struct {
 	Worker workers.ID `json:"worker"`
 	// Share of the routers that back off now.
 	Share float64 `json:"share"`
@@ -49,7 +49,7 @@
 
 // askNotices asks the leader what workers say of themselves: that is stored nowhere. states are those in
 // their entries.
-func (o *Overview) askNotices(ctx context.Context, ask AskNotices, states map[workers.ID]workers.State) {
+func (o *Overview) queryNotices(ctx context.Context, ask QueryNotices, states map[workers.ID]workers.State) {
 	if o.Leader == "" {
 		o.Notices.Error = "no router leads"
 		return
@@ -60,13 +60,13 @@
 		return
 	}
 	for _, one := range told.Limits {
-		o.Limits = append(o.Limits, NamedLimit{Worker: one.Worker, PerSecond: one.PerSecond, SinceSeconds: seconds(one.AgeMillis)})
+		o.Limits = append(o.Limits, WorkerLimit{Worker: one.Worker, PerSecond: one.PerSecond, SinceSeconds: seconds(one.AgeMillis)})
 	}
 	for _, one := range told.Leaving {
-		o.Leaving = append(o.Leaving, Leaving{Worker: one.Worker, Entry: states[one.Worker], SinceSeconds: seconds(one.AgeMillis)})
+		o.Leaving = append(o.Leaving, LeavingWorker{Worker: one.Worker, Entry: states[one.Worker], SinceSeconds: seconds(one.AgeMillis)})
 	}
 	for _, one := range told.Backoffs {
-		o.Backoffs = append(o.Backoffs, AskedBackoff{Worker: one.Worker, Share: one.Share, LeftSeconds: seconds(one.RemainingMillis)})
+		o.Backoffs = append(o.Backoffs, RequestedBackoff{Worker: one.Worker, Share: one.Share, LeftSeconds: seconds(one.RemainingMillis)})
 	}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -37,7 +37,7 @@
 }
 
 func (c *console) output() Output {
-	return Output{Result: &c.result, Complaint: &c.complaint}
+	return Output{Result: &c.result, Errors: &c.complaint}
 }
 
 func fixedOperator(name string, seed byte) registry.Operator {
@@ -93,7 +93,7 @@
 }
 
 // announced reads entries whose value is nothing but a worker's state.
-var announced = Announced{Prefix: "w/", Read: func(entry coord.Item) (workers.Worker, error) {
+var announced = WorkerEntries{Prefix: "w/", Parse: func(entry coord.Item) (workers.Worker, error) {
 	if string(entry.Value) != "ready" {
 		return workers.Worker{}, &workers.EntryError{Reason: workers.ReasonState, Field: "state"}
 	}
--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -61,7 +61,7 @@
 	encoder := json.NewEncoder(o.Result)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
-		fmt.Fprintln(o.Complaint, err)
+		fmt.Fprintln(o.Errors, err)
 	}
 }
 
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -22,14 +22,14 @@
 	Quarantined bool   `json:"quarantined"`
 	Route       string `json:"route"`
 	// For is the only caller whose request is meant; empty: everybody's.
-	For     string   `json:"for,omitempty"`
-	Caller  string   `json:"caller"`
-	Workers []string `json:"workers"`
+	OnlyCaller string   `json:"for,omitempty"`
+	Caller     string   `json:"caller"`
+	Workers    []string `json:"workers"`
 	// LastID is the id of the last attempt that was under way at a crash, and Last is when that
 	// was. Until is when the request is forgotten unless it crashes more.
-	LastID string    `json:"last_id"`
-	Last   time.Time `json:"last"`
-	Until  time.Time `json:"until"`
+	LastAttemptID string    `json:"last_id"`
+	LastCrash     time.Time `json:"last"`
+	ExpiresAt     time.Time `json:"until"`
 }
 
 // ListSuspects prints the requests that were under way at crashes.
@@ -60,7 +60,7 @@
 		}
 		lifted, found := snapshot.Lift(time.Now(), request)
 		if !found {
-			fmt.Fprintf(output.Complaint, "%s is neither suspected nor quarantined\n", request)
+			fmt.Fprintf(output.Errors, "%s is neither suspected nor quarantined\n", request)
 			return ExitRefused
 		}
 		key := quarantine.StoreKey(prefix)
@@ -99,16 +99,16 @@
 		}
 		one := SuspectedRequest{
 			Fingerprint: record.Attempt.Request, Quarantined: record.Standing() == quarantine.Quarantined,
-			Route: record.Attempt.Route, Caller: record.Attempt.Caller.String(), LastID: record.Attempt.ID, Until: record.ExpiresAt(),
+			Route: record.Attempt.Route, Caller: record.Attempt.Caller.String(), LastAttemptID: record.Attempt.ID, ExpiresAt: record.ExpiresAt(),
 		}
 		if record.OnlyCaller.IsValid() {
-			one.For = record.OnlyCaller.String()
+			one.OnlyCaller = record.OnlyCaller.String()
 		}
 		for _, crash := range record.Crashes {
 			if !slices.Contains(one.Workers, string(crash.Worker)) {
 				one.Workers = append(one.Workers, string(crash.Worker))
 			}
-			one.Last = crash.At
+			one.LastCrash = crash.At
 		}
 		list = append(list, one)
 	}
@@ -130,8 +130,8 @@
 		if one.Quarantined {
 			state = "quarantined"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", one.Fingerprint, state, orDash(one.Route), orEverybody(one.For), one.Caller,
-			orDash(one.LastID), one.Last.Format(time.RFC3339), one.Until.Format(time.RFC3339), strings.Join(one.Workers, " "))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", one.Fingerprint, state, orDash(one.Route), orEverybody(one.OnlyCaller), one.Caller,
+			orDash(one.LastAttemptID), one.LastCrash.Format(time.RFC3339), one.ExpiresAt.Format(time.RFC3339), strings.Join(one.Workers, " "))
 	}
 	table.Flush()
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -18,9 +18,9 @@
 // Overview is what the key-value service says of the system.
 type Overview struct {
 	// Leader is the peer address of the router that leads; empty if none does.
-	Leader   string        `json:"leader"`
-	Term     owner.Term    `json:"term"`
-	Services []OwnedByTerm `json:"services"`
+	Leader   string         `json:"leader"`
+	Term     owner.Term     `json:"term"`
+	Services []StoredOwners `json:"services"`
 	// Workers counts the entries of workers, and Refused are those that name none.
 	Workers int            `json:"workers"`
 	Refused []RefusedEntry `json:"refused,omitempty"`
@@ -34,13 +34,13 @@
 }
 
 // Announced says where workers announce themselves, and how their entries are read.
-type Announced struct {
+type WorkerEntries struct {
 	Prefix string
-	Read   func(entry coord.Item) (workers.Worker, error)
+	Parse  func(entry coord.Item) (workers.Worker, error)
 }
 
-// OwnedByTerm are the stored owners of a service's keys.
-type OwnedByTerm struct {
+// StoredOwners are the stored owners of a service's keys.
+type StoredOwners struct {
 	Service string `json:"service"`
 	// Term of the leader that stored them.
 	Term   owner.Term    `json:"term"`
@@ -51,12 +51,12 @@
 
 // Status prints who leads and who owns which keys, as the service has it under the
 // system's own prefix, and what workers say of themselves, as the leader has it.
-func Status(ctx context.Context, output Output, store coord.Store, prefix string, announced Announced, ask AskNotices) ExitCode {
+func Status(ctx context.Context, output Output, store coord.Store, prefix string, announced WorkerEntries, ask QueryNotices) ExitCode {
 	overview, states, err := readOverview(ctx, store, prefix, announced)
 	if err != nil {
 		return output.Fail(err)
 	}
-	overview.askNotices(ctx, ask, states)
+	overview.queryNotices(ctx, ask, states)
 	if output.JSON {
 		output.json(overview)
 		return ExitOK
@@ -66,7 +66,7 @@
 }
 
 // readOverview reads what is stored, and the states of workers in their entries.
-func readOverview(ctx context.Context, store coord.Store, prefix string, announced Announced) (Overview, map[workers.ID]workers.State, error) {
+func readOverview(ctx context.Context, store coord.Store, prefix string, announced WorkerEntries) (Overview, map[workers.ID]workers.State, error) {
 	leader, found, err := election.New(store, prefix, "", "", nil).CurrentLeader(ctx)
 	if err != nil {
 		return Overview{}, nil, errs.Combine(registry.ErrUnavailable, err)
@@ -81,7 +81,7 @@
 		return Overview{}, nil, errs.Combine(registry.ErrUnavailable, err)
 	}
 	for _, item := range items {
-		overview.Services = append(overview.Services, ownedByTerm(strings.TrimPrefix(item.Key, records), item.Value))
+		overview.Services = append(overview.Services, decodeStoredOwners(strings.TrimPrefix(item.Key, records), item.Value))
 	}
 	entries, _, err := coord.List(ctx, store, announced.Prefix)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 	states := map[workers.ID]workers.State{}
 	for _, entry := range entries {
-		worker, err := announced.Read(entry)
+		worker, err := announced.Parse(entry)
 		if err != nil {
 			id := workers.ID(strings.TrimPrefix(entry.Key, announced.Prefix))
 			overview.Refused = append(overview.Refused, RefusedEntry{Worker: id, Reason: err.Error()})
@@ -101,12 +101,12 @@
 	return overview, states, nil
 }
 
-func ownedByTerm(service string, record []byte) OwnedByTerm {
+func decodeStoredOwners(service string, record []byte) StoredOwners {
 	term, owners, err := owner.DecodeOwners(record)
 	if err != nil {
-		return OwnedByTerm{Service: service, Error: err.Error()}
+		return StoredOwners{Service: service, Error: err.Error()}
 	}
-	return OwnedByTerm{Service: service, Term: term, Owners: owners}
+	return StoredOwners{Service: service, Term: term, Owners: owners}
 }
 
 func (o Output) overview(overview Overview) {
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -175,7 +175,7 @@
 
 // logResend logs the previous result before the request is sent again.
 func (c *call) logResend(result *upstream.Result) {
-	c.proxy.Log.Line(decision.KindSent).Str("id", c.message.ID).Str("worker", string(c.lastWorker)).
+	c.proxy.Log.Line(decision.KindResent).Str("id", c.message.ID).Str("worker", string(c.lastWorker)).
 		Str("outcome", string(result.Outcome)).Int("status", result.Status).AnErr("error", result.Err).
 		Dur("after", clock.Since(c.began)).Msg("")
 }
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -186,7 +186,7 @@
 // recordSuspect records that a request was in progress at a worker that crashed.
 func (p *Proxy) recordSuspect(to *backend, attempt quarantine.Attempt) {
 	now := clock.Now()
-	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
+	p.Log.Line(decision.KindRequestSuspected).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 	incarnation := to.info().Incarnation()
 	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: incarnation.ID, Born: incarnation.StartTime, At: now}) {
@@ -196,7 +196,7 @@
 
 // LogQuarantined logs that a request has been quarantined and is no longer sent.
 func LogQuarantined(log *decision.Log, attempt quarantine.Attempt) {
-	log.Line(decision.KindQuarantined).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
+	log.Line(decision.KindRequestQuarantined).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 }
 
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -76,11 +76,11 @@
 			if test.crashed == 0 {
 				time.Sleep(2 * probeTimeout / 3)
 				assert.Equal(t, logged.count(decision.KindWorkerCrashed), 0)
-				assert.Equal(t, logged.count(decision.KindSuspect), 0)
+				assert.Equal(t, logged.count(decision.KindRequestSuspected), 0)
 				return
 			}
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
-				if logged.count(decision.KindWorkerCrashed) == 1 && logged.count(decision.KindSuspect) == 1 {
+				if logged.count(decision.KindWorkerCrashed) == 1 && logged.count(decision.KindRequestSuspected) == 1 {
 					return poll.Success()
 				}
 				return poll.Continue("no crash logged")
@@ -110,7 +110,7 @@
 	}
 	f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if logged.count(decision.KindWorkerCrashed) == 1 && logged.count(decision.KindSuspect) == 1 {
+		if logged.count(decision.KindWorkerCrashed) == 1 && logged.count(decision.KindRequestSuspected) == 1 {
 			return poll.Success()
 		}
 		return poll.Continue("no crash logged")
@@ -165,7 +165,7 @@
 	c := &call{proxy: f.proxy, request: httptest.NewRequest("GET", "/keyed/", nil), route: &routing.Route{Name: "keyed"}}
 	c.recordWorkerEnd(to, &upstream.Result{Outcome: upstream.TimedOut, Written: true})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if logged.count(decision.KindSuspect) > 0 {
+		if logged.count(decision.KindRequestSuspected) > 0 {
 			return poll.Success()
 		}
 		return poll.Continue("not suspected")
--- a/internal/proxy/fairness.go
+++ b/internal/proxy/fairness.go
@@ -132,7 +132,7 @@
 
 // logShareChange logs that requests of a tenant begin or cease to be refused because of its share.
 func (c *call) logShareChange(over bool, shares fair.RefusalShares) {
-	c.proxy.Log.Line(decision.KindShare).Str("tenant", c.claim.caller.Name).Str("service", string(c.service.Name)).
+	c.proxy.Log.Line(decision.KindTenantOverShare).Str("tenant", c.claim.caller.Name).Str("service", string(c.service.Name)).
 		Int("priority", c.claim.caller.Priority).Bool("over", over).
 		Float64("refused", shares.Own).Float64("all", shares.All).Msg("")
 }
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -140,7 +140,7 @@
 		}
 		return poll.Success()
 	})
-	assert.Equal(t, strings.Count(log.String(), `"kind":"`+string(decision.KindShare)+`"`), 1, "%s", &log)
+	assert.Equal(t, strings.Count(log.String(), `"kind":"`+string(decision.KindTenantOverShare)+`"`), 1, "%s", &log)
 }
 
 // Requests that yield leave half of the queue to others.
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -135,7 +135,7 @@
 	if !c.state.budget.spend(int(c.proxy.Nodes.Load()), now) {
 		return nil
 	}
-	c.proxy.Log.Line(decision.KindSent).Str("id", c.message.ID).Str("worker", string(to.id())).
+	c.proxy.Log.Line(decision.KindResent).Str("id", c.message.ID).Str("worker", string(to.id())).
 		Str("outcome", "hedged").Dur("after", clock.Since(c.began)).Msg("")
 	return to
 }
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -103,7 +103,7 @@
 				}
 				return poll.Continue("%s", logged.text.String())
 			}, poll.WithTimeout(2*time.Second))
-			assert.Equal(t, logged.count(decision.KindSuspect) > 0, test.crashed > 0)
+			assert.Equal(t, logged.count(decision.KindRequestSuspected) > 0, test.crashed > 0)
 		})
 	}
 }
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -8,10 +8,10 @@
 
 // bodyClasses maps the bodies of a bundle's service to the body class of its route.
 var bodyClasses = map[bundle.Bodies]routing.BodyClass{
-	"":                    routing.Small,
-	bundle.BodiesSmall:    routing.Small,
-	bundle.BodiesBulkUp:   routing.BulkUpload,
-	bundle.BodiesBulkDown: routing.BulkDownload,
+	"":                        routing.Small,
+	bundle.BodiesSmall:        routing.Small,
+	bundle.BodiesBulkUpload:   routing.BulkUpload,
+	bundle.BodiesBulkDownload: routing.BulkDownload,
 }
 
 // compileTenants compiles the tenants of all teams, each in the scope of its team.
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -69,7 +69,7 @@
 		used, err = record.InForce(v.signers)
 	}
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid bundle; the previous configuration stays in force")
+		v.r.log.Line(decision.KindConfigRefused).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid bundle; the previous configuration stays in force")
 		return
 	}
 	if used != nil && used.Version > v.inForce[used.Team].Version {
@@ -85,7 +85,7 @@
 	}
 	compiled, err := registry.Compile(slices.Collect(maps.Values(v.inForce)))
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Err(err).Msg("invalid bundle; the previous configuration stays in force")
+		v.r.log.Line(decision.KindConfigRefused).Err(err).Msg("invalid bundle; the previous configuration stays in force")
 		return
 	}
 	if !v.r.proxy.Use(compiled.Config) {
@@ -103,5 +103,5 @@
 
 // Regained implements coord.View.
 func (v *bundlesView) Regained(time.Time) {
-	v.r.log.Line(decision.KindStoreBack).Str("for", "bundles").Msg("")
+	v.r.log.Line(decision.KindStoreRegained).Str("for", "bundles").Msg("")
 }
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -84,7 +84,7 @@
 	}
 	hashed, err := v.r.adapter.HashAPIKeys(item)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid configuration; the previous one stays in force")
+		v.r.log.Line(decision.KindConfigRefused).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid configuration; the previous one stays in force")
 	}
 	return hashed
 }
@@ -93,7 +93,7 @@
 func (v *configView) applyRelayed(changes peerlink.ConfigChanges) bool {
 	items, err := changes.Items()
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(changes.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
+		v.r.log.Line(decision.KindConfigRefused).Int64("revision", int64(changes.Revision)).Err(err).Msg("invalid configuration update from the leader; reading it from the store")
 		return false
 	}
 	v.mu.Lock()
@@ -149,7 +149,7 @@
 func (v *configView) useConfig(items []coord.Item) {
 	config, err := v.r.adapter.ParseConfig(items)
 	if err != nil {
-		v.r.log.Line(decision.KindConfigBad).Int64("revision", int64(v.at)).Err(err).Msg("invalid configuration; the previous one stays in force")
+		v.r.log.Line(decision.KindConfigRefused).Int64("revision", int64(v.at)).Err(err).Msg("invalid configuration; the previous one stays in force")
 		return
 	}
 	if config == nil || !v.r.proxy.Use(config) {
@@ -176,7 +176,7 @@
 	}
 	slices.Sort(zones)
 	if v.r.workers.SetEvacuated(zones, since) {
-		v.r.log.Line(decision.KindEvacuation).Strs("zones", zones).Int64("revision", int64(v.at)).Msg("")
+		v.r.log.Line(decision.KindZonesEvacuated).Strs("zones", zones).Int64("revision", int64(v.at)).Msg("")
 	}
 }
 
@@ -187,5 +187,5 @@
 
 // Regained implements coord.View.
 func (v *configView) Regained(time.Time) {
-	v.r.log.Line(decision.KindStoreBack).Str("for", "configuration").Msg("")
+	v.r.log.Line(decision.KindStoreRegained).Str("for", "configuration").Msg("")
 }
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -228,7 +228,7 @@
 	}
 	grants = coordinator.Tick(now, now.Before(leadsUntil), nodes)
 	for _, change := range coordinator.Changes() {
-		q.r.log.Line(decision.KindQuota).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Allocatable).
+		q.r.log.Line(decision.KindTenantOverLimit).Str("tenant", string(change.Tenant)).Bool("over", change.Over).Int("limit", change.Limit).Int("dealt", change.Allocatable).
 			Int("used", change.Used).Int("booked", change.Outstanding).Int("withheld", change.Withheld).Int("missing", change.Missing).
 			Float64("age", change.Age.Seconds()).Msg("")
 	}
--- a/internal/router/quotamarks.go
+++ b/internal/router/quotamarks.go
@@ -55,7 +55,7 @@
 		if len(wanted)+len(cooled) > 0 && q.storeMarks(ctx, tenure, &marks, wanted, cooled) {
 			q.mark(coordinator, wanted)
 			q.unmark(coordinator, cooled)
-			q.r.log.Line(decision.KindQuotaBusy).Int("tenants", len(wanted)).Int("cooled", len(cooled)).
+			q.r.log.Line(decision.KindTenantsBusy).Int("tenants", len(wanted)).Int("cooled", len(cooled)).
 				Int64("revision", int64(marks.revision)).Msg("")
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	marks := busyMarks{revision: item.Revision}
 	if err := json.Unmarshal(item.Value, &marks); err != nil {
-		q.r.log.Line(decision.KindQuotaBusy).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of busy tenants; all tenants count as busy")
+		q.r.log.Line(decision.KindTenantsBusy).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of busy tenants; all tenants count as busy")
 		marks.Tenants = slices.Sorted(maps.Keys(q.r.proxy.Config().Tenants))
 	}
 	return marks, nil
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -51,7 +51,7 @@
 	}
 	members := quota.Members{}
 	if err := json.Unmarshal(item.Value, &members); err != nil {
-		q.r.log.Line(decision.KindQuotaReserve).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of quota members; the holders of earlier grants are unknown")
+		q.r.log.Line(decision.KindQuotaReserveClaimed).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid list of quota members; the holders of earlier grants are unknown")
 		return nil
 	}
 	return members
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -45,7 +45,7 @@
 			q.refreshClaim(ctx, tenure, coordinator, &written, end)
 		case q.mayClaim(coordinator):
 			if written = q.claim(ctx, tenure, coordinator); written.claimed {
-				q.r.log.Line(decision.KindQuotaReserve).Int64("term", int64(tenure.Leader.Term)).
+				q.r.log.Line(decision.KindQuotaReserveClaimed).Int64("term", int64(tenure.Leader.Term)).
 					Float64("leftover", written.unreported.Sum()).Msg("")
 			}
 		}
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -10,7 +10,7 @@
 
 // revocationMargin is subtracted from the time within which callers with a revoked key must be
 // refused.
-const revocationMargin = settings.LeastRevokeWithin
+const revocationMargin = settings.MinRevokeWithin
 
 // noteConfigCurrent records the time as of which a leader or relay that reaches the store has
 // confirmed the configuration, if this process has all of it.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -141,7 +141,7 @@
 	store := meterStore(adapter.Store, metrics)
 	adapter.Store = store
 	r := &Router{
-		store: store, settings: config, zoneMap: config.Places(), adapter: adapter, log: log, metrics: metrics,
+		store: store, settings: config, zoneMap: config.Topology(), adapter: adapter, log: log, metrics: metrics,
 		workers:       workers.NewDirectory(),
 		table:         keytable.New(),
 		meter:         peerlink.NewMeter(),
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -91,7 +91,7 @@
 // mergeItem merges a stored list. Requests that an operator has lifted are lifted here too.
 func (k *suspectsKeeper) mergeItem(item coord.Item) {
 	for _, request := range k.r.mergeStored(item) {
-		k.r.log.Line(decision.KindQuarantined).Str("fingerprint", request.String()).Bool("lifted", true).
+		k.r.log.Line(decision.KindRequestQuarantined).Str("fingerprint", request.String()).Bool("lifted", true).
 			Int64("revision", int64(item.Revision)).Msg("lifted by an operator")
 	}
 }
@@ -107,7 +107,7 @@
 func (r *Router) decodeSuspects(item coord.Item) (quarantine.Snapshot, bool) {
 	snapshot, err := quarantine.DecodeSnapshot(item.Value)
 	if err != nil {
-		r.log.Line(decision.KindQuarantined).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid stored list of suspected requests; ignoring it")
+		r.log.Line(decision.KindRequestQuarantined).Int64("revision", int64(item.Revision)).Err(err).Msg("invalid stored list of suspected requests; ignoring it")
 	}
 	return snapshot, err == nil
 }
@@ -217,7 +217,7 @@
 func (r *Router) handleSuspects(update peerlink.Update) {
 	changes, present, err := update.DecodeSuspects()
 	if err != nil {
-		r.log.Line(decision.KindQuarantined).Err(err).Msg("invalid list of suspected requests from the leader; ignoring it")
+		r.log.Line(decision.KindRequestQuarantined).Err(err).Msg("invalid list of suspected requests from the leader; ignoring it")
 	}
 	if !present {
 		return
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -79,7 +79,7 @@
 	if known, logged := v.unreadable[id]; logged && known.revision == entry.revision {
 		return
 	}
-	v.r.log.Line(decision.KindEntryBad).Str("worker", string(id)).Str("reason", string(entry.fault.Reason)).
+	v.r.log.Line(decision.KindEntryRefused).Str("worker", string(id)).Str("reason", string(entry.fault.Reason)).
 		Str("field", entry.fault.Field).Int64("revision", int64(entry.revision)).Msg("unusable worker entry; ignoring it")
 }
 
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -161,5 +161,5 @@
 		return poll.Success()
 	})
 	r.log.Close()
-	assert.Equal(t, logged.count(decision.KindEntryBad), 2)
+	assert.Equal(t, logged.count(decision.KindEntryRefused), 2)
 }
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -230,7 +230,7 @@
 		until = caughtUp
 	}
 	v.r.workers.BeginSettling(until)
-	v.r.log.Line(decision.KindStoreBack).Str("for", "workers").Float64("away", now.Sub(v.lostAt).Seconds()).
+	v.r.log.Line(decision.KindStoreRegained).Str("for", "workers").Float64("away", now.Sub(v.lostAt).Seconds()).
 		Float64("waits", max(0, until.Sub(now)).Seconds()).Msg("")
 }
 
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -82,10 +82,10 @@
 	RevocationStrict Revocation = "strict"
 )
 
-// LeastRevokeWithin is how old what a router is told may be without a fault: what a leader tells
+// MinRevokeWithin is how old what a router is told may be without a fault: what a leader tells
 // may be 2.2 s old before it says that it does not reach the store, and a request that is let in
 // takes a moment to its worker. With less, each caller with a key would be refused always.
-const LeastRevokeWithin = 2400 * time.Millisecond
+const MinRevokeWithin = 2400 * time.Millisecond
 
 // QuotaLimits say what is still within a tenant's limit: in each window, its rate times the
 // window and its burst, a share of both beyond that, and a fixed number of requests.
@@ -102,7 +102,7 @@
 )
 
 // Places returns which regions the zones belong to.
-func (r Router) Places() topology.Map {
+func (r Router) Topology() topology.Map {
 	regions := map[topology.Zone]topology.Region{}
 	for zone, region := range r.Regions {
 		regions[topology.Zone(zone)] = topology.Region(region)
@@ -167,8 +167,8 @@
 			problems = append(problems, problem(one.field, "a duration above zero"))
 		}
 	}
-	if router.Revocation == RevocationStrict && router.RevokeWithin.Std() <= LeastRevokeWithin {
-		problems = append(problems, problem("revoke_within", "a duration above "+LeastRevokeWithin.String()))
+	if router.Revocation == RevocationStrict && router.RevokeWithin.Std() <= MinRevokeWithin {
+		problems = append(problems, problem("revoke_within", "a duration above "+MinRevokeWithin.String()))
 	}
 	if _, named := router.Regions[router.Zone]; len(router.Regions) > 0 && !named {
 		problems = append(problems, problem("regions", "the region of zone "+router.Zone))
--- a/internal/settings/router_test.go
+++ b/internal/settings/router_test.go
@@ -103,5 +103,5 @@
 	assert.Equal(t, bare.Evacuate.Std(), DefaultEvacuate)
 	assert.Equal(t, bare.Revocation, RevocationLenient)
 	assert.Equal(t, bare.Quota.Window.Std(), DefaultQuotaWindow)
-	assert.Equal(t, bare.Places().RegionCount(), 1)
+	assert.Equal(t, bare.Topology().RegionCount(), 1)
 }
