--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -15,7 +15,7 @@
 	"github.com/shalefork/shalefork/internal/strictyaml"
 )
 
-func TestEveryProblemIsReportedWithItsPlace(t *testing.T) {
+func TestEveryProblemIsReportedWithItsPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestHostileDocumentsAreRefusedBeforeTheyAreParsed(t *testing.T) {
+func TestExcessiveDocumentsAreRejectedBeforeParsing(t *testing.T) {
 	for name, text := range map[string]string{
 		"long":     strings.Repeat("#\n", strictyaml.MaxBytes),
 		"line":     strings.Repeat("- ", strictyaml.MaxLineBytes),
@@ -137,7 +137,7 @@
 	return read
 }
 
-func TestConflictsAreOnlyWithOtherTeams(t *testing.T) {
+func TestOnlyBundlesOfOtherTeamsConflict(t *testing.T) {
 	mine := readTestBundle(t, smallBundle)
 	other := readTestBundle(t, strings.Replace(smallBundle, "team: tawila", "team: rival", 1))
 	other.Services[0].Backends = other.Services[0].Backends[1:]
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -17,7 +17,7 @@
 // the "/" that scopes them.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-var tags = strictyaml.NewValidator()
+var tagValidator = strictyaml.NewValidator()
 
 // Check returns every problem of a bundle, by field, without places. A bundle
 // without problems can be proposed.
@@ -29,7 +29,7 @@
 	c.checkAddresses()
 	c.checkTenants()
 	for i, service := range b.Services {
-		c.checkService(field("services", i), service)
+		c.checkService(elementPath("services", i), service)
 	}
 	return c.problems
 }
@@ -50,14 +50,14 @@
 }
 
 func (c *checker) checkTags() {
-	c.problems = tags.Check(c.bundle)
+	c.problems = tagValidator.Check(c.bundle)
 	for _, problem := range c.problems {
 		c.reported[problem.Field] = true
 	}
 }
 
 // field returns the path of an element of a list.
-func field(list string, index int) string {
+func elementPath(list string, index int) string {
 	return fmt.Sprintf("%s[%d]", list, index)
 }
 
@@ -68,11 +68,11 @@
 	}
 	c.checkName("cell", string(c.bundle.Cell))
 	for i, zone := range c.bundle.Zones {
-		c.checkName(field("zones", i), string(zone))
+		c.checkName(elementPath("zones", i), string(zone))
 	}
 	names := newUnique(c, "service name")
 	for i, service := range c.bundle.Services {
-		path := field("services", i) + ".name"
+		path := elementPath("services", i) + ".name"
 		c.checkName(path, service.Name)
 		names.add(path, service.Name)
 	}
--- a/internal/bundle/check_service.go
+++ b/internal/bundle/check_service.go
@@ -69,7 +69,7 @@
 func (c *checker) checkBackends(path string, service Service) {
 	names := newUnique(c, "back end name")
 	for i, backend := range service.Backends {
-		at := field(path, i)
+		at := elementPath(path, i)
 		c.checkName(at+".name", backend.Name)
 		names.add(at+".name", backend.Name)
 		c.checkZone(at+".zone", backend.Zone)
@@ -89,7 +89,7 @@
 	addresses := newUnique(c, "address")
 	for i, service := range c.bundle.Services {
 		for j, backend := range service.Backends {
-			path := field(field("services", i)+".backends", j) + ".address"
+			path := elementPath(elementPath("services", i)+".backends", j) + ".address"
 			parsed, err := netip.ParseAddrPort(backend.Address)
 			if err != nil || parsed.Port() == 0 {
 				c.report(path, "expected an address as IP:PORT")
@@ -108,13 +108,13 @@
 func (c *checker) checkRoutes() {
 	routes := newUnique(c, "route")
 	for i, service := range c.bundle.Services {
-		path := field("services", i) + ".route"
+		path := elementPath("services", i) + ".route"
 		if service.Route == (Route{}) {
 			c.report(path, "expected a host, a path_prefix or both")
 			continue
 		}
 		c.checkRoute(path, service.Route)
-		routes.add(path, service.Route.normal())
+		routes.add(path, service.Route.normalized())
 	}
 }
 
@@ -136,7 +136,7 @@
 }
 
 // normal returns a text that is equal for routes that match the same requests.
-func (r Route) normal() string {
+func (r Route) normalized() string {
 	prefix := r.PathPrefix
 	if prefix == "" {
 		prefix = "/"
@@ -183,7 +183,7 @@
 	prefixes := newUnique(c, "prefix")
 	hasDefault := false
 	for i, partition := range service.Partitions {
-		at := field(path, i)
+		at := elementPath(path, i)
 		c.checkName(at+".name", string(partition.Name))
 		names.add(at+".name", string(partition.Name))
 		c.checkText(at+".prefix", partition.Prefix)
@@ -198,7 +198,7 @@
 
 func (c *checker) checkPartitionZones(path string, service Service, partition Partition) {
 	for i, zone := range partition.Zones {
-		c.checkZone(field(path, i), zone)
+		c.checkZone(elementPath(path, i), zone)
 	}
 	for _, backend := range service.Backends {
 		if !backend.Leaving && slices.Contains(partition.Zones, backend.Zone) {
--- a/internal/bundle/conflict.go
+++ b/internal/bundle/conflict.go
@@ -9,20 +9,20 @@
 	taken := newOwners(b.Team, others)
 	var problems []Problem
 	for i, service := range b.Services {
-		path := field("services", i)
-		if owner, found := taken.routes[service.Route.normal()]; found {
+		path := elementPath("services", i)
+		if owner, found := taken.routes[service.Route.normalized()]; found {
 			problems = append(problems, conflict(path+".route", owner))
 		}
 		for j, backend := range service.Backends {
 			if owner, found := taken.addresses[backend.Address]; found {
-				problems = append(problems, conflict(field(path+".backends", j)+".address", owner))
+				problems = append(problems, conflict(elementPath(path+".backends", j)+".address", owner))
 			}
 		}
 	}
 	for i, tenant := range b.Tenants {
 		for j, digest := range tenant.KeyDigests {
 			if owner, found := taken.digests[digest]; found {
-				problems = append(problems, conflict(field(field("tenants", i)+".key_digests", j), owner))
+				problems = append(problems, conflict(elementPath(elementPath("tenants", i)+".key_digests", j), owner))
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 			continue
 		}
 		for _, service := range other.Services {
-			taken.routes[service.Route.normal()] = other.Team
+			taken.routes[service.Route.normalized()] = other.Team
 			for _, backend := range service.Backends {
 				taken.addresses[backend.Address] = other.Team
 			}
--- a/internal/bundle/examples_test.go
+++ b/internal/bundle/examples_test.go
@@ -35,7 +35,7 @@
 	assert.DeepEqual(t, countBackends(tweedeLeven), []int{14, 6, 13})
 }
 
-func TestTheExampleWithTenantsIsValid(t *testing.T) {
+func TestExampleWithTenantsIsValid(t *testing.T) {
 	lifts := readExample(t, "rennes-lifts/bundle.yaml")
 	assert.Equal(t, len(lifts.Tenants), 3)
 	assert.Assert(t, lifts.Services[2].Public)
--- a/internal/bundle/tenant.go
+++ b/internal/bundle/tenant.go
@@ -55,7 +55,7 @@
 	names := newUnique(c, "tenant name")
 	digests := newUnique(c, "key digest")
 	for i, tenant := range c.bundle.Tenants {
-		path := field("tenants", i)
+		path := elementPath("tenants", i)
 		c.checkName(path+".name", string(tenant.Name))
 		names.add(path+".name", string(tenant.Name))
 		c.checkRegions(path+".regions", tenant.Regions)
@@ -63,7 +63,7 @@
 			c.report(path+".burst", "expected only with a rate")
 		}
 		for j, digest := range tenant.KeyDigests {
-			at := field(path+".key_digests", j)
+			at := elementPath(path+".key_digests", j)
 			if !digestPattern.MatchString(string(digest)) {
 				c.report(at, "expected the digest of a key, 64 hexadecimal digits in lower case, and never the key")
 				continue
@@ -72,7 +72,7 @@
 		}
 	}
 	for i, service := range c.bundle.Services {
-		path := field("services", i)
+		path := elementPath("services", i)
 		c.checkRegions(path+".regions", service.Regions)
 		if service.Public && len(c.bundle.Tenants) == 0 {
 			c.report(path+".public", "expected only in a bundle with tenants: without them callers need no key")
@@ -82,6 +82,6 @@
 
 func (c *checker) checkRegions(path string, regions []Region) {
 	for i, region := range regions {
-		c.checkName(field(path, i), string(region))
+		c.checkName(elementPath(path, i), string(region))
 	}
 }
--- a/internal/bundle/tenant_test.go
+++ b/internal/bundle/tenant_test.go
@@ -13,7 +13,7 @@
 
 // Operators may take a key for its digest: what they are told of the mistake goes into terminals
 // and logs of pipelines.
-func TestMistakesOfTenantsRepeatNoKey(t *testing.T) {
+func TestTenantProblemsContainNoAPIKey(t *testing.T) {
 	data, err := os.ReadFile("testdata/tenants.yaml")
 	assert.NilError(t, err)
 	_, problems := bundle.Read("tenants.yaml", data)
@@ -27,7 +27,7 @@
 }
 
 // A key that two teams held would be good for whichever came first.
-func TestAKeyBelongsToOneTeam(t *testing.T) {
+func TestAPIKeyOfTwoTeamsIsAConflict(t *testing.T) {
 	const digest = "8a91c0b2d3e4f5061728394a5b6c7d8e9fa0b1c2d3e4f5061728394a5b6c7d8e"
 	holds := []bundle.Tenant{{Name: "t", KeyDigests: []bundle.KeyDigest{digest}}}
 	mine, other := bundle.Bundle{Team: "a", Tenants: holds}, bundle.Bundle{Team: "b", Tenants: holds}
@@ -39,7 +39,7 @@
 
 // What was signed before there were tenants has the same bytes still: TestCanonicalBytes. With
 // tenants they hold digests, whatever the layout.
-func TestTenantsAreSigned(t *testing.T) {
+func TestDigestCoversTenants(t *testing.T) {
 	small := readTestBundle(t, smallBundle)
 	before, err := bundle.Digest(small)
 	assert.NilError(t, err)
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -19,25 +19,25 @@
 	linesPerSecond = 10
 	// burstLines may be written at once.
 	burstLines = 40
-	// queuedLines wait for the writer.
-	queuedLines = 512
-	// leftOutEvery is the pause between lines that count what was left out.
-	leftOutEvery = 5 * time.Second
+	// maxQueuedLines wait for the writer.
+	maxQueuedLines = 512
+	// summaryInterval is the pause between lines that count what was left out.
+	summaryInterval = 5 * time.Second
 )
 
 // Log writes the lines of one process. It is safe for concurrent use.
 type Log struct {
-	logger  *log.Logger
-	writer  *queue
-	mu      sync.Mutex
-	budgets map[Kind]*budget
-	leftOut map[Kind]int
-	told    time.Time
+	logger      *log.Logger
+	writer      *queue
+	mu          sync.Mutex
+	budgets     map[Kind]*budget
+	leftOut     map[Kind]int
+	lastSummary time.Time
 }
 
 type budget struct {
-	left float64
-	at   time.Time
+	remaining  float64
+	refilledAt time.Time
 }
 
 // New returns a log to standard output whose lines name the process.
@@ -47,7 +47,7 @@
 
 // NewTo returns a log to a writer.
 func NewTo(writer io.Writer, node string) *Log {
-	lines := &queue{lines: make(chan []byte, queuedLines), stop: make(chan struct{}), writer: writer}
+	lines := &queue{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), writer: writer}
 	go lines.run()
 	return &Log{
 		logger: &log.Logger{
@@ -64,37 +64,37 @@
 // Line begins a line; nil, on which all methods do nothing, if the kind has no
 // budget left. Finish it with Msg.
 func (l *Log) Line(kind Kind) *log.Entry {
-	if !l.admit(kind, time.Now()) {
+	if !l.allow(kind, time.Now()) {
 		return nil
 	}
 	return l.logger.Info().Str("kind", string(kind))
 }
 
-func (l *Log) admit(kind Kind, now time.Time) bool {
+func (l *Log) allow(kind Kind, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tellLeftOut(now)
+	l.logLinesLeftOut(now)
 	of := l.budgets[kind]
 	if of == nil {
-		of = &budget{left: burstLines, at: now}
+		of = &budget{remaining: burstLines, refilledAt: now}
 		l.budgets[kind] = of
 	}
-	of.left = min(burstLines, of.left+now.Sub(of.at).Seconds()*linesPerSecond)
-	of.at = now
-	if of.left < 1 {
+	of.remaining = min(burstLines, of.remaining+now.Sub(of.refilledAt).Seconds()*linesPerSecond)
+	of.refilledAt = now
+	if of.remaining < 1 {
 		l.leftOut[kind]++
 		return false
 	}
-	of.left--
+	of.remaining--
 	return true
 }
 
 // tellLeftOut writes what was left out since the last time.
-func (l *Log) tellLeftOut(now time.Time) {
-	if now.Sub(l.told) < leftOutEvery || len(l.leftOut) == 0 {
+func (l *Log) logLinesLeftOut(now time.Time) {
+	if now.Sub(l.lastSummary) < summaryInterval || len(l.leftOut) == 0 {
 		return
 	}
-	l.told = now
+	l.lastSummary = now
 	for kind, count := range l.leftOut {
 		l.logger.Info().Str("kind", string(KindLinesLeftOut)).Str("of", string(kind)).Int("lines", count).
 			Int64("dropped", l.writer.dropped.Load()).Msg("over the budget")
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -15,35 +15,35 @@
 	"gotest.tools/v3/golden"
 )
 
-// slowWriter blocks until it is let go.
-type slowWriter struct {
-	let chan struct{}
+// blockedWriter blocks until it is let go.
+type blockedWriter struct {
+	release chan struct{}
 }
 
-func (w *slowWriter) Write(line []byte) (int, error) {
-	<-w.let
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
 	return len(line), nil
 }
 
-type buffer struct {
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *buffer) Write(line []byte) (int, error) {
+func (b *lockedBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(line)
 }
 
-func (b *buffer) lines() []string {
+func (b *lockedBuffer) lines() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Split(strings.TrimSpace(b.text.String()), "\n")
 }
 
-func TestLinesAreBoundedForEachKind(t *testing.T) {
-	var written buffer
+func TestEachKindHasARateLimit(t *testing.T) {
+	var written lockedBuffer
 	log := NewTo(&written, "n1")
 	for range 1000 {
 		log.Line(KindRequest).Str("id", "x").Msg("")
@@ -61,9 +61,9 @@
 	assert.Equal(t, kinds["config"], 1)
 }
 
-func TestAFullPipeNeverBlocks(t *testing.T) {
-	writer := &slowWriter{let: make(chan struct{})}
-	defer close(writer.let)
+func TestBlockedWriterNeverBlocksLogging(t *testing.T) {
+	writer := &blockedWriter{release: make(chan struct{})}
+	defer close(writer.release)
 	log := NewTo(writer, "n1")
 	began := time.Now()
 	for _, described := range Descriptions() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -29,24 +29,24 @@
 	Fields map[string]any
 }
 
-// maxLine bounds a line.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line.
+const maxLineBytes = 1 << 20
 
 // Read reads lines; what is no log line is passed over, and anything before a
 // line's first brace, as other programs put times there. It returns how many
 // lines were passed over.
-func Read(reader io.Reader) (lines []Line, passed int, err error) {
+func Read(reader io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Text())
 		if !ok {
-			passed++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, passed, Error.Wrap(scanner.Err())
+	return lines, skipped, Error.Wrap(scanner.Err())
 }
 
 func parse(text string) (Line, bool) {
@@ -91,11 +91,11 @@
 		}
 	}
 	named = append(named, otherAttempts(lines, id, fingerprints(named))...)
-	named = append(named, keyTakenAway(lines, named)...)
+	named = append(named, keyRevocations(lines, named)...)
 	for node, first := range nodes {
-		named = append(named, beliefs(lines, node, first, workers)...)
+		named = append(named, latestLines(lines, node, first, workers)...)
 	}
-	named = append(named, quotaCauses(lines, named)...)
+	named = append(named, latestQuotaLines(lines, named)...)
 	sortLines(named)
 	return slices.CompactFunc(named, sameConfiguration)
 }
@@ -129,9 +129,9 @@
 	return found
 }
 
-// keyTakenAway returns the lines of the configurations that took away the API keys of requests,
+// keyRevocations returns the lines of the configurations that took away the API keys of requests,
 // at the processes that say so.
-func keyTakenAway(lines, named []Line) []Line {
+func keyRevocations(lines, named []Line) []Line {
 	var found []Line
 	for _, request := range named {
 		version := request.Fields["gone_with"]
@@ -148,7 +148,7 @@
 }
 
 // beliefs are the last lines of a process before a time, by what they are about.
-func beliefs(lines []Line, node string, before time.Time, workers map[string]bool) []Line {
+func latestLines(lines []Line, node string, before time.Time, workers map[string]bool) []Line {
 	last := map[string]Line{}
 	for _, line := range lines {
 		if line.Node != node || line.ID != "" || !line.Time.Before(before) {
@@ -195,7 +195,7 @@
 	}
 	var found []Line
 	for node := range nodes {
-		found = append(found, beliefs(lines, node, at, nil)...)
+		found = append(found, latestLines(lines, node, at, nil)...)
 	}
 	sortLines(found)
 	return found
@@ -211,7 +211,7 @@
 }
 
 // standing fields are shown in columns, or are the same for all lines.
-var standing = map[string]bool{"time": true, "level": true, "node": true, "pid": true, "kind": true}
+var columnFields = map[string]bool{"time": true, "level": true, "node": true, "pid": true, "kind": true}
 
 // Write shows lines, with times as each process's own clock told them, and how
 // far from the first line they are.
@@ -219,7 +219,7 @@
 	for _, line := range lines {
 		names := make([]string, 0, len(line.Fields))
 		for name := range line.Fields {
-			if !standing[name] && line.Fields[name] != nil {
+			if !columnFields[name] && line.Fields[name] != nil {
 				names = append(names, name)
 			}
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/golden"
 )
 
-func read(t *testing.T) []Line {
+func readSession(t *testing.T) []Line {
 	t.Helper()
 	file, err := os.Open("testdata/session.log")
 	assert.NilError(t, err)
@@ -22,26 +22,26 @@
 	return lines
 }
 
-func TestCourseOfARequest(t *testing.T) {
+func TestTraceRequest(t *testing.T) {
 	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, TraceRequest(read(t), "f1c46b03ca431df2")))
-	golden.Assert(t, shown.String(), "course.golden")
+	assert.NilError(t, Write(&shown, TraceRequest(readSession(t), "f1c46b03ca431df2")))
+	golden.Assert(t, shown.String(), "trace.golden")
 }
 
-func TestBeliefsAroundATime(t *testing.T) {
+func TestStateAt(t *testing.T) {
 	at, err := time.Parse(time.RFC3339, "2026-07-02T04:30:20Z")
 	assert.NilError(t, err)
 	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, StateAt(read(t), at)))
-	golden.Assert(t, shown.String(), "around.golden")
+	assert.NilError(t, Write(&shown, StateAt(readSession(t), at)))
+	golden.Assert(t, shown.String(), "state-at.golden")
 }
 
-func TestUnknownRequestHasNoCourse(t *testing.T) {
-	assert.Equal(t, len(TraceRequest(read(t), "none")), 0)
+func TestTraceOfUnknownRequestIsEmpty(t *testing.T) {
+	assert.Equal(t, len(TraceRequest(readSession(t), "none")), 0)
 }
 
 // A request that crashes workers comes under a new id each time: its course shows the others too.
-func TestCourseShowsTheSameRequestInOtherAttempts(t *testing.T) {
+func TestTraceIncludesOtherAttemptsOfTheRequest(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"request-suspected","id":"one","fingerprint":"aa","worker":"w1"}
 {"time":"2026-07-02T04:30:02Z","node":"r2","kind":"request-suspected","id":"other","fingerprint":"bb","worker":"w1"}
 {"time":"2026-07-02T04:30:04Z","node":"r2","kind":"request-suspected","id":"two","fingerprint":"aa","worker":"w2"}
@@ -57,7 +57,7 @@
 
 // A key that was taken away: its course shows which configuration took it, and when the router
 // that refused had it.
-func TestCourseOfAKeyThatWasTakenAway(t *testing.T) {
+func TestTraceIncludesConfigThatRevokedTheKey(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"config","version":7}
 {"time":"2026-07-02T04:30:02Z","node":"r1","kind":"config","version":9}
 {"time":"2026-07-02T04:30:02Z","node":"r2","kind":"config","version":9}
--- a/internal/explain/quota.go
+++ b/internal/explain/quota.go
@@ -6,11 +6,11 @@
 	"github.com/shalefork/shalefork/internal/decision"
 )
 
-// quotaCauses returns the leader's last word before a request on the limits of the tenants that
+// latestQuotaLines returns the leader's last word before a request on the limits of the tenants that
 // the lines of the request name.
-func quotaCauses(lines, named []Line) []Line {
+func latestQuotaLines(lines, named []Line) []Line {
 	var found []Line
-	for tenant, at := range overQuota(named) {
+	for tenant, at := range lastRefusals(named) {
 		var last *Line
 		for index, line := range lines {
 			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(at) {
@@ -27,8 +27,8 @@
 	return found
 }
 
-// overQuota returns which tenants' requests were refused by quota, and when last.
-func overQuota(named []Line) map[string]time.Time {
+// lastRefusals returns which tenants' requests were refused by quota, and when last.
+func lastRefusals(named []Line) map[string]time.Time {
 	found := map[string]time.Time{}
 	for _, line := range named {
 		tenant := asText(line.Fields["tenant"])
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -8,7 +8,7 @@
 )
 
 // A 429 leads to what the leader said last of the tenant, and of no other.
-func TestA429LeadsToItsCause(t *testing.T) {
+func TestTraceOf429IncludesQuotaLine(t *testing.T) {
 	lines, _, err := Read(strings.NewReader(`
 {"time":"2026-01-01T00:00:01Z","node":"l","kind":"tenant-over-limit","tenant":"a","over":false}
 {"time":"2026-01-01T00:00:02Z","node":"l","kind":"tenant-over-limit","tenant":"a","over":true,"limit":100,"used":99}
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -91,7 +91,7 @@
 		file: "internal/bundle/tenant.go",
 		old:  `64 hexadecimal digits in lower case, and never the key")`,
 		new:  `64 hexadecimal digits in lower case, found %q", digest)`,
-		pkg:  "./internal/bundle", test: "TestMistakesOfTenantsRepeatNoKey",
+		pkg:  "./internal/bundle", test: "TestTenantProblemsContainNoAPIKey",
 	},
 	{
 		name: "strict-forgets-the-age-of-news",
--- a/internal/lifecycle/head.go
+++ b/internal/lifecycle/head.go
@@ -65,12 +65,12 @@
 
 // InForce returns the version in force, and false if there is none yet.
 func (h Head) InForce() (Entry, bool) {
-	return h.highest(StateInForce)
+	return h.highestInState(StateInForce)
 }
 
 // Rolling returns the highest version that is rolling, and false for none.
 func (h Head) Rolling() (Entry, bool) {
-	return h.highest(StateRolling)
+	return h.highestInState(StateRolling)
 }
 
 // Find returns the record of a version, and false if it is not remembered.
@@ -105,7 +105,7 @@
 	return history
 }
 
-func (h Head) highest(state State) (Entry, bool) {
+func (h Head) highestInState(state State) (Entry, bool) {
 	for _, entry := range slices.Backward(h.Entries) {
 		if entry.State == state {
 			return entry, true
@@ -130,7 +130,7 @@
 
 // with returns a head in which the entry replaces the one of its version. The
 // given head is not changed.
-func (h Head) with(entry Entry) Head {
+func (h Head) withEntry(entry Entry) Head {
 	h.Entries = slices.Clone(h.Entries)
 	h.Entries[h.index(entry.Version)] = entry
 	return h
--- a/internal/lifecycle/steps.go
+++ b/internal/lifecycle/steps.go
@@ -28,13 +28,13 @@
 func Propose(head Head, proposal Proposal) (Head, Outcome) {
 	latest, _ := head.Latest()
 	if proposal.Version != latest.Version+1 {
-		return refuseVersion(head, latest, proposal)
+		return handleOutOfOrder(head, latest, proposal)
 	}
 	if head.countRolling() >= MaxRolling {
 		return failure(WrongState, head, latest, "%d versions are rolling; wait until one is in force", MaxRolling)
 	}
 	if latest.State == StateProposed || latest.State == StateApproved {
-		head = head.with(replacedBy(latest, proposal.Version))
+		head = head.withEntry(markReplaced(latest, proposal.Version))
 	}
 	entry := Entry{
 		Version:    proposal.Version,
@@ -47,8 +47,8 @@
 	return success(Changed, head.append(entry), entry)
 }
 
-// refuseVersion answers a proposal that is not the next version.
-func refuseVersion(head Head, latest Entry, proposal Proposal) (Head, Outcome) {
+// handleOutOfOrder answers a proposal that is not the next version.
+func handleOutOfOrder(head Head, latest Entry, proposal Proposal) (Head, Outcome) {
 	next := latest.Version + 1
 	taken, found := head.Find(proposal.Version)
 	switch {
@@ -92,7 +92,7 @@
 	entry.State = StateApproved
 	entry.ApprovedBy = approval.Operator
 	entry.ApprovalSignature = approval.Signature
-	return success(Changed, head.with(entry), entry)
+	return success(Changed, head.withEntry(entry), entry)
 }
 
 // Roll starts to put an approved version into force. Any operator may roll; the
@@ -110,7 +110,7 @@
 	entry.State = StateRolling
 	entry.RolledBy = operator
 	entry.RollSignature = signature
-	return success(Changed, head.with(entry), entry)
+	return success(Changed, head.withEntry(entry), entry)
 }
 
 // Refuse ends a version that no cell has adopted, with the reason. The caller
@@ -128,7 +128,7 @@
 	}
 	entry.State = StateRefused
 	entry.Reason = reason
-	return success(Changed, head.with(entry), entry)
+	return success(Changed, head.withEntry(entry), entry)
 }
 
 // InForce records that the version is the one that routers use. The lower versions that were in force or still rolling are replaced.
@@ -143,7 +143,7 @@
 		return wrongState(head, entry, StateRolling)
 	}
 	entry.State = StateInForce
-	return success(Changed, head.with(entry).replaceBelow(version), entry)
+	return success(Changed, head.withEntry(entry).replaceBelow(version), entry)
 }
 
 // replaceBelow marks the lower versions that a cell may have adopted as
@@ -152,13 +152,13 @@
 	for _, entry := range h.Entries {
 		wasAdopted := entry.State == StateInForce || entry.State == StateRolling
 		if entry.Version < version && wasAdopted {
-			h = h.with(replacedBy(entry, version))
+			h = h.withEntry(markReplaced(entry, version))
 		}
 	}
 	return h
 }
 
-func replacedBy(entry Entry, version bundle.Version) Entry {
+func markReplaced(entry Entry, version bundle.Version) Entry {
 	entry.State = StateReplaced
 	entry.Reason = fmt.Sprintf("replaced by version %d", version)
 	return entry
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -12,7 +12,7 @@
 	"github.com/shalefork/shalefork/internal/strictyaml"
 )
 
-// CheckBundle reads a bundle's file and prints its digest, or all problems.
+// CheckBundle reads a bundle file and prints the bundle's digest, or all problems.
 func CheckBundle(output Output, path string) ExitCode {
 	checked, err := readBundle(path)
 	if err != nil {
@@ -38,28 +38,28 @@
 	return read, nil
 }
 
-// Propose offers the bundle in a file as the team's next version.
+// Propose proposes the bundle in a file as the team's next version.
 func Propose(ctx context.Context, output Output, bundles *registry.Registry, by registry.Operator, path string) ExitCode {
-	offered, err := readBundle(path)
+	proposed, err := readBundle(path)
 	if err != nil {
 		return output.Fail(err)
 	}
-	return output.outcome(bundles.Propose(ctx, by, offered))
+	return output.printOutcome(bundles.Propose(ctx, by, proposed))
 }
 
-// Approve signs off the version that the file holds. The operator approves what
-// stands in the file, never what the service says that was proposed.
+// Approve approves the version in the file. The operator's approval covers the content of
+// the file, not what the key-value service returns as the proposal.
 func Approve(ctx context.Context, output Output, bundles *registry.Registry, by registry.Operator, path string) ExitCode {
 	reviewed, err := readBundle(path)
 	if err != nil {
 		return output.Fail(err)
 	}
-	return output.outcome(bundles.Approve(ctx, by, reviewed))
+	return output.printOutcome(bundles.Approve(ctx, by, reviewed))
 }
 
-// Roll puts an approved version into force.
+// Roll starts to put an approved version into force.
 func Roll(ctx context.Context, output Output, bundles *registry.Registry, by registry.Operator, team bundle.TeamName, version bundle.Version) ExitCode {
-	return output.outcome(bundles.Roll(ctx, by, team, version))
+	return output.printOutcome(bundles.Roll(ctx, by, team, version))
 }
 
 // BundleStatus prints the newest version of a team.
@@ -70,9 +70,9 @@
 	}
 	latest, found := record.Head.Latest()
 	if !found {
-		return output.outcome(lifecycle.Outcome{Kind: lifecycle.NotFound, Message: fmt.Sprintf("team %s has no version", team)}, nil)
+		return output.printOutcome(lifecycle.Outcome{Kind: lifecycle.NotFound, Message: fmt.Sprintf("team %s has no version", team)}, nil)
 	}
-	return output.bundle(record.Head.Status(latest))
+	return output.printBundle(record.Head.Status(latest))
 }
 
 // BundleHistory prints the versions of a team.
@@ -81,5 +81,5 @@
 	if err != nil {
 		return output.Fail(err)
 	}
-	return output.history(record.Head.History())
+	return output.printHistory(record.Head.History())
 }
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -7,7 +7,7 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// CheckConfig reads a settings file as a router would, without starting one.
+// CheckConfig validates a settings file as a router does at its start, without starting one.
 func CheckConfig(output Output, path string) ExitCode {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operator/exit.go
+++ b/internal/operator/exit.go
@@ -1,6 +1,6 @@
-// Package operator implements the operators' commands: keys, bundles, status and
-// the check of settings. Each command writes its result to one writer, its
-// complaint to another, and returns an exit code.
+// Package operator implements the operators' commands: keys, bundles, status, quarantine and
+// the check of settings. Each command writes its result to one writer, its errors to another,
+// and returns an exit code.
 package operator
 
 import (
@@ -18,31 +18,30 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("operator")
 
-// ExitCode is what a command ends with, so that scripts can tell the cases
-// apart.
+// ExitCode is the exit code of a command, by which scripts distinguish the outcomes.
 type ExitCode = cli.ExitCode
 
 // Exit codes of the commands.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK ExitCode = 0
-	// ExitRefused: the step was refused; trying the same again will not help.
+	// ExitRefused: the step was refused; retrying it will not help.
 	ExitRefused ExitCode = 1
 	// ExitInvalid: the command line, a file or a bundle is invalid.
 	ExitInvalid ExitCode = 2
-	// ExitUnreachable: nobody could answer now; the same may be tried again.
+	// ExitUnreachable: the key-value service could not be reached; the command may be retried.
 	ExitUnreachable ExitCode = 3
 )
 
-// Output is where a command writes.
+// Output holds the writers of a command's result and errors.
 type Output struct {
 	Result io.Writer
 	Errors io.Writer
-	// JSON asks for results as JSON rather than text.
+	// JSON selects JSON rather than text for results.
 	JSON bool
 }
 
-// Fail writes the error for people and returns the code that belongs to it.
+// Fail writes the error as text and returns its exit code.
 func (o Output) Fail(err error) ExitCode {
 	fmt.Fprintln(o.Errors, err)
 	if errors.Is(err, registry.ErrUnavailable) {
@@ -51,13 +50,13 @@
 	return ExitInvalid
 }
 
-// outcome writes how a step ended.
-func (o Output) outcome(outcome lifecycle.Outcome, err error) ExitCode {
+// printOutcome writes the outcome of a step and returns its exit code.
+func (o Output) printOutcome(outcome lifecycle.Outcome, err error) ExitCode {
 	switch {
 	case err != nil:
 		return o.Fail(err)
 	case outcome.OK():
-		return o.bundle(*outcome.Status)
+		return o.printBundle(*outcome.Status)
 	}
 	fmt.Fprintf(o.Errors, "%s: %s\n", outcome.Kind, outcome.Message)
 	if outcome.Status != nil {
--- a/internal/operator/key.go
+++ b/internal/operator/key.go
@@ -12,11 +12,11 @@
 	"github.com/shalefork/shalefork/internal/registry"
 )
 
-// keyFileMode lets only the owner read the key.
+// keyFileMode gives access to the file's owner only.
 const keyFileMode = 0o600
 
-// GenerateKey writes a new ed25519 key to a file that must not exist yet and
-// prints the public key for the routers' settings.
+// GenerateKey writes a new ed25519 private key to a file that must not exist yet and prints
+// the public key for the routers' settings.
 func GenerateKey(output Output, path string) ExitCode {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return ExitOK
 }
 
-// writeSecret writes a line to a file that must not exist yet, for its owner only.
+// writeSecret writes a line to a file that must not exist yet and that only its owner can read.
 func writeSecret(path, secret string) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return Error.Wrap(err)
 }
 
-// LoadIdentity reads the key file of an operator. It refuses a file that
-// others can read.
+// LoadIdentity reads an operator's private key from a file. It returns an error if users
+// other than the file's owner have access to it.
 func LoadIdentity(name, path string) (registry.Operator, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -31,13 +31,13 @@
 	prefix     = "own/"
 )
 
-// console holds what a command wrote.
+// console collects the output of a command.
 type console struct {
-	result, complaint bytes.Buffer
+	result, errors bytes.Buffer
 }
 
 func (c *console) output() Output {
-	return Output{Result: &c.result, Errors: &c.complaint}
+	return Output{Result: &c.result, Errors: &c.errors}
 }
 
 func fixedOperator(name string, seed byte) registry.Operator {
@@ -49,21 +49,21 @@
 
 func TestKeyFileIsPrivateAndNeverOverwritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
-	made := &console{}
-	assert.Equal(t, GenerateKey(made.output(), path), ExitOK)
+	generated := &console{}
+	assert.Equal(t, GenerateKey(generated.output(), path), ExitOK)
 	info, err := os.Stat(path)
 	assert.NilError(t, err)
 	assert.Equal(t, info.Mode().Perm(), os.FileMode(0o600))
 	identity, err := LoadIdentity("salma", path)
 	assert.NilError(t, err)
 	assert.Equal(t, identity.Name, lifecycle.OperatorName("salma"))
-	assert.Equal(t, GenerateKey(made.output(), path), ExitInvalid)
+	assert.Equal(t, GenerateKey(generated.output(), path), ExitInvalid)
 	assert.NilError(t, os.Chmod(path, 0o640))
 	_, err = LoadIdentity("salma", path)
 	assert.ErrorContains(t, err, "can be read by others")
 }
 
-func TestABundleGoesThroughItsStates(t *testing.T) {
+func TestBundleLifecycle(t *testing.T) {
 	bundles := registry.New(memory.New(), prefix)
 	salma, youssef := fixedOperator("salma", 1), fixedOperator("youssef", 2)
 	shown := &console{}
@@ -76,10 +76,10 @@
 	assert.Equal(t, Roll(ctx, shown.output(), bundles, salma, "tawila", 1), ExitOK)
 	assert.Equal(t, BundleStatus(ctx, shown.output(), bundles, "tawila"), ExitOK)
 	assert.Equal(t, BundleHistory(ctx, shown.output(), bundles, "tawila"), ExitOK)
-	golden.Assert(t, shown.result.String()+"--\n"+shown.complaint.String(), "states.golden")
+	golden.Assert(t, shown.result.String()+"--\n"+shown.errors.String(), "states.golden")
 }
 
-func TestAnOutageIsToldApartFromARefusal(t *testing.T) {
+func TestStoreOutageHasItsOwnExitCode(t *testing.T) {
 	store := memory.New()
 	store.SetDown(true)
 	bundles := registry.New(store, prefix)
@@ -87,13 +87,13 @@
 	defer cancel()
 	shown := &console{}
 	assert.Equal(t, BundleStatus(ctx, shown.output(), bundles, "tawila"), ExitUnreachable)
-	assert.Equal(t, Status(ctx, shown.output(), store, prefix, announced, noNotices), ExitUnreachable)
+	assert.Equal(t, Status(ctx, shown.output(), store, prefix, stateEntries, noNotices), ExitUnreachable)
 	assert.Equal(t, Propose(ctx, shown.output(), bundles, fixedOperator("salma", 1), bundleFile), ExitUnreachable)
-	assert.Assert(t, strings.Contains(shown.complaint.String(), "does not answer"))
+	assert.Assert(t, strings.Contains(shown.errors.String(), "does not answer"))
 }
 
-// announced reads entries whose value is nothing but a worker's state.
-var announced = WorkerEntries{Prefix: "w/", Parse: func(entry coord.Item) (workers.Worker, error) {
+// stateEntries parses entries whose value is only the worker's state.
+var stateEntries = WorkerEntries{Prefix: "w/", Parse: func(entry coord.Item) (workers.Worker, error) {
 	if string(entry.Value) != "ready" {
 		return workers.Worker{}, &workers.EntryError{Reason: workers.ReasonState, Field: "state"}
 	}
@@ -104,24 +104,24 @@
 	return peerlink.WorkerNotices{}, peerlink.ErrNotLeading
 }
 
-func TestStatusTellsLeaderOwnersAndWhatWorkersSay(t *testing.T) {
+func TestStatusShowsLeaderOwnersAndWorkerNotices(t *testing.T) {
 	store := memory.New()
 	term := owner.Term(1)
 	_, err := election.New(store, prefix, "10.0.0.1:82", "p1", func() string { return "n" }).Campaign(t.Context(), 0)
 	assert.NilError(t, err)
-	book := owner.NewLedger(owner.DefaultConfig(time.Second), term)
-	book.Assign(time.Now(), []owner.Owner{
+	ledger := owner.NewLedger(owner.DefaultConfig(time.Second), term)
+	ledger.Assign(time.Now(), []owner.Owner{
 		{Keys: owner.KeyRange{From: 0, To: 9}, Worker: "w1", Address: "10.0.0.7:1"},
 		{Keys: owner.KeyRange{From: 10, To: owner.KeyCount - 1}, Worker: "w2", Address: "10.0.0.8:1"},
 	})
-	value, err := book.Encode(term, "mark")
+	value, err := ledger.Encode(term, "mark")
 	assert.NilError(t, err)
 	_, err = store.Commit(t.Context(), coord.Txn{Puts: []coord.Put{
 		{Key: keeper.RecordKey(prefix, "tables"), Value: value}, {Key: keeper.RecordKey(prefix, "spoiled"), Value: []byte("{")},
 		{Key: "w/w1", Value: []byte("ready")}, {Key: "w/other", Value: []byte("paused")},
 	}})
 	assert.NilError(t, err)
-	askNotices := func(_ context.Context, leader string) (peerlink.WorkerNotices, error) {
+	queryNotices := func(_ context.Context, leader string) (peerlink.WorkerNotices, error) {
 		assert.Equal(t, leader, "10.0.0.1:82")
 		return peerlink.WorkerNotices{
 			Limits:   []workerlimit.Message{{Worker: "w2", PerSecond: 2.5, AgeMillis: 7100}},
@@ -130,11 +130,11 @@
 		}, nil
 	}
 	shown := &console{}
-	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, announced, askNotices), ExitOK)
-	asked := shown.output()
-	asked.JSON = true
-	assert.Equal(t, Status(t.Context(), asked, store, prefix, announced, askNotices), ExitOK)
-	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, announced, noNotices), ExitOK)
+	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, stateEntries, queryNotices), ExitOK)
+	jsonOutput := shown.output()
+	jsonOutput.JSON = true
+	assert.Equal(t, Status(t.Context(), jsonOutput, store, prefix, stateEntries, queryNotices), ExitOK)
+	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, stateEntries, noNotices), ExitOK)
 	golden.Assert(t, shown.result.String(), "status.golden")
 }
 
@@ -142,8 +142,8 @@
 	for _, example := range []string{"tawila", "tweede-leven"} {
 		directory := filepath.Join("..", "..", "examples", example)
 		shown := &console{}
-		assert.Equal(t, CheckConfig(shown.output(), filepath.Join(directory, "router.yaml")), ExitOK, shown.complaint.String())
-		assert.Equal(t, CheckBundle(shown.output(), filepath.Join(directory, "bundle.yaml")), ExitOK, shown.complaint.String())
+		assert.Equal(t, CheckConfig(shown.output(), filepath.Join(directory, "router.yaml")), ExitOK, shown.errors.String())
+		assert.Equal(t, CheckBundle(shown.output(), filepath.Join(directory, "bundle.yaml")), ExitOK, shown.errors.String())
 	}
 	shown := &console{}
 	assert.Equal(t, CheckConfig(shown.output(), bundleFile), ExitInvalid)
--- a/internal/operator/print.go
+++ b/internal/operator/print.go
@@ -10,13 +10,13 @@
 	"github.com/shalefork/shalefork/internal/lifecycle"
 )
 
-// bundle prints one version. One that is refused or replaced makes the command
-// fail.
-func (o Output) bundle(status lifecycle.Status) ExitCode {
+// printBundle prints the status of one version. For a version that is refused or replaced it
+// returns ExitRefused.
+func (o Output) printBundle(status lifecycle.Status) ExitCode {
 	if o.JSON {
-		o.json(status)
+		o.printJSON(status)
 	} else {
-		o.bundleLine(status)
+		o.printBundleText(status)
 	}
 	switch status.State {
 	case lifecycle.StateRefused, lifecycle.StateReplaced:
@@ -26,7 +26,7 @@
 	}
 }
 
-func (o Output) bundleLine(status lifecycle.Status) {
+func (o Output) printBundleText(status lifecycle.Status) {
 	fmt.Fprintf(o.Result, "%s version %d is %s\n", status.Team, status.Version, status.State)
 	fmt.Fprintf(o.Result, "  digest       %s\n", status.Digest)
 	fmt.Fprintf(o.Result, "  proposed by  %s\n", orDash(status.ProposedBy))
@@ -41,9 +41,9 @@
 	return cmp.Or(text, "-")
 }
 
-func (o Output) history(versions []lifecycle.Status) ExitCode {
+func (o Output) printHistory(versions []lifecycle.Status) ExitCode {
 	if o.JSON {
-		o.json(versions)
+		o.printJSON(versions)
 		return ExitOK
 	}
 	table := newTable(o.Result)
@@ -57,7 +57,7 @@
 	return ExitOK
 }
 
-func (o Output) json(value any) {
+func (o Output) printJSON(value any) {
 	encoder := json.NewEncoder(o.Result)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -15,24 +15,25 @@
 	"github.com/shalefork/shalefork/internal/registry"
 )
 
-// SuspectedRequest is a request that was under way at workers that crashed.
+// SuspectedRequest is a request that was in progress at workers when they crashed.
 type SuspectedRequest struct {
 	Fingerprint quarantine.Fingerprint `json:"fingerprint"`
-	// Quarantined says that it is sent to no worker.
+	// Quarantined is set if the request is no longer sent to any worker.
 	Quarantined bool   `json:"quarantined"`
 	Route       string `json:"route"`
-	// For is the only caller whose request is meant; empty: everybody's.
+	// OnlyCaller is the only caller whose request is restricted; empty: those of all callers.
 	OnlyCaller string   `json:"for,omitempty"`
 	Caller     string   `json:"caller"`
 	Workers    []string `json:"workers"`
-	// LastID is the id of the last attempt that was under way at a crash, and Last is when that
-	// was. Until is when the request is forgotten unless it crashes more.
+	// LastAttemptID is the id of the last attempt that was in progress at a crash, and LastCrash
+	// is the time of that crash. ExpiresAt is when the record is dropped unless the request
+	// crashes more workers.
 	LastAttemptID string    `json:"last_id"`
 	LastCrash     time.Time `json:"last"`
 	ExpiresAt     time.Time `json:"until"`
 }
 
-// ListSuspects prints the requests that were under way at crashes.
+// ListSuspects prints the requests that are suspected or quarantined.
 func ListSuspects(ctx context.Context, output Output, store coord.Store, prefix string) ExitCode {
 	snapshot, _, err := readSuspects(ctx, store, prefix)
 	if err != nil {
@@ -40,14 +41,14 @@
 	}
 	list := describeSuspects(snapshot)
 	if output.JSON {
-		output.json(list)
+		output.printJSON(list)
 		return ExitOK
 	}
-	output.suspects(list)
+	output.printSuspects(list)
 	return ExitOK
 }
 
-// LiftQuarantine forgets what a request has crashed, so that it is sent again.
+// LiftQuarantine marks a request as lifted, so that routers send it to workers again.
 func LiftQuarantine(ctx context.Context, output Output, store coord.Store, prefix, fingerprint string) ExitCode {
 	var request quarantine.Fingerprint
 	if err := request.UnmarshalText([]byte(fingerprint)); err != nil {
@@ -71,14 +72,14 @@
 		case err == nil:
 			fmt.Fprintf(output.Result, "%s is lifted; routers know within 15 s\n", request)
 			return ExitOK
-		case !errors.Is(err, coord.ErrConflict): // a conflict: the leader has written meanwhile
+		case !errors.Is(err, coord.ErrConflict): // on a conflict, the leader has written since the read: retry
 			return output.Fail(errs.Combine(registry.ErrUnavailable, err))
 		}
 	}
 	return output.Fail(errs.Combine(registry.ErrUnavailable, ctx.Err()))
 }
 
-// readSuspects returns what is stored, and its revision; nothing if nothing is.
+// readSuspects returns the stored snapshot and its revision, and zero values if none is stored.
 func readSuspects(ctx context.Context, store coord.Store, prefix string) (quarantine.Snapshot, coord.Revision, error) {
 	item, found, err := store.Get(ctx, quarantine.StoreKey(prefix))
 	if err != nil {
@@ -97,41 +98,42 @@
 		if record.Standing() == quarantine.Unsuspected {
 			continue
 		}
-		one := SuspectedRequest{
+		suspect := SuspectedRequest{
 			Fingerprint: record.Attempt.Request, Quarantined: record.Standing() == quarantine.Quarantined,
 			Route: record.Attempt.Route, Caller: record.Attempt.Caller.String(), LastAttemptID: record.Attempt.ID, ExpiresAt: record.ExpiresAt(),
 		}
 		if record.OnlyCaller.IsValid() {
-			one.OnlyCaller = record.OnlyCaller.String()
+			suspect.OnlyCaller = record.OnlyCaller.String()
 		}
 		for _, crash := range record.Crashes {
-			if !slices.Contains(one.Workers, string(crash.Worker)) {
-				one.Workers = append(one.Workers, string(crash.Worker))
+			if !slices.Contains(suspect.Workers, string(crash.Worker)) {
+				suspect.Workers = append(suspect.Workers, string(crash.Worker))
 			}
-			one.LastCrash = crash.At
+			suspect.LastCrash = crash.At
 		}
-		list = append(list, one)
+		list = append(list, suspect)
 	}
 	return list
 }
 
-func orEverybody(caller string) string {
+func callerOrEverybody(caller string) string {
 	if caller == "" {
 		return "everybody"
 	}
 	return caller
 }
 
-func (o Output) suspects(list []SuspectedRequest) {
+func (o Output) printSuspects(list []SuspectedRequest) {
 	table := newTable(o.Result)
 	fmt.Fprintln(table, "FINGERPRINT\tSTATE\tROUTE\tFOR\tCALLER\tLAST ID\tLAST\tUNTIL\tWORKERS")
-	for _, one := range list {
+	for _, suspect := range list {
 		state := "suspected"
-		if one.Quarantined {
+		if suspect.Quarantined {
 			state = "quarantined"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", one.Fingerprint, state, orDash(one.Route), orEverybody(one.OnlyCaller), one.Caller,
-			orDash(one.LastAttemptID), one.LastCrash.Format(time.RFC3339), one.ExpiresAt.Format(time.RFC3339), strings.Join(one.Workers, " "))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
+			suspect.Fingerprint, state, orDash(suspect.Route), callerOrEverybody(suspect.OnlyCaller), suspect.Caller, orDash(suspect.LastAttemptID),
+			suspect.LastCrash.Format(time.RFC3339), suspect.ExpiresAt.Format(time.RFC3339), strings.Join(suspect.Workers, " "))
 	}
 	table.Flush()
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -15,25 +15,27 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Overview is what the key-value service says of the system.
+// Overview is the state of the system as stored in the key-value service, with the workers'
+// notices from the leader.
 type Overview struct {
 	// Leader is the peer address of the router that leads; empty if none does.
 	Leader   string         `json:"leader"`
 	Term     owner.Term     `json:"term"`
 	Services []StoredOwners `json:"services"`
-	// Workers counts the entries of workers, and Refused are those that name none.
+	// Workers counts the valid worker entries; Refused lists the invalid ones.
 	Workers int            `json:"workers"`
 	Refused []RefusedEntry `json:"refused,omitempty"`
 	Notices
 }
 
-// RefusedEntry is an entry among the workers' that names no worker to use.
+// RefusedEntry is an entry under the workers' prefix that describes no usable worker.
 type RefusedEntry struct {
 	Worker workers.ID `json:"worker"`
 	Reason string     `json:"reason"`
 }
 
-// Announced says where workers announce themselves, and how their entries are read.
+// WorkerEntries holds the prefix under which workers announce themselves in the key-value
+// service, and the function that parses their entries.
 type WorkerEntries struct {
 	Prefix string
 	Parse  func(entry coord.Item) (workers.Worker, error)
@@ -42,31 +44,32 @@
 // StoredOwners are the stored owners of a service's keys.
 type StoredOwners struct {
 	Service string `json:"service"`
-	// Term of the leader that stored them.
+	// Term is the term of the leader that stored them.
 	Term   owner.Term    `json:"term"`
 	Owners []owner.Owner `json:"owners"`
-	// Error says why the stored owners can't be read; empty if they can.
+	// Error is the reason why the stored owners can't be decoded; empty if they can.
 	Error string `json:"error,omitempty"`
 }
 
-// Status prints who leads and who owns which keys, as the service has it under the
-// system's own prefix, and what workers say of themselves, as the leader has it.
-func Status(ctx context.Context, output Output, store coord.Store, prefix string, announced WorkerEntries, ask QueryNotices) ExitCode {
-	overview, states, err := readOverview(ctx, store, prefix, announced)
+// Status prints the leader and the owners of keys, as stored in the key-value service under
+// the system's own prefix, and the workers' notices, as the leader knows them.
+func Status(ctx context.Context, output Output, store coord.Store, prefix string, entries WorkerEntries, query QueryNotices) ExitCode {
+	overview, states, err := readOverview(ctx, store, prefix, entries)
 	if err != nil {
 		return output.Fail(err)
 	}
-	overview.queryNotices(ctx, ask, states)
+	overview.queryNotices(ctx, query, states)
 	if output.JSON {
-		output.json(overview)
+		output.printJSON(overview)
 		return ExitOK
 	}
-	output.overview(overview)
+	output.printOverview(overview)
 	return ExitOK
 }
 
-// readOverview reads what is stored, and the states of workers in their entries.
-func readOverview(ctx context.Context, store coord.Store, prefix string, announced WorkerEntries) (Overview, map[workers.ID]workers.State, error) {
+// readOverview reads the overview from the key-value service, and returns the states in the
+// workers' entries beside it.
+func readOverview(ctx context.Context, store coord.Store, prefix string, workerEntries WorkerEntries) (Overview, map[workers.ID]workers.State, error) {
 	leader, found, err := election.New(store, prefix, "", "", nil).CurrentLeader(ctx)
 	if err != nil {
 		return Overview{}, nil, errs.Combine(registry.ErrUnavailable, err)
@@ -83,15 +86,15 @@
 	for _, item := range items {
 		overview.Services = append(overview.Services, decodeStoredOwners(strings.TrimPrefix(item.Key, records), item.Value))
 	}
-	entries, _, err := coord.List(ctx, store, announced.Prefix)
+	entries, _, err := coord.List(ctx, store, workerEntries.Prefix)
 	if err != nil {
 		return Overview{}, nil, errs.Combine(registry.ErrUnavailable, err)
 	}
 	states := map[workers.ID]workers.State{}
 	for _, entry := range entries {
-		worker, err := announced.Parse(entry)
+		worker, err := workerEntries.Parse(entry)
 		if err != nil {
-			id := workers.ID(strings.TrimPrefix(entry.Key, announced.Prefix))
+			id := workers.ID(strings.TrimPrefix(entry.Key, workerEntries.Prefix))
 			overview.Refused = append(overview.Refused, RefusedEntry{Worker: id, Reason: err.Error()})
 			continue
 		}
@@ -109,13 +112,13 @@
 	return StoredOwners{Service: service, Term: term, Owners: owners}
 }
 
-func (o Output) overview(overview Overview) {
+func (o Output) printOverview(overview Overview) {
 	fmt.Fprintf(o.Result, "leader  %s\nterm    %d\n", orDash(overview.Leader), overview.Term)
 	fmt.Fprintf(o.Result, "workers %d, and %d entries that name none\n", overview.Workers, len(overview.Refused))
-	for _, one := range overview.Refused {
-		fmt.Fprintf(o.Result, "  %s\t%s\n", one.Worker, one.Reason)
+	for _, entry := range overview.Refused {
+		fmt.Fprintf(o.Result, "  %s\t%s\n", entry.Worker, entry.Reason)
 	}
-	o.notices(overview.Notices)
+	o.printNotices(overview.Notices)
 	for _, service := range overview.Services {
 		if service.Error != "" {
 			fmt.Fprintf(o.Result, "\n%s can't be read: %s\n", service.Service, service.Error)
@@ -124,8 +127,8 @@
 		fmt.Fprintf(o.Result, "\n%s, stored in term %d\n", service.Service, service.Term)
 		table := newTable(o.Result)
 		fmt.Fprintln(table, "FROM\tTO\tOWNER\tADDRESS")
-		for _, one := range service.Owners {
-			fmt.Fprintf(table, "%d\t%d\t%s\t%s\n", one.Keys.From, one.Keys.To, one.Worker, one.Address)
+		for _, owned := range service.Owners {
+			fmt.Fprintf(table, "%d\t%d\t%s\t%s\n", owned.Keys.From, owned.Keys.To, owned.Worker, owned.Address)
 		}
 		table.Flush()
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -35,8 +35,8 @@
 func decode(file string, data []byte, overrides []Override, target any, check func() []strictyaml.Problem) error {
 	var inFlags []strictyaml.Problem
 	inFile := strictyaml.Read(file, data, target, func() []strictyaml.Problem {
-		inFlags = override(overrides, target)
-		return nameFlags(check(), overrides)
+		inFlags = applyOverrides(overrides, target)
+		return addFlagNames(check(), overrides)
 	})
 	if problems := append(inFlags, inFile...); len(problems) > 0 {
 		return Problems(problems)
@@ -45,7 +45,7 @@
 }
 
 // override sets the fields that flags give.
-func override(overrides []Override, target any) []strictyaml.Problem {
+func applyOverrides(overrides []Override, target any) []strictyaml.Problem {
 	var problems []strictyaml.Problem
 	for _, flag := range overrides {
 		text := []byte(flag.Field + ": " + flag.Value)
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// nameFlags adds to each problem the flag that gave the value, if one did.
-func nameFlags(problems []strictyaml.Problem, overrides []Override) []strictyaml.Problem {
+// addFlagNames adds to each problem the flag that gave the value, if one did.
+func addFlagNames(problems []strictyaml.Problem, overrides []Override) []strictyaml.Problem {
 	for index := range problems {
 		for _, flag := range overrides {
 			if problems[index].Field == flag.Field {
--- a/internal/settings/read_test.go
+++ b/internal/settings/read_test.go
@@ -14,13 +14,13 @@
 	golden.Assert(t, err.Error()+"\n", "router-bad.golden")
 }
 
-func TestFlagsWinOverTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	read, err := ReadRouter("router.yaml", []byte(routerFile), []Override{TextOverride("listen", "127.0.0.1:7999")})
 	assert.NilError(t, err)
 	assert.Equal(t, read.Listen, "127.0.0.1:7999")
 }
 
-func TestBrokenYAMLIsAProblemWithAPlace(t *testing.T) {
+func TestInvalidYAMLIsReportedWithItsPosition(t *testing.T) {
 	_, err := ReadRouter("router.yaml", []byte("node: [a\nzone: b"), nil)
 	assert.ErrorContains(t, err, "router.yaml:2:1: expected YAML")
 }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -15,11 +15,11 @@
 
 // decode sets target from node and reports each mistake below it.
 func (d *Document) decode(node ast.Node, target reflect.Value, path string) {
-	d.remember(path, node)
+	d.recordPosition(path, node)
 	switch {
 	case node.Type() == ast.NullType:
-		d.report(path, "expected %s, found nothing", expectation(target.Type()))
-	case refused(node):
+		d.report(path, "expected %s, found nothing", describeType(target.Type()))
+	case isUnsupported(node):
 		d.report(path, "expected a plain value: tags, anchors and aliases are not allowed")
 	case target.Kind() == reflect.Pointer:
 		target.Set(reflect.New(target.Type().Elem()))
@@ -37,7 +37,7 @@
 	}
 }
 
-func refused(node ast.Node) bool {
+func isUnsupported(node ast.Node) bool {
 	switch node.Type() {
 	case ast.TagType, ast.AnchorType, ast.AliasType, ast.MergeKeyType, ast.DirectiveType:
 		return true
@@ -63,7 +63,7 @@
 func (d *Document) decodeEntry(entry *ast.MappingValueNode, fields map[string]reflect.Value, seen map[string]bool, path string) {
 	at := entry.Key.GetToken()
 	name := at.Value
-	child := join(path, name)
+	child := joinPath(path, name)
 	field, known := fields[name]
 	switch {
 	case !known:
@@ -72,7 +72,7 @@
 		d.reportAt(at, child, "expected the field once, found it again")
 	default:
 		seen[name] = true
-		d.rememberToken(child, at)
+		d.recordTokenPosition(child, at)
 		d.decode(entry.Value, field, child)
 	}
 }
@@ -99,13 +99,13 @@
 	target.Set(reflect.MakeMapWithSize(target.Type(), len(entries)))
 	for _, entry := range entries {
 		at := entry.Key.GetToken()
-		child := join(path, at.Value)
+		child := joinPath(path, at.Value)
 		key := reflect.ValueOf(at.Value).Convert(target.Type().Key())
 		if target.MapIndex(key).IsValid() {
 			d.reportAt(at, child, "expected the field once, found it again")
 			continue
 		}
-		d.rememberToken(child, at)
+		d.recordTokenPosition(child, at)
 		value := reflect.New(target.Type().Elem()).Elem()
 		d.decode(entry.Value, value, child)
 		target.SetMapIndex(key, value)
@@ -114,11 +114,11 @@
 
 func (d *Document) decodeScalar(node ast.Node, target reflect.Value, path string) {
 	if !scalarFits(node, target) {
-		d.report(path, "expected %s", expectation(target.Type()))
+		d.report(path, "expected %s", describeType(target.Type()))
 		return
 	}
 	if err := yaml.NodeToValue(node, target.Addr().Interface()); err != nil {
-		d.report(path, "expected %s, found %q", expectation(target.Type()), node.GetToken().Value)
+		d.report(path, "expected %s, found %q", describeType(target.Type()), node.GetToken().Value)
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // expectation names a type in the words of the file.
-func expectation(kind reflect.Type) string {
+func describeType(kind reflect.Type) string {
 	if kind.Kind() == reflect.Pointer {
 		kind = kind.Elem()
 	}
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -47,7 +47,7 @@
 	document.decode(root, reflect.ValueOf(target).Elem(), "")
 	unreadable := len(document.problems)
 	for _, problem := range check() {
-		if !document.covered(problem.Field, unreadable) {
+		if !document.isCovered(problem.Field, unreadable) {
 			document.report(problem.Field, "%s", problem.Message)
 		}
 	}
@@ -57,7 +57,7 @@
 
 // parse returns the root of the only document, or nil and a problem.
 func (d *Document) parse(data []byte) ast.Node {
-	if excess := excess(data); excess != "" {
+	if excess := exceededLimit(data); excess != "" {
 		d.report("", "%s", excess)
 		return nil
 	}
@@ -74,7 +74,7 @@
 }
 
 // excess says which limit the document breaks, empty for none.
-func excess(data []byte) string {
+func exceededLimit(data []byte) string {
 	if len(data) > MaxBytes {
 		return fmt.Sprintf("expected at most %d bytes, found %d", MaxBytes, len(data))
 	}
@@ -83,14 +83,14 @@
 			return fmt.Sprintf("expected lines of at most %d bytes, found one of %d", MaxLineBytes, len(line))
 		}
 	}
-	if nesting(data) > MaxDepth {
+	if maxNesting(data) > MaxDepth {
 		return fmt.Sprintf("expected at most %d brackets inside one another", MaxDepth)
 	}
 	return ""
 }
 
 // nesting returns an upper bound of how deep flow collections are nested.
-func nesting(data []byte) int {
+func maxNesting(data []byte) int {
 	depth := 0
 	deepest := 0
 	for _, character := range data {
@@ -141,18 +141,18 @@
 		if at, found := d.positions[field]; found || field == "" {
 			return at
 		}
-		field = enclosing(field)
+		field = parentPath(field)
 	}
 }
 
 // enclosing returns the path without its last name or index.
-func enclosing(field string) string {
+func parentPath(field string) string {
 	return field[:max(0, strings.LastIndexAny(field, ".["))]
 }
 
 // covered reports whether one of the first count problems lies in the field,
 // at it, or around it.
-func (d *Document) covered(field string, count int) bool {
+func (d *Document) isCovered(field string, count int) bool {
 	for _, problem := range d.problems[:count] {
 		if within(field, problem.Field) || within(problem.Field, field) {
 			return true
--- a/internal/strictyaml/fields.go
+++ b/internal/strictyaml/fields.go
@@ -65,26 +65,26 @@
 
 // remember notes where a value stands. A mapping or list that is the value of
 // a field keeps the place of the field's name, noted before.
-func (d *Document) remember(path string, node ast.Node) {
+func (d *Document) recordPosition(path string, node ast.Node) {
 	entries, isMapping := mappingEntries(node)
 	_, noted := d.positions[path]
 	switch {
 	case isMapping && noted:
 	case isMapping && len(entries) > 0:
-		d.rememberToken(path, entries[0].Key.GetToken())
+		d.recordTokenPosition(path, entries[0].Key.GetToken())
 	case noted && node.Type() == ast.SequenceType:
 	default:
-		d.rememberToken(path, node.GetToken())
+		d.recordTokenPosition(path, node.GetToken())
 	}
 }
 
-func (d *Document) rememberToken(path string, at *token.Token) {
+func (d *Document) recordTokenPosition(path string, at *token.Token) {
 	if at != nil && at.Position != nil {
 		d.positions[path] = position{line: at.Position.Line, column: at.Position.Column}
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, got.Limits[0].Rate, 0.5)
 }
 
-func TestProblemsAreInTheOrderOfTheFile(t *testing.T) {
+func TestProblemsAreInFileOrder(t *testing.T) {
 	_, problems := read("hidden: x\nlimits:\n  - rate: 3\n  - {rate: \"1\"}\nname: ab\nzone: casa-a\ncount: 0\n")
 	assert.Equal(t, problems, `s.yaml:1:1: hidden: unknown field; expected one of count, limit, limits, name, zone
 s.yaml:3:11: limits[0].rate: expected at most 1
--- a/internal/strictyaml/validate.go
+++ b/internal/strictyaml/validate.go
@@ -9,8 +9,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// inlineMark stands for an inlined struct in the validator's paths.
-const inlineMark = "~inline"
+// inlinePlaceholder stands for an inlined struct in the validator's paths.
+const inlinePlaceholder = "~inline"
 
 // Validator checks structs by their "validate" tags and names fields as files
 // do. It is safe for concurrent use.
@@ -24,7 +24,7 @@
 	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
 		name, inline := fileName(field)
 		if inline {
-			return inlineMark
+			return inlinePlaceholder
 		}
 		return name
 	})
@@ -50,7 +50,7 @@
 // fieldPath drops the struct's name and the marks of inlined structs.
 func fieldPath(namespace string) string {
 	_, path, _ := strings.Cut(namespace, ".")
-	return strings.ReplaceAll(path, inlineMark+".", "")
+	return strings.ReplaceAll(path, inlinePlaceholder+".", "")
 }
 
 // describe says what a tag expects.
