--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,6 +1,6 @@
-// Package decision writes one log line for each decision that touches a request
-// or changes what the process believes, within a budget a second for each kind.
-// Writing never blocks: lines that find no room are dropped and counted.
+// Package decision writes one log line for each decision that affects a request or changes
+// the state of the process, with a rate limit for each kind of line. Writing never blocks:
+// lines that exceed the queue are dropped and counted.
 package decision
 
 import (
@@ -13,34 +13,36 @@
 	"github.com/phuslu/log"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// linesPerSecond is the budget of each kind.
+	// linesPerSecond is the sustained rate of each kind.
 	linesPerSecond = 10
-	// burstLines may be written at once.
+	// burstLines is how many lines of a kind may be written at once.
 	burstLines = 40
-	// maxQueuedLines wait for the writer.
+	// maxQueuedLines is how many lines may wait for the writer.
 	maxQueuedLines = 512
-	// summaryInterval is the pause between lines that count what was left out.
+	// summaryInterval is the minimum interval between summaries of the lines left out.
 	summaryInterval = 5 * time.Second
 )
 
 // Log writes the lines of one process. It is safe for concurrent use.
 type Log struct {
-	logger      *log.Logger
-	writer      *queue
-	mu          sync.Mutex
-	budgets     map[Kind]*budget
+	logger  *log.Logger
+	writer  *queue
+	mu      sync.Mutex
+	budgets map[Kind]*budget
+	// leftOut counts the lines left out since lastSummary.
 	leftOut     map[Kind]int
 	lastSummary time.Time
 }
 
+// budget is the token bucket of one kind.
 type budget struct {
 	remaining  float64
 	refilledAt time.Time
 }
 
-// New returns a log to standard output whose lines name the process.
+// New returns a log to standard output. Each line names the node and the process id.
 func New(node string) *Log {
 	return NewTo(os.Stdout, node)
 }
@@ -61,8 +63,8 @@
 	}
 }
 
-// Line begins a line; nil, on which all methods do nothing, if the kind has no
-// budget left. Finish it with Msg.
+// Line begins a line, which Msg finishes. It returns nil, on which all methods do nothing, if
+// the kind has exceeded its rate limit.
 func (l *Log) Line(kind Kind) *log.Entry {
 	if !l.allow(kind, time.Now()) {
 		return nil
@@ -74,22 +76,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.logLinesLeftOut(now)
-	of := l.budgets[kind]
-	if of == nil {
-		of = &budget{remaining: burstLines, refilledAt: now}
-		l.budgets[kind] = of
+	b := l.budgets[kind]
+	if b == nil {
+		b = &budget{remaining: burstLines, refilledAt: now}
+		l.budgets[kind] = b
 	}
-	of.remaining = min(burstLines, of.remaining+now.Sub(of.refilledAt).Seconds()*linesPerSecond)
-	of.refilledAt = now
-	if of.remaining < 1 {
+	b.remaining = min(burstLines, b.remaining+now.Sub(b.refilledAt).Seconds()*linesPerSecond)
+	b.refilledAt = now
+	if b.remaining < 1 {
 		l.leftOut[kind]++
 		return false
 	}
-	of.remaining--
+	b.remaining--
 	return true
 }
 
-// tellLeftOut writes what was left out since the last time.
+// logLinesLeftOut logs how many lines were left out since the last summary.
 func (l *Log) logLinesLeftOut(now time.Time) {
 	if now.Sub(l.lastSummary) < summaryInterval || len(l.leftOut) == 0 {
 		return
@@ -102,10 +104,10 @@
 	l.leftOut = map[Kind]int{}
 }
 
-// Dropped returns how many lines found the writer busy.
+// Dropped returns how many lines were dropped because the queue to the writer was full.
 func (l *Log) Dropped() int64 { return l.writer.dropped.Load() }
 
-// Flush waits, for a short time, until the lines so far are written.
+// Flush waits up to 100 ms until the queue to the writer is empty.
 func (l *Log) Flush() {
 	for range 20 {
 		if len(l.writer.lines) == 0 {
@@ -115,10 +117,10 @@
 	}
 }
 
-// Close ends the writer; lines that still wait are dropped.
+// Close stops the writer; lines that are still queued are dropped.
 func (l *Log) Close() { close(l.writer.stop) }
 
-// queue writes lines from a goroutine of its own.
+// queue writes lines from a separate goroutine.
 type queue struct {
 	lines   chan []byte
 	stop    chan struct{}
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// blockedWriter blocks until it is let go.
+// blockedWriter blocks until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 }
@@ -65,22 +65,22 @@
 	writer := &blockedWriter{release: make(chan struct{})}
 	defer close(writer.release)
 	log := NewTo(writer, "n1")
-	began := time.Now()
+	start := time.Now()
 	for _, described := range Descriptions() {
 		for range burstLines {
 			log.Line(described.Kind).Msg("")
 		}
 	}
-	assert.Assert(t, time.Since(began) < 5*time.Second)
+	assert.Assert(t, time.Since(start) < 5*time.Second)
 	assert.Assert(t, log.Dropped() > 0)
 }
 
 func TestLogsPageMatchesTheCode(t *testing.T) {
 	page := "# Log lines\n\nEach process writes JSON lines to standard output. Every line has `time`, `level`, `node`,\n`pid` and `kind`. " +
-		fmt.Sprintf("A kind may take %d lines a second, %d at once; what is over that is\ncounted in `lines-left-out`. Requests that went as planned are only counted in the metrics.\n", linesPerSecond, burstLines) +
-		"This page is made from the code by a test of `internal/decision`.\n\n| kind | tells | fields |\n|---|---|---|\n"
-	for _, one := range Descriptions() {
-		page += fmt.Sprintf("| `%s` | %s | %s |\n", one.Kind, one.Meaning, one.Fields)
+		fmt.Sprintf("A kind may take %d lines a second, %d at once; lines beyond that are\ncounted in `lines-left-out`. Requests that end as expected are only counted in the metrics.\n", linesPerSecond, burstLines) +
+		"This page is generated from the code by a test of `internal/decision`.\n\n| kind | meaning | fields |\n|---|---|---|\n"
+	for _, description := range Descriptions() {
+		page += fmt.Sprintf("| `%s` | %s | %s |\n", description.Kind, description.Meaning, description.Fields)
 	}
 	golden.Assert(t, page, "../../../docs/operations/logs.md")
 }
@@ -90,11 +90,11 @@
 	assert.NilError(t, err)
 	declared := regexp.MustCompile(`Kind = "([^"]+)"`).FindAllStringSubmatch(string(source), -1)
 	described := map[Kind]bool{}
-	for _, one := range Descriptions() {
-		described[one.Kind] = true
+	for _, description := range Descriptions() {
+		described[description.Kind] = true
 	}
 	assert.Equal(t, len(declared), len(described))
-	for _, one := range declared {
-		assert.Assert(t, described[Kind(one[1])], one[1])
+	for _, match := range declared {
+		assert.Assert(t, described[Kind(match[1])], match[1])
 	}
 }
--- a/internal/decision/kinds.go
+++ b/internal/decision/kinds.go
@@ -1,9 +1,9 @@
 package decision
 
-// Kind names what a line tells.
+// Kind is the kind of a log line: the value of its field "kind".
 type Kind string
 
-// Kinds of lines.
+// Kinds of log lines.
 const (
 	KindStart               Kind = "start"
 	KindStop                Kind = "stop"
@@ -47,56 +47,56 @@
 	KindLinesLeftOut        Kind = "lines-left-out"
 )
 
-// Description says what lines of a kind tell, and by which fields.
+// Description describes the log lines of a kind and their fields.
 type Description struct {
 	Kind    Kind
 	Meaning string
 	Fields  string
 }
 
-// Descriptions are all kinds, in the order of docs/operations/logs.md, which a
-// test makes from them.
+// Descriptions returns the descriptions of all kinds, in the order of docs/operations/logs.md,
+// which a test generates from them.
 func Descriptions() []Description {
 	return []Description{
-		{KindStart, "the process has opened its addresses", "zone, listen, store"},
-		{KindStop, "the process has finished all requests and ends", ""},
-		{KindReload, "the settings file was read again", "changed, rest_needs_restart; error where it can't be used"},
-		{KindMetricsLost, "the metrics can't be served; requests are", "address, error"},
-		{KindSuspended, "the machine was suspended, or no clock tells that here", "for (seconds), led (this process led before)"},
-		{KindReady, "the process calls itself ready or not", "ready, reason"},
-		{KindConfig, "a configuration is in force here", "version, routes, revision (of the store); remarks (what operators should know of it)"},
-		{KindConfigRefused, "a configuration can't be read; the one before stays", "revision, error"},
-		{KindZonesEvacuated, "which zones' workers are to get no work has changed", "zones (all of them), revision"},
-		{KindWorker, "a worker announced itself, drains or is gone; or it is kept although its entry went, which may have lapsed only", "worker, state, service, revision, for (seconds that it is kept at most); announced: how many a new list has"},
-		{KindEntryRefused, "an entry among the workers' names no worker to use, since somebody else has written it", "worker, reason, field, revision"},
-		{KindZoneUnknown, "a worker stands in a zone whose region the settings do not tell: the zone is taken for a region of its own", "zone, worker (the first that was seen there)"},
-		{KindWorkerHealth, "a worker is left alone after a failure, or is used again", "worker, outcome, id (the request that showed it), error"},
-		{KindWorkerCrashed, "a worker ended although it was announced and did not leave: its address refuses connections, or another process answers there", "worker, service, requests (under way there from this process)"},
-		{KindWorkerLimit, "a worker names a limit of requests from all routers together, another one, none any longer, or one that can't be read", "worker, limit (requests a second), ended, unreadable (what it named); seen_by (self: in an answer, told: by another router)"},
-		{KindWorkerLeaving, "a worker says in an answer that it leaves, whatever its entry says", "worker, seen_by (self: in an answer, told: by another router), for (seconds since it is known to leave)"},
-		{KindWorkerBackoff, "a worker that turned a request away asks this router to send nothing for a time, or for one that can't be read", "worker, id (of the attempt), for (seconds from now); unreadable (what it asked for)"},
-		{KindHeaderUnread, "a worker's answers carry a header that no router reads, and that is only passed on", "worker, header (its name)"},
-		{KindRequestSuspected, "a request was under way at a worker that crashed", "id (of the attempt), fingerprint (of method, host, path, query and body: the same in each attempt, whoever asks), worker, route, caller"},
-		{KindRequestQuarantined, "a request has crashed too many workers and is sent to none from here on, or that has ended", "id (of the last attempt that was under way at a crash), fingerprint, route, caller; lifted (by an operator); error where the stored list can't be read"},
-		{KindStoreLost, "the store does not answer", "for (what was followed), error"},
-		{KindStoreRegained, "it answers again", "for; for workers also away: seconds since it was lost, and waits: seconds for which vanished entries are waited for"},
-		{KindLeaderLost, "the link to the leader broke", "leader, term, error"},
-		{KindLeaderFound, "a leader has told its owners, itself or through a relay", "leader, term, relay"},
-		{KindRelayLost, "the link to the relay broke, or it has had no leader for too long; the leader is asked for another", "relay, error"},
-		{KindElected, "this process leads", "term, holds_until (when all earlier holds have surely ended)"},
-		{KindResigned, "this process leads no longer", "term"},
-		{KindStandby, "this process begins or ends to renew what a lost leader gave", "renewing"},
-		{KindKeysAssigned, "all keys got their first owners", "service, candidates"},
-		{KindKeysMoved, "a move of keys was planned", "service, from, to (keys), old, worker (owners), forced, rate, old_load, load (requests a second after it), capacity (of the new owner), change (of the book)"},
-		{KindOrderFailed, "a worker did not do an order as asked", "service, worker, release, from, to, fence, outcome"},
+		{KindStart, "the process has opened its listeners", "zone, listen, store"},
+		{KindStop, "the process has finished all requests and exits", ""},
+		{KindReload, "the settings file was read again", "changed, rest_needs_restart (other settings changed, which take effect at a restart only); error if the file can't be used"},
+		{KindMetricsLost, "the metrics can't be served; requests are served", "address, error"},
+		{KindSuspended, "the machine was suspended, or this platform has no clock that detects suspensions", "for (seconds), led (this process was the leader before)"},
+		{KindReady, "the readiness of the process changed", "ready, reason"},
+		{KindConfig, "a configuration has come into force in this process", "version, routes, revision (of the store); remarks (warnings for operators)"},
+		{KindConfigRefused, "a configuration can't be read; the previous one stays in force", "revision, error"},
+		{KindZonesEvacuated, "the list of evacuated zones, whose workers get no work, has changed", "zones (all of them), revision"},
+		{KindWorker, "a worker announced itself, is draining or is gone; or it is kept although its entry vanished, since the entry may merely have expired", "worker, state, service, revision, for (maximum seconds for which it is kept); announced (number of workers in a newly read list)"},
+		{KindEntryRefused, "an entry under the workers' prefix describes no usable worker, for example because another program has written it", "worker, reason, field, revision"},
+		{KindZoneUnknown, "a worker is in a zone to which the settings assign no region: the zone is treated as a region of its own", "zone, worker (the first that was seen there)"},
+		{KindWorkerHealth, "a worker gets no requests for a while after a failure, or gets them again", "worker, outcome, id (of the request that showed it), error"},
+		{KindWorkerCrashed, "a worker ended while announced and not leaving: its address refuses connections, or another process answers there", "worker, service, requests (that this process had in progress there)"},
+		{KindWorkerLimit, "a worker declares a limit of requests from all routers together, changes or ends it, or declares one that can't be read", "worker, limit (requests per second), ended, unreadable (the value that can't be read); seen_by (self: in a response, told: reported by another router)"},
+		{KindWorkerLeaving, "a worker signals in a response that it is leaving, whatever the state in its entry", "worker, seen_by (self: in a response, told: reported by another router), for (seconds for which it is known to be leaving)"},
+		{KindWorkerBackoff, "a worker that rejected a request asks this router to send it nothing for some time, or for a time that can't be read", "worker, id (of the attempt), for (seconds from now); unreadable (the value that can't be read)"},
+		{KindHeaderUnread, "a worker's responses carry a header that no router interprets; it is only forwarded", "worker, header (its name)"},
+		{KindRequestSuspected, "a request was in progress at a worker that crashed", "id (of the attempt), fingerprint (of method, host, path, query and body: the same in each attempt and for each caller), worker, route, caller"},
+		{KindRequestQuarantined, "a request has crashed too many workers and is sent to none from now on, or its quarantine has ended", "id (of the last attempt that was in progress at a crash), fingerprint, route, caller; lifted (by an operator); error if the stored list can't be read"},
+		{KindStoreLost, "the store does not answer", "for (the data that was followed), error"},
+		{KindStoreRegained, "the store answers again", "for; for workers also away (seconds since it was lost) and waits (seconds for which workers with vanished entries are kept)"},
+		{KindLeaderLost, "the connection to the leader broke", "leader, term, error"},
+		{KindLeaderFound, "the owners were received from a leader, directly or through a relay", "leader, term, relay"},
+		{KindRelayLost, "the connection to the relay broke, or the relay has had no leader for too long; the leader is asked for another relay", "relay, error"},
+		{KindElected, "this process leads", "term, holds_until (when all earlier holds have certainly expired)"},
+		{KindResigned, "this process no longer leads", "term"},
+		{KindStandby, "this process begins or ceases to renew holds that a lost leader granted", "renewing"},
+		{KindKeysAssigned, "all keys of a service got their initial owners", "service, candidates"},
+		{KindKeysMoved, "a move of keys was planned", "service, from, to (keys), old, worker (owners), forced, rate, old_load, load (requests per second after the move), capacity (of the new owner), change (version of the ownership record)"},
+		{KindOrderFailed, "a worker did not carry out an order", "service, worker, release, from, to, fence, outcome"},
 		{KindRecord, "the stored owners were read, can't be read, or were written by another leader", "service, found, revision, term"},
-		{KindTenantsBusy, "tenants that ask for more than is dealt of a calm one are marked in the store, and get all that their limits allow", "tenants (how many more), cooled (how many are marked no longer), revision; error where the marks can't be read"},
-		{KindQuotaReserveClaimed, "a leader that began lately deals the units that are kept for that, since others may hold the rest", "term, leftover (the shares of limits that it does not know to be held, added up)"},
-		{KindTenantOverLimit, "a tenant asks for more than its limit allows, or does so no longer; told by the leader", "tenant, over, limit (requests within a window), dealt (how many of them routers get at most), used (of it, as routers told last), booked (what may be in use at most), withheld (what a new leader must not give yet), missing (what routers asked for in vain), age (seconds, of the oldest message)"},
-		{KindTenantOverShare, "workers are short, and a tenant is refused since it asks for more than its share, or is so no longer; told by each router", "tenant, service, priority, over, refused (share of its requests), all (share of all requests that there is no room for)"},
-		{KindRequest, "a request ended otherwise than planned: refused, failed, late, sent more than once, or its client left (status 0)", "id, status, reason, service, route, took, sends, runs, unsent, config, worker, last, error; for callers with API keys tenant (also that of a key that was taken away), and gone_with (the version that took the key away); for keyed ones key, term, table_age; for quarantined ones fingerprint"},
-		{KindResent, "a request goes out once more", "id, worker, outcome (of the send before, or hedged), after"},
-		{KindBodies, "large bodies find no memory, or half of it is free again", "full, used, limit (bytes)"},
-		{KindLinesLeftOut, "lines over the budget were left out", "of, lines, dropped (lines that found the writer busy, since the start)"},
+		{KindTenantsBusy, "tenants that need more units than are allocatable to a tenant not marked as busy are marked in the store, and may get all that their limits allow", "tenants (number of new marks), cooled (number of marks removed), revision; error if the marks can't be read"},
+		{KindQuotaReserveClaimed, "a new leader allocates the units that are reserved for new leaders, since the other units may still be held by routers", "term, leftover (unreported shares: the sum of the shares of limits that routers may hold without having reported them)"},
+		{KindTenantOverLimit, "a tenant begins or ceases to request more than its limit allows; logged by the leader", "tenant, over, limit (requests within a window), dealt (how many of them may be granted to routers), used (of these, as routers last reported), booked (how many may be in use), withheld (how many a new leader must not grant yet), missing (how many routers requested and did not get), age (seconds, of the oldest report)"},
+		{KindTenantOverShare, "workers lack capacity, and a tenant begins or ceases to be refused since it requests more than its share; logged by each router", "tenant, service, priority, over, refused (share of its requests), all (share of all requests for which there is no capacity)"},
+		{KindRequest, "a request did not end as expected: it was refused, failed, was slow or was sent more than once, or its client disconnected (status 0)", "id, status, reason, service, route, took, sends, runs, unsent, config, worker, last, error; for callers with API keys tenant (also that of a revoked key), and gone_with (the configuration version that revoked the key); for keyed services key, term, table_age; for quarantined requests fingerprint"},
+		{KindResent, "a request is sent again", "id, worker, outcome (of the previous send, or hedged), after"},
+		{KindBodies, "the memory for large bodies is exhausted, or half of it is free again", "full, used, limit (bytes)"},
+		{KindLinesLeftOut, "lines over the rate limit were left out", "of, lines, dropped (lines dropped because the writer was busy, since the start)"},
 	}
 }
