--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain reads the log lines of many processes and shows one request's
-// course, or what the processes believed at a moment.
+// Package explain reads the log lines of many processes and selects those that explain one
+// request, or the state of the processes at one time.
 package explain
 
 import (
@@ -29,12 +29,12 @@
 	Fields map[string]any
 }
 
-// maxLineBytes bounds a line.
+// maxLineBytes is the maximum length of a line; Read returns an error for a longer one.
 const maxLineBytes = 1 << 20
 
-// Read reads lines; what is no log line is passed over, and anything before a
-// line's first brace, as other programs put times there. It returns how many
-// lines were passed over.
+// Read reads log lines. It ignores the text before the first brace of a line, where other
+// programs insert timestamps, and skips lines that are not log lines. It returns the number
+// of lines skipped.
 func Read(reader io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLineBytes)
@@ -71,11 +71,14 @@
 	return text
 }
 
-// Course returns the lines that name a request, those that tell of crashes and quarantine of
-// the same request in other attempts, and the last word before it that each process on its way
-// had on its configuration, its leader and the workers it was sent to.
+// TraceRequest returns the lines that have a request's id, the lines about crashes and the
+// quarantine of the same request in other attempts, and, for each process that logged the
+// request, the last lines before it about the configuration, the leader and the workers that
+// the request was sent to. It adds the configuration that revoked the caller's API key, and
+// the last line about the quota of a tenant whose request was refused because of it.
 func TraceRequest(lines []Line, id string) []Line {
 	var named []Line
+	// nodes maps each process that logged the request to the time of its first line.
 	nodes := map[string]time.Time{}
 	workers := map[string]bool{}
 	for _, line := range lines {
@@ -100,14 +103,16 @@
 	return slices.CompactFunc(named, sameConfiguration)
 }
 
-// sameConfiguration reports whether two lines tell that one process took one configuration: it is
-// both what took a key away and the last one before the request, if no other came between.
+// sameConfiguration reports whether two lines are about the same configuration at the same
+// process. If no other configuration followed, the one that revoked a key is also the last one
+// before the request, and the trace would show it twice.
 func sameConfiguration(a, b Line) bool {
 	return a.Kind == decision.KindConfig && b.Kind == decision.KindConfig && a.Node == b.Node &&
 		a.Time.Equal(b.Time) && a.Fields["version"] == b.Fields["version"]
 }
 
-// fingerprints returns what lines call the request over all its attempts.
+// fingerprints returns the fingerprints in the lines; a request has the same one in all its
+// attempts.
 func fingerprints(named []Line) map[string]bool {
 	found := map[string]bool{}
 	for _, line := range named {
@@ -118,7 +123,7 @@
 	return found
 }
 
-// otherAttempts returns the lines that name the same request by another attempt's id.
+// otherAttempts returns the lines about the same request that have the id of another attempt.
 func otherAttempts(lines []Line, id string, fingerprints map[string]bool) []Line {
 	var found []Line
 	for _, line := range lines {
@@ -129,8 +134,8 @@
 	return found
 }
 
-// keyRevocations returns the lines of the configurations that took away the API keys of requests,
-// at the processes that say so.
+// keyRevocations returns the lines of the configurations that revoked the API keys of requests,
+// as logged by the processes that refused these requests.
 func keyRevocations(lines, named []Line) []Line {
 	var found []Line
 	for _, request := range named {
@@ -147,16 +152,17 @@
 	return found
 }
 
-// beliefs are the last lines of a process before a time, by what they are about.
+// latestLines returns the last line of a process before a time on each subject, without the lines
+// about requests.
 func latestLines(lines []Line, node string, before time.Time, workers map[string]bool) []Line {
 	last := map[string]Line{}
 	for _, line := range lines {
 		if line.Node != node || line.ID != "" || !line.Time.Before(before) {
 			continue
 		}
-		about := subject(line, workers)
-		if old, known := last[about]; about != "" && (!known || old.Time.Before(line.Time)) {
-			last[about] = line
+		topic := subject(line, workers)
+		if previous, known := last[topic]; topic != "" && (!known || previous.Time.Before(line.Time)) {
+			last[topic] = line
 		}
 	}
 	var found []Line
@@ -166,8 +172,8 @@
 	return found
 }
 
-// subject is what a line is about; empty if that is told neither by its kind nor
-// by one of the workers.
+// subject returns the subject of a line, by its kind. It is empty for a line without one, and
+// for a line about a worker that is not among workers; nil workers include all.
 func subject(line Line, workers map[string]bool) string {
 	switch line.Kind {
 	case decision.KindConfig, decision.KindConfigRefused:
@@ -187,7 +193,7 @@
 	return ""
 }
 
-// Around returns what each process believed at a time.
+// StateAt returns the last line of each process before a time on each subject.
 func StateAt(lines []Line, at time.Time) []Line {
 	nodes := map[string]bool{}
 	for _, line := range lines {
@@ -210,11 +216,12 @@
 	})
 }
 
-// standing fields are shown in columns, or are the same for all lines.
+// columnFields are the fields that Write does not list by name: it shows time, node and kind in
+// columns and omits level and pid, which are the same in all lines of a process.
 var columnFields = map[string]bool{"time": true, "level": true, "node": true, "pid": true, "kind": true}
 
-// Write shows lines, with times as each process's own clock told them, and how
-// far from the first line they are.
+// Write writes lines as text, with the time by the clock of the process that logged the line,
+// and the time since the first line.
 func Write(writer io.Writer, lines []Line) error {
 	for _, line := range lines {
 		names := make([]string, 0, len(line.Fields))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -16,9 +16,9 @@
 	file, err := os.Open("testdata/session.log")
 	assert.NilError(t, err)
 	defer func() { _ = file.Close() }()
-	lines, passed, err := Read(file)
+	lines, skipped, err := Read(file)
 	assert.NilError(t, err)
-	assert.Equal(t, passed, 1, "one line of the file is no log line")
+	assert.Equal(t, skipped, 1, "one line of the file is not a log line")
 	return lines
 }
 
@@ -40,7 +40,8 @@
 	assert.Equal(t, len(TraceRequest(readSession(t), "none")), 0)
 }
 
-// A request that crashes workers comes under a new id each time: its course shows the others too.
+// Each attempt of a request that crashes workers has a new id: the trace includes the other
+// attempts.
 func TestTraceIncludesOtherAttemptsOfTheRequest(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"request-suspected","id":"one","fingerprint":"aa","worker":"w1"}
 {"time":"2026-07-02T04:30:02Z","node":"r2","kind":"request-suspected","id":"other","fingerprint":"bb","worker":"w1"}
@@ -49,14 +50,14 @@
 `
 	lines, _, err := Read(strings.NewReader(log))
 	assert.NilError(t, err)
-	course := TraceRequest(lines, "three")
-	assert.Equal(t, len(course), 3)
-	assert.Equal(t, course[0].ID, "one")
-	assert.Equal(t, course[1].ID, "two")
+	trace := TraceRequest(lines, "three")
+	assert.Equal(t, len(trace), 3)
+	assert.Equal(t, trace[0].ID, "one")
+	assert.Equal(t, trace[1].ID, "two")
 }
 
-// A key that was taken away: its course shows which configuration took it, and when the router
-// that refused had it.
+// The trace of a request with a revoked API key includes the configuration that revoked the key,
+// as logged by the router that refused the request.
 func TestTraceIncludesConfigThatRevokedTheKey(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"config","version":7}
 {"time":"2026-07-02T04:30:02Z","node":"r1","kind":"config","version":9}
--- a/internal/explain/quota.go
+++ b/internal/explain/quota.go
@@ -6,14 +6,14 @@
 	"github.com/shalefork/shalefork/internal/decision"
 )
 
-// latestQuotaLines returns the leader's last word before a request on the limits of the tenants that
-// the lines of the request name.
+// latestQuotaLines returns, for each tenant in the lines that was refused because of its quota,
+// the leader's last line about the tenant's limit before the refusal.
 func latestQuotaLines(lines, named []Line) []Line {
 	var found []Line
-	for tenant, at := range lastRefusals(named) {
+	for tenant, refusedAt := range lastRefusals(named) {
 		var last *Line
 		for index, line := range lines {
-			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(at) {
+			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(refusedAt) {
 				continue
 			}
 			if last == nil || last.Time.Before(line.Time) {
@@ -27,7 +27,8 @@
 	return found
 }
 
-// lastRefusals returns which tenants' requests were refused by quota, and when last.
+// lastRefusals returns the tenants whose requests were refused because of their quota, with the
+// time of the last refusal.
 func lastRefusals(named []Line) map[string]time.Time {
 	found := map[string]time.Time{}
 	for _, line := range named {
@@ -39,5 +40,5 @@
 	return found
 }
 
-// reasonQuota is that of requests beyond their tenant's limit.
+// reasonQuota is the reason of requests refused because of their tenant's limit.
 const reasonQuota = "over-quota"
--- a/internal/explain/quota_test.go
+++ b/internal/explain/quota_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A 429 leads to what the leader said last of the tenant, and of no other.
+// The trace of a request that was refused with status 429 includes the leader's last line about
+// the tenant's limit before it, and no line about another tenant.
 func TestTraceOf429IncludesQuotaLine(t *testing.T) {
 	lines, _, err := Read(strings.NewReader(`
 {"time":"2026-01-01T00:00:01Z","node":"l","kind":"tenant-over-limit","tenant":"a","over":false}
@@ -17,8 +18,8 @@
 {"time":"2026-01-01T00:00:05Z","node":"l","kind":"tenant-over-limit","tenant":"a","over":false}
 `))
 	assert.NilError(t, err)
-	course := TraceRequest(lines, "i")
-	assert.Equal(t, len(course), 2)
-	assert.Equal(t, course[0].Fields["used"], 99.0)
-	assert.Equal(t, course[1].ID, "i")
+	trace := TraceRequest(lines, "i")
+	assert.Equal(t, len(trace), 2)
+	assert.Equal(t, trace[0].Fields["used"], 99.0)
+	assert.Equal(t, trace[1].ID, "i")
 }
--- a/internal/lifecycle/head.go
+++ b/internal/lifecycle/head.go
@@ -1,19 +1,19 @@
 // Package lifecycle moves the versions of a team's bundle through their states:
 // proposed, approved by another operator, rolling, and in force or refused.
 //
-// Each team has one Head, kept in the key-value service and changed only by
-// compare-and-swap, so of two racing operators one wins and the other is told
-// by whom. The functions are pure: they take a head and give back the next one
-// and an Outcome; the caller writes the head, and whoever uses a version
-// verifies its signatures.
+// Each team has one Head, which is stored in the key-value service and changed only by
+// compare-and-swap. Of two racing operators one succeeds, and the other gets an Outcome with
+// the name of the first. The functions are pure: they take a head and return the next one and
+// an Outcome. The caller writes the head, and each process that uses a version must verify its
+// signatures.
 //
 //	proposed -> approved -> rolling -> in-force
 //
 // A proposed or approved version is replaced by the next proposal. A version
 // may be proposed, approved and rolled while an earlier one is still rolling:
-// versions only rise, so the cells adopt the highest, and the earlier one is
+// versions only increase, so the cells adopt the highest, and the earlier one is
 // replaced when the later one is in force. A version is refused only before a
-// cell has adopted it, because a cell never goes back to an older one.
+// cell has adopted it, because a cell never returns to an older one.
 package lifecycle
 
 import (
@@ -22,11 +22,11 @@
 	"github.com/shalefork/shalefork/internal/bundle"
 )
 
-// Bounds of a head, so that its record stays small.
+// Limits of a head, which keep its stored record small.
 const (
-	// MaxEntries bounds the versions that a head remembers.
+	// MaxEntries is the maximum number of versions in a head.
 	MaxEntries = 32
-	// MaxRolling bounds the versions that are rolling at once.
+	// MaxRolling is the maximum number of versions that are rolling at once.
 	MaxRolling = 8
 )
 
@@ -37,20 +37,20 @@
 	Digest     string         `json:"digest"`
 	ProposedBy OperatorName   `json:"proposed_by"`
 	ApprovedBy OperatorName   `json:"approved_by,omitempty"`
-	// Signatures over the bundle, one for each step that operators take; see
+	// Signatures over the bundle, one for each step by an operator; see
 	// bundle.Sign. A router verifies all of them before it uses the version.
 	ProposalSignature []byte       `json:"proposal_signature,omitempty"`
 	ApprovalSignature []byte       `json:"approval_signature,omitempty"`
 	RollSignature     []byte       `json:"roll_signature,omitempty"`
 	RolledBy          OperatorName `json:"rolled_by,omitempty"`
-	// Reason of a version that is refused or replaced.
+	// Reason is why the version was refused or replaced; empty in other states.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Head is what is remembered of a team's versions.
+// Head is the stored state of a team's latest versions, at most MaxEntries.
 type Head struct {
 	Team bundle.TeamName `json:"team"`
-	// Entries in rising order of versions; the last is the newest. The one in
+	// Entries are in ascending order of versions; the last is the newest. The version in
 	// force is always among them.
 	Entries []Entry `json:"entries"`
 }
@@ -68,12 +68,12 @@
 	return h.highestInState(StateInForce)
 }
 
-// Rolling returns the highest version that is rolling, and false for none.
+// Rolling returns the highest version that is rolling, and false if none is.
 func (h Head) Rolling() (Entry, bool) {
 	return h.highestInState(StateRolling)
 }
 
-// Find returns the record of a version, and false if it is not remembered.
+// Find returns the entry of a version, and false if the head does not contain it.
 func (h Head) Find(version bundle.Version) (Entry, bool) {
 	index := h.index(version)
 	if index < 0 {
@@ -96,7 +96,7 @@
 	}
 }
 
-// History returns the views of all versions remembered, in rising order.
+// History returns the status of all versions in the head, in ascending order.
 func (h Head) History() []Status {
 	history := make([]Status, 0, len(h.Entries))
 	for _, entry := range h.Entries {
@@ -128,16 +128,16 @@
 	return slices.IndexFunc(h.Entries, func(entry Entry) bool { return entry.Version == version })
 }
 
-// with returns a head in which the entry replaces the one of its version. The
-// given head is not changed.
+// withEntry returns a head in which the entry replaces that of the same version. It does not
+// change h.
 func (h Head) withEntry(entry Entry) Head {
 	h.Entries = slices.Clone(h.Entries)
 	h.Entries[h.index(entry.Version)] = entry
 	return h
 }
 
-// append returns a head with a new version, without the oldest ones over
-// MaxEntries. It keeps what is in force or rolling.
+// append returns a head with a new version. If there would be more than MaxEntries, it drops the
+// oldest version that is not active.
 func (h Head) append(entry Entry) Head {
 	h.Entries = append(slices.Clone(h.Entries), entry)
 	if len(h.Entries) > MaxEntries {
@@ -147,8 +147,8 @@
 	return h
 }
 
-// isActive reports whether the version is in force or may still be. A head has
-// at most MaxRolling+2 of them, so append always finds one that is not.
+// isActive reports whether a version in this state is in force or may still come into force. A
+// head has at most MaxRolling+2 active versions, so append always finds one that is not.
 func isActive(state State) bool {
 	return state != StateRefused && state != StateReplaced
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -15,7 +15,8 @@
 	"github.com/shalefork/shalefork/internal/lifecycle"
 )
 
-// step applies "verb version [operator [digest]]"; refuse takes a reason.
+// step applies a line "verb version [operator [digest]]"; "refuse" takes a reason in place of the
+// operator.
 func step(head lifecycle.Head, line string) (lifecycle.Head, lifecycle.Outcome) {
 	words := append(strings.Fields(line), "", "")
 	number, _ := strconv.ParseUint(words[1], 10, 64)
@@ -60,9 +61,8 @@
 	})
 }
 
-// Whatever the operators and the cells do, versions rise, the version in force
-// never falls, at most one is in force, nobody approves an own proposal, and
-// what is in force was approved.
+// For any sequence of steps, versions increase, the version in force never decreases, at most one
+// is in force, no operator approves their own proposal, and a version in force has been approved.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := lifecycle.Head{Team: "tawila"}
--- a/internal/lifecycle/outcome.go
+++ b/internal/lifecycle/outcome.go
@@ -4,37 +4,37 @@
 	"fmt"
 )
 
-// OutcomeKind says what a step did.
+// OutcomeKind is the result of a step.
 type OutcomeKind string
 
 // Kinds of outcomes.
 const (
-	// Changed: the head that was given back must be written.
+	// Changed: the returned head must be written.
 	Changed OutcomeKind = "changed"
-	// Unchanged: the same step by the same operator was done before, as after
-	// a lost answer. It is a success.
+	// Unchanged: the same operator has already done the same step, as when a step is
+	// retried after its response was lost. It is a success.
 	Unchanged OutcomeKind = "unchanged"
-	// Conflict: the version is not the next one, or stands for other content.
+	// Conflict: the version is not the next one, or has other content.
 	Conflict OutcomeKind = "conflict"
 	// WrongState: the version is not in the state that the step starts from.
 	WrongState OutcomeKind = "wrong-state"
-	// SameOperator: the proposer can't approve.
+	// SameOperator: the operator who proposed a version can't approve it.
 	SameOperator OutcomeKind = "same-operator"
-	// NotFound: the head does not remember the version.
+	// NotFound: the head does not contain the version.
 	NotFound OutcomeKind = "not-found"
 )
 
-// Outcome of one step.
+// Outcome is the outcome of one step.
 type Outcome struct {
 	Kind OutcomeKind `json:"kind"`
-	// Status of the version after the step; for a step that failed, of the
-	// version that stands in its way, if there is one.
+	// Status is that of the version after the step; for a step that failed, that of the
+	// conflicting version, if there is one.
 	Status *Status `json:"status,omitempty"`
-	// Message for operators; empty for a success.
+	// Message describes a failure to operators; empty for a success.
 	Message string `json:"message,omitempty"`
 }
 
-// OK reports whether the step is done.
+// OK reports whether the step succeeded.
 func (o Outcome) OK() bool {
 	return o.Kind == Changed || o.Kind == Unchanged
 }
--- a/internal/lifecycle/steps.go
+++ b/internal/lifecycle/steps.go
@@ -6,25 +6,26 @@
 	"github.com/shalefork/shalefork/internal/bundle"
 )
 
-// Proposal offers a version.
+// Proposal is an operator's proposal of a version.
 type Proposal struct {
 	Version  bundle.Version
 	Digest   string
 	Operator OperatorName
-	// Signature over the bundle, for PurposeProposal.
+	// Signature is over the bundle, for bundle.PurposeProposal.
 	Signature []byte
 }
 
-// Approval signs a version off. Signature is over the bundle.
+// Approval is an operator's approval of a version.
 type Approval struct {
-	Version   bundle.Version
-	Digest    string
-	Operator  OperatorName
+	Version  bundle.Version
+	Digest   string
+	Operator OperatorName
+	// Signature is over the bundle.
 	Signature []byte
 }
 
-// Propose adds the next version. It replaces the newest one if that is only
-// proposed or approved.
+// Propose adds the next version. The newest version becomes replaced if it is only proposed or
+// approved.
 func Propose(head Head, proposal Proposal) (Head, Outcome) {
 	latest, _ := head.Latest()
 	if proposal.Version != latest.Version+1 {
@@ -64,15 +65,14 @@
 	}
 }
 
-// isRepeatOf reports whether the entry is the effect of the same proposal. One
-// that has been refused or replaced since is not repeated: its operator must
-// learn of that.
+// isRepeatOf reports whether the entry results from the same proposal and is still active. If
+// the version has been refused or replaced since, the operator must get a conflict and not a
+// success.
 func (e Entry) isRepeatOf(proposal Proposal) bool {
 	return e.Digest == proposal.Digest && e.ProposedBy == proposal.Operator && isActive(e.State)
 }
 
-// Approve signs off the version, which must be proposed, by an operator other
-// than the proposer.
+// Approve approves a proposed version. The operator must not be the one who proposed it.
 func Approve(head Head, approval Approval) (Head, Outcome) {
 	entry, found := head.Find(approval.Version)
 	switch {
@@ -95,8 +95,8 @@
 	return success(Changed, head.withEntry(entry), entry)
 }
 
-// Roll starts to put an approved version into force. Any operator may roll; the
-// signature is over the bundle.
+// Roll starts to put an approved version into force. Any operator may do so. The signature is
+// over the bundle.
 func Roll(head Head, version bundle.Version, operator OperatorName, signature []byte) (Head, Outcome) {
 	entry, found := head.Find(version)
 	switch {
@@ -113,9 +113,8 @@
 	return success(Changed, head.withEntry(entry), entry)
 }
 
-// Refuse ends a version that no cell has adopted, with the reason. The caller
-// must be sure of that: a version that a cell has adopted is never refused,
-// only followed by a higher one.
+// Refuse marks a version as refused, for a reason. The caller must make sure that no cell has
+// adopted the version: an adopted version is never refused, only followed by a higher one.
 func Refuse(head Head, version bundle.Version, reason string) (Head, Outcome) {
 	entry, found := head.Find(version)
 	switch {
@@ -131,7 +130,8 @@
 	return success(Changed, head.withEntry(entry), entry)
 }
 
-// InForce records that the version is the one that routers use. The lower versions that were in force or still rolling are replaced.
+// InForce records that routers use the version. The lower versions that are in force or rolling
+// become replaced.
 func InForce(head Head, version bundle.Version) (Head, Outcome) {
 	entry, found := head.Find(version)
 	switch {
@@ -146,8 +146,7 @@
 	return success(Changed, head.withEntry(entry).replaceBelow(version), entry)
 }
 
-// replaceBelow marks the lower versions that a cell may have adopted as
-// replaced.
+// replaceBelow marks the lower versions that a cell may have adopted as replaced.
 func (h Head) replaceBelow(version bundle.Version) Head {
 	for _, entry := range h.Entries {
 		wasAdopted := entry.State == StateInForce || entry.State == StateRolling
@@ -169,7 +168,8 @@
 		entry.Version, entry.State, lastOperator(entry), expected)
 }
 
-// lastOperator tells the loser of a race who won it.
+// lastOperator describes the last step on a version and its operator. In the message of a
+// failed step it names the operator who was faster.
 func lastOperator(entry Entry) string {
 	switch {
 	case entry.RolledBy != "":
--- a/internal/lifecycle/types.go
+++ b/internal/lifecycle/types.go
@@ -2,10 +2,10 @@
 
 import "github.com/shalefork/shalefork/internal/bundle"
 
-// OperatorName names an operator, as in the settings' list of public keys.
+// OperatorName is the name of an operator in the routers' settings.
 type OperatorName string
 
-// State is a step of a version's life.
+// State is the state of a version.
 type State string
 
 // States of a version.
@@ -15,12 +15,12 @@
 	StateRolling  State = "rolling"
 	StateInForce  State = "in-force"
 	StateRefused  State = "refused"
-	// StateReplaced: a later version took its place, before or after it was in
-	// force; the reason names the later one.
+	// StateReplaced: a later version has replaced it, before or after it came into force; the
+	// reason names the later version.
 	StateReplaced State = "replaced"
 )
 
-// Status is what is known of one version.
+// Status describes one version to operators.
 type Status struct {
 	Team       bundle.TeamName `json:"team"`
 	Version    bundle.Version  `json:"version"`
