--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// The canonical bytes are what operators sign: they must not change with the
-// layout of the file, nor from one release to the next.
+// Operators sign the canonical bytes, so these must not depend on the layout of the file
+// and must not change between releases.
 func TestCanonicalBytes(t *testing.T) {
 	small := readTestBundle(t, smallBundle)
 	canonical, err := bundle.Canonical(small)
@@ -51,10 +51,10 @@
 	var decoded bundle.Bundle
 	assert.NilError(t, json.Unmarshal(canonical, &decoded))
 	assert.DeepEqual(t, decoded, small)
-	relaid := strings.Replace(smallBundle, "team: tawila\nversion: 1", "# a comment\nversion: 1\n\nteam: 'tawila'", 1)
+	reformatted := strings.Replace(smallBundle, "team: tawila\nversion: 1", "# a comment\nversion: 1\n\nteam: 'tawila'", 1)
 	digest, err := bundle.Digest(small)
 	assert.NilError(t, err)
-	again, err := bundle.Digest(readTestBundle(t, relaid))
+	again, err := bundle.Digest(readTestBundle(t, reformatted))
 	assert.NilError(t, err)
 	assert.Equal(t, digest, again)
 }
@@ -80,8 +80,8 @@
 }
 
 // FuzzRead looks for documents that crash the reader, for problems without a
-// message, and for accepted bundles that change on the way through their
-// canonical bytes.
+// message, and for valid bundles that change when they are encoded canonically
+// and decoded again.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(smallBundle))
 	files, err := filepath.Glob("testdata/*.yaml")
@@ -138,13 +138,13 @@
 }
 
 func TestOnlyBundlesOfOtherTeamsConflict(t *testing.T) {
-	mine := readTestBundle(t, smallBundle)
+	own := readTestBundle(t, smallBundle)
 	other := readTestBundle(t, strings.Replace(smallBundle, "team: tawila", "team: rival", 1))
 	other.Services[0].Backends = other.Services[0].Backends[1:]
-	newer := mine
+	newer := own
 	newer.Version++
-	assert.Equal(t, len(bundle.Conflicts(mine, []bundle.Bundle{newer})), 0)
-	found := strictyaml.Format(bundle.Conflicts(mine, []bundle.Bundle{newer, other}))
+	assert.Equal(t, len(bundle.Conflicts(own, []bundle.Bundle{newer})), 0)
+	found := strictyaml.Format(bundle.Conflicts(own, []bundle.Bundle{newer, other}))
 	assert.Equal(t, found, `services[0].route: expected one that no other team has; rival has it
 services[0].backends[1].address: expected one that no other team has; rival has it`)
 }
--- a/internal/bundle/canonical.go
+++ b/internal/bundle/canonical.go
@@ -8,12 +8,12 @@
 	"encoding/json"
 )
 
-// SignaturePrefix separates the signatures of bundles from those for any other
-// use of the same key.
+// SignaturePrefix begins each signed message, so that a signature over a bundle is valid for no
+// other use of the same key.
 const SignaturePrefix = "shalefork-bundle-v1\n"
 
-// Purpose is what an operator signs a bundle for, so that a signature for one step
-// does not stand for another.
+// Purpose is the step for which an operator signs a bundle. It is part of the signed message, so
+// that a signature for one step is not valid for another.
 type Purpose string
 
 // Purposes of signatures.
@@ -23,16 +23,15 @@
 	PurposeRoll     Purpose = "roll"
 )
 
-// ErrBadSignature says that a signature is not one by the given key over the
-// bundle.
+// ErrBadSignature is returned if a signature was not made with the given key over the bundle.
 var ErrBadSignature = Error.New("signature does not match the bundle")
 
-// Canonical returns the bytes that stand for the bundle in digests and
-// signatures: its JSON with the fields in the order of the Go types, without
+// Canonical returns the canonical encoding of the bundle, which digests and
+// signatures cover: its JSON with the fields in the order of the Go types, without
 // white space, without escapes for HTML, durations as by time.Duration.String,
-// lists in the order written, and no line break at the end. Comments, layout
-// and the order of fields in the YAML do not matter. It fails only for a bundle
-// with a number that JSON does not have, which Check finds too.
+// lists in the order written, and no newline at the end. Comments, layout
+// and the order of fields in the YAML do not affect it. It fails only for a bundle
+// with a number that JSON can't represent, which Check reports too.
 func Canonical(b Bundle) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := json.NewEncoder(&buffer)
@@ -53,8 +52,8 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// Sign returns the ed25519 signature of SignaturePrefix, the purpose, a line
-// break and the canonical bytes.
+// Sign returns the ed25519 signature of SignaturePrefix, the purpose, a newline
+// and the canonical bytes.
 func Sign(key ed25519.PrivateKey, purpose Purpose, b Bundle) ([]byte, error) {
 	message, err := signedMessage(purpose, b)
 	if err != nil {
@@ -63,8 +62,8 @@
 	return ed25519.Sign(key, message), nil
 }
 
-// Verify returns ErrBadSignature unless the signature is that of Sign for the
-// purpose with the private key of key.
+// Verify returns ErrBadSignature unless the signature was made by Sign for the purpose with the
+// private key that belongs to key.
 func Verify(key ed25519.PublicKey, purpose Purpose, b Bundle, signature []byte) error {
 	message, err := signedMessage(purpose, b)
 	if err != nil {
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -7,19 +7,19 @@
 	"github.com/shalefork/shalefork/internal/strictyaml"
 )
 
-// ReservedTeam owns the services of the system itself.
+// ReservedTeam is the team of the system's own services. No bundle may use it.
 const ReservedTeam TeamName = "system"
 
-// nameExpectation describes namePattern to operators.
+// nameExpectation describes namePattern in problems.
 const nameExpectation = "1 to 63 of a-z, 0-9 and '-', with '-' neither first nor last"
 
-// namePattern keeps names safe in URLs, headers, logs and metrics, and free of
-// the "/" that scopes them.
+// namePattern restricts names to characters that are safe in URLs, headers, logs and metrics. It
+// excludes "/", which separates the parts of a scoped name.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 var tagValidator = strictyaml.NewValidator()
 
-// Check returns every problem of a bundle, by field, without places. A bundle
+// Check returns all problems of a bundle, by field, without positions in the file. A bundle
 // without problems can be proposed.
 func Check(b Bundle) []Problem {
 	c := &checker{bundle: b, reported: map[string]bool{}}
@@ -38,7 +38,8 @@
 type checker struct {
 	bundle   Bundle
 	problems []Problem
-	// reported fields have a problem by their tag; a second one is noise.
+	// reported contains the fields with a problem found by their tag. No second problem is
+	// reported for these.
 	reported map[string]bool
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// field returns the path of an element of a list.
+// elementPath returns the field path of an element of a list.
 func elementPath(list string, index int) string {
 	return fmt.Sprintf("%s[%d]", list, index)
 }
@@ -84,8 +85,8 @@
 	}
 }
 
-// checkZone reports a zone that the bundle does not declare. A bundle without
-// zones has that one problem.
+// checkZone reports a zone that the bundle does not declare. If the bundle declares no zones, that
+// is already reported as a problem, and checkZone reports nothing.
 func (c *checker) checkZone(path string, zone Zone) {
 	if len(c.bundle.Zones) == 0 {
 		return
@@ -98,11 +99,13 @@
 	c.report(path, "expected one of the bundle's zones, found %q", zone)
 }
 
-// unique reports values that stand twice.
+// unique reports values that occur more than once.
 type unique struct {
 	checker *checker
-	what    string
-	first   map[string]string
+	// what names the kind of value in problems.
+	what string
+	// first maps each value to the path where it occurred first.
+	first map[string]string
 }
 
 func newUnique(c *checker, what string) *unique {
--- a/internal/bundle/check_service.go
+++ b/internal/bundle/check_service.go
@@ -11,9 +11,9 @@
 	"unicode/utf8"
 )
 
-// Limits of what a bundle may ask of the system.
+// Limits of the values in a bundle.
 const (
-	minDeadline       = time.Millisecond // requests carry whole milliseconds
+	minDeadline       = time.Millisecond // requests carry their deadline in whole milliseconds
 	maxDeadline       = 24 * time.Hour
 	maxBodyBytes      = 1 << 30
 	maxQueue          = 100_000
@@ -24,12 +24,11 @@
 	maxTextBytes      = 256
 )
 
-// systemPath begins the paths of the system's own processes, which routers
-// pass to no server.
+// systemPath is the path prefix of the system's own endpoints, which routers forward to no
+// server.
 const systemPath = "/shalefork"
 
-// hostPattern matches a host in lower case, and headerPattern a field name as
-// in RFC 9110.
+// hostPattern matches a host name in lower case, and headerPattern a field name as in RFC 9110.
 var (
 	hostPattern   = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,252}$`)
 	headerPattern = regexp.MustCompile("^[!#$%&'*+.^_`|~0-9A-Za-z-]{1,64}$")
@@ -69,22 +68,22 @@
 func (c *checker) checkBackends(path string, service Service) {
 	names := newUnique(c, "back end name")
 	for i, backend := range service.Backends {
-		at := elementPath(path, i)
-		c.checkName(at+".name", backend.Name)
-		names.add(at+".name", backend.Name)
-		c.checkZone(at+".zone", backend.Zone)
+		backendPath := elementPath(path, i)
+		c.checkName(backendPath+".name", backend.Name)
+		names.add(backendPath+".name", backend.Name)
+		c.checkZone(backendPath+".zone", backend.Zone)
 		if backend.Slots > maxSlots {
-			c.report(at+".slots", "expected at most %d", maxSlots)
+			c.report(backendPath+".slots", "expected at most %d", maxSlots)
 		}
 		if backend.Connections > maxConnections {
-			c.report(at+".connections", "expected at most %d", maxConnections)
+			c.report(backendPath+".connections", "expected at most %d", maxConnections)
 		}
 	}
 }
 
-// checkAddresses finds addresses that two back ends of the bundle share, and
-// those that are no IP number: the system resolves no names. Each has one form
-// only, since teams and servers are compared by it.
+// checkAddresses reports addresses that two back ends of the bundle share, and
+// those without an IP address: the system does not resolve names. Only the canonical form of an
+// address is valid, since addresses of teams and servers are compared as text.
 func (c *checker) checkAddresses() {
 	addresses := newUnique(c, "address")
 	for i, service := range c.bundle.Services {
@@ -103,7 +102,7 @@
 	}
 }
 
-// checkRoutes finds routes that two services share. Routes that overlap are
+// checkRoutes reports routes that two services share. Overlapping routes are
 // allowed, because the most specific one wins.
 func (c *checker) checkRoutes() {
 	routes := newUnique(c, "route")
@@ -135,7 +134,8 @@
 	}
 }
 
-// normal returns a text that is equal for routes that match the same requests.
+// normalized returns a text that is equal for routes that match the same requests. An empty prefix
+// is the same as "/".
 func (r Route) normalized() string {
 	prefix := r.PathPrefix
 	if prefix == "" {
@@ -183,13 +183,13 @@
 	prefixes := newUnique(c, "prefix")
 	hasDefault := false
 	for i, partition := range service.Partitions {
-		at := elementPath(path, i)
-		c.checkName(at+".name", string(partition.Name))
-		names.add(at+".name", string(partition.Name))
-		c.checkText(at+".prefix", partition.Prefix)
-		prefixes.add(at+".prefix", partition.Prefix)
+		partitionPath := elementPath(path, i)
+		c.checkName(partitionPath+".name", string(partition.Name))
+		names.add(partitionPath+".name", string(partition.Name))
+		c.checkText(partitionPath+".prefix", partition.Prefix)
+		prefixes.add(partitionPath+".prefix", partition.Prefix)
 		hasDefault = hasDefault || partition.Prefix == ""
-		c.checkPartitionZones(at+".zones", service, partition)
+		c.checkPartitionZones(partitionPath+".zones", service, partition)
 	}
 	if !hasDefault {
 		c.report(path, "expected a partition with an empty prefix, for all other keys")
@@ -218,14 +218,13 @@
 	if service.Placement != (Placement{}) {
 		c.report(path+".placement", "expected only on a keyed service")
 	}
-	stays := func(backend Backend) bool { return !backend.Leaving }
-	if !slices.ContainsFunc(service.Backends, stays) {
+	isActive := func(backend Backend) bool { return !backend.Leaving }
+	if !slices.ContainsFunc(service.Backends, isActive) {
 		c.report(path+".backends", "expected a back end that is not leaving")
 	}
 }
 
-// checkText reports text that would not survive a round through JSON, headers
-// or logs.
+// checkText reports text that is too long, or that JSON, headers or logs would not preserve.
 func (c *checker) checkText(path, text string) {
 	if len(text) > maxTextBytes || !isPrintable(text) {
 		c.report(path, "expected at most %d bytes of printable text", maxTextBytes)
--- a/internal/bundle/conflict.go
+++ b/internal/bundle/conflict.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Conflicts returns a problem for each route, each address and each API key of b that a
-// bundle of another team has too. Bundles of b's own team, older or newer, are
+// bundle of another team has too. Bundles of b's own team, older or newer, cause
 // no conflict. A proposal with conflicts is refused.
 func Conflicts(b Bundle, others []Bundle) []Problem {
 	taken := newOwners(b.Team, others)
@@ -29,7 +29,7 @@
 	return problems
 }
 
-// owners says which team has a route, an address or an API key.
+// owners maps routes, addresses and digests of API keys to the teams that have them.
 type owners struct {
 	routes    map[string]TeamName
 	addresses map[string]TeamName
--- a/internal/bundle/read.go
+++ b/internal/bundle/read.go
@@ -2,8 +2,8 @@
 
 import "github.com/shalefork/shalefork/internal/strictyaml"
 
-// Read decodes the YAML of one bundle and checks it. It returns every problem
-// at once, with its place in the file; the bundle is usable only if there is
+// Read decodes the YAML of one bundle and checks it. It returns all problems
+// at once, with their positions in the file; the bundle is usable only if there are
 // none.
 func Read(file string, data []byte) (Bundle, []Problem) {
 	var read Bundle
--- a/internal/bundle/tenant.go
+++ b/internal/bundle/tenant.go
@@ -2,55 +2,57 @@
 
 import "regexp"
 
-// TenantName names a tenant within its team.
+// TenantName is the name of a tenant within its team.
 type TenantName string
 
-// Region names a set of zones that are near to one another.
+// Region is the name of a region, a set of zones that are close to one another.
 type Region string
 
-// Bodies says how large a service's bodies are, and which way they go.
+// Bodies is the class of a service's bodies, by size and direction.
 type Bodies string
 
 // Classes of bodies.
 const (
-	// BodiesSmall are kept whole until they are passed on.
+	// BodiesSmall: bodies are buffered as a whole before they are forwarded.
 	BodiesSmall Bodies = "small"
-	// BodiesBulkUpload are large requests.
+	// BodiesBulkUpload: request bodies are large.
 	BodiesBulkUpload Bodies = "bulk-up"
-	// BodiesBulkDownload are large answers.
+	// BodiesBulkDownload: response bodies are large.
 	BodiesBulkDownload Bodies = "bulk-down"
 )
 
-// KeyDigest is the SHA-256 of an API key, in 64 hexadecimal digits of lower case. A bundle never
-// holds the key itself.
+// KeyDigest is the SHA-256 of an API key, in 64 lower-case hexadecimal digits. A bundle never
+// contains the key itself.
 type KeyDigest string
 
 // Tenant is a customer of a team's services.
 type Tenant struct {
 	Name TenantName `yaml:"name" json:"name" validate:"required"`
-	// KeyDigests are those of the API keys that the tenant's callers show; none: all were taken away.
+	// KeyDigests are the digests of the API keys of the tenant's callers; empty if all keys are
+	// revoked.
 	KeyDigests []KeyDigest `yaml:"key_digests,omitempty" json:"key_digests,omitempty"`
-	// Priority goes before the route's: 0 is the highest.
+	// Priority takes precedence over that of the route; 0 is the highest.
 	Priority int `yaml:"priority,omitempty" json:"priority,omitempty" validate:"gte=0,lte=100"`
-	// Rate is how many requests a second the tenant may have run over all routers together; zero
-	// means any number.
+	// Rate is the maximum rate of the tenant's requests, per second over all routers together;
+	// zero means unlimited.
 	Rate float64 `yaml:"rate,omitempty" json:"rate,omitempty" validate:"gte=0,lte=1000000000"`
-	// Burst is how many more may run at once.
+	// Burst is how many more requests may run at once.
 	Burst float64 `yaml:"burst,omitempty" json:"burst,omitempty" validate:"gte=0,lte=1000000000"`
-	// Regions are the only ones in which the tenant's requests may be served; none: any.
+	// Regions are the only regions in which the tenant's requests may be served; if empty, all
+	// are allowed.
 	Regions []Region `yaml:"regions,omitempty" json:"regions,omitempty" validate:"unique"`
 }
 
-// TenantName returns the scoped name of the team's tenant, which workers are told.
+// TenantName returns the scoped name of the team's tenant, which is sent to workers.
 func (b Bundle) TenantName(tenant Tenant) ScopedName {
 	return ScopedName(string(b.Team) + "/" + string(tenant.Name))
 }
 
-// digestPattern matches a digest in its one form.
+// digestPattern matches a digest in its only valid form.
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// checkTenants finds mistakes of tenants. What stands in the place of a digest may be a key: it is
-// never repeated.
+// checkTenants reports problems of tenants. An invalid digest may be an API key that was given by
+// mistake, so no problem contains its text.
 func (c *checker) checkTenants() {
 	names := newUnique(c, "tenant name")
 	digests := newUnique(c, "key digest")
@@ -63,12 +65,12 @@
 			c.report(path+".burst", "expected only with a rate")
 		}
 		for j, digest := range tenant.KeyDigests {
-			at := elementPath(path+".key_digests", j)
+			digestPath := elementPath(path+".key_digests", j)
 			if !digestPattern.MatchString(string(digest)) {
-				c.report(at, "expected the digest of a key, 64 hexadecimal digits in lower case, and never the key")
+				c.report(digestPath, "expected the digest of a key, 64 hexadecimal digits in lower case, and never the key")
 				continue
 			}
-			digests.add(at, string(digest))
+			digests.add(digestPath, string(digest))
 		}
 	}
 	for i, service := range c.bundle.Services {
--- a/internal/lifecycle/head.go
+++ b/internal/lifecycle/head.go
@@ -82,7 +82,7 @@
 	return h.Entries[index], true
 }
 
-// Status returns the view of an entry for the administration API.
+// Status returns the status of an entry, as shown to operators.
 func (h Head) Status(entry Entry) Status {
 	return Status{
 		Team:       h.Team,
--- a/internal/lifecycle/outcome.go
+++ b/internal/lifecycle/outcome.go
@@ -11,8 +11,8 @@
 const (
 	// Changed: the returned head must be written.
 	Changed OutcomeKind = "changed"
-	// Unchanged: the same operator has already done the same step, as when a step is
-	// retried after its response was lost. It is a success.
+	// Unchanged: the step was already done, by the same operator if an operator does it, as
+	// when it is retried after its response was lost. It is a success.
 	Unchanged OutcomeKind = "unchanged"
 	// Conflict: the version is not the next one, or has other content.
 	Conflict OutcomeKind = "conflict"
--- a/internal/lifecycle/steps.go
+++ b/internal/lifecycle/steps.go
@@ -48,7 +48,8 @@
 	return success(Changed, head.append(entry), entry)
 }
 
-// handleOutOfOrder answers a proposal that is not the next version.
+// handleOutOfOrder handles a proposal of a version other than the next one. A repeated proposal
+// succeeds; any other is a conflict.
 func handleOutOfOrder(head Head, latest Entry, proposal Proposal) (Head, Outcome) {
 	next := latest.Version + 1
 	taken, found := head.Find(proposal.Version)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -18,7 +18,7 @@
 	return "--" + strings.ReplaceAll(field, "_", "-")
 }
 
-// Key decodes the operator's public key.
+// Key returns the operator's public key. It returns an error if the setting is not a valid key.
 func (o Operator) Key() (ed25519.PublicKey, error) {
 	key, err := base64.StdEncoding.DecodeString(o.PublicKey)
 	if err != nil || len(key) != ed25519.PublicKeySize {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings holds what one process is told at its start: a YAML file,
-// overridden by flags, checked whole before anything starts.
+// Package settings reads the settings of one process: a YAML file, overridden by flags. All
+// settings are validated before the process starts.
 package settings
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -9,49 +9,49 @@
 
 var validate = strictyaml.NewValidator()
 
-// Override is a setting given as a flag; it wins over the file.
+// Override is a setting given as a flag; it takes precedence over the file.
 type Override struct {
-	// Field is the top-level name in the file, such as "listen". The flag is
-	// called by the same name with dashes.
+	// Field is the top-level name in the file, such as "listen". The flag has the same name,
+	// with dashes.
 	Field string
-	// Value is the text of the field in YAML, so a list is [a, b].
+	// Value is the value as YAML text, so a list is [a, b].
 	Value string
 }
 
-// TextOverride returns the override of a field by a flag's plain text.
+// TextOverride returns the override of a text field by a flag's unquoted value.
 func TextOverride(field, text string) Override {
 	return Override{Field: field, Value: strconv.Quote(text)}
 }
 
-// Problems is an error that lists all that is wrong with a settings file.
+// Problems is an error that lists all problems of the settings.
 type Problems []strictyaml.Problem
 
-// Error returns one problem a line. No line repeats the token.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	return strictyaml.Format(p)
 }
 
-// decode sets target from the file, then from the flags, and checks the whole.
+// decode sets target from the file, then from the flags, and checks the result.
 func decode(file string, data []byte, overrides []Override, target any, check func() []strictyaml.Problem) error {
-	var inFlags []strictyaml.Problem
-	inFile := strictyaml.Read(file, data, target, func() []strictyaml.Problem {
-		inFlags = applyOverrides(overrides, target)
+	var flagProblems []strictyaml.Problem
+	fileProblems := strictyaml.Read(file, data, target, func() []strictyaml.Problem {
+		flagProblems = applyOverrides(overrides, target)
 		return addFlagNames(check(), overrides)
 	})
-	if problems := append(inFlags, inFile...); len(problems) > 0 {
+	if problems := append(flagProblems, fileProblems...); len(problems) > 0 {
 		return Problems(problems)
 	}
 	return nil
 }
 
-// override sets the fields that flags give.
+// applyOverrides sets the fields that are given as flags.
 func applyOverrides(overrides []Override, target any) []strictyaml.Problem {
 	var problems []strictyaml.Problem
 	for _, flag := range overrides {
 		text := []byte(flag.Field + ": " + flag.Value)
 		found := strictyaml.Read(FlagName(flag.Field), text, target, noCheck)
 		for _, problem := range found {
-			problem.Line = 0 // a place in a flag's text says nothing
+			problem.Line = 0 // a position in a flag's text does not help the operator
 			problems = append(problems, problem)
 		}
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// addFlagNames adds to each problem the flag that gave the value, if one did.
+// addFlagNames adds to each problem the name of the flag that gave the value, if any.
 func addFlagNames(problems []strictyaml.Problem, overrides []Override) []strictyaml.Problem {
 	for index := range problems {
 		for _, flag := range overrides {
@@ -74,25 +74,25 @@
 	return problems
 }
 
-// Defaults of settings that may be left out.
+// Default values of optional settings.
 const (
 	DefaultMaxHold = 10 * time.Second
 	DefaultGrace   = 6 * time.Second
 	DefaultDrain   = 2 * time.Second
-	// DefaultCatchUp is the bound of the users' platform.
+	// DefaultCatchUp is the limit that the users' platform sets.
 	DefaultCatchUp     = 3 * time.Second
 	DefaultEvacuate    = 5 * time.Second
 	DefaultRetryRatio  = 0.1
 	DefaultRetrySlack  = 20
 	DefaultRetryWindow = 10 * time.Second
-	// The quota's defaults are the bounds of the users' platform.
+	// The defaults of the quota are the limits that the users' platform sets.
 	DefaultQuotaWindow    = 5 * time.Second
 	DefaultQuotaOvershoot = 0.1
 	DefaultQuotaSlack     = 20
-	// DefaultRevokeWithin: a caller whose key was taken away is refused everywhere within
-	// the time that the users' platform gives where revocation is strict.
+	// DefaultRevokeWithin is the time that the users' platform allows until all routers refuse a
+	// caller whose key was revoked, where revocation is strict.
 	DefaultRevokeWithin = 5 * time.Second
-	// DefaultDirectRouters: so many links cost a leader little, and each relay between is
-	// one more process that may fail.
+	// DefaultDirectRouters is 32 since that many connections cost a leader little, and each relay
+	// is one more process that may fail.
 	DefaultDirectRouters = 32
 )
--- a/internal/settings/router_test.go
+++ b/internal/settings/router_test.go
@@ -61,8 +61,8 @@
 		`  ratio: 0.2|regions: {z2: r}`:                                          "the region of zone z1",
 		`  ratio: 0.2|regions: {z1: r, z1: q}`:                                   "regions",
 	} {
-		old, fresh, _ := strings.Cut(change, "|")
-		_, err := ReadRouter("router.yaml", []byte(strings.Replace(routerFile, old, fresh, 1)), nil)
+		before, after, _ := strings.Cut(change, "|")
+		_, err := ReadRouter("router.yaml", []byte(strings.Replace(routerFile, before, after, 1)), nil)
 		assert.ErrorContains(t, err, expected, change)
 	}
 }
@@ -71,9 +71,10 @@
 func TestDeployTemplateHasTheSettingsFields(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/settings.yaml.tmpl")
 	assert.NilError(t, err)
-	// Parts for what is given stay, those for what is not go.
-	given := regexp.MustCompile(`(?s)\{\{\^[^}]*\}\}.*?\{\{/[^}]*\}\}|\{\{[#/][^}]*\}\}`).ReplaceAllString(string(text), "")
-	without := regexp.MustCompile(`(?s)\{\{#[^}]*\}\}.*?\{\{/[^}]*\}\}|\{\{[\^/][^}]*\}\}`).ReplaceAllString(string(text), "")
+	// allGiven has the sections for optional values that are given, and noneGiven those for
+	// optional values that are left out.
+	allGiven := regexp.MustCompile(`(?s)\{\{\^[^}]*\}\}.*?\{\{/[^}]*\}\}|\{\{[#/][^}]*\}\}`).ReplaceAllString(string(text), "")
+	noneGiven := regexp.MustCompile(`(?s)\{\{#[^}]*\}\}.*?\{\{/[^}]*\}\}|\{\{[\^/][^}]*\}\}`).ReplaceAllString(string(text), "")
 	fill := strings.NewReplacer(
 		"{{nodeName|json}}", `"front-1"`, "{{zone|json}}", `"z"`, "{{listen.front|json}}", `"10.0.0.1:80"`,
 		"{{listen.readiness|json}}", `"10.0.0.1:81"`, "{{ip}}", "10.0.0.1", "{{internalPortRange.0}}", "7540",
@@ -82,7 +83,7 @@
 		"{{zones|json}}", `{"z":"r","y":"r"}`, "{{bounds.revokeS}}", "4", "{{limits.memoryMb}}", "184", "{{bounds.quotaWindowS}}", "4",
 		"{{bounds.quotaOvershoot}}", "0.2", "{{bounds.quotaSlack}}", "30",
 	)
-	read, err := ReadRouter("settings.yaml", []byte(fill.Replace(given)), nil)
+	read, err := ReadRouter("settings.yaml", []byte(fill.Replace(allGiven)), nil)
 	assert.NilError(t, err)
 	assert.Equal(t, read.Grace.Std(), 6*time.Second)
 	assert.Equal(t, read.PeerListen, "10.0.0.1:7540")
@@ -95,13 +96,13 @@
 	assert.Equal(t, read.Quota, QuotaLimits{Window: bundle.Duration(4 * time.Second), Overshoot: 0.2, Slack: 30})
 	assert.Equal(t, read.Revocation, RevocationStrict)
 	assert.Equal(t, read.RevokeWithin.Std(), 4*time.Second)
-	bare, err := ReadRouter("settings.yaml", []byte(fill.Replace(without)), nil)
-	assert.NilError(t, err, "a deployment may give no bounds")
-	assert.Equal(t, bare.MaxHold.Std(), DefaultMaxHold)
-	assert.Equal(t, bare.Retry.Window.Std(), DefaultRetryWindow)
-	assert.Equal(t, bare.CatchUp.Std(), DefaultCatchUp)
-	assert.Equal(t, bare.Evacuate.Std(), DefaultEvacuate)
-	assert.Equal(t, bare.Revocation, RevocationLenient)
-	assert.Equal(t, bare.Quota.Window.Std(), DefaultQuotaWindow)
-	assert.Equal(t, bare.Topology().RegionCount(), 1)
+	defaults, err := ReadRouter("settings.yaml", []byte(fill.Replace(noneGiven)), nil)
+	assert.NilError(t, err, "a deployment may leave out all limits")
+	assert.Equal(t, defaults.MaxHold.Std(), DefaultMaxHold)
+	assert.Equal(t, defaults.Retry.Window.Std(), DefaultRetryWindow)
+	assert.Equal(t, defaults.CatchUp.Std(), DefaultCatchUp)
+	assert.Equal(t, defaults.Evacuate.Std(), DefaultEvacuate)
+	assert.Equal(t, defaults.Revocation, RevocationLenient)
+	assert.Equal(t, defaults.Quota.Window.Std(), DefaultQuotaWindow)
+	assert.Equal(t, defaults.Topology().RegionCount(), 1)
 }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -13,7 +13,7 @@
 
 var unmarshalerType = reflect.TypeFor[yaml.InterfaceUnmarshaler]()
 
-// decode sets target from node and reports each mistake below it.
+// decode sets target from node and reports each mistake in it.
 func (d *Document) decode(node ast.Node, target reflect.Value, path string) {
 	d.recordPosition(path, node)
 	switch {
@@ -61,18 +61,18 @@
 }
 
 func (d *Document) decodeEntry(entry *ast.MappingValueNode, fields map[string]reflect.Value, seen map[string]bool, path string) {
-	at := entry.Key.GetToken()
-	name := at.Value
+	key := entry.Key.GetToken()
+	name := key.Value
 	child := joinPath(path, name)
 	field, known := fields[name]
 	switch {
 	case !known:
-		d.reportAt(at, child, "unknown field; expected one of %s", strings.Join(sortedNames(fields), ", "))
+		d.reportAt(key, child, "unknown field; expected one of %s", strings.Join(sortedNames(fields), ", "))
 	case seen[name]:
-		d.reportAt(at, child, "expected the field once, found it again")
+		d.reportAt(key, child, "expected the field once, found it again")
 	default:
 		seen[name] = true
-		d.recordTokenPosition(child, at)
+		d.recordTokenPosition(child, key)
 		d.decode(entry.Value, field, child)
 	}
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// decodeMap decodes a table whose keys the file chooses.
+// decodeMap decodes a mapping with arbitrary keys.
 func (d *Document) decodeMap(node ast.Node, target reflect.Value, path string) {
 	entries, isMapping := mappingEntries(node)
 	if !isMapping {
@@ -98,14 +98,14 @@
 	}
 	target.Set(reflect.MakeMapWithSize(target.Type(), len(entries)))
 	for _, entry := range entries {
-		at := entry.Key.GetToken()
-		child := joinPath(path, at.Value)
-		key := reflect.ValueOf(at.Value).Convert(target.Type().Key())
+		keyToken := entry.Key.GetToken()
+		child := joinPath(path, keyToken.Value)
+		key := reflect.ValueOf(keyToken.Value).Convert(target.Type().Key())
 		if target.MapIndex(key).IsValid() {
-			d.reportAt(at, child, "expected the field once, found it again")
+			d.reportAt(keyToken, child, "expected the field once, found it again")
 			continue
 		}
-		d.recordTokenPosition(child, at)
+		d.recordTokenPosition(child, keyToken)
 		value := reflect.New(target.Type().Elem()).Elem()
 		d.decode(entry.Value, value, child)
 		target.SetMapIndex(key, value)
@@ -122,34 +122,34 @@
 	}
 }
 
-// scalarFits reports whether the value is written in the field's type, because
-// the library would turn a number into text and text into a number.
+// scalarFits reports whether the value in the file has the field's type. It is checked because
+// the YAML library converts numbers to text and text to numbers.
 func scalarFits(node ast.Node, target reflect.Value) bool {
-	written := node.Type()
+	found := node.Type()
 	if target.Addr().Type().Implements(unmarshalerType) {
-		return written == ast.StringType || written == ast.IntegerType
+		return found == ast.StringType || found == ast.IntegerType
 	}
 	switch target.Kind() {
 	case reflect.String:
-		return written == ast.StringType || written == ast.LiteralType
+		return found == ast.StringType || found == ast.LiteralType
 	case reflect.Bool:
-		return written == ast.BoolType
+		return found == ast.BoolType
 	case reflect.Float64:
-		return written == ast.FloatType || written == ast.IntegerType
+		return found == ast.FloatType || found == ast.IntegerType
 	default:
-		return written == ast.IntegerType
+		return found == ast.IntegerType
 	}
 }
 
-// expectation names a type in the words of the file.
-func describeType(kind reflect.Type) string {
-	if kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+// describeType describes the YAML values of a Go type for problems.
+func describeType(goType reflect.Type) string {
+	if goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	if reflect.PointerTo(kind).Implements(unmarshalerType) {
-		return "a " + strings.ToLower(kind.Name()) + " such as \"250ms\""
+	if reflect.PointerTo(goType).Implements(unmarshalerType) {
+		return "a " + strings.ToLower(goType.Name()) + " such as \"250ms\""
 	}
-	switch kind.Kind() {
+	switch goType.Kind() {
 	case reflect.Struct, reflect.Map:
 		return "a mapping"
 	case reflect.Slice:
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -12,19 +12,20 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Limits of a document, so that a hostile one can't exhaust the reader.
+// Limits of a document, so that a malicious one can't exhaust the reader's resources.
 const (
-	// MaxBytes bounds a document.
+	// MaxBytes is the maximum size of a document.
 	MaxBytes = 4 << 20
-	// MaxLineBytes bounds a line, and with it how deep a line can nest.
+	// MaxLineBytes is the maximum length of a line, which also limits the nesting within a line.
 	MaxLineBytes = 4096
-	// MaxDepth bounds the nesting of brackets in a document.
+	// MaxDepth is the maximum nesting of brackets in a document.
 	MaxDepth = 64
 )
 
-// Document remembers where each field of a file stands.
+// Document holds the positions of the fields in a file, and the problems found.
 type Document struct {
-	file      string
+	file string
+	// positions maps the paths of fields to their positions.
 	positions map[string]position
 	problems  []Problem
 }
@@ -34,10 +35,10 @@
 	column int
 }
 
-// Read decodes data into the struct that target points to. check then reports
-// what is wrong with the decoded value, with fields but without places. Read
-// returns all problems, with their places, in the order of the file. Problems
-// that check finds in a field that could not be decoded are left out.
+// Read decodes data into the struct that target points to. It then calls check, which
+// returns the problems of the decoded value, with fields but without positions. Read
+// returns all problems, with their positions, in the order of the file. It omits problems
+// that check returns for a field that could not be decoded.
 func Read(file string, data []byte, target any, check func() []Problem) []Problem {
 	document := &Document{file: file, positions: map[string]position{}}
 	root := document.parse(data)
@@ -45,9 +46,9 @@
 		return document.problems
 	}
 	document.decode(root, reflect.ValueOf(target).Elem(), "")
-	unreadable := len(document.problems)
+	decodeProblems := len(document.problems)
 	for _, problem := range check() {
-		if !document.isCovered(problem.Field, unreadable) {
+		if !document.isCovered(problem.Field, decodeProblems) {
 			document.report(problem.Field, "%s", problem.Message)
 		}
 	}
@@ -55,10 +56,11 @@
 	return document.problems
 }
 
-// parse returns the root of the only document, or nil and a problem.
+// parse returns the root of the only document in data. If it can't, it reports a problem and
+// returns nil.
 func (d *Document) parse(data []byte) ast.Node {
-	if excess := exceededLimit(data); excess != "" {
-		d.report("", "%s", excess)
+	if message := exceededLimit(data); message != "" {
+		d.report("", "%s", message)
 		return nil
 	}
 	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
@@ -73,7 +75,7 @@
 	return file.Docs[0].Body
 }
 
-// excess says which limit the document breaks, empty for none.
+// exceededLimit describes the limit that the document exceeds; it is empty if there is none.
 func exceededLimit(data []byte) string {
 	if len(data) > MaxBytes {
 		return fmt.Sprintf("expected at most %d bytes, found %d", MaxBytes, len(data))
@@ -89,7 +91,7 @@
 	return ""
 }
 
-// nesting returns an upper bound of how deep flow collections are nested.
+// maxNesting returns an upper bound for the nesting of flow collections.
 func maxNesting(data []byte) int {
 	depth := 0
 	deepest := 0
@@ -123,8 +125,8 @@
 	return line
 }
 
-// report adds a problem at the field's place, or at the nearest enclosing
-// field that the file has.
+// report adds a problem at the field's position, or at that of the nearest enclosing
+// field that the file contains.
 func (d *Document) report(field, format string, arguments ...any) {
 	at := d.positionOf(field)
 	d.problems = append(d.problems, Problem{
@@ -145,13 +147,13 @@
 	}
 }
 
-// enclosing returns the path without its last name or index.
+// parentPath returns the path without its last name or index.
 func parentPath(field string) string {
 	return field[:max(0, strings.LastIndexAny(field, ".["))]
 }
 
-// covered reports whether one of the first count problems lies in the field,
-// at it, or around it.
+// isCovered reports whether one of the first count problems is at the field, at a field inside it,
+// or at one that encloses it.
 func (d *Document) isCovered(field string, count int) bool {
 	for _, problem := range d.problems[:count] {
 		if within(field, problem.Field) || within(problem.Field, field) {
@@ -161,8 +163,8 @@
 	return false
 }
 
-// within reports whether inner is outer or a part of it. A field that is not
-// known is no part of the fields around it.
+// within reports whether inner is outer or a part of it. No other path is part of the root, whose
+// path is empty.
 func within(inner, outer string) bool {
 	if inner == outer {
 		return true
--- a/internal/strictyaml/fields.go
+++ b/internal/strictyaml/fields.go
@@ -9,8 +9,8 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// collectFields maps the names in the file to the fields of a struct; inlined
-// structs add their fields to those of the struct around them.
+// collectFields adds the fields of a struct to fields, by their names in the file. The fields of
+// inlined structs are added like those of the enclosing struct.
 func collectFields(target reflect.Value, fields map[string]reflect.Value) {
 	for i := range target.NumField() {
 		field := target.Type().Field(i)
@@ -24,8 +24,8 @@
 	}
 }
 
-// fileName returns the name of a struct's field in the file, empty for a field
-// that the file can't set, and whether its fields are inlined.
+// fileName returns the name of a struct field in the file, and whether the field is an inlined
+// struct. The name is empty for an inlined struct and for a field that the file can't set.
 func fileName(field reflect.StructField) (name string, inline bool) {
 	tag := field.Tag.Get("yaml")
 	name, options, _ := strings.Cut(tag, ",")
@@ -50,8 +50,8 @@
 	return names
 }
 
-// mappingEntries returns the entries of a mapping; the library has a type of
-// its own for a mapping of one entry.
+// mappingEntries returns the entries of a mapping. The library represents a mapping with one entry
+// by a different type.
 func mappingEntries(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch mapping := node.(type) {
 	case *ast.MappingNode:
@@ -63,24 +63,24 @@
 	}
 }
 
-// remember notes where a value stands. A mapping or list that is the value of
-// a field keeps the place of the field's name, noted before.
+// recordPosition records the position of a value. A mapping or list that is the value of
+// a field keeps the position of the field's name, which was recorded before.
 func (d *Document) recordPosition(path string, node ast.Node) {
 	entries, isMapping := mappingEntries(node)
-	_, noted := d.positions[path]
+	_, recorded := d.positions[path]
 	switch {
-	case isMapping && noted:
+	case isMapping && recorded:
 	case isMapping && len(entries) > 0:
 		d.recordTokenPosition(path, entries[0].Key.GetToken())
-	case noted && node.Type() == ast.SequenceType:
+	case recorded && node.Type() == ast.SequenceType:
 	default:
 		d.recordTokenPosition(path, node.GetToken())
 	}
 }
 
-func (d *Document) recordTokenPosition(path string, at *token.Token) {
-	if at != nil && at.Position != nil {
-		d.positions[path] = position{line: at.Position.Line, column: at.Position.Column}
+func (d *Document) recordTokenPosition(path string, t *token.Token) {
+	if t != nil && t.Position != nil {
+		d.positions[path] = position{line: t.Position.Line, column: t.Position.Column}
 	}
 }
 
--- a/internal/strictyaml/problem.go
+++ b/internal/strictyaml/problem.go
@@ -1,9 +1,9 @@
-// Package strictyaml reads YAML written by people into typed values and reports
-// every mistake at once, each with its file, line, column and field.
+// Package strictyaml decodes YAML written by people into typed values and reports
+// all mistakes at once, each with its file, line, column and field.
 //
 // It accepts less than YAML does: unknown and repeated keys, empty values,
 // several documents, tags, anchors, aliases and merge keys are mistakes, and a
-// value must be written in the type that the field has.
+// value must have the type of its field, without conversion.
 package strictyaml
 
 import (
@@ -17,17 +17,17 @@
 type Problem struct {
 	// File is empty for a value that was not read from a file.
 	File string `json:"file,omitempty"`
-	// Line and Column count from 1; zero means that the place is not known.
+	// Line and Column count from 1; zero means that the position is unknown.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 	// Field is the path of the field, such as "services[0].route"; empty for
 	// the whole document.
 	Field string `json:"field,omitempty"`
-	// Message says what was expected.
+	// Message describes what was expected.
 	Message string `json:"message"`
 }
 
-// String returns "file:line:column: field: message", without parts unknown.
+// String returns "file:line:column: field: message", without the unknown parts.
 func (p Problem) String() string {
 	var text strings.Builder
 	if p.File != "" {
@@ -46,7 +46,7 @@
 	return text.String()
 }
 
-// Format returns the problems, one a line.
+// Format returns the problems as text, one per line.
 func Format(problems []Problem) string {
 	lines := make([]string, 0, len(problems))
 	for _, problem := range problems {
@@ -55,7 +55,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sortProblems orders problems by their place in the file.
+// sortProblems sorts problems by their position in the file.
 func sortProblems(problems []Problem) {
 	slices.SortStableFunc(problems, func(a, b Problem) int {
 		return cmp.Or(
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -16,7 +16,7 @@
 	Hidden string  `yaml:"-"`
 }
 
-// Common is exported, as an inlined struct must be.
+// Common is exported, since an inlined struct must be.
 type Common struct {
 	Zone string `yaml:"zone" validate:"required"`
 	Name string `yaml:"name" validate:"required,min=3"`
--- a/internal/strictyaml/validate.go
+++ b/internal/strictyaml/validate.go
@@ -9,11 +9,11 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// inlinePlaceholder stands for an inlined struct in the validator's paths.
+// inlinePlaceholder is the name of an inlined struct in the validator's paths.
 const inlinePlaceholder = "~inline"
 
-// Validator checks structs by their "validate" tags and names fields as files
-// do. It is safe for concurrent use.
+// Validator checks structs by their "validate" tags. It uses the names of fields in files. It is
+// safe for concurrent use.
 type Validator struct {
 	validate *validator.Validate
 }
@@ -31,7 +31,7 @@
 	return &Validator{validate: validate}
 }
 
-// Check returns a problem for each field that breaks its tag.
+// Check returns a problem for each field that violates its tag.
 func (v *Validator) Check(value any) []Problem {
 	var failures validator.ValidationErrors
 	if !errors.As(v.validate.Struct(value), &failures) {
@@ -47,13 +47,13 @@
 	return problems
 }
 
-// fieldPath drops the struct's name and the marks of inlined structs.
+// fieldPath returns a path without the struct's name and the placeholders of inlined structs.
 func fieldPath(namespace string) string {
 	_, path, _ := strings.Cut(namespace, ".")
 	return strings.ReplaceAll(path, inlinePlaceholder+".", "")
 }
 
-// describe says what a tag expects.
+// describe describes what a tag expects.
 func describe(failure validator.FieldError) string {
 	switch failure.Tag() {
 	case "required":
