--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -23,17 +23,17 @@
 }
 
 func TestTraceRequest(t *testing.T) {
-	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, TraceRequest(readSession(t), "f1c46b03ca431df2")))
-	golden.Assert(t, shown.String(), "trace.golden")
+	var written bytes.Buffer
+	assert.NilError(t, Write(&written, TraceRequest(readSession(t), "f1c46b03ca431df2")))
+	golden.Assert(t, written.String(), "trace.golden")
 }
 
 func TestStateAt(t *testing.T) {
 	at, err := time.Parse(time.RFC3339, "2026-07-02T04:30:20Z")
 	assert.NilError(t, err)
-	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, StateAt(readSession(t), at)))
-	golden.Assert(t, shown.String(), "state-at.golden")
+	var written bytes.Buffer
+	assert.NilError(t, Write(&written, StateAt(readSession(t), at)))
+	golden.Assert(t, written.String(), "state-at.golden")
 }
 
 func TestTraceOfUnknownRequestIsEmpty(t *testing.T) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -66,17 +66,17 @@
 func TestBundleLifecycle(t *testing.T) {
 	bundles := registry.New(memory.New(), prefix)
 	salma, youssef := fixedOperator("salma", 1), fixedOperator("youssef", 2)
-	shown := &console{}
+	out := &console{}
 	ctx := t.Context()
-	assert.Equal(t, BundleStatus(ctx, shown.output(), bundles, "tawila"), ExitRefused)
-	assert.Equal(t, Propose(ctx, shown.output(), bundles, salma, bundleFile), ExitOK)
-	assert.Equal(t, Roll(ctx, shown.output(), bundles, salma, "tawila", 1), ExitRefused)
-	assert.Equal(t, Approve(ctx, shown.output(), bundles, salma, bundleFile), ExitRefused)
-	assert.Equal(t, Approve(ctx, shown.output(), bundles, youssef, bundleFile), ExitOK)
-	assert.Equal(t, Roll(ctx, shown.output(), bundles, salma, "tawila", 1), ExitOK)
-	assert.Equal(t, BundleStatus(ctx, shown.output(), bundles, "tawila"), ExitOK)
-	assert.Equal(t, BundleHistory(ctx, shown.output(), bundles, "tawila"), ExitOK)
-	golden.Assert(t, shown.result.String()+"--\n"+shown.errors.String(), "states.golden")
+	assert.Equal(t, BundleStatus(ctx, out.output(), bundles, "tawila"), ExitRefused)
+	assert.Equal(t, Propose(ctx, out.output(), bundles, salma, bundleFile), ExitOK)
+	assert.Equal(t, Roll(ctx, out.output(), bundles, salma, "tawila", 1), ExitRefused)
+	assert.Equal(t, Approve(ctx, out.output(), bundles, salma, bundleFile), ExitRefused)
+	assert.Equal(t, Approve(ctx, out.output(), bundles, youssef, bundleFile), ExitOK)
+	assert.Equal(t, Roll(ctx, out.output(), bundles, salma, "tawila", 1), ExitOK)
+	assert.Equal(t, BundleStatus(ctx, out.output(), bundles, "tawila"), ExitOK)
+	assert.Equal(t, BundleHistory(ctx, out.output(), bundles, "tawila"), ExitOK)
+	golden.Assert(t, out.result.String()+"--\n"+out.errors.String(), "states.golden")
 }
 
 func TestStoreOutageHasItsOwnExitCode(t *testing.T) {
@@ -85,11 +85,11 @@
 	bundles := registry.New(store, prefix)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	shown := &console{}
-	assert.Equal(t, BundleStatus(ctx, shown.output(), bundles, "tawila"), ExitUnreachable)
-	assert.Equal(t, Status(ctx, shown.output(), store, prefix, stateEntries, noNotices), ExitUnreachable)
-	assert.Equal(t, Propose(ctx, shown.output(), bundles, fixedOperator("salma", 1), bundleFile), ExitUnreachable)
-	assert.Assert(t, strings.Contains(shown.errors.String(), "does not answer"))
+	out := &console{}
+	assert.Equal(t, BundleStatus(ctx, out.output(), bundles, "tawila"), ExitUnreachable)
+	assert.Equal(t, Status(ctx, out.output(), store, prefix, stateEntries, noNotices), ExitUnreachable)
+	assert.Equal(t, Propose(ctx, out.output(), bundles, fixedOperator("salma", 1), bundleFile), ExitUnreachable)
+	assert.Assert(t, strings.Contains(out.errors.String(), "does not answer"))
 }
 
 // stateEntries parses entries whose value is only the worker's state.
@@ -129,22 +129,22 @@
 			Backoffs: []peerlink.BackoffShare{{Worker: "w2", Share: 0.75, RemainingMillis: 1900}},
 		}, nil
 	}
-	shown := &console{}
-	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, stateEntries, queryNotices), ExitOK)
-	jsonOutput := shown.output()
+	out := &console{}
+	assert.Equal(t, Status(t.Context(), out.output(), store, prefix, stateEntries, queryNotices), ExitOK)
+	jsonOutput := out.output()
 	jsonOutput.JSON = true
 	assert.Equal(t, Status(t.Context(), jsonOutput, store, prefix, stateEntries, queryNotices), ExitOK)
-	assert.Equal(t, Status(t.Context(), shown.output(), store, prefix, stateEntries, noNotices), ExitOK)
-	golden.Assert(t, shown.result.String(), "status.golden")
+	assert.Equal(t, Status(t.Context(), out.output(), store, prefix, stateEntries, noNotices), ExitOK)
+	golden.Assert(t, out.result.String(), "status.golden")
 }
 
 func TestExamplesAreValid(t *testing.T) {
 	for _, example := range []string{"tawila", "tweede-leven"} {
 		directory := filepath.Join("..", "..", "examples", example)
-		shown := &console{}
-		assert.Equal(t, CheckConfig(shown.output(), filepath.Join(directory, "router.yaml")), ExitOK, shown.errors.String())
-		assert.Equal(t, CheckBundle(shown.output(), filepath.Join(directory, "bundle.yaml")), ExitOK, shown.errors.String())
+		out := &console{}
+		assert.Equal(t, CheckConfig(out.output(), filepath.Join(directory, "router.yaml")), ExitOK, out.errors.String())
+		assert.Equal(t, CheckBundle(out.output(), filepath.Join(directory, "bundle.yaml")), ExitOK, out.errors.String())
 	}
-	shown := &console{}
-	assert.Equal(t, CheckConfig(shown.output(), bundleFile), ExitInvalid)
+	out := &console{}
+	assert.Equal(t, CheckConfig(out.output(), bundleFile), ExitInvalid)
 }
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -72,7 +72,7 @@
 		case err == nil:
 			fmt.Fprintf(output.Result, "%s is lifted; routers know within 15 s\n", request)
 			return ExitOK
-		case !errors.Is(err, coord.ErrConflict): // on a conflict, the leader has written since the read: retry
+		case !errors.Is(err, coord.ErrConflict): // on a conflict, retry: the leader has written since
 			return output.Fail(errs.Combine(registry.ErrUnavailable, err))
 		}
 	}
--- a/internal/operator/quarantine_test.go
+++ b/internal/operator/quarantine_test.go
@@ -16,9 +16,9 @@
 
 func TestQuarantineIsListedAndLifted(t *testing.T) {
 	store := memory.New()
-	shown := &console{}
-	assert.Equal(t, ListSuspects(t.Context(), shown.output(), store, prefix), ExitOK)
-	assert.Equal(t, strings.Count(shown.result.String(), "\n"), 1, "nothing is stored: only the header is printed")
+	out := &console{}
+	assert.Equal(t, ListSuspects(t.Context(), out.output(), store, prefix), ExitOK)
+	assert.Equal(t, strings.Count(out.result.String(), "\n"), 1, "nothing is stored: only the header is printed")
 
 	tracker, now := quarantine.NewTracker(), time.Unix(1_000_000, 0)
 	quarantined := quarantine.Attempt{Request: quarantine.Fingerprint{1}, ID: "id-3", Route: "tables", Caller: netip.MustParseAddr("10.0.0.7")}
@@ -31,10 +31,10 @@
 	}})
 	assert.NilError(t, err)
 
-	shown = &console{}
-	assert.Equal(t, ListSuspects(t.Context(), shown.output(), store, prefix), ExitOK)
+	out = &console{}
+	assert.Equal(t, ListSuspects(t.Context(), out.output(), store, prefix), ExitOK)
 	for _, part := range []string{quarantined.Request.String(), "quarantined", "suspected", "tables", "10.0.0.7", "id-3", "w1 w2 w3", "1970-01-12T13:46:46Z"} {
-		assert.Assert(t, strings.Contains(shown.result.String(), part), "%s in\n%s", part, shown.result.String())
+		assert.Assert(t, strings.Contains(out.result.String(), part), "%s in\n%s", part, out.result.String())
 	}
 
 	lifted := &console{}
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -112,9 +112,9 @@
 	var syntax yaml.Error
 	if errors.As(err, &syntax) {
 		problem.Message = "expected YAML: " + firstLine(syntax.GetMessage())
-		if at := syntax.GetToken(); at != nil && at.Position != nil {
-			problem.Line = at.Position.Line
-			problem.Column = at.Position.Column
+		if token := syntax.GetToken(); token != nil && token.Position != nil {
+			problem.Line = token.Position.Line
+			problem.Column = token.Position.Column
 		}
 	}
 	d.problems = append(d.problems, problem)
