--- a/internal/decision/kinds.go
+++ b/internal/decision/kinds.go
@@ -63,7 +63,7 @@
 		{KindReload, "the settings file was read again", "changed, rest_needs_restart (other settings changed, which take effect at a restart only); error if the file can't be used"},
 		{KindMetricsLost, "the metrics can't be served; requests are served", "address, error"},
 		{KindSuspended, "the machine was suspended, or this platform has no clock that detects suspensions", "for (seconds), led (this process was the leader before)"},
-		{KindReady, "the readiness of the process changed", "ready, reason"},
+		{KindReady, "the process reports itself as ready or not ready", "ready, reason"},
 		{KindConfig, "a configuration has come into force in this process", "version, routes, revision (of the store); remarks (warnings for operators)"},
 		{KindConfigRefused, "a configuration can't be read; the previous one stays in force", "revision, error"},
 		{KindZonesEvacuated, "the list of evacuated zones, whose workers get no work, has changed", "zones (all of them), revision"},
