--- a/cmd/shalefork-lab/soak.go
+++ b/cmd/shalefork-lab/soak.go
@@ -14,7 +14,7 @@
 // demoCommand plays each kind of fault in turn.
 func demoCommand() cli.Command {
 	config := soak.DefaultConfig()
-	config.InTurn = true
+	config.Sequential = true
 	var broken string
 	subcommand := cli.NewSubcommand("demo", "Run routers on the platform's stand-in under load and each kind of fault in turn, and check them.")
 	attach(subcommand, &config)
@@ -33,12 +33,12 @@
 	var broken string
 	subcommand.String(&broken, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
 	subcommand.StringSlice(&config.Faults, "", "faults", "Kinds of faults that are drawn, by name; all if none is named")
-	subcommand.StringSlice(&config.With, "", "with", "Parts that are played beside: tenants, bodies, regions, lives, limits or notices; may be given more than once")
+	subcommand.StringSlice(&config.Parts, "", "with", "Parts that are played beside: tenants, bodies, regions, lives, limits or notices; may be given more than once")
 	subcommand.String(&config.Replay, "", "replay", "File of a run whose plan is played again")
 	subcommand.String(&config.Record, "", "record", "File that takes the plan and the verdict")
 	subcommand.Duration(&config.Duration, "", "for", "How long faults are injected")
 	subcommand.UInt64(&config.Seed, "", "seed", "Seed of the faults")
-	subcommand.Int(&config.Harmful, "", "harmful", "How many requests crash the workers that run them")
+	subcommand.Int(&config.HarmfulRequests, "", "harmful", "How many requests crash the workers that run them")
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		config.Break = soak.Break(broken)
 		return run(ctx, config)
@@ -46,7 +46,7 @@
 }
 
 func attach(subcommand *flaggy.Subcommand, config *soak.Config) {
-	subcommand.String(&config.Shalefork, "s", "shalefork", "Path of the program shalefork")
+	subcommand.String(&config.ProgramPath, "s", "shalefork", "Path of the program shalefork")
 	subcommand.Int(&config.Routers, "", "routers", "How many routers are run")
 	subcommand.Int(&config.Rate, "r", "rate", "Requests per second")
 }
