--- a/internal/bodies/pipe.go
+++ b/internal/bodies/pipe.go
@@ -7,50 +7,53 @@
 	"time"
 )
 
-// errClosed: whoever read from the pipe wants no more.
-var errClosed = errors.New("the answer is not wanted any more")
+// errClosed is returned once the pipe is closed, since the answer is no longer needed.
+var errClosed = errors.New("the pipe for the answer is closed")
 
-// part is some bytes of an answer, and what is given back to the room once they are through.
+// part is a section of an answer.
 type part struct {
 	bytes []byte
-	gives int64
+	// reserved is the memory to release once the part is written. The reservation of a block is
+	// attached to its last part.
+	reserved int64
 }
 
-// Pipe carries an answer from a worker to a caller. It takes what the worker sends as fast as
-// it comes, within a bound, so that a caller who reads slowly holds no worker up. One may fill
-// it while another reads from it.
+// Pipe buffers an answer on its way from a worker to a caller. It reads as fast as the worker
+// sends, up to a limit, so that a caller that reads slowly does not keep the worker busy. One
+// goroutine may fill it while another reads from it.
 type Pipe struct {
-	room *MemoryBudget
-	most int64
+	budget      *MemoryBudget
+	maxBuffered int64
 
 	mu      sync.Mutex
 	changed sync.Cond
 	parts   []part
-	// held is how many bytes wait for the caller.
-	held int64
-	// end is why no more comes: io.EOF if the answer is whole; nil while more may come.
-	end    error
+	// buffered is the number of bytes that are not written to the caller yet.
+	buffered int64
+	// endErr is the reason for which reading ended: io.EOF if the answer is complete, nil while
+	// more may arrive.
+	endErr error
 	closed bool
-	// done is closed at the end, and crowded once no more can be held.
-	done, crowded chan struct{}
-	once          sync.Once
+	// done is closed when reading ends, and full once no more can be buffered.
+	done, full chan struct{}
+	fullOnce   sync.Once
 }
 
-// NewPipe returns a pipe that holds so many bytes at most.
-func NewPipe(room *MemoryBudget, most int64) *Pipe {
-	p := &Pipe{room: room, most: most, done: make(chan struct{}), crowded: make(chan struct{})}
+// NewPipe returns a pipe that buffers at most the given number of bytes.
+func NewPipe(budget *MemoryBudget, maxBuffered int64) *Pipe {
+	p := &Pipe{budget: budget, maxBuffered: maxBuffered, done: make(chan struct{}), full: make(chan struct{})}
 	p.changed.L = &p.mu
 	return p
 }
 
-// Fill reads from a worker until the answer ends or is not wanted any more, and returns the
-// reason: nil if it is whole. Where there is no room it waits until the caller has taken what
-// is held, and goes on in small steps.
+// Fill reads from a worker until the answer ends or the pipe is closed. It returns nil if the
+// answer is complete, and the reason otherwise. If it gets no memory, it waits until the caller has
+// read all that is buffered, and continues in small steps.
 func (p *Pipe) Fill(from io.Reader) error {
 	for {
-		block, taken, err := p.next()
+		block, reserved, err := p.allocate()
 		if err == nil {
-			err = p.fill(block, taken, from)
+			err = p.fillBlock(block, reserved, from)
 		}
 		if err == nil {
 			continue
@@ -63,34 +66,34 @@
 	}
 }
 
-// next returns memory, and how much of it was taken from the room.
-func (p *Pipe) next() (block []byte, taken int64, err error) {
+// allocate returns a block of memory, and how much of it is reserved from the budget.
+func (p *Pipe) allocate() (block []byte, reserved int64, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !p.closed {
-		if p.held+pieceBytes <= p.most && p.room.Reserve(pieceBytes) {
-			return make([]byte, pieceBytes), pieceBytes, nil
+		if p.buffered+pieceSize <= p.maxBuffered && p.budget.Reserve(pieceSize) {
+			return make([]byte, pieceSize), pieceSize, nil
 		}
-		p.once.Do(func() { close(p.crowded) })
-		if p.held == 0 { // so that each answer goes on
-			return make([]byte, firstPiece), 0, nil
+		p.fullOnce.Do(func() { close(p.full) })
+		if p.buffered == 0 { // so that each answer makes progress even if the budget is exhausted
+			return make([]byte, firstPieceSize), 0, nil
 		}
 		p.changed.Wait()
 	}
 	return nil, 0, errClosed
 }
 
-// fill reads into one block, and gives on what comes as it comes.
-func (p *Pipe) fill(block []byte, taken int64, from io.Reader) error {
+// fillBlock reads into one block, and makes each part available as soon as it arrives.
+func (p *Pipe) fillBlock(block []byte, reserved int64, from io.Reader) error {
 	for len(block) > 0 {
 		count, err := from.Read(block)
 		last := err != nil || count == len(block)
-		gives := int64(0)
+		release := int64(0)
 		if last {
-			gives = taken
+			release = reserved
 		}
-		if !p.add(part{bytes: block[:count:count], gives: gives}) && !last {
-			p.room.Release(taken)
+		if !p.add(part{bytes: block[:count:count], reserved: release}) && !last {
+			p.budget.Release(reserved)
 			return errClosed
 		}
 		if err != nil {
@@ -101,16 +104,16 @@
 	return nil
 }
 
-// add holds bytes for the caller; false if it wants no more.
-func (p *Pipe) add(come part) bool {
+// add buffers a part for the caller. It returns false if the pipe is closed.
+func (p *Pipe) add(added part) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		p.room.Release(come.gives)
+		p.budget.Release(added.reserved)
 		return false
 	}
-	p.parts = append(p.parts, come)
-	p.held += int64(len(come.bytes))
+	p.parts = append(p.parts, added)
+	p.buffered += int64(len(added.bytes))
 	p.changed.Broadcast()
 	return true
 }
@@ -118,53 +121,54 @@
 func (p *Pipe) finish(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.end = err
+	p.endErr = err
 	close(p.done)
 	p.changed.Broadcast()
 }
 
-// Await waits until the answer is whole or broken, or no more of it can be held, or a time has
-// passed; zero: no time does. It returns whether it is whole, and why it broke.
-func (p *Pipe) Await(hold time.Duration) (whole bool, err error) {
-	var passed <-chan time.Time
-	if hold > 0 {
-		timer := time.NewTimer(hold)
+// Await waits until the answer is complete, has failed, or can't be buffered further, or until the
+// timeout has passed; zero means no timeout. It returns whether the answer is complete, and the
+// error if it has failed.
+func (p *Pipe) Await(timeout time.Duration) (complete bool, err error) {
+	var expired <-chan time.Time
+	if timeout > 0 {
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
-		passed = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-p.done:
-	case <-p.crowded:
-	case <-passed:
+	case <-p.full:
+	case <-expired:
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if errors.Is(p.end, io.EOF) {
+	if errors.Is(p.endErr, io.EOF) {
 		return true, nil
 	}
-	return false, p.end
+	return false, p.endErr
 }
 
-// Spool returns a whole answer, which the pipe holds no longer.
+// Spool moves a complete answer from the pipe into a spool, and closes the pipe.
 func (p *Pipe) Spool() *Spool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := &Spool{room: p.room, length: p.held}
+	s := &Spool{budget: p.budget, length: p.buffered}
 	for _, one := range p.parts {
-		s.taken += one.gives
+		s.reserved += one.reserved
 		if len(one.bytes) > 0 {
 			s.pieces = append(s.pieces, one.bytes)
 		}
 	}
-	p.parts, p.held, p.closed = nil, 0, true
+	p.parts, p.buffered, p.closed = nil, 0, true
 	return s
 }
 
-// WriteTo gives the answer to a caller as it comes; flush is called after each part. Its error
-// is the caller's or the worker's; Err tells the worker's.
+// WriteTo writes the answer to a caller as it arrives, and calls flush after each part. Its error
+// may come from the caller or the worker; Err returns only the worker's.
 func (p *Pipe) WriteTo(to io.Writer, flush func() error) (written int64, err error) {
 	for {
-		next, err := p.take()
+		next, err := p.nextPart()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
 				return written, nil
@@ -176,57 +180,57 @@
 		if err == nil {
 			err = flush()
 		}
-		p.room.Release(next.gives)
+		p.budget.Release(next.reserved)
 		if err != nil {
 			return written, err
 		}
 	}
 }
 
-// take waits for the next bytes.
-func (p *Pipe) take() (part, error) {
+// nextPart waits for the next part and removes it from the buffer.
+func (p *Pipe) nextPart() (part, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.parts) == 0 {
 		switch {
 		case p.closed:
 			return part{}, errClosed
-		case p.end != nil:
-			return part{}, p.end
+		case p.endErr != nil:
+			return part{}, p.endErr
 		}
 		p.changed.Wait()
 	}
 	next := p.parts[0]
 	p.parts = p.parts[1:]
-	p.held -= int64(len(next.bytes))
+	p.buffered -= int64(len(next.bytes))
 	p.changed.Broadcast()
 	return next, nil
 }
 
-// Close gives up what is held and what is to come.
+// Close discards what is buffered, and ends Fill.
 func (p *Pipe) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, one := range p.parts {
-		p.room.Release(one.gives)
+		p.budget.Release(one.reserved)
 	}
-	p.parts, p.held, p.closed = nil, 0, true
+	p.parts, p.buffered, p.closed = nil, 0, true
 	p.changed.Broadcast()
 }
 
-// Whole reports whether all of the answer has come.
+// Complete reports whether all of the answer has arrived.
 func (p *Pipe) Complete() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return errors.Is(p.end, io.EOF)
+	return errors.Is(p.endErr, io.EOF)
 }
 
-// Err returns why the answer ended before it was whole; nil if it did not.
+// Err returns the reason for which the answer ended before it was complete, or nil.
 func (p *Pipe) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if errors.Is(p.end, io.EOF) {
+	if errors.Is(p.endErr, io.EOF) {
 		return nil
 	}
-	return p.end
+	return p.endErr
 }
--- a/internal/bodies/spool.go
+++ b/internal/bodies/spool.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// pieceBytes is the length of a piece of memory in bytes: small beside a body of 60 kB,
-	// long beside what a system call costs.
-	pieceBytes = 16 << 10
-	// firstPiece is the length of the first piece of a body whose length is not known.
-	firstPiece = 4 << 10
+	// pieceSize is the length of a piece of memory in bytes: small compared to a body of 60 kB,
+	// but large enough that the cost of system calls is negligible.
+	pieceSize = 16 << 10
+	// firstPieceSize is the length of the first piece of a body whose length is not known.
+	firstPieceSize = 4 << 10
 )
 
-// ErrNoMemory: the room has no memory left.
-var ErrNoMemory = errors.New("no memory is left for bodies in flight")
+// ErrNoMemory is returned if the memory budget is exhausted.
+var ErrNoMemory = errors.New("memory budget for bodies in flight is exhausted")
 
-// Spool is a body in memory, or its beginning. Its bytes are never used for another body:
-// a send that was given up may read them still.
+// Spool holds a body, or the beginning of one, in memory. Its memory is never reused for another
+// body, since an abandoned send may still read it.
 type Spool struct {
-	room   *MemoryBudget
+	budget *MemoryBudget
 	small  bool
 	pieces [][]byte
-	// only is where the single piece of a small body stands.
-	only   [1][]byte
+	// inline is the initial array of pieces; it avoids an allocation for bodies of one piece.
+	inline [1][]byte
 	length int64
 
 	mu sync.Mutex
-	// taken are the room's bytes, of which ahead are for pieces that are still to come.
-	taken, ahead int64
-	freed        bool
+	// reserved is the number of bytes reserved from the budget; reservedAhead of them are for
+	// pieces that are not allocated yet.
+	reserved, reservedAhead int64
+	freed                   bool
 }
 
-// NewSpool returns an empty spool, whose memory is taken from a room. One for a small body
-// gets memory while large ones get none.
-func NewSpool(room *MemoryBudget, small bool) *Spool { return &Spool{room: room, small: small} }
+// NewSpool returns an empty spool that reserves its memory from a budget. A spool for a small body
+// still gets memory when there is none for large ones.
+func NewSpool(budget *MemoryBudget, small bool) *Spool { return &Spool{budget: budget, small: small} }
 
-// Length returns how many bytes it holds.
+// Length returns the number of bytes held.
 func (s *Spool) Length() int64 {
 	if s == nil {
 		return 0
@@ -48,21 +49,22 @@
 	return s.length
 }
 
-// Await takes memory for the next piece of a large body, and waits for it for a while if need
-// be; false if there is none.
-func (s *Spool) ReserveNext(ctx context.Context, patience time.Duration) bool {
-	if !s.room.ReserveWithin(ctx, pieceBytes, patience) {
+// ReserveNext reserves memory for the next piece of a large body, and waits for it up to the
+// timeout. It returns false if there is not enough memory. From then on, the spool counts as one
+// for a large body.
+func (s *Spool) ReserveNext(ctx context.Context, timeout time.Duration) bool {
+	if !s.budget.ReserveWithin(ctx, pieceSize, timeout) {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.small = false
-	s.taken += pieceBytes
-	s.ahead += pieceBytes
+	s.reserved += pieceSize
+	s.reservedAhead += pieceSize
 	return true
 }
 
-// Pieces returns the bytes, in order. They must not be changed; the list is the caller's own.
+// Pieces returns the bytes in order. The bytes must not be changed, but the returned slice may be.
 func (s *Spool) Pieces() net.Buffers {
 	if s == nil {
 		return nil
@@ -70,49 +72,49 @@
 	return append(net.Buffers(nil), s.pieces...)
 }
 
-// Start returns the first bytes, so many at most.
-func (s *Spool) Prefix(most int) []byte {
+// Prefix returns at most limit bytes from the start of the body.
+func (s *Spool) Prefix(limit int) []byte {
 	if s == nil || len(s.pieces) == 0 {
 		return nil
 	}
 	if len(s.pieces) == 1 {
-		return s.pieces[0][:min(most, len(s.pieces[0]))]
+		return s.pieces[0][:min(limit, len(s.pieces[0]))]
 	}
-	start := make([]byte, 0, min(int64(most), s.length))
+	start := make([]byte, 0, min(int64(limit), s.length))
 	for _, piece := range s.pieces {
-		start = append(start, piece[:min(len(piece), most-len(start))]...)
+		start = append(start, piece[:min(len(piece), limit-len(start))]...)
 	}
 	return start
 }
 
-// Fill reads a body until it ends, which whole tells, or so many bytes are held. length is
-// that of the body in bytes; below zero if not known. Where the room is full it returns
-// ErrNoMemory; what is held stays, and the rest can be read still.
-func (s *Spool) Fill(from io.Reader, length, most int64) (whole bool, err error) {
-	for s.length < most && s.length != length {
-		piece := s.next(length, most)
+// Fill reads a body until it ends, in which case complete is true, or until limit bytes are held.
+// length is that of the body in bytes, negative if unknown. If the memory budget is exhausted, Fill
+// returns ErrNoMemory; it keeps what it has read, and the rest can still be read from the reader.
+func (s *Spool) Fill(from io.Reader, length, limit int64) (complete bool, err error) {
+	for s.length < limit && s.length != length {
+		piece := s.allocate(length, limit)
 		if piece == nil {
 			return false, ErrNoMemory
 		}
-		whole, err = s.fill(piece, from)
-		if whole || err != nil {
-			return whole, err
+		complete, err = s.fillPiece(piece, from)
+		if complete || err != nil {
+			return complete, err
 		}
 	}
 	return s.length == length, nil
 }
 
-// fill reads one piece.
-func (s *Spool) fill(piece []byte, from io.Reader) (whole bool, err error) {
+// fillPiece reads one piece.
+func (s *Spool) fillPiece(piece []byte, from io.Reader) (complete bool, err error) {
 	count := 0
 	for count < len(piece) && err == nil {
-		var more int
-		more, err = from.Read(piece[count:])
-		count += more
+		var n int
+		n, err = from.Read(piece[count:])
+		count += n
 	}
 	if count > 0 {
 		if s.pieces == nil {
-			s.pieces = s.only[:0]
+			s.pieces = s.inline[:0]
 		}
 		s.pieces = append(s.pieces, piece[:count])
 		s.length += int64(count)
@@ -123,41 +125,41 @@
 	return false, err
 }
 
-// next takes memory for the next piece; nil if there is none.
-func (s *Spool) next(length, most int64) []byte {
-	size := min(pieceBytes, most-s.length)
+// allocate returns memory for the next piece, or nil if there is none or the spool was freed.
+func (s *Spool) allocate(length, limit int64) []byte {
+	size := min(pieceSize, limit-s.length)
 	switch {
 	case length >= 0:
 		size = min(size, length-s.length)
 	case s.length == 0:
-		size = min(size, firstPiece)
+		size = min(size, firstPieceSize)
 	}
-	take := s.room.Reserve
+	reserve := s.budget.Reserve
 	if s.small {
-		take = s.room.ReserveSmall
+		reserve = s.budget.ReserveSmall
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.freed:
 		return nil
-	case s.ahead >= size:
-		s.ahead -= size
-	case !take(size):
+	case s.reservedAhead >= size:
+		s.reservedAhead -= size
+	case !reserve(size):
 		return nil
 	default:
-		s.taken += size
+		s.reserved += size
 	}
 	return make([]byte, size)
 }
 
-// Free gives the memory back to the room. What reads the bytes may go on.
+// Free returns the memory to the budget. Readers may still read the bytes.
 func (s *Spool) Free() {
 	if s == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.room.Release(s.taken)
-	s.taken, s.freed = 0, true
+	s.budget.Release(s.reserved)
+	s.reserved, s.freed = 0, true
 }
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -14,119 +14,125 @@
 )
 
 const (
-	// mostUnread is how many bytes of requests that can't run yet are read from a connection: a
-	// caller that sends more waits.
-	mostUnread = 16 << 10
-	// firstUnread is how many are made room for once the first one comes.
-	firstUnread = 2 << 10
-	// lingerTime is how long a connection that has been closed one way may take what was written.
+	// maxUnread is how many bytes of requests that can't run yet are buffered per connection.
+	// Reading pauses if the client sends more.
+	maxUnread = 16 << 10
+	// initialUnread is the initial size of that buffer, which is allocated once data arrives.
+	initialUnread = 2 << 10
+	// lingerTime is how long a connection stays open for the client to read the last response after
+	// it was closed for writing.
 	lingerTime = 500 * time.Millisecond
 )
 
-// conn is a caller's connection. net/http reads its requests from it and writes their answers, one
-// after the other; what comes behind a request that is not answered yet is split off here.
+// conn is a client's connection. net/http reads requests from it and writes their responses, one
+// after the other. conn splits off the requests that arrive while an earlier one is not answered
+// yet.
 type conn struct {
 	net.Conn
 	splitter *Splitter
-	// gone is closed once the connection is.
-	gone chan struct{}
-	// wake lets a reader go on that waits for room.
-	wake chan struct{}
+	// done is closed once the connection is closed.
+	done chan struct{}
+	// wakeup resumes a reader that waits for space in unread.
+	wakeup chan struct{}
 
 	mu sync.Mutex
-	// unread are bytes of requests that can't run yet.
+	// unread contains the received bytes of requests that can't run yet.
 	unread []byte
-	// serving says that net/http has a request, which current follows.
-	serving bool
-	current extent
-	// row are the answers behind that, in the order of their requests.
-	row []*answer
-	// closing says that an answer which is under way, or was the last, closes the connection:
-	// what comes after it is not read.
+	// serverBusy is set while net/http reads or serves a request, which current tracks.
+	serverBusy bool
+	current    requestTracker
+	// queue contains the responses to the pipelined requests behind it, in the order of the
+	// requests.
+	queue []*response
+	// closing is set once a response that closes the connection has begun. Requests behind it are
+	// not run.
 	closing bool
-	// closeAfter says that the connection is to be closed once the row is answered.
-	closeAfter bool
-	// lingering says that it is closed already for what is written.
+	// closeAfterQueue is set if the connection must be closed once the queue is empty.
+	closeAfterQueue bool
+	// lingering is set once the connection is closed for writing.
 	lingering bool
 	closed    bool
-	// deadline is up to when net/http reads; interrupted says that a read was ended before.
+	// deadline is net/http's read deadline. interrupted is set if a read was ended before it by
+	// interruptRead.
 	deadline    time.Time
 	interrupted bool
-	// ended is what reading has ended with.
-	ended error
+	// readErr is the error with which reading has ended.
+	readErr error
 }
 
 func newConn(accepted net.Conn, splitter *Splitter) *conn {
-	return &conn{Conn: accepted, splitter: splitter, gone: make(chan struct{}), wake: make(chan struct{}, 1)}
+	return &conn{Conn: accepted, splitter: splitter, done: make(chan struct{}), wakeup: make(chan struct{}, 1)}
 }
 
-// Read implements net.Conn. net/http also reads while it has a request, to notice that the caller
-// leaves: then what comes is of the requests behind it.
+// Read implements net.Conn. net/http also reads while it serves a request, to detect that the
+// client disconnects. Data that arrives then belongs to pipelined requests.
 func (c *conn) Read(into []byte) (int, error) {
 	for {
-		count, next, err := c.step(into)
+		count, next, err := c.nextAction(into)
 		switch {
 		case count > 0 || err != nil:
 			return count, err
-		case next == readOwn:
-			if count, err := c.readOwn(into); count > 0 || err != nil {
+		case next == readForServer:
+			if count, err := c.readForServer(into); count > 0 || err != nil {
 				return count, err
 			}
-		case next == readBehind:
-			c.readBehind()
-		case next == waitForRoom:
-			<-c.wake
+		case next == readPipelined:
+			c.readPipelined()
+		case next == waitForSpace:
+			<-c.wakeup
 		}
 	}
 }
 
-// next is what a reader does when nothing that it may have is there.
-type next int
+// readAction is what Read does if no data for net/http is buffered.
+type readAction int
 
 const (
-	// readOwn reads bytes of the request that net/http has, or gets next.
-	readOwn next = iota
-	// readBehind reads bytes of those behind it.
-	readBehind
-	// waitForRoom waits until one of the row is answered.
-	waitForRoom
+	// readForServer reads data of net/http's current or next request.
+	readForServer readAction = iota
+	// readPipelined reads data of the requests behind it.
+	readPipelined
+	// waitForSpace waits until a request of the queue is answered.
+	waitForSpace
 )
 
-// step returns bytes that net/http may have, or else what is to be done.
-func (c *conn) step(into []byte) (int, next, error) {
+// nextAction copies buffered data for net/http and returns its length. If there is none, it returns
+// the action to take.
+func (c *conn) nextAction(into []byte) (int, readAction, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.closeAfter {
+	if c.closed || c.closeAfterQueue {
 		return 0, 0, net.ErrClosed
 	}
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		return 0, 0, os.ErrDeadlineExceeded
 	}
-	busy := c.serving || len(c.row) > 0
-	if busy && c.rests() {
-		for c.runNext() {
+	busy := c.serverBusy || len(c.queue) > 0
+	if busy && c.atRequestBoundary() {
+		for c.startNext() {
 		}
 	}
-	own := !busy || c.serving && !c.current.over()
+	forServer := !busy || c.serverBusy && !c.current.complete()
 	switch {
-	case own && len(c.unread) > 0:
-		return c.handOver(into), 0, nil
-	case c.ended != nil:
-		return 0, 0, c.ended
-	case own:
-		return 0, readOwn, nil
-	case len(c.unread) >= mostUnread:
-		return 0, waitForRoom, nil
-	}
-	return 0, readBehind, nil
+	case forServer && len(c.unread) > 0:
+		return c.deliverUnread(into), 0, nil
+	case c.readErr != nil:
+		return 0, 0, c.readErr
+	case forServer:
+		return 0, readForServer, nil
+	case len(c.unread) >= maxUnread:
+		return 0, waitForSpace, nil
+	}
+	return 0, readPipelined, nil
 }
 
-// rests reports whether net/http has all of its request, or none. The caller holds mu.
-func (c *conn) rests() bool { return !c.serving || c.current.over() }
+// atRequestBoundary reports whether net/http has read all of its request, or has none. The caller
+// holds mu.
+func (c *conn) atRequestBoundary() bool { return !c.serverBusy || c.current.complete() }
 
-// handOver gives net/http bytes that were read before. The caller holds mu.
-func (c *conn) handOver(into []byte) int {
-	count := c.taken(c.unread[:min(len(into), len(c.unread))])
+// deliverUnread passes buffered data to net/http. The caller holds mu.
+func (c *conn) deliverUnread(into []byte) int {
+	count := c.consumeCurrent(c.unread[:min(len(into), len(c.unread))])
 	copy(into, c.unread[:count])
 	c.unread = c.unread[count:]
 	if len(c.unread) == 0 {
@@ -135,61 +141,62 @@
 	return count
 }
 
-// taken returns how many of some bytes are of the request that net/http has or begins to have.
-// The caller holds mu.
-func (c *conn) taken(data []byte) int {
-	if !c.serving {
-		c.serving, c.current = true, extent{}
+// consumeCurrent returns how many bytes of data belong to net/http's current request, and begins a
+// new request if there is none. The caller holds mu.
+func (c *conn) consumeCurrent(data []byte) int {
+	if !c.serverBusy {
+		c.serverBusy, c.current = true, requestTracker{}
 	}
-	return c.current.take(data)
+	return c.current.consume(data)
 }
 
-// readOwn reads bytes for net/http, and keeps what comes behind its request. It returns none where
+// readForServer reads data for net/http, and buffers data behind its request. It returns no data if
 // the read was interrupted.
-func (c *conn) readOwn(into []byte) (int, error) {
+func (c *conn) readForServer(into []byte) (int, error) {
 	count, err := c.Conn.Read(into)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	own := 0
 	if count > 0 {
-		own = c.taken(into[:count])
+		own = c.consumeCurrent(into[:count])
 		c.unread = append(c.unread, into[own:count]...)
 	}
-	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.resume() {
+	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.resumeRead() {
 		return 0, nil
 	}
 	return own, err
 }
 
-// readBehind reads bytes of requests behind the one that net/http has.
-func (c *conn) readBehind() {
+// readPipelined reads data of the requests behind that of net/http.
+func (c *conn) readPipelined() {
 	c.mu.Lock()
 	length := len(c.unread)
 	if length > 0 {
-		c.unread = slices.Grow(c.unread, max(firstUnread, length))
+		c.unread = slices.Grow(c.unread, max(initialUnread, length))
 	}
-	room := c.unread[length:cap(c.unread)]
+	free := c.unread[length:cap(c.unread)]
 	c.mu.Unlock()
 	var first [1]byte
 	if length == 0 {
-		room = first[:] // most callers send nothing, and need no memory for it
+		free = first[:] // most clients send nothing here, and need no buffer
 	}
-	count, err := c.Conn.Read(room)
+	count, err := c.Conn.Read(free)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unread = append(c.unread[:length], room[:count]...)
+	c.unread = append(c.unread[:length], free[:count]...)
 	switch {
 	case err == nil:
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		c.ended = err
-		c.cancelRow()
+		c.readErr = err
+		c.cancelQueue()
 	default:
-		c.resume()
+		c.resumeRead()
 	}
 }
 
-// resume undoes an interruption; false if there was none. The caller holds mu.
-func (c *conn) resume() bool {
+// resumeRead undoes interruptRead. It returns false if the read was not interrupted. The caller
+// holds mu.
+func (c *conn) resumeRead() bool {
 	interrupted := c.interrupted
 	c.interrupted = false
 	if interrupted {
@@ -198,10 +205,10 @@
 	return interrupted
 }
 
-// interrupt lets a reader look again at what it may do. The caller holds mu.
-func (c *conn) interrupt() {
+// interruptRead makes a blocked Read determine its action again. The caller holds mu.
+func (c *conn) interruptRead() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 	if !c.interrupted {
@@ -216,11 +223,11 @@
 	defer c.mu.Unlock()
 	c.deadline = at
 	select {
-	case c.wake <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 	if c.interrupted {
-		return nil // the reader sets it when it goes on
+		return nil // resumeRead sets it
 	}
 	return c.Conn.SetReadDeadline(at)
 }
@@ -230,105 +237,105 @@
 	return errors.Join(c.SetReadDeadline(at), c.SetWriteDeadline(at))
 }
 
-// runNext runs the request that comes next, if it is there and may run beside those ahead. The
-// caller holds mu.
-func (c *conn) runNext() bool {
-	if c.closing || len(c.row) >= c.splitter.limits.Depth {
+// startNext starts the next buffered request if it is complete and may run concurrently with the
+// earlier ones. It reports whether it did. The caller holds mu.
+func (c *conn) startNext() bool {
+	if c.closing || len(c.queue) >= c.splitter.limits.Depth {
 		return false
 	}
-	read, whole := scan(c.unread)
-	if !whole || read.unclear || !read.bare {
+	parsed, complete := parseHead(c.unread)
+	if !complete || parsed.ambiguous || !parsed.headOnly {
 		return false
 	}
-	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.unread[:read.length])))
-	if err != nil || !mayBeside(request) || !c.splitter.limits.MayRunConcurrently(request) || !c.splitter.admit() {
+	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(c.unread[:parsed.length])))
+	if err != nil || !isSafeRequest(request) || !c.splitter.limits.MayRunConcurrently(request) || !c.splitter.admit() {
 		return false
 	}
-	c.unread = c.unread[read.length:]
+	c.unread = c.unread[parsed.length:]
 	if len(c.unread) == 0 {
 		c.unread = nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	request.RemoteAddr = c.RemoteAddr().String()
-	one := newAnswer(c, request.WithContext(ctx), cancel)
-	c.row = append(c.row, one)
-	if !c.serving && len(c.row) == 1 {
-		close(one.turn)
+	r := newResponse(c, request.WithContext(ctx), cancel)
+	c.queue = append(c.queue, r)
+	if !c.serverBusy && len(c.queue) == 1 {
+		close(r.turn)
 	}
-	go one.serve(c.splitter.handler)
+	go r.serve(c.splitter.handler)
 	return true
 }
 
-// mayBeside reports whether a request names a host and has a method that changes nothing.
-func mayBeside(request *http.Request) bool {
+// isSafeRequest reports whether a request has a host and is a GET or HEAD, which change no state.
+func isSafeRequest(request *http.Request) bool {
 	return (request.Method == http.MethodGet || request.Method == http.MethodHead) && request.Host != ""
 }
 
-// answeredFirst notes that net/http has answered its request.
-func (c *conn) answeredFirst() {
+// serverIdle is called when net/http has answered its request.
+func (c *conn) serverIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current.endless { // net/http may have read more than that
+	if c.current.unbounded { // net/http may have read data of later requests
 		return
 	}
-	c.serving = false
-	if len(c.row) > 0 {
-		close(c.row[0].turn)
+	c.serverBusy = false
+	if len(c.queue) > 0 {
+		close(c.queue[0].turn)
 	}
 }
 
-// answered notes that the first answer of the row is written, or can't be.
-func (c *conn) answered(one *answer) {
-	c.splitter.behind.Add(-1)
+// responseDone is called when the first response of the queue was written or has failed.
+func (c *conn) responseDone(r *response) {
+	c.splitter.running.Add(-1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.row = slices.DeleteFunc(c.row, func(other *answer) bool { return other == one })
-	_ = c.SetWriteDeadline(time.Time{}) // fails with the connection only
+	c.queue = slices.DeleteFunc(c.queue, func(other *response) bool { return other == r })
+	_ = c.SetWriteDeadline(time.Time{}) // fails only if the connection is closed
 	switch {
 	case c.closed:
-	case one.broken:
+	case r.aborted:
 		c.close()
-	case one.closes, c.closeAfter && len(c.row) == 0:
-		c.closeSoon()
-	case len(c.row) > 0:
-		close(c.row[0].turn)
-		c.interrupt()
+	case r.closesConn, c.closeAfterQueue && len(c.queue) == 0:
+		c.closeGracefully()
+	case len(c.queue) > 0:
+		close(c.queue[0].turn)
+		c.interruptRead()
 	default:
-		c.interrupt()
+		c.interruptRead()
 	}
 }
 
-// mayClose reports whether an answer may close the connection: not while others come after it.
-// Nothing is read any more after one that does. nil stands for the answer to net/http's request.
-func (c *conn) mayClose(one *answer) bool {
+// mayClose reports whether a response may close the connection, which it may if no other follows.
+// If so, no further requests are run. nil means the response to net/http's request.
+func (c *conn) mayClose(r *response) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	last := len(c.row) == 0
-	if one != nil {
-		last = c.row[len(c.row)-1] == one
+	last := len(c.queue) == 0
+	if r != nil {
+		last = c.queue[len(c.queue)-1] == r
 	}
 	c.closing = c.closing || last
 	return last
 }
 
-// cancelRow ends the requests of the row. The caller holds mu.
-func (c *conn) cancelRow() {
-	for _, one := range c.row {
-		one.cancel()
+// cancelQueue cancels the requests of the queue. The caller holds mu.
+func (c *conn) cancelQueue() {
+	for _, r := range c.queue {
+		r.cancel()
 	}
 }
 
-// Close implements net.Conn. net/http closes connections that it takes to be idle when it ends:
-// those on which answers are still to come are closed after them.
+// Close implements net.Conn. On shutdown, net/http closes connections that are idle from its point
+// of view. If responses are still queued, the connection is closed after them.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lingering && !c.closed {
 		return nil
 	}
-	if !c.closed && !c.serving && len(c.row) > 0 && c.ended == nil {
-		c.closeAfter = true
-		c.interrupt()
+	if !c.closed && !c.serverBusy && len(c.queue) > 0 && c.readErr == nil {
+		c.closeAfterQueue = true
+		c.interruptRead()
 		return nil
 	}
 	return c.close()
@@ -340,22 +347,23 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	close(c.gone)
-	c.cancelRow()
+	close(c.done)
+	c.cancelQueue()
 	err := c.Conn.Close()
-	c.interrupt()
+	c.interruptRead()
 	return err
 }
 
-// closeSoon closes the connection once the caller could read what was written: closed at once with
-// unread bytes it would be reset, and the answer lost with it. The caller holds mu.
-func (c *conn) closeSoon() {
+// closeGracefully closes the connection for writing, and completely after lingerTime. If it were
+// closed at once with unread input, it would be reset and the client would lose the response. The
+// caller holds mu.
+func (c *conn) closeGracefully() {
 	if c.CloseWrite() != nil {
 		_ = c.close()
 		return
 	}
-	c.closeAfter, c.lingering = true, true
-	c.interrupt()
+	c.closeAfterQueue, c.lingering = true, true
+	c.interruptRead()
 	time.AfterFunc(lingerTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -363,7 +371,7 @@
 	})
 }
 
-// CloseWrite closes the connection for what is written.
+// CloseWrite closes the connection for writing.
 func (c *conn) CloseWrite() error {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return tcp.CloseWrite()
@@ -371,8 +379,8 @@
 	return errors.ErrUnsupported
 }
 
-// SetLinger says what becomes of bytes that are not sent yet when the connection is closed, as for
-// net.TCPConn.
+// SetLinger sets what happens to unsent data when the connection is closed, like
+// net.TCPConn.SetLinger.
 func (c *conn) SetLinger(seconds int) error {
 	if tcp, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
 		return tcp.SetLinger(seconds)
--- a/internal/pipeline/head.go
+++ b/internal/pipeline/head.go
@@ -5,70 +5,71 @@
 	"strconv"
 )
 
-// mostHead is how much of a request's head is looked through for its end, in bytes.
-const mostHead = 64 << 10
+// maxHead is the maximum size in bytes of a request's head. Larger ones are left to net/http.
+const maxHead = 64 << 10
 
-// longestLength is how many digits the length of a body may have.
-const longestLength = 15
+// maxLengthDigits is the maximum number of digits of a Content-Length.
+const maxLengthDigits = 15
 
 var headEnd = []byte("\r\n\r\n")
 
-// head is what the head of a request says about where the request ends.
+// head describes the end of a request, as determined from its head.
 type head struct {
-	// length of the head, with the empty line.
+	// length is the length of the head, including the empty line.
 	length int
-	// body is the length of the body.
-	body int64
-	// bare says that nothing follows the head, and that the connection stays open.
-	bare bool
-	// unclear says that the end can't be told from the head alone, or not without doubt.
-	unclear bool
+	// bodyLength is the length of the body.
+	bodyLength int64
+	// headOnly is set if the request has no body, exactly one plain Host header, and no Connection
+	// or Expect header, so that it can be run without net/http.
+	headOnly bool
+	// ambiguous is set if the end of the request can't be determined with certainty from its head.
+	ambiguous bool
 }
 
-// scan reads the head that some bytes begin with; false if they end within it. What is not written
-// as plainly as can be is unclear: where two readers may see different ends, one of them must read
-// the connection alone.
-func scan(data []byte) (head, bool) {
+// parseHead parses the head at the start of data. It returns false if data ends within the head. A
+// head that is not in the plainest form is ambiguous: if two parsers may see different ends of a
+// request, only one of them may read the connection.
+func parseHead(data []byte) (head, bool) {
 	end := bytes.Index(data, headEnd)
 	if end < 0 {
-		return head{unclear: true}, len(data) >= mostHead
+		return head{ambiguous: true}, len(data) >= maxHead
 	}
-	h := head{length: end + len(headEnd), bare: true}
+	h := head{length: end + len(headEnd), headOnly: true}
 	first, rest, _ := bytes.Cut(data[:end], headEnd[:2])
-	if !plainRequest(first) {
-		return head{unclear: true}, true
+	if !isPlainRequestLine(first) {
+		return head{ambiguous: true}, true
 	}
 	lengths, hosts := 0, 0
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, headEnd[:2])
 		name, value, found := bytes.Cut(line, []byte(":"))
-		if !found || !token(name) || bytes.ContainsFunc(value, control) {
-			return head{unclear: true}, true
+		if !found || !isToken(name) || bytes.ContainsFunc(value, isControl) {
+			return head{ambiguous: true}, true
 		}
 		value = bytes.Trim(value, " \t")
 		switch {
-		case is(name, "Content-Length"):
-			length, ok := readLength(value)
+		case equalName(name, "Content-Length"):
+			length, ok := parseLength(value)
 			if lengths++; !ok || lengths > 1 {
-				return head{unclear: true}, true
+				return head{ambiguous: true}, true
 			}
-			h.body, h.bare = length, h.bare && length == 0
-		case is(name, "Transfer-Encoding"), is(name, "Upgrade"):
-			return head{unclear: true}, true
-		case is(name, "Connection"), is(name, "Expect"):
-			h.bare = false
-		case is(name, "Host"):
+			h.bodyLength, h.headOnly = length, h.headOnly && length == 0
+		case equalName(name, "Transfer-Encoding"), equalName(name, "Upgrade"):
+			return head{ambiguous: true}, true
+		case equalName(name, "Connection"), equalName(name, "Expect"):
+			h.headOnly = false
+		case equalName(name, "Host"):
 			hosts++
-			h.bare = h.bare && plainHost(value)
+			h.headOnly = h.headOnly && isPlainHost(value)
 		}
 	}
-	h.bare = h.bare && hosts == 1
+	h.headOnly = h.headOnly && hosts == 1
 	return h, true
 }
 
-// plainHost reports whether a host has only characters that any server takes.
-func plainHost(value []byte) bool {
+// isPlainHost reports whether a host contains only characters that every server accepts.
+func isPlainHost(value []byte) bool {
 	for _, char := range value {
 		switch {
 		case 'a' <= char && char <= 'z', 'A' <= char && char <= 'Z', '0' <= char && char <= '9':
@@ -80,20 +81,21 @@
 	return len(value) > 0
 }
 
-// control reports whether a character may not stand in the value of a header.
-func control(char rune) bool { return char < ' ' && char != '\t' || char == 0x7f }
+// isControl reports whether char is a control character that is invalid in a header value.
+func isControl(char rune) bool { return char < ' ' && char != '\t' || char == 0x7f }
 
-// plainRequest reports whether a line is a method, a target and HTTP/1.1, with one space between.
-func plainRequest(line []byte) bool {
+// isPlainRequestLine reports whether a line consists of a method, a target and HTTP/1.1, separated
+// by single spaces.
+func isPlainRequestLine(line []byte) bool {
 	parts := bytes.Split(line, []byte(" "))
-	return len(parts) == 3 && token(parts[0]) && len(parts[1]) > 0 && string(parts[2]) == "HTTP/1.1" &&
-		!bytes.ContainsFunc(line, control)
+	return len(parts) == 3 && isToken(parts[0]) && len(parts[1]) > 0 && string(parts[2]) == "HTTP/1.1" &&
+		!bytes.ContainsFunc(line, isControl)
 }
 
-func is(name []byte, header string) bool { return bytes.EqualFold(name, []byte(header)) }
+func equalName(name []byte, header string) bool { return bytes.EqualFold(name, []byte(header)) }
 
-func readLength(value []byte) (int64, bool) {
-	if len(value) == 0 || len(value) > longestLength {
+func parseLength(value []byte) (int64, bool) {
+	if len(value) == 0 || len(value) > maxLengthDigits {
 		return 0, false
 	}
 	for _, digit := range value {
@@ -105,8 +107,8 @@
 	return length, err == nil
 }
 
-// token reports whether a word may name a method or a header.
-func token(word []byte) bool {
+// isToken reports whether a word is a valid name of a method or header.
+func isToken(word []byte) bool {
 	for _, char := range word {
 		switch {
 		case 'a' <= char && char <= 'z', 'A' <= char && char <= 'Z', '0' <= char && char <= '9':
@@ -118,52 +120,55 @@
 	return len(word) > 0
 }
 
-// extent follows one request through the bytes of a connection. The zero value is before its first.
-type extent struct {
-	// seen are the bytes of a head that is not whole yet.
-	seen []byte
-	// known says that the head is whole, and left is what is still to come of the body.
-	known bool
-	left  int64
-	// endless says that all bytes of the connection are taken to be the request's.
-	endless bool
+// requestTracker finds the end of one request in the data of a connection. The zero value expects
+// the first byte of the request.
+type requestTracker struct {
+	// partialHead contains the received part of an incomplete head.
+	partialHead []byte
+	// headComplete is set once the head is complete; then bodyLeft is the number of bytes still
+	// missing from the body.
+	headComplete bool
+	bodyLeft     int64
+	// unbounded is set if all further data of the connection is treated as part of the request,
+	// since its end is ambiguous.
+	unbounded bool
 }
 
-// take returns how many of the next bytes belong to the request.
-func (e *extent) take(data []byte) int {
-	if e.endless {
+// consume returns how many bytes of data belong to the request.
+func (t *requestTracker) consume(data []byte) int {
+	if t.unbounded {
 		return len(data)
 	}
-	taken := 0
-	if !e.known {
-		taken = e.takeHead(data)
-		if !e.known || e.endless {
+	count := 0
+	if !t.headComplete {
+		count = t.consumeHead(data)
+		if !t.headComplete || t.unbounded {
 			return len(data)
 		}
 	}
-	body := int(min(e.left, int64(len(data)-taken)))
-	e.left -= int64(body)
-	return taken + body
+	body := int(min(t.bodyLeft, int64(len(data)-count)))
+	t.bodyLeft -= int64(body)
+	return count + body
 }
 
-// takeHead looks for the end of the head in what came before and the next bytes, of which it returns
-// how many belong to it.
-func (e *extent) takeHead(data []byte) int {
-	before := len(e.seen)
+// consumeHead looks for the end of the head in the data received so far, and returns how many bytes
+// of data belong to the head.
+func (t *requestTracker) consumeHead(data []byte) int {
+	before := len(t.partialHead)
 	if before > 0 {
-		e.seen = append(e.seen, data...)
-		data = e.seen
+		t.partialHead = append(t.partialHead, data...)
+		data = t.partialHead
 	}
-	read, whole := scan(data)
-	if !whole {
+	parsed, complete := parseHead(data)
+	if !complete {
 		if before == 0 {
-			e.seen = append(e.seen, data...)
+			t.partialHead = append(t.partialHead, data...)
 		}
 		return len(data) - before
 	}
-	e.seen, e.known, e.left, e.endless = nil, true, read.body, read.unclear
-	return read.length - before
+	t.partialHead, t.headComplete, t.bodyLeft, t.unbounded = nil, true, parsed.bodyLength, parsed.ambiguous
+	return parsed.length - before
 }
 
-// over reports whether all of the request has come.
-func (e *extent) over() bool { return e.known && !e.endless && e.left == 0 }
+// complete reports whether all of the request was received.
+func (t *requestTracker) complete() bool { return t.headComplete && !t.unbounded && t.bodyLeft == 0 }
--- a/internal/pipeline/splitter.go
+++ b/internal/pipeline/splitter.go
@@ -1,10 +1,11 @@
-// Package pipeline lets requests that a caller sends on one connection before the first of them is
-// answered run side by side. Their answers leave in the order of the requests.
+// Package pipeline runs pipelined HTTP/1.1 requests concurrently, that is requests that a client
+// sends on one connection before an earlier one is answered. Responses are sent in the order of the
+// requests.
 //
-// net/http's server reads a connection's next request once the one before is answered. It keeps
-// doing that: a Splitter gives it connections which hand it one request at a time, and runs those
-// that come behind it themselves, by the same handler, for as long as they are nothing but a head
-// and may run beside others. Everything else waits for its turn at net/http.
+// net/http's server reads the next request of a connection only after it has answered the previous
+// one. This does not change: the connections of a Splitter pass it one request at a time. Requests
+// that arrive behind it are run by the Splitter with the same handler, as long as they consist of a
+// head only and may run concurrently with others. All other requests wait for net/http.
 package pipeline
 
 import (
@@ -14,42 +15,46 @@
 	"sync/atomic"
 )
 
-// Limits bound what runs behind the first requests of connections.
+// Limits are the limits of pipelined requests, that is of those behind a connection's first
+// unanswered one.
 type Limits struct {
-	// Depth is how many requests of one connection may run behind its first, and Total those of
-	// all connections.
+	// Depth is the maximum number of pipelined requests of one connection that run at a time, and
+	// Total that of all connections.
 	Depth, Total int
-	// Held is how many bytes of all answers are kept until it is their turn.
+	// BufferedBytes is the maximum number of bytes of responses, of all connections together, that
+	// are buffered until it is their turn.
 	BufferedBytes int64
-	// Beside reports whether a request may run before those ahead of it are answered.
+	// MayRunConcurrently reports whether a request may run before earlier ones of its connection
+	// are answered.
 	MayRunConcurrently func(*http.Request) bool
 }
 
-// Splitter splits off the requests that come behind others, on all connections of a server. It is
-// safe for concurrent use.
+// Splitter splits off and runs the pipelined requests of all connections of a server. It is safe
+// for concurrent use.
 type Splitter struct {
 	limits  Limits
 	handler http.Handler
-	// behind is how many requests run behind others, and held how many bytes of answers wait.
-	behind, held atomic.Int64
-	// served counts the requests that have run behind others.
+	// running is the number of pipelined requests that run, and bufferedBytes the number of bytes
+	// of responses that wait for their turn.
+	running, bufferedBytes atomic.Int64
+	// served counts the pipelined requests that were started.
 	served   atomic.Uint64
 	stopping atomic.Bool
 }
 
-// New returns a splitter of requests that a handler serves.
+// New returns a Splitter that serves requests with a handler.
 func New(handler http.Handler, limits Limits) *Splitter {
 	return &Splitter{handler: handler, limits: limits}
 }
 
-// listener accepts connections whose requests may run side by side.
+// listener accepts connections whose pipelined requests may run concurrently.
 type listener struct {
 	net.Listener
 	splitter *Splitter
 }
 
-// Listen returns a listener over another that accepts the connections for a server that the splitter
-// is attached to.
+// Listen wraps a listener. The returned listener accepts connections for a server to which the
+// Splitter is attached.
 func (s *Splitter) Listen(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, splitter: s}
 }
@@ -63,100 +68,102 @@
 	return newConn(accepted, l.splitter), nil
 }
 
-// connKey is the key of a connection in the contexts of its requests.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Attach makes a server serve the connections.
+// Attach configures a server to serve connections accepted by the Splitter's listener.
 func (s *Splitter) Attach(server *http.Server) {
-	server.Handler = http.HandlerFunc(s.serveFirst)
-	server.ConnState = s.stateChanged
+	server.Handler = http.HandlerFunc(s.serveFromServer)
+	server.ConnState = s.onStateChange
 	server.ConnContext = func(ctx context.Context, accepted net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, accepted)
 	}
 }
 
-// Stop lets no more requests run behind others.
+// Stop prevents further pipelined requests from being run concurrently.
 func (s *Splitter) Stop() { s.stopping.Store(true) }
 
-// Behind returns how many requests run behind others.
+// Running returns the number of pipelined requests that are running.
 func (s *Splitter) Running() int {
-	return int(s.behind.Load())
+	return int(s.running.Load())
 }
 
-// Served returns how many requests have run behind others.
+// Served returns the number of pipelined requests that were started.
 func (s *Splitter) Served() uint64 {
 	return s.served.Load()
 }
 
-// stateChanged tells a connection that net/http has answered its request.
-func (s *Splitter) stateChanged(of net.Conn, state http.ConnState) {
-	if one, ours := of.(*conn); ours && state == http.StateIdle {
-		one.answeredFirst()
+// onStateChange notifies a connection that net/http has answered its request.
+func (s *Splitter) onStateChange(accepted net.Conn, state http.ConnState) {
+	if c, ours := accepted.(*conn); ours && state == http.StateIdle {
+		c.serverIdle()
 	}
 }
 
-// serveFirst serves a request that net/http has read.
-func (s *Splitter) serveFirst(writer http.ResponseWriter, request *http.Request) {
-	if one, ours := request.Context().Value(connKey{}).(*conn); ours {
-		writer = &firstWriter{ResponseWriter: writer, of: one}
+// serveFromServer serves a request that net/http has read.
+func (s *Splitter) serveFromServer(writer http.ResponseWriter, request *http.Request) {
+	if c, ours := request.Context().Value(connKey{}).(*conn); ours {
+		writer = &serverWriter{ResponseWriter: writer, conn: c}
 	}
 	s.handler.ServeHTTP(writer, request)
 }
 
-// admit takes a place for one more request behind others; false if there is none.
+// admit counts one more running pipelined request. It returns false if the limit is reached or the
+// Splitter was stopped.
 func (s *Splitter) admit() bool {
 	if s.stopping.Load() {
 		return false
 	}
-	if s.behind.Add(1) > int64(s.limits.Total) {
-		s.behind.Add(-1)
+	if s.running.Add(1) > int64(s.limits.Total) {
+		s.running.Add(-1)
 		return false
 	}
 	s.served.Add(1)
 	return true
 }
 
-// hold takes room for bytes of an answer that waits; false if there is none.
-func (s *Splitter) hold(bytes int) bool {
-	if s.held.Add(int64(bytes)) > s.limits.BufferedBytes {
-		s.held.Add(-int64(bytes))
+// reserveBuffer reserves memory to buffer data of a response. It returns false if the limit is
+// reached.
+func (s *Splitter) reserveBuffer(bytes int) bool {
+	if s.bufferedBytes.Add(int64(bytes)) > s.limits.BufferedBytes {
+		s.bufferedBytes.Add(-int64(bytes))
 		return false
 	}
 	return true
 }
 
-// firstWriter is the writer of a request that net/http has read.
-type firstWriter struct {
+// serverWriter is the response writer of a request that net/http has read.
+type serverWriter struct {
 	http.ResponseWriter
-	of    *conn
+	conn  *conn
 	begun bool
 }
 
-// Unwrap lets http.ResponseController find net/http's own writer.
-func (w *firstWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap returns net/http's writer, for http.ResponseController.
+func (w *serverWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *firstWriter) WriteHeader(status int) {
+func (w *serverWriter) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		w.begin()
+		w.beginResponse()
 	}
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements io.Writer.
-func (w *firstWriter) Write(body []byte) (int, error) {
-	w.begin()
+func (w *serverWriter) Write(body []byte) (int, error) {
+	w.beginResponse()
 	return w.ResponseWriter.Write(body)
 }
 
-// begin decides whether the answer closes the connection.
-func (w *firstWriter) begin() {
+// beginResponse removes a Connection: close header if other responses follow.
+func (w *serverWriter) beginResponse() {
 	if w.begun {
 		return
 	}
 	w.begun = true
 	header := w.Header()
-	if closes(header) && !w.of.mayClose(nil) {
+	if hasConnectionClose(header) && !w.conn.mayClose(nil) {
 		header.Del("Connection")
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to workers: it keeps the connections to them, writes a
-// request, and reads the answer that belongs to it.
+// Package upstream sends requests to workers. It pools the connections to them, writes requests,
+// and reads the matching answers.
 package upstream
 
 import (
@@ -14,49 +14,50 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// Times of connections to workers.
 const (
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdle is how long a connection rests whose worker named no time.
-	defaultIdle = 4 * time.Second
-	// idleShare of the worker's own time is used, so that the worker does not
-	// close a connection on which a request is just being sent.
-	idleShare  = 0.6
-	readBuffer = 4 << 10
+	// defaultIdleTime is how long a connection is kept idle if its worker sends no Keep-Alive
+	// timeout.
+	defaultIdleTime = 4 * time.Second
+	// keepAliveShare is the share of the worker's Keep-Alive timeout for which a connection is kept
+	// idle, so that the worker does not close it while a request is being sent.
+	keepAliveShare = 0.6
+	readBufferSize = 4 << 10
 )
 
-// conn is one connection to a worker; one request at a time.
+// conn is a connection to a worker. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// used says that a request was answered on it before.
+	// used is set once a request was answered on the connection.
 	used      bool
 	idleUntil time.Time
-	// opening is how long it took to open.
-	opening time.Duration
+	// dialTime is how long it took to open the connection.
+	dialTime time.Duration
 }
 
-// settleMargin is added to the round trip that a worker's reset of a new connection takes.
-const settleMargin = 3 * time.Millisecond
+// resetMargin is added to the round trip time within which a worker resets a new connection.
+const resetMargin = 3 * time.Millisecond
 
-// settle waits for as long as a worker that has no room for a new connection takes to reset
-// it; false if it has. What was not written to such a connection has surely not run.
+// awaitReset waits for as long as a worker that has no capacity for a new connection takes to reset
+// it. It returns false if the connection was reset or the context ended. A request that is not yet
+// written then has certainly not run.
 //
-// It guards truthful answers: without it 83 requests of 25,000 that may run once were
-// answered 502 in 30 s with a hot key, since they were written just before the reset; with
-// it none.
-func (c *conn) settle(ctx context.Context) bool {
-	timer := time.NewTimer(c.opening + settleMargin)
+// Without this wait, requests that must run at most once are written just before the reset and have
+// to be answered with 502: 83 of 25,000 within 30 s in a run with a hot key, and none with the
+// wait.
+func (c *conn) awaitReset(ctx context.Context) bool {
+	timer := time.NewTimer(c.dialTime + resetMargin)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return quiet(c)
+		return hasNoInput(c)
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Pool keeps the connections to one worker. It is safe for concurrent use.
+// Pool holds the idle connections to one worker. It is safe for concurrent use.
 type Pool struct {
 	address string
 	mu      sync.Mutex
@@ -66,13 +67,13 @@
 // NewPool returns a pool without connections.
 func NewPool(address string) *Pool { return &Pool{address: address} }
 
-// Address is that of the worker.
+// Address returns the address of the worker.
 func (p *Pool) Address() string { return p.address }
 
-// get returns a resting connection, or opens one.
-func (p *Pool) get(ctx context.Context) (one *conn, err error) {
-	if one := p.rested(clock.Now()); one != nil {
-		return one, nil
+// get returns an idle connection, or opens a new one.
+func (p *Pool) get(ctx context.Context) (c *conn, err error) {
+	if c := p.takeIdle(clock.Now()); c != nil {
+		return c, nil
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	began := clock.Now()
@@ -80,75 +81,76 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer), opening: clock.Since(began)}, nil
+	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferSize), dialTime: clock.Since(began)}, nil
 }
 
-// rested takes the connection that rested least.
-func (p *Pool) rested(now time.Time) *conn {
+// takeIdle removes and returns the most recently used idle connection, or nil if there is none.
+func (p *Pool) takeIdle(now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
-		one := p.idle[len(p.idle)-1]
+		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(one.idleUntil) && quiet(one) {
-			return one
+		if now.Before(c.idleUntil) && hasNoInput(c) {
+			return c
 		}
-		_ = one.Close()
+		_ = c.Close()
 	}
 	return nil
 }
 
-// giveBack keeps a connection on which nothing was sent.
-func (p *Pool) giveBack(one *conn) {
-	if !one.used {
-		one.idleUntil = clock.Now().Add(defaultIdle)
+// returnUnused returns a connection on which nothing was sent to the pool.
+func (p *Pool) returnUnused(c *conn) {
+	if !c.used {
+		c.idleUntil = clock.Now().Add(defaultIdleTime)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle = append(p.idle, one)
+	p.idle = append(p.idle, c)
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(one *conn, rest time.Duration) {
-	one.used = true
-	one.idleUntil = clock.Now().Add(rest)
+// put returns a connection to the pool after an answer.
+func (p *Pool) put(c *conn, idleTime time.Duration) {
+	c.used = true
+	c.idleUntil = clock.Now().Add(idleTime)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle = append(p.idle, one)
+	p.idle = append(p.idle, c)
 }
 
-// DropIdle closes all resting connections: one to the same worker was silent, and so may
-// these be. Open connections may go silent for good, without a reset, while new ones work.
+// DropIdle closes all idle connections. If one connection to the worker does not respond, the
+// others may not either: existing connections may hang permanently, without a reset, while new ones
+// work.
 func (p *Pool) DropIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.idle {
-		abort(one.Conn)
+	for _, c := range p.idle {
+		abort(c.Conn)
 	}
 	p.idle = nil
 }
 
-// drop closes a connection at once: what is under way on it is given up.
-func (p *Pool) drop(one *conn) {
-	abort(one.Conn)
+// drop closes a connection with a reset. A request in flight on it is abandoned.
+func (p *Pool) drop(c *conn) {
+	abort(c.Conn)
 }
 
-// Prune closes connections that have rested for too long.
+// Prune closes connections that have been idle for too long.
 func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
-	for _, one := range p.idle {
-		if now.Before(one.idleUntil) {
-			kept = append(kept, one)
+	for _, c := range p.idle {
+		if now.Before(c.idleUntil) {
+			kept = append(kept, c)
 			continue
 		}
-		_ = one.Close()
+		_ = c.Close()
 	}
 	p.idle = kept
 }
 
-// abort closes with a reset, so that bytes still on the way are dropped.
+// abort closes a connection with a reset, which discards unsent data.
 func abort(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -156,13 +158,13 @@
 	_ = connection.Close()
 }
 
-// quiet reports whether nothing has come on a resting connection: neither its
-// end nor bytes that belong to no request.
-func quiet(one *conn) bool {
-	if one.reader.Buffered() > 0 {
+// hasNoInput reports whether nothing was received on an idle connection: neither its end nor bytes
+// that belong to no request.
+func hasNoInput(c *conn) bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, ok := one.Conn.(syscall.Conn)
+	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -170,12 +172,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = control.Read(func(descriptor uintptr) bool {
 		var buffer [1]byte
 		count, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = count <= 0 && errors.Is(err, syscall.EAGAIN)
+		empty = count <= 0 && errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -12,61 +12,62 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// Bounds of one exchange.
 const (
-	// maxSurplus is how many answers to other requests are read past.
-	maxSurplus = 3
-	// maxSurplusBody is the largest body of such an answer.
-	maxSurplusBody = 1 << 20
+	// maxStrayAnswers is the maximum number of answers to other requests that are skipped.
+	maxStrayAnswers = 3
+	// maxStrayBody is the maximum body of such an answer in bytes.
+	maxStrayBody = 1 << 20
 )
 
-// exchange is one send over one connection.
+// exchange is one send of a request over one connection.
 type exchange struct {
 	headers Headers
 	message *Message
 	pool    *Pool
 	conn    *conn
-	// target is the worker that is meant.
-	target string
-	began  time.Time
-	until  time.Time
-	// finish ends the watch over the send's time; false if it has run out.
-	finish func() bool
-	cancel context.CancelFunc
+	// target is the ID of the worker that the request is for.
+	target   string
+	began    time.Time
+	deadline time.Time
+	// endWatch cancels the abort of the connection at the end of the send's context. It returns
+	// false if the abort has already begun.
+	endWatch func() bool
+	cancel   context.CancelFunc
 }
 
-// Target is the worker that a message is for.
+// Target identifies the worker that a message is for.
 type Target struct {
 	ID string
-	// Admits is asked just before anything is written; nil: the worker may get the message.
+	// Admits is called just before anything is written, and reports whether the worker may still
+	// get the message. It may be nil, in which case the worker may.
 	Admits func() bool
 }
 
-// Send sends a message to a worker and reads its answer. ctx ends when the
-// client leaves; until bounds the send. Whoever takes the result frees it.
-func Send(ctx context.Context, headers Headers, from *Pool, message *Message, target Target, deadline, until time.Time) Result {
-	bounded, cancel := context.WithTimeout(ctx, clock.Until(until))
-	connection, err := from.get(bounded)
+// Send sends a message to a worker and reads its answer. ctx ends when the client disconnects.
+// deadline is passed to the worker; sendDeadline limits this send. The caller must free the result.
+func Send(ctx context.Context, headers Headers, pool *Pool, message *Message, target Target, deadline, sendDeadline time.Time) Result {
+	bounded, cancel := context.WithTimeout(ctx, clock.Until(sendDeadline))
+	connection, err := pool.get(bounded)
 	if err != nil {
 		cancel()
-		return Result{Outcome: unsent(ctx), Err: err}
+		return Result{Outcome: unsentOutcome(ctx), Err: err}
 	}
-	if message.AtMostOnce && !connection.used && !connection.settle(bounded) {
+	if message.AtMostOnce && !connection.used && !connection.awaitReset(bounded) {
 		cancel()
-		from.drop(connection)
-		return Result{Outcome: turnedAway(ctx), Err: errTurnedAway}
+		pool.drop(connection)
+		return Result{Outcome: rejectedOutcome(ctx), Err: errConnectionRejected}
 	}
 	if target.Admits != nil && !target.Admits() {
 		cancel()
-		from.giveBack(connection)
+		pool.returnUnused(connection)
 		return Result{Outcome: Withheld}
 	}
 	e := &exchange{
-		headers: headers, message: message, pool: from, conn: connection, target: target.ID,
-		began: clock.Now(), until: until, cancel: cancel,
+		headers: headers, message: message, pool: pool, conn: connection, target: target.ID,
+		began: clock.Now(), deadline: sendDeadline, cancel: cancel,
 	}
 	stopWatch := context.AfterFunc(bounded, func() { abort(connection.Conn) })
-	e.finish = func() bool {
+	e.endWatch = func() bool {
 		cancelled := !stopWatch()
 		cancel()
 		return !cancelled
@@ -74,143 +75,149 @@
 	return e.run(ctx, bounded, deadline)
 }
 
-// run writes the request, and reads the answer beside it.
+// run writes the request and reads the answer. A large request is written concurrently.
 func (e *exchange) run(ctx, bounded context.Context, deadline time.Time) Result {
-	sent := e.write(bounded, deadline)
-	if sent.ended() && sent.err != nil {
-		e.finish()
+	write := e.startWrite(bounded, deadline)
+	if write.ended() && write.err != nil {
+		e.endWatch()
 		e.pool.drop(e.conn)
-		return sent.failure(ctx, e.until)
+		return write.failedResult(ctx, e.deadline)
 	}
-	answer := e.read(ctx)
-	e.join(ctx, sent, &answer)
+	answer := e.readAnswer(ctx)
+	e.awaitWrite(ctx, write, &answer)
 	answer.Took = clock.Since(e.began)
 	if answer.Outcome == TimedOut && e.conn.used {
 		e.pool.DropIdle()
 	}
 	if answer.Stream != nil {
-		e.keepStreaming(&answer)
+		e.releaseAfterStream(&answer)
 		return answer
 	}
-	e.settle(e.finish(), &answer)
+	e.release(e.endWatch(), &answer)
 	return answer
 }
 
-// keepStreaming frees the worker's connection once a long answer is in, however slowly the
-// caller takes it. What is not wanted any more is given up.
-func (e *exchange) keepStreaming(answer *Result) {
-	settled := make(chan struct{})
-	answer.settled = settled
-	filled, ended := answer.filled, *answer
+// releaseAfterStream releases the connection once a streamed answer was read, however slowly the
+// caller reads it. The connection is dropped if the stream ended early.
+func (e *exchange) releaseAfterStream(answer *Result) {
+	released := make(chan struct{})
+	answer.released = released
+	streamEnd, ended := answer.streamEnd, *answer
 	go func() {
-		defer close(settled)
-		err := <-filled
-		e.settle(e.finish() && err == nil, &ended)
+		defer close(released)
+		err := <-streamEnd
+		e.release(e.endWatch() && err == nil, &ended)
 	}()
 }
 
-func unsent(ctx context.Context) Outcome {
+// unsentOutcome returns the outcome of a send of which nothing was written.
+func unsentOutcome(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
 		return ClientGone
 	}
 	return NotSent
 }
 
-func turnedAway(ctx context.Context) Outcome {
+// rejectedOutcome returns the outcome of a send whose new connection was closed.
+func rejectedOutcome(ctx context.Context) Outcome {
 	if ctx.Err() != nil {
 		return ClientGone
 	}
 	return ConnectionRejected
 }
 
-func failed(ctx context.Context, until time.Time, err error) Outcome {
+// failureOutcome returns the outcome of a send that failed with err after it was written.
+func failureOutcome(ctx context.Context, deadline time.Time, err error) Outcome {
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
 		return ClientGone
-	case !clock.Now().Before(until), errors.As(err, &timeout) && timeout.Timeout():
+	case !clock.Now().Before(deadline), errors.As(err, &timeout) && timeout.Timeout():
 		return TimedOut
 	}
 	return Broken
 }
 
-// read reads the answer to this request, past surplus answers to others.
-func (e *exchange) read(ctx context.Context) Result {
-	asked := &http.Request{Method: e.message.Method}
-	for range maxSurplus + 1 {
-		response, err := http.ReadResponse(e.conn.reader, asked)
+// readAnswer reads the answer to this request, and skips answers to other requests.
+func (e *exchange) readAnswer(ctx context.Context) Result {
+	request := &http.Request{Method: e.message.Method}
+	for range maxStrayAnswers + 1 {
+		response, err := http.ReadResponse(e.conn.reader, request)
 		if err != nil {
-			return Result{Outcome: failed(ctx, e.until, err), Err: err}
+			return Result{Outcome: failureOutcome(ctx, e.deadline, err), Err: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
 		if response.Header.Get(e.headers.RequestID) == e.message.ID {
-			return e.take(ctx, response)
+			return e.receive(ctx, response)
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBody)); err != nil || unframed(response) {
-			return Result{Outcome: failed(ctx, e.until, err), Err: errNoAnswer}
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBody)); err != nil || delimitedByClose(response) {
+			return Result{Outcome: failureOutcome(ctx, e.deadline, err), Err: errWrongAnswer}
 		}
 	}
-	return Result{Outcome: Broken, Err: errNoAnswer}
+	return Result{Outcome: Broken, Err: errWrongAnswer}
 }
 
-var errTurnedAway = errors.New("the worker closed the new connection")
+var errConnectionRejected = errors.New("the worker closed the new connection")
 
-var errNoAnswer = errors.New("what came is not the answer to this request")
+var errWrongAnswer = errors.New("received no answer to this request, but to another one")
 
-func unframed(response *http.Response) bool {
+// delimitedByClose reports whether the end of the connection marks the end of the body.
+func delimitedByClose(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0
 }
 
-// take reads the answer to this request. Its head is judged before any of it goes on.
-func (e *exchange) take(ctx context.Context, response *http.Response) Result {
-	answer := Result{Status: response.StatusCode, Header: response.Header, Outcome: e.judge(response)}
-	answer.closing = response.Close || unframed(response)
-	answer.Notice, answer.SentAt = e.headers.notice(response, e.target, clock.Now()), e.began
+// receive reads the answer to this request. It is classified by its head, before any of it is
+// forwarded.
+func (e *exchange) receive(ctx context.Context, response *http.Response) Result {
+	answer := Result{Status: response.StatusCode, Header: response.Header, Outcome: e.classify(response)}
+	answer.closesConn = response.Close || delimitedByClose(response)
+	answer.Notice, answer.SentAt = e.headers.parseNotice(response, e.target, clock.Now()), e.began
 	if length := response.ContentLength; length >= 0 && length <= bodies.MaxSmall {
 		spool := bodies.NewSpool(e.message.Budget, true)
-		whole, err := spool.Fill(response.Body, length, bodies.MaxSmall)
+		complete, err := spool.Fill(response.Body, length, bodies.MaxSmall)
 		switch {
-		case whole:
+		case complete:
 			answer.Body = spool
 			return answer
 		case !errors.Is(err, bodies.ErrNoMemory):
 			spool.Free()
-			answer.Outcome, answer.Err = failed(ctx, e.until, err), err
+			answer.Outcome, answer.Err = failureOutcome(ctx, e.deadline, err), err
 			return answer
 		}
 	}
-	e.takeLarge(ctx, response, &answer)
+	e.receiveLarge(ctx, response, &answer)
 	return answer
 }
 
-// takeLarge reads a large answer, or one whose length is not known. It is kept back while it
-// may be whole soon, so that a broken one can still be asked for again.
-func (e *exchange) takeLarge(ctx context.Context, response *http.Response, answer *Result) {
+// receiveLarge reads an answer that is large or of unknown length. The answer is buffered up to the
+// limits of the message before it is streamed, so that the request can be sent again if the answer
+// breaks in the meantime.
+func (e *exchange) receiveLarge(ctx context.Context, response *http.Response, answer *Result) {
 	pipe := bodies.NewPipe(e.message.Budget, max(e.message.AnswerBufferSize, bodies.MaxSmall))
-	filled := make(chan error, 1)
-	go func() { filled <- pipe.Fill(response.Body) }()
-	whole, err := pipe.Await(e.message.AnswerBufferTime)
+	streamEnd := make(chan error, 1)
+	go func() { streamEnd <- pipe.Fill(response.Body) }()
+	complete, err := pipe.Await(e.message.AnswerBufferTime)
 	switch {
-	case whole:
+	case complete:
 		answer.Body = pipe.Spool()
 	case err != nil:
 		pipe.Close()
-		answer.Outcome, answer.Err = failed(ctx, e.until, err), err
+		answer.Outcome, answer.Err = failureOutcome(ctx, e.deadline, err), err
 	case answer.Outcome != Answered:
 		pipe.Close()
-		answer.closing = true
+		answer.closesConn = true
 	default:
-		answer.Stream, answer.filled, answer.cancel = pipe, filled, e.cancel
+		answer.Stream, answer.streamEnd, answer.cancel = pipe, streamEnd, e.cancel
 	}
 }
 
-// judge tells a worker's answer from its refusal.
-func (e *exchange) judge(response *http.Response) Outcome {
-	named := response.Header.Get(e.headers.Worker)
+// classify distinguishes a worker's answer from its refusal.
+func (e *exchange) classify(response *http.Response) Outcome {
+	answeredBy := response.Header.Get(e.headers.Worker)
 	switch {
-	case response.StatusCode == http.StatusMisdirectedRequest && named != "" && named != e.target:
+	case response.StatusCode == http.StatusMisdirectedRequest && answeredBy != "" && answeredBy != e.target:
 		return Misdirected
 	case response.Header.Get(e.headers.NotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest:
 		return NotRun
@@ -220,20 +227,23 @@
 	return Answered
 }
 
-// settle keeps the connection if all on it is at its end.
-func (e *exchange) settle(intact bool, answer *Result) {
+// release returns the connection to the pool if the exchange on it is complete, and drops it
+// otherwise.
+func (e *exchange) release(intact bool, answer *Result) {
 	ended := answer.Outcome == Answered || answer.Outcome == NotRun || answer.Outcome == Misdirected
-	e.done(intact && ended, answer)
+	e.returnConn(intact && ended, answer)
 }
 
-func (e *exchange) done(reusable bool, answer *Result) {
-	if !reusable || e.conn.reader.Buffered() > 0 || answer.closing {
+// returnConn returns a reusable connection to the pool, unless the answer closes it or more input
+// was received.
+func (e *exchange) returnConn(reusable bool, answer *Result) {
+	if !reusable || e.conn.reader.Buffered() > 0 || answer.closesConn {
 		e.pool.drop(e.conn)
 		return
 	}
-	rest := defaultIdle
-	if told := keepAlive(answer.Header); told > 0 {
-		rest = time.Duration(float64(told) * idleShare)
+	idleTime := defaultIdleTime
+	if timeout := keepAliveTimeout(answer.Header); timeout > 0 {
+		idleTime = time.Duration(float64(timeout) * keepAliveShare)
 	}
-	e.pool.put(e.conn, rest)
+	e.pool.put(e.conn, idleTime)
 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -9,44 +9,44 @@
 	"github.com/shalefork/shalefork/internal/tenant"
 )
 
-// Headers are the names of the headers that carry what the proxy needs. They
-// are given from outside, since each platform has its own.
+// Headers are the names of the headers by which the proxy and workers exchange information. Each
+// platform defines its own.
 type Headers struct {
-	// RequestID names one try of a client; workers answer with the same.
+	// RequestID identifies one attempt of a client. Workers return it in their answers.
 	RequestID string
-	// DeadlineMillis is how long the sender will wait, in milliseconds.
+	// DeadlineMillis is how long the sender waits for the answer, in milliseconds.
 	DeadlineMillis string
-	// Signature stands in every answer that a worker made.
+	// Signature is present in every answer that a worker produced.
 	Signature string
-	// Target names the worker that alone may run the request.
+	// Target is the ID of the only worker that may run the request.
 	Target string
-	// Worker names the worker that answers.
+	// Worker is the ID of the worker that answers.
 	Worker string
-	// NotRun says that the worker did not run the request.
+	// NotRun is present if the worker did not run the request.
 	NotRun string
-	// Load is the worker's running and waiting requests and its slots, joined by commas,
-	// and where it tells that, how long work takes there at this moment in percent of
-	// what is usual.
+	// Load is the worker's load: the number of running requests, of waiting requests, and of slots,
+	// separated by commas. A fourth value is optional: the current processing time in percent of
+	// the worker's normal one.
 	Load string
-	// Limit is how many requests a second the worker takes from all routers together, a decimal
-	// number; it stands in the answers of a worker that is short of room.
+	// Limit is the maximum number of requests per second that the worker accepts from all routers
+	// together, as a decimal number. It is sent by workers that are short of capacity.
 	Limit string
-	// Leaving says that the worker leaves: it stands in all answers of one that does.
+	// Leaving is present in all answers of a worker that is leaving.
 	Leaving string
-	// Key is a keyed request's key, a whole number.
+	// Key is the key of a keyed request, an integer.
 	Key string
-	// Tenant names the tenant whose API key the caller showed, to the worker.
+	// Tenant passes the tenant of the caller's API key to the worker.
 	Tenant string
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are headers that apply to a single connection and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Content-Length": true, "Host": true, "Expect": true,
 }
 
-// connectionHeaders returns the headers that a Connection header names.
+// connectionHeaders returns the headers that are listed in Connection headers.
 func connectionHeaders(header http.Header) map[string]bool {
 	named := map[string]bool{}
 	for _, line := range header["Connection"] {
@@ -57,20 +57,20 @@
 	return named
 }
 
-// Tells reports whether a header says who a caller is: its key, or what it names as its tenant. Only
-// what was proved may reach a worker.
+// IdentifiesCaller reports whether a header claims the identity of a caller: its API key or its
+// tenant. Only an authenticated tenant may be passed to a worker.
 func (h Headers) IdentifiesCaller(name string) bool {
 	return name == tenant.Header || sameName(name, h.Tenant)
 }
 
-// sameName reports whether servers may take one name of a header for the other: many hold a
-// hyphen and an underscore for the same, and no case for another.
+// sameName reports whether servers may treat two header names as equal: many do not distinguish
+// hyphens from underscores, and names are case-insensitive.
 func sameName(name, other string) bool {
 	return len(name) == len(other) && strings.EqualFold(strings.ReplaceAll(name, "_", "-"), other)
 }
 
-// Owns reports whether a header is the system's own on both connections: the other side may
-// not have it dropped by naming it in Connection.
+// IsSystemHeader reports whether a header is used by the system on both connections. The peer can't
+// have it removed by listing it in Connection.
 func (h Headers) IsSystemHeader(name string) bool {
 	switch name {
 	case h.RequestID, h.Key, h.Tenant, h.Signature, h.Worker, h.NotRun, h.Load, h.Limit, h.Leaving:
@@ -79,21 +79,21 @@
 	return false
 }
 
-// Pass calls pass for each header that travels on.
-func (h Headers) ForEachForwarded(header http.Header, pass func(name string, values []string)) {
+// ForEachForwarded calls visit for each header that is forwarded.
+func (h Headers) ForEachForwarded(header http.Header, visit func(name string, values []string)) {
 	var named map[string]bool
 	if len(header["Connection"]) > 0 {
 		named = connectionHeaders(header)
 	}
 	for name, values := range header {
-		if !hopHeaders[name] && (!named[name] || h.IsSystemHeader(name)) {
-			pass(name, values)
+		if !hopByHopHeaders[name] && (!named[name] || h.IsSystemHeader(name)) {
+			visit(name, values)
 		}
 	}
 }
 
-// keepAlive returns the time in a Keep-Alive header; zero if there is none.
-func keepAlive(header http.Header) time.Duration {
+// keepAliveTimeout returns the timeout of a Keep-Alive header, or zero if there is none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
--- a/internal/upstream/large_test.go
+++ b/internal/upstream/large_test.go
@@ -19,37 +19,38 @@
 )
 
 const (
-	testBody = 100_000
-	testRoom = 1 << 20
+	testBodySize = 100_000
+	testBudget   = 1 << 20
 )
 
-// link is one connection to a worker whose every byte is scripted: net.Pipe holds nothing, so
-// that what a worker has not read has not left.
-type link struct {
+// scriptedWorker is a worker with one connection, whose reads and writes are scripted. net.Pipe has
+// no buffer, so a byte counts as sent only once the worker has read it.
+type scriptedWorker struct {
 	pool   *Pool
-	room   *bodies.MemoryBudget
+	budget *bodies.MemoryBudget
 	worker net.Conn
 	reader *bufio.Reader
 }
 
-func newLink(t *testing.T) *link {
+func newScriptedWorker(t *testing.T) *scriptedWorker {
 	t.Helper()
-	ours, worker := net.Pipe()
-	l := &link{pool: NewPool("unused"), room: bodies.NewMemoryBudget(testRoom), worker: worker, reader: bufio.NewReader(worker)}
-	l.pool.put(&conn{Conn: ours, reader: bufio.NewReaderSize(ours, readBuffer)}, time.Hour)
+	routerConn, worker := net.Pipe()
+	w := &scriptedWorker{pool: NewPool("unused"), budget: bodies.NewMemoryBudget(testBudget), worker: worker, reader: bufio.NewReader(worker)}
+	w.pool.put(&conn{Conn: routerConn, reader: bufio.NewReaderSize(routerConn, readBufferSize)}, time.Hour)
 	t.Cleanup(func() { _ = worker.Close() })
-	return l
+	return w
 }
 
-// message has a body of which so many bytes are kept; the rest is passed on.
-func (l *link) message(t *testing.T, body io.Reader, length, kept int64) *Message {
+// newMessage returns a message with a body of which the given number of bytes are buffered. The
+// rest is streamed.
+func (w *scriptedWorker) newMessage(t *testing.T, body io.Reader, length, buffered int64) *Message {
 	t.Helper()
-	spool := bodies.NewSpool(l.room, false)
-	whole, err := spool.Fill(body, length, kept)
+	spool := bodies.NewSpool(w.budget, false)
+	whole, err := spool.Fill(body, length, buffered)
 	assert.NilError(t, err)
 	m := &Message{
 		Method: "POST", URI: "/x", Host: "h", ID: "one", Header: http.Header{"X-Id": {"one"}}, Body: spool, Length: spool.Length(),
-		Budget: l.room, Shaper: bodies.NewLinkShaper(0), AnswerBufferSize: testRoom, AtMostOnce: true,
+		Budget: w.budget, Shaper: bodies.NewLinkShaper(0), AnswerBufferSize: testBudget, AtMostOnce: true,
 	}
 	if !whole {
 		m.Rest, m.Length = body, length
@@ -57,26 +58,26 @@
 	return m
 }
 
-func (l *link) send(ctx context.Context, m *Message) Result {
+func (w *scriptedWorker) send(ctx context.Context, m *Message) Result {
 	headers := Headers{RequestID: "X-Id", DeadlineMillis: "X-Deadline", Signature: "X-Signature", Target: "X-Target", NotRun: "X-Not-Run"}
 	until := time.Now().Add(2 * time.Second)
-	return Send(ctx, headers, l.pool, m, Target{ID: "w"}, until, until)
+	return Send(ctx, headers, w.pool, m, Target{ID: "w"}, until, until)
 }
 
-func (l *link) kept() bool {
-	l.pool.mu.Lock()
-	defer l.pool.mu.Unlock()
-	return len(l.pool.idle) > 0
+func (w *scriptedWorker) hasIdleConn() bool {
+	w.pool.mu.Lock()
+	defer w.pool.mu.Unlock()
+	return len(w.pool.idle) > 0
 }
 
-// answer writes an answer; what is beyond the body's bytes is never sent.
-func (l *link) answer(length int, body string) {
-	_, _ = fmt.Fprintf(l.worker, "HTTP/1.1 200 OK\r\nX-Id: one\r\nX-Signature: s\r\nContent-Length: %d\r\n\r\n%s", length, body)
+// answer writes an answer of the given length, but only body as its body.
+func (w *scriptedWorker) answer(length int, body string) {
+	_, _ = fmt.Fprintf(w.worker, "HTTP/1.1 200 OK\r\nX-Id: one\r\nX-Signature: s\r\nContent-Length: %d\r\n\r\n%s", length, body)
 }
 
-// head reads a request's head, and returns the request.
-func (l *link) head() *http.Request {
-	request, err := http.ReadRequest(l.reader)
+// readRequest reads a request's head, and returns the request.
+func (w *scriptedWorker) readRequest() *http.Request {
+	request, err := http.ReadRequest(w.reader)
 	if err != nil {
 		return &http.Request{Body: http.NoBody}
 	}
@@ -85,59 +86,59 @@
 
 func bodyOf(length int) io.Reader { return strings.NewReader(strings.Repeat("b", length)) }
 
-// A worker may answer before it has read a long body, hold the connection, and read on later:
-// it must find the rest of that body there or the end, and no other request.
-func TestAWorkerThatAnswersEarlyGetsNothingElse(t *testing.T) {
-	for name, kept := range map[string]int64{"body in memory": testBody, "body passed on": 20_000} {
+// A worker may answer before it has read a large body, keep the connection open, and continue to
+// read later. It must then receive the rest of that body or the end, and no other request.
+func TestConnectionIsNotReusedAfterEarlyAnswer(t *testing.T) {
+	for name, buffered := range map[string]int64{"buffered body": testBodySize, "streamed body": 20_000} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLink(t)
+				w := newScriptedWorker(t)
 				after := make(chan string, 1)
 				go func() {
-					l.head()
-					l.answer(2, "ok")
+					w.readRequest()
+					w.answer(2, "ok")
 					time.Sleep(time.Minute) // longer than any request lasts
-					rest, _ := io.ReadAll(l.reader)
+					rest, _ := io.ReadAll(w.reader)
 					after <- string(rest)
 				}()
 				began := time.Now()
-				got := l.send(t.Context(), l.message(t, bodyOf(testBody), testBody, kept))
+				got := w.send(t.Context(), w.newMessage(t, bodyOf(testBodySize), testBodySize, buffered))
 				assert.Equal(t, got.Outcome, Answered)
-				assert.Assert(t, time.Since(began) < time.Second, "the answer is there")
-				assert.Assert(t, !l.kept())
+				assert.Assert(t, time.Since(began) < time.Second, "the answer is returned at once")
+				assert.Assert(t, !w.hasIdleConn())
 				assert.Equal(t, strings.Trim(<-after, "b"), "")
 			})
 		})
 	}
 }
 
-func TestAConnectionThatTookAWholeBodyIsKept(t *testing.T) {
-	for name, c := range map[string]struct{ length, kept int64 }{
-		"in memory": {length: testBody, kept: testBody}, "passed on": {length: testBody, kept: 20_000},
-		"in chunks": {length: -1, kept: 20_000},
+func TestConnectionIsReusedAfterCompleteBody(t *testing.T) {
+	for name, c := range map[string]struct{ length, buffered int64 }{
+		"buffered body": {length: testBodySize, buffered: testBodySize}, "streamed body": {length: testBodySize, buffered: 20_000},
+		"chunked body": {length: -1, buffered: 20_000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLink(t)
+				w := newScriptedWorker(t)
 				read := make(chan int64, 1)
 				go func() {
-					count, _ := io.Copy(io.Discard, l.head().Body)
-					l.answer(2, "ok")
+					count, _ := io.Copy(io.Discard, w.readRequest().Body)
+					w.answer(2, "ok")
 					read <- count
 				}()
-				got := l.send(t.Context(), l.message(t, bodyOf(testBody), c.length, c.kept))
+				got := w.send(t.Context(), w.newMessage(t, bodyOf(testBodySize), c.length, c.buffered))
 				assert.Equal(t, got.Outcome, Answered)
-				assert.Equal(t, <-read, int64(testBody))
-				assert.Assert(t, l.kept())
+				assert.Equal(t, <-read, int64(testBodySize))
+				assert.Assert(t, w.hasIdleConn())
 			})
 		})
 	}
 }
 
-// cut is a body that breaks off.
-type cut struct{ from io.Reader }
+// truncatedReader is a body that ends early.
+type truncatedReader struct{ from io.Reader }
 
-func (c cut) Read(into []byte) (int, error) {
+func (c truncatedReader) Read(into []byte) (int, error) {
 	count, err := c.from.Read(into)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -145,132 +146,133 @@
 	return count, err
 }
 
-// A body that its caller cut must not look whole to the worker, whether or not its length is
-// known; and it says nothing against the worker.
-func TestABodyThatItsCallerCutIsNotWhole(t *testing.T) {
+// A body that the client truncated must not look complete to the worker, whether or not its length
+// is known. The outcome must not count against the worker.
+func TestTruncatedRequestBodyIsNotSentAsComplete(t *testing.T) {
 	for name, c := range map[string]struct {
 		length int64
 		body   io.Reader
 	}{
-		"of known length":              {length: testBody, body: cut{bodyOf(testBody / 2)}},
-		"of known length, without end": {length: testBody, body: bodyOf(testBody / 2)},
-		"in chunks":                    {length: -1, body: cut{bodyOf(testBody / 2)}},
+		"known length":                   {length: testBodySize, body: truncatedReader{bodyOf(testBodySize / 2)}},
+		"known length, without an error": {length: testBodySize, body: bodyOf(testBodySize / 2)},
+		"unknown length":                 {length: -1, body: truncatedReader{bodyOf(testBodySize / 2)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLink(t)
+				w := newScriptedWorker(t)
 				read := make(chan error, 1)
 				go func() {
-					_, err := io.Copy(io.Discard, l.head().Body)
+					_, err := io.Copy(io.Discard, w.readRequest().Body)
 					read <- err
 				}()
-				got := l.send(t.Context(), l.message(t, c.body, c.length, 20_000))
+				got := w.send(t.Context(), w.newMessage(t, c.body, c.length, 20_000))
 				assert.Equal(t, got.Outcome, BodyTruncated)
 				assert.Assert(t, got.Written)
-				assert.Assert(t, <-read != nil, "the worker took it for whole")
-				assert.Assert(t, !l.kept())
+				assert.Assert(t, <-read != nil, "the worker took the body for complete")
+				assert.Assert(t, !w.hasIdleConn())
 			})
 		})
 	}
 }
 
-// What a worker has answered before it closed goes on, although the body did not get through.
-func TestAnAnswerBeforeTheWorkersCloseIsTaken(t *testing.T) {
+// An answer that the worker sent before it closed the connection is used, although the request's
+// body was not sent completely.
+func TestAnswerSentBeforeCloseIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLink(t)
+		w := newScriptedWorker(t)
 		go func() {
-			l.head()
-			l.answer(2, "ok")
-			_ = l.worker.Close()
+			w.readRequest()
+			w.answer(2, "ok")
+			_ = w.worker.Close()
 		}()
-		got := l.send(t.Context(), l.message(t, bodyOf(testBody), testBody, testBody))
+		got := w.send(t.Context(), w.newMessage(t, bodyOf(testBodySize), testBodySize, testBodySize))
 		assert.Equal(t, got.Outcome, Answered)
 		assert.Equal(t, string(got.Body.Prefix(2)), "ok")
-		assert.Assert(t, !l.kept())
+		assert.Assert(t, !w.hasIdleConn())
 	})
 }
 
-// A worker that closes in the middle of a body may have run the request.
-func TestAWorkerThatClosesInABodyMayHaveRunIt(t *testing.T) {
+// A worker that closes the connection while it receives the body may have run the request.
+func TestCloseDuringRequestBodyIsBroken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLink(t)
+		w := newScriptedWorker(t)
 		go func() {
-			l.head()
-			_ = l.worker.Close()
+			w.readRequest()
+			_ = w.worker.Close()
 		}()
-		got := l.send(t.Context(), l.message(t, bodyOf(testBody), testBody, 20_000))
+		got := w.send(t.Context(), w.newMessage(t, bodyOf(testBodySize), testBodySize, 20_000))
 		assert.Equal(t, got.Outcome, Broken)
 		assert.Assert(t, got.Written)
 	})
 }
 
-// A caller who reads slowly holds no worker up, and an answer that is not read gives its
-// memory back.
-func TestASlowReaderHoldsNoWorker(t *testing.T) {
+// A client that reads slowly does not occupy the worker's connection, and an answer that is not
+// read releases its memory.
+func TestSlowClientDoesNotOccupyWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLink(t)
+		w := newScriptedWorker(t)
 		go func() {
-			l.head()
-			l.answer(testBody, strings.Repeat("a", testBody/2))
+			w.readRequest()
+			w.answer(testBodySize, strings.Repeat("a", testBodySize/2))
 			time.Sleep(time.Second)
-			_, _ = io.WriteString(l.worker, strings.Repeat("a", testBody-testBody/2))
+			_, _ = io.WriteString(w.worker, strings.Repeat("a", testBodySize-testBodySize/2))
 		}()
-		m := l.message(t, strings.NewReader(""), 0, 0)
+		m := w.newMessage(t, strings.NewReader(""), 0, 0)
 		m.AnswerBufferTime = 100 * time.Millisecond
-		got := l.send(t.Context(), m)
-		assert.Assert(t, got.Stream != nil, "it is passed on before it is whole")
+		got := w.send(t.Context(), m)
+		assert.Assert(t, got.Stream != nil, "the answer is streamed before it is complete")
 		time.Sleep(1500 * time.Millisecond)
-		assert.Assert(t, l.kept(), "the worker is done with it")
-		assert.Assert(t, l.room.Used() >= testBody)
+		assert.Assert(t, w.hasIdleConn(), "the worker has sent the whole answer")
+		assert.Assert(t, w.budget.Used() >= testBodySize)
 		got.Free()
-		assert.Equal(t, l.room.Used(), int64(0))
+		assert.Equal(t, w.budget.Used(), int64(0))
 	})
 }
 
-// What does not fit into memory waits at the worker, and comes whole.
-func TestAnAnswerBeyondTheRoomComesAsItIsRead(t *testing.T) {
+// An answer that exceeds the memory budget is read as the client takes it, and arrives completely.
+func TestAnswerBeyondMemoryBudgetIsStreamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLink(t)
-		l.room = bodies.NewMemoryBudget(3 * bodies.MaxSmall)
+		w := newScriptedWorker(t)
+		w.budget = bodies.NewMemoryBudget(3 * bodies.MaxSmall)
 		go func() {
-			l.head()
-			l.answer(testBody, strings.Repeat("a", testBody))
+			w.readRequest()
+			w.answer(testBodySize, strings.Repeat("a", testBodySize))
 		}()
-		got := l.send(t.Context(), l.message(t, strings.NewReader(""), 0, 0))
+		got := w.send(t.Context(), w.newMessage(t, strings.NewReader(""), 0, 0))
 		assert.Assert(t, got.Stream != nil)
 		time.Sleep(time.Second)
-		assert.Assert(t, !l.kept())
-		assert.Assert(t, l.room.Used() <= l.room.Limit())
+		assert.Assert(t, !w.hasIdleConn())
+		assert.Assert(t, w.budget.Used() <= w.budget.Limit())
 		var read strings.Builder
 		_, err := got.Stream.WriteTo(&read, func() error { return nil })
 		assert.NilError(t, err)
-		assert.Equal(t, read.Len(), testBody)
+		assert.Equal(t, read.Len(), testBodySize)
 		got.Free()
 		synctest.Wait()
-		assert.Assert(t, l.kept())
-		assert.Equal(t, l.room.Used(), int64(0))
+		assert.Assert(t, w.hasIdleConn())
+		assert.Equal(t, w.budget.Used(), int64(0))
 	})
 }
 
-// An answer that the worker cuts is broken while nothing of it went on, and is known to be the
-// worker's cut afterwards.
-func TestAnAnswerThatTheWorkerCut(t *testing.T) {
-	for name, held := range map[string]time.Duration{"kept back": time.Second, "passed on": 100 * time.Millisecond} {
+// An answer that the worker truncates is Broken if nothing of it was forwarded. Once it is
+// streamed, the worker's error is reported by the stream.
+func TestTruncatedAnswer(t *testing.T) {
+	for name, bufferTime := range map[string]time.Duration{"while buffered": time.Second, "while streamed": 100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLink(t)
+				w := newScriptedWorker(t)
 				go func() {
-					l.head()
-					l.answer(testBody, strings.Repeat("a", testBody/2))
+					w.readRequest()
+					w.answer(testBodySize, strings.Repeat("a", testBodySize/2))
 					time.Sleep(500 * time.Millisecond)
-					_ = l.worker.Close()
+					_ = w.worker.Close()
 				}()
-				m := l.message(t, strings.NewReader(""), 0, 0)
-				m.AnswerBufferTime = held
-				got := l.send(t.Context(), m)
-				if name == "kept back" {
+				m := w.newMessage(t, strings.NewReader(""), 0, 0)
+				m.AnswerBufferTime = bufferTime
+				got := w.send(t.Context(), m)
+				if name == "while buffered" {
 					assert.Equal(t, got.Outcome, Broken)
-					assert.Equal(t, l.room.Used(), int64(0))
+					assert.Equal(t, w.budget.Used(), int64(0))
 					return
 				}
 				_, err := got.Stream.WriteTo(io.Discard, func() error { return nil })
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -14,43 +14,46 @@
 // Message is a client's request, ready to be sent.
 type Message struct {
 	Method, URI, Host string
-	// ID names this try of the client.
+	// ID identifies this attempt of the client.
 	ID     string
 	Header http.Header
-	// Guarded says that the caller's API key, and what it says of its tenant, stay behind.
+	// StripIdentity is set if the caller's API key and tenant headers must not be forwarded.
 	StripIdentity bool
-	// Tenant was proved, and is named to the worker; empty: none. Guarded only.
+	// Tenant is the authenticated tenant, which is passed to the worker; empty if there is none. It
+	// is only set together with StripIdentity.
 	Tenant string
-	// Body is the body, or the beginning of a long one.
+	// Body is the body, or the beginning of a large one.
 	Body *bodies.Spool
-	// Rest is what follows Body and can be sent once; nil if there is nothing.
+	// Rest reads what follows Body, and can be sent only once; nil if nothing follows.
 	Rest io.Reader
-	// Interrupt ends a read of Rest that is under way; for as long as Rest is set.
+	// Interrupt ends a read of Rest that is in progress. It is set together with Rest.
 	Interrupt func()
-	// Length of Body and Rest in bytes; -1 if unknown.
+	// Length is the length of Body and Rest together in bytes, or -1 if unknown.
 	Length int64
-	// Once says that the request must not be sent again after it may have run.
+	// AtMostOnce is set if the request must not be sent again once it may have run.
 	AtMostOnce bool
-	// Room and Turns bound what large bodies take.
+	// Budget limits the memory, and Shaper the bandwidth, of large bodies.
 	Budget *bodies.MemoryBudget
 	Shaper *bodies.LinkShaper
-	// Kept is the most of an answer that is kept back until it is whole, in bytes, and Held
-	// for how long that may take; zero: until the send's time is over.
+	// AnswerBufferSize is the maximum number of bytes of an answer to buffer, at least
+	// bodies.MaxSmall. AnswerBufferTime is how long to wait for the complete answer before it is
+	// streamed; zero means until the send's deadline.
 	AnswerBufferSize int64
 	AnswerBufferTime time.Duration
-	// spent says that some of Rest has been read.
-	spent atomic.Bool
+	// bodyConsumed is set once Rest may have been read.
+	bodyConsumed atomic.Bool
 }
 
-// Spent reports whether the body can't be sent again, since a part of it was only passed on.
-func (m *Message) BodyConsumed() bool { return m.spent.Load() }
+// BodyConsumed reports whether the body can't be sent again, since part of it was streamed and not
+// kept.
+func (m *Message) BodyConsumed() bool { return m.bodyConsumed.Load() }
 
-// large reports whether the body is sent beside the wait for the answer: a worker may answer
-// before it has read it.
-func (m *Message) large() bool { return m.Rest != nil || m.Length > bodies.MaxSmall }
+// isLarge reports whether the body is sent while waiting for the answer, since a worker may answer
+// before it has read the body.
+func (m *Message) isLarge() bool { return m.Rest != nil || m.Length > bodies.MaxSmall }
 
-// head writes the request's first lines.
-func (m *Message) head(headers Headers, target string, left time.Duration) []byte {
+// encodeHead returns the request line and headers.
+func (m *Message) encodeHead(headers Headers, target string, remaining time.Duration) []byte {
 	var head bytes.Buffer
 	head.Grow(512)
 	head.WriteString(m.Method + " " + m.URI + " HTTP/1.1\r\nHost: " + m.Host + "\r\n")
@@ -62,7 +65,7 @@
 			head.WriteString(name + ": " + value + "\r\n")
 		}
 	})
-	head.WriteString(headers.DeadlineMillis + ": " + strconv.FormatInt(max(1, left.Milliseconds()), 10) + "\r\n")
+	head.WriteString(headers.DeadlineMillis + ": " + strconv.FormatInt(max(1, remaining.Milliseconds()), 10) + "\r\n")
 	head.WriteString(headers.Target + ": " + target + "\r\n")
 	if m.Tenant != "" && headers.Tenant != "" {
 		head.WriteString(headers.Tenant + ": " + m.Tenant + "\r\n")
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Notice is what an answer says of the worker that made it.
+// Notice is the information about a worker in the headers of its answer.
 type Notice struct {
-	// Load is the worker's, if Loaded.
+	// Load is the worker's load if HasLoad is set.
 	Load    Load
 	HasLoad bool
-	// Limit is of the requests a second that the worker takes from all routers together.
+	// Limit is the limit on requests per second that the worker accepts from all routers together.
 	Limit Limit
-	// Leaving says that the worker leaves, for as long as this life of it lasts.
+	// Leaving is set if the worker is leaving. It applies to the rest of the worker's incarnation.
 	Leaving bool
-	// Backoff is what a worker asks of this process that has turned its request away.
+	// Backoff is the backoff that the worker requests from this process when it refuses a request.
 	Backoff Backoff
 }
 
-// notice reads what an answer says of its worker, as of a time. Load apart, an answer by another worker
-// than the one that was meant says nothing.
-func (h Headers) notice(response *http.Response, target string, now time.Time) Notice {
+// parseNotice parses the notice in an answer received at time now. From an answer by another worker
+// than the target, only the load is used.
+func (h Headers) parseNotice(response *http.Response, target string, now time.Time) Notice {
 	var notice Notice
 	notice.Load, notice.HasLoad = parseLoad(response.Header.Get(h.Load))
-	if named := response.Header.Get(h.Worker); named != "" && named != target {
+	if answeredBy := response.Header.Get(h.Worker); answeredBy != "" && answeredBy != target {
 		return notice
 	}
 	notice.Limit = parseLimit(response.Header.Values(h.Limit))
@@ -37,30 +37,33 @@
 	return notice
 }
 
-// Load is what a worker tells of itself.
+// Load is the load that a worker reports.
 type Load struct {
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes there at this moment, as a multiple of what is
-	// usual; zero if the worker does not tell it.
+	// Slowdown is the worker's current processing time as a multiple of its normal one; zero if the
+	// worker does not report it.
 	Slowdown float64
 }
 
-// Idle reports whether a worker that told its load has a slot to spare. One that turns a request
-// away all the same is short of something else than room, and may take the next one.
-func (l Load) HasFreeSlot(told bool) bool { return told && l.Waiting == 0 && l.Running < l.Slots }
+// HasFreeSlot reports whether the load was reported and the worker has a free slot. If such a
+// worker still refuses a request, the reason is not a lack of slots, and it may accept the next
+// one.
+func (l Load) HasFreeSlot(reported bool) bool {
+	return reported && l.Waiting == 0 && l.Running < l.Slots
+}
 
-// Parts of a load header. Further ones are passed over.
+// Fields of a load header. Further ones are ignored.
 const (
-	loadCounts   = 3
-	slowdownPart = loadCounts
-	// usualPercent is the slowdown of a worker at its usual pace.
-	usualPercent = 100
+	loadCountFields = 3
+	slowdownField   = loadCountFields
+	// normalPercent is the slowdown in percent of a worker at its normal speed.
+	normalPercent = 100
 )
 
-// parseLoad reads a load header; false if it can't be read.
+// parseLoad parses a load header. It returns false if the header is malformed.
 func parseLoad(text string) (Load, bool) {
 	parts := strings.Split(text, ",")
-	if len(parts) < loadCounts {
+	if len(parts) < loadCountFields {
 		return Load{}, false
 	}
 	var load Load
@@ -71,38 +74,37 @@
 		}
 		*into = number
 	}
-	if len(parts) == loadCounts {
+	if len(parts) == loadCountFields {
 		return load, true
 	}
-	percent, err := strconv.ParseFloat(strings.TrimSpace(parts[slowdownPart]), 64)
+	percent, err := strconv.ParseFloat(strings.TrimSpace(parts[slowdownField]), 64)
 	if err != nil || !(percent > 0) || math.IsInf(percent, 0) {
 		return Load{}, false
 	}
-	load.Slowdown = percent / usualPercent
+	load.Slowdown = percent / normalPercent
 	return load, true
 }
 
-// Limit is what an answer says of the requests a second that its worker takes.
+// Limit is the limit on requests per second that an answer's worker accepts.
 type Limit struct {
 	Status LimitStatus
-	// PerSecond is the limit, if one is named.
+	// PerSecond is the limit if Status is Limited.
 	PerSecond float64
 }
 
-// Naming says whether an answer names a limit.
+// LimitStatus tells whether an answer contains a limit.
 type LimitStatus int
 
-// Ways to name a limit, or not to.
 const (
-	// NoLimit: the answer names none.
+	// NoLimit means that the answer contains no limit.
 	NoLimit LimitStatus = iota
-	// Limited: it names one.
+	// Limited means that the answer contains a valid limit.
 	Limited
-	// UnreadableLimit: it names one that can't be read.
+	// UnreadableLimit means that the answer contains a limit that can't be parsed.
 	UnreadableLimit
 )
 
-// parseLimit reads the headers that name a limit. Of several the lowest that can be read counts.
+// parseLimit parses the headers that contain a limit. The lowest valid one applies.
 func parseLimit(values []string) Limit {
 	limit := Limit{}
 	if len(values) == 0 {
@@ -110,7 +112,7 @@
 	}
 	for _, value := range strings.Split(strings.Join(values, ","), ",") {
 		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		readable := err == nil && number >= 0 && !math.IsInf(number, 0) // false for what is not a number
+		readable := err == nil && number >= 0 && !math.IsInf(number, 0) // false for NaN
 		switch {
 		case readable && (limit.Status != Limited || number < limit.PerSecond):
 			limit = Limit{Status: Limited, PerSecond: number}
@@ -121,8 +123,8 @@
 	return limit
 }
 
-// ParseLeaving reports whether any of the headers says that the worker leaves. What can't be read
-// counts as that: a worker that does not leave sends none.
+// ParseLeaving reports whether any of the headers states that the worker is leaving. A malformed
+// value counts as true, since a worker that is not leaving sends no such header.
 func ParseLeaving(values []string) bool {
 	for _, value := range values {
 		text := strings.TrimSpace(value)
@@ -133,35 +135,34 @@
 	return false
 }
 
-// Backoff is for how long a worker asks a process to send it nothing.
+// Backoff is a worker's request that a process send it no requests for some time.
 type Backoff struct {
 	Status BackoffStatus
-	// For is counted from when the answer came.
+	// Duration counts from the arrival of the answer.
 	Duration time.Duration
 }
 
-// Asking says whether a worker asks for a backoff.
+// BackoffStatus tells whether a worker requests a backoff.
 type BackoffStatus int
 
-// Ways to ask for a backoff, or not to.
 const (
-	// NoBackoff: the answer asks for none.
+	// NoBackoff means that the answer requests no backoff.
 	NoBackoff BackoffStatus = iota
-	// BackoffRequested: it asks for one.
+	// BackoffRequested means that the answer requests a backoff.
 	BackoffRequested
-	// UnreadableBackoff: it asks for one that can't be read.
+	// UnreadableBackoff means that the answer requests a backoff that can't be parsed.
 	UnreadableBackoff
 )
 
 const (
 	retryAfterHeader = "Retry-After"
 	dateHeader       = "Date"
-	// longestBackoff is the longest that is taken for what a worker means.
-	longestBackoff = 24 * time.Hour
+	// maxBackoff is the maximum backoff; a longer one is treated as unreadable.
+	maxBackoff = 24 * time.Hour
 )
 
-// parseBackoff reads the headers that ask for a backoff, in seconds or as a date. Of several the longest
-// that can be read counts.
+// parseBackoff parses the Retry-After headers, which contain seconds or a date. The longest valid
+// backoff applies.
 func parseBackoff(header http.Header, now time.Time) Backoff {
 	backoff := Backoff{}
 	for _, value := range header.Values(retryAfterHeader) {
@@ -176,11 +177,11 @@
 	return backoff
 }
 
-// parseRetryAfter reads a time to wait; false if it can't be read. A date counts from that of the
-// answer, since the worker's clock may differ.
-func parseRetryAfter(text, answered string, now time.Time) (time.Duration, bool) {
+// parseRetryAfter parses a Retry-After value. It returns false if the value is malformed or too
+// long. A date is relative to the answer's Date header, since the worker's clock may differ.
+func parseRetryAfter(text, answerDate string, now time.Time) (time.Duration, bool) {
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-		if !(seconds >= 0 && seconds <= longestBackoff.Seconds()) { // false for what is not a number
+		if !(seconds >= 0 && seconds <= maxBackoff.Seconds()) { // the comparison is false for NaN
 			return 0, false
 		}
 		return time.Duration(seconds * float64(time.Second)), true
@@ -189,9 +190,9 @@
 	if err != nil {
 		return 0, false
 	}
-	if date, err := http.ParseTime(answered); err == nil {
+	if date, err := http.ParseTime(answerDate); err == nil {
 		now = date
 	}
 	wait := max(0, until.Sub(now))
-	return wait, wait <= longestBackoff
+	return wait, wait <= maxBackoff
 }
--- a/internal/upstream/notice_test.go
+++ b/internal/upstream/notice_test.go
@@ -11,30 +11,30 @@
 func TestParseBackoff(t *testing.T) {
 	now := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 	date := func(offset time.Duration) string { return now.Add(offset).Format(http.TimeFormat) }
-	asked := func(wait time.Duration) Backoff { return Backoff{Status: BackoffRequested, Duration: wait} }
+	requested := func(wait time.Duration) Backoff { return Backoff{Status: BackoffRequested, Duration: wait} }
 	for name, test := range map[string]struct {
 		values []string
 		date   string
 		want   Backoff
 	}{
-		"none":                            {},
-		"seconds":                         {values: []string{"3"}, want: asked(3 * time.Second)},
-		"a fraction":                      {values: []string{"0.25"}, want: asked(250 * time.Millisecond)},
-		"with blanks":                     {values: []string{" 3 "}, want: asked(3 * time.Second)},
-		"zero":                            {values: []string{"0"}, want: asked(0)},
-		"a day":                           {values: []string{"86400"}, want: asked(24 * time.Hour)},
-		"a date":                          {values: []string{date(5 * time.Second)}, want: asked(5 * time.Second)},
-		"a date by the worker's own time": {values: []string{date(65 * time.Second)}, date: date(time.Minute), want: asked(5 * time.Second)},
-		"a date that has passed":          {values: []string{date(-time.Minute)}, want: asked(0)},
-		"two headers":                     {values: []string{"2", "7"}, want: asked(7 * time.Second)},
-		"one of two readable":             {values: []string{"soon", "2"}, want: asked(2 * time.Second)},
-		"empty":                           {values: []string{""}, want: Backoff{Status: UnreadableBackoff}},
-		"no number":                       {values: []string{"soon"}, want: Backoff{Status: UnreadableBackoff}},
-		"not a number":                    {values: []string{"NaN"}, want: Backoff{Status: UnreadableBackoff}},
-		"below zero":                      {values: []string{"-1"}, want: Backoff{Status: UnreadableBackoff}},
-		"infinite":                        {values: []string{"Inf"}, want: Backoff{Status: UnreadableBackoff}},
-		"longer than anybody means":       {values: []string{"1e300"}, want: Backoff{Status: UnreadableBackoff}},
-		"a date that far off":             {values: []string{date(48 * time.Hour)}, want: Backoff{Status: UnreadableBackoff}},
+		"none":                       {},
+		"seconds":                    {values: []string{"3"}, want: requested(3 * time.Second)},
+		"decimal number":             {values: []string{"0.25"}, want: requested(250 * time.Millisecond)},
+		"with spaces":                {values: []string{" 3 "}, want: requested(3 * time.Second)},
+		"zero":                       {values: []string{"0"}, want: requested(0)},
+		"the maximum":                {values: []string{"86400"}, want: requested(24 * time.Hour)},
+		"a date":                     {values: []string{date(5 * time.Second)}, want: requested(5 * time.Second)},
+		"date by the worker's clock": {values: []string{date(65 * time.Second)}, date: date(time.Minute), want: requested(5 * time.Second)},
+		"date in the past":           {values: []string{date(-time.Minute)}, want: requested(0)},
+		"two headers":                {values: []string{"2", "7"}, want: requested(7 * time.Second)},
+		"one of two valid":           {values: []string{"soon", "2"}, want: requested(2 * time.Second)},
+		"empty":                      {values: []string{""}, want: Backoff{Status: UnreadableBackoff}},
+		"not numeric":                {values: []string{"soon"}, want: Backoff{Status: UnreadableBackoff}},
+		"not a number":               {values: []string{"NaN"}, want: Backoff{Status: UnreadableBackoff}},
+		"below zero":                 {values: []string{"-1"}, want: Backoff{Status: UnreadableBackoff}},
+		"infinite":                   {values: []string{"Inf"}, want: Backoff{Status: UnreadableBackoff}},
+		"number beyond the maximum":  {values: []string{"1e300"}, want: Backoff{Status: UnreadableBackoff}},
+		"date beyond the maximum":    {values: []string{date(48 * time.Hour)}, want: Backoff{Status: UnreadableBackoff}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			header := http.Header{}
@@ -49,47 +49,47 @@
 	}
 }
 
-func TestSaysLeaving(t *testing.T) {
+func TestParseLeaving(t *testing.T) {
 	for name, test := range map[string]struct {
 		values []string
 		want   bool
 	}{
-		"none":            {},
-		"one":             {values: []string{"1"}, want: true},
-		"with blanks":     {values: []string{" 1 "}, want: true},
-		"a word":          {values: []string{"true"}, want: true},
-		"another word":    {values: []string{"yes"}, want: true},
-		"the later says":  {values: []string{"0", "1"}, want: true},
-		"zero":            {values: []string{"0"}},
-		"a word that not": {values: []string{"false"}},
-		"empty":           {values: []string{""}},
+		"none":                 {},
+		"one":                  {values: []string{"1"}, want: true},
+		"with spaces":          {values: []string{" 1 "}, want: true},
+		"text, true":           {values: []string{"true"}, want: true},
+		"malformed value":      {values: []string{"yes"}, want: true},
+		"only the second true": {values: []string{"0", "1"}, want: true},
+		"zero":                 {values: []string{"0"}},
+		"text, false":          {values: []string{"false"}},
+		"empty":                {values: []string{""}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, ParseLeaving(test.values), test.want) })
 	}
 }
 
-func TestWhoseAnswerSaysSomethingOfItsWorker(t *testing.T) {
+func TestNoticeIsOnlyReadFromTargetWorker(t *testing.T) {
 	headers := Headers{Worker: "Worker", Limit: "Limit", Leaving: "Leaving", Load: "Load"}
 	for name, test := range map[string]struct {
-		status int
-		by     string
-		want   Notice
+		status     int
+		answeredBy string
+		want       Notice
 	}{
-		"the worker's answer":        {status: http.StatusOK, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"its refusal":                {status: http.StatusServiceUnavailable, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
-		"one that names no worker":   {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
-		"too many requests":          {status: http.StatusTooManyRequests, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"not the key's owner":        {status: http.StatusMisdirectedRequest, by: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"another worker's":           {status: http.StatusMisdirectedRequest, by: "x"},
-		"another worker's 503":       {status: http.StatusServiceUnavailable, by: "x"},
-		"another worker's, answered": {status: http.StatusOK, by: "x"},
+		"answer of the target":        {status: http.StatusOK, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"refusal of the target":       {status: http.StatusServiceUnavailable, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"refusal without a worker ID": {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"too many requests":           {status: http.StatusTooManyRequests, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"misdirected, by the target":  {status: http.StatusMisdirectedRequest, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"misdirected, by another":     {status: http.StatusMisdirectedRequest, answeredBy: "x"},
+		"refusal of another worker":   {status: http.StatusServiceUnavailable, answeredBy: "x"},
+		"answer of another worker":    {status: http.StatusOK, answeredBy: "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: test.status, Header: http.Header{"Limit": {"2"}, "Leaving": {"1"}, "Retry-After": {"3"}}}
-			if test.by != "" {
-				response.Header.Set("Worker", test.by)
+			if test.answeredBy != "" {
+				response.Header.Set("Worker", test.answeredBy)
 			}
-			assert.Equal(t, headers.notice(response, "w", time.Now()), test.want)
+			assert.Equal(t, headers.parseNotice(response, "w", time.Now()), test.want)
 		})
 	}
 }
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -8,89 +8,89 @@
 	"github.com/shalefork/shalefork/internal/bodies"
 )
 
-// Outcome is how one send of a request ended.
+// Outcome is the way in which one send of a request ended.
 type Outcome string
 
 // Outcomes of a send.
 const (
-	// Answered: the worker's own answer is here.
+	// Answered means that the worker's answer was received.
 	Answered Outcome = "answered"
-	// NotSent: not one byte was written.
+	// NotSent means that no byte was written.
 	NotSent Outcome = "not-sent"
-	// ConnectionRejected: the worker closed a new connection before anything was written.
+	// ConnectionRejected means that the worker closed a new connection before anything was written.
 	ConnectionRejected Outcome = "turned-away"
-	// Withheld: the worker may not get it any longer, and nothing was written.
+	// Withheld means that the worker may no longer get the request, and nothing was written.
 	Withheld Outcome = "withheld"
-	// NotRun: the worker said that it did not run the request.
+	// NotRun means that the worker reported that it did not run the request.
 	NotRun Outcome = "not-run"
-	// Misdirected: the worker is not the one that was meant.
+	// Misdirected means that the request reached another worker than its target.
 	Misdirected Outcome = "misdirected"
-	// Broken: it was sent, and no valid answer came.
+	// Broken means that the request was sent and no valid answer was received.
 	Broken Outcome = "broken"
-	// Late: the time for the send ran out.
+	// TimedOut means that the send's deadline passed.
 	TimedOut Outcome = "late"
-	// BodyTruncated: the client's body ended early or stood still, so that the worker can't have
-	// the whole of it.
+	// BodyTruncated means that the client's body ended early or stalled, so that the worker can't
+	// have received all of it.
 	BodyTruncated Outcome = "body-cut"
-	// Gone: the client left.
+	// ClientGone means that the client disconnected.
 	ClientGone Outcome = "client-gone"
 )
 
-// Result is the end of one send.
+// Result is the result of one send.
 type Result struct {
 	Outcome Outcome
 	Status  int
 	Header  http.Header
-	// Body is an answer that is whole.
+	// Body is a complete answer.
 	Body *bodies.Spool
-	// Stream is an answer that is passed on as it comes; nil if it is in Body.
+	// Stream is an answer that is forwarded as it arrives; nil if the answer is in Body.
 	Stream *bodies.Pipe
-	// filled tells the end of Stream, settled is closed once its connection is kept or dropped,
-	// and cancel gives it up.
-	filled  <-chan error
-	settled <-chan struct{}
-	cancel  context.CancelFunc
-	// Notice is what the worker's answer, or refusal, says of the worker.
+	// streamEnd receives the result of filling Stream, released is closed once its connection was
+	// returned to the pool or dropped, and cancel aborts it.
+	streamEnd <-chan error
+	released  <-chan struct{}
+	cancel    context.CancelFunc
+	// Notice is the information about the worker in its answer or refusal.
 	Notice
-	// Sent is when the request began to leave.
+	// SentAt is when the send began.
 	SentAt time.Time
-	// closing says that the connection ends with this answer.
-	closing bool
-	// Took is the time from the send to the answer.
+	// closesConn is set if the connection can't be reused after this answer.
+	closesConn bool
+	// Took is the time between the start of the send and the answer.
 	Took time.Duration
-	// Written says that bytes of the request have left.
+	// Written is set if bytes of the request have been written.
 	Written bool
 	Err     error
 }
 
-// Streaming returns what is closed once the worker has sent all of an answer that is passed on
-// as it comes, or was given up; nil if the answer is whole.
-func (r *Result) StreamDone() <-chan struct{} { return r.settled }
+// StreamDone returns a channel that is closed once the worker has sent all of a streamed answer, or
+// the stream was canceled or failed. It is nil if the answer is not streamed.
+func (r *Result) StreamDone() <-chan struct{} { return r.released }
 
-// Free gives back what the answer holds, and gives up what of it is still to come.
+// Free releases the memory of the answer, and cancels the rest of its stream.
 func (r *Result) Free() {
 	r.Body.Free()
 	if r.Stream == nil {
 		return
 	}
 	if r.Stream.Complete() {
-		<-r.settled // it is about to be: giving it up now would end its connection
+		<-r.released // happens soon; canceling before that would close the connection
 	}
 	r.cancel()
 	r.Stream.Close()
 }
 
-// slowFactor times the usual time of work shows that a worker has become slow,
-// even where part of the time was spent waiting there.
+// slowFactor is the multiple of the expected processing time from which a worker counts as slow,
+// even if part of the time was spent in its queue.
 const slowFactor = 2.5
 
-// WorkTime estimates how long the worker worked on the request, and says whether
-// that tells anything: where others wait, what waits at the end is only about
-// what waited before, so only a long time does.
-func (r *Result) WorkTime(slots int, usual time.Duration) (took time.Duration, telling bool) {
+// WorkTime estimates the worker's processing time of the request, and reports whether the estimate
+// is significant. If requests are waiting at the worker, only a long time is: the queue length at
+// the end of the request merely approximates that before it.
+func (r *Result) WorkTime(slots int, expected time.Duration) (took time.Duration, significant bool) {
 	if !r.HasLoad || r.Load.Waiting == 0 {
 		return r.Took, true
 	}
 	took = time.Duration(float64(r.Took) / (1 + float64(r.Load.Waiting)/float64(max(slots, 1))))
-	return took, float64(took) > slowFactor*float64(usual)
+	return took, float64(took) > slowFactor*float64(expected)
 }
--- a/internal/upstream/withheld_test.go
+++ b/internal/upstream/withheld_test.go
@@ -8,19 +8,19 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNothingIsWrittenToAWorkerThatDoesNotAdmitIt(t *testing.T) {
-	l := newLink(t)
-	message := l.message(t, bodyOf(9), 9, 9)
+func TestNothingIsWrittenIfTargetNoLongerAdmitsRequest(t *testing.T) {
+	w := newScriptedWorker(t)
+	message := w.newMessage(t, bodyOf(9), 9, 9)
 	until := time.Now().Add(time.Second)
 	target := Target{ID: "w", Admits: func() bool { return false }}
-	l.pool.idle[0].used = false
-	got := Send(context.Background(), Headers{RequestID: "X-Id"}, l.pool, message, target, until, until)
+	w.pool.idle[0].used = false
+	got := Send(context.Background(), Headers{RequestID: "X-Id"}, w.pool, message, target, until, until)
 	assert.Equal(t, got.Outcome, Withheld)
 	assert.Assert(t, !got.Written)
-	assert.Assert(t, !message.BodyConsumed(), "another worker may get it")
-	_ = l.worker.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	_, err := l.worker.Read(make([]byte, 1))
+	assert.Assert(t, !message.BodyConsumed(), "the message can still be sent to another worker")
+	_ = w.worker.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	_, err := w.worker.Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "timeout")
-	assert.Assert(t, l.kept(), "the connection may carry the next request")
-	assert.Assert(t, !l.pool.idle[0].used, "it has not carried one")
+	assert.Assert(t, w.hasIdleConn(), "the connection is returned to the pool")
+	assert.Assert(t, !w.pool.idle[0].used, "no request was answered on it")
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// answerAfterCut is how long a worker's answer is awaited that took no more of the body:
-	// it may have come before the connection ended, a round trip or two ago.
-	answerAfterCut = 100 * time.Millisecond
-	// lastWrite is how long the end of the write may be seen after the answer: on a machine
-	// with a sixth of a core the goroutine that writes may have to wait for its turn.
-	lastWrite = 20 * time.Millisecond
+	// answerAfterWriteError is how long to wait for the answer after the body could not be written:
+	// the worker may have sent it before it closed the connection, one or two round trips ago.
+	answerAfterWriteError = 100 * time.Millisecond
+	// writeEndGrace is how long to wait, after the answer, until the writing goroutine reports its
+	// end: on a machine with a sixth of a core the goroutine may not be scheduled earlier.
+	writeEndGrace = 20 * time.Millisecond
 )
 
-var errBodyCut = errors.New("the client's body ended before its end")
+var errBodyTruncated = errors.New("the client's body ended before its declared length")
 
-// atOnce is closed: it stands for the end of a write that nobody has to wait for.
-var atOnce = make(chan struct{})
+// closedChannel is the done channel of writes that have already ended.
+var closedChannel = make(chan struct{})
 
-func init() { close(atOnce) }
+func init() { close(closedChannel) }
 
-// sending is the write of a request, which goes on beside the wait for the answer where the
-// body is large.
-type sending struct {
+// requestWrite is the write of a request. If the body is large, it runs concurrently with the wait
+// for the answer.
+type requestWrite struct {
 	done chan struct{}
-	// wrote is false if not one byte can have left, and cut says that the client's body
-	// ended early. All are set once done is closed.
-	wrote, cut bool
-	err        error
+	// anyWritten is false if no byte can have been sent, and truncated is set if the client's body
+	// ended early. They and err are valid once done is closed.
+	anyWritten, truncated bool
+	err                   error
 }
 
-func (s *sending) ended() bool {
+func (s *requestWrite) ended() bool {
 	select {
 	case <-s.done:
 		return true
@@ -46,96 +46,97 @@
 	}
 }
 
-// failure is the result of a write that failed without an answer.
-func (s *sending) failure(ctx context.Context, until time.Time) Result {
+// failedResult returns the result of a write that failed without an answer.
+func (s *requestWrite) failedResult(ctx context.Context, deadline time.Time) Result {
 	switch {
-	case !s.wrote:
-		return Result{Outcome: unsent(ctx), Err: s.err}
-	case s.cut && ctx.Err() == nil:
+	case !s.anyWritten:
+		return Result{Outcome: unsentOutcome(ctx), Err: s.err}
+	case s.truncated && ctx.Err() == nil:
 		return Result{Outcome: BodyTruncated, Err: s.err, Written: true}
 	}
-	return Result{Outcome: failed(ctx, until, s.err), Err: s.err, Written: true}
+	return Result{Outcome: failureOutcome(ctx, deadline, s.err), Err: s.err, Written: true}
 }
 
-// write sends the request: a small one at once, a large one beside the wait for its answer.
-func (e *exchange) write(ctx context.Context, deadline time.Time) *sending {
-	head := e.message.head(e.headers, e.target, clock.Until(deadline))
-	if !e.message.large() {
+// startWrite sends the request. A small one is written before startWrite returns, a large one in
+// the background.
+func (e *exchange) startWrite(ctx context.Context, deadline time.Time) *requestWrite {
+	head := e.message.encodeHead(e.headers, e.target, clock.Until(deadline))
+	if !e.message.isLarge() {
 		packet := append(head, e.message.Body.Prefix(bodies.MaxSmall)...)
 		e.message.Shaper.RecordSent(len(packet))
 		count, err := e.conn.Write(packet)
-		return &sending{done: atOnce, wrote: count > 0, err: err}
+		return &requestWrite{done: closedChannel, anyWritten: count > 0, err: err}
 	}
-	s := &sending{done: make(chan struct{})}
+	s := &requestWrite{done: make(chan struct{})}
 	if e.message.Rest != nil {
-		e.message.spent.Store(true)
+		e.message.bodyConsumed.Store(true)
 	}
 	go func() {
-		s.wrote, s.cut, s.err = e.writeLarge(ctx, head)
-		close(s.done) // before what ends the wait for the answer, which must see why
+		s.anyWritten, s.truncated, s.err = e.writeLarge(ctx, head)
+		close(s.done) // before the calls that end the wait for the answer, which must find the reason
 		switch {
 		case s.err == nil:
-		case s.cut, !s.wrote: // the worker must not take it for whole
+		case s.truncated, !s.anyWritten: // the worker must not take the request for complete
 			abort(e.conn.Conn)
 		default:
-			_ = e.conn.SetReadDeadline(time.Now().Add(answerAfterCut))
+			_ = e.conn.SetReadDeadline(time.Now().Add(answerAfterWriteError))
 		}
 	}()
 	return s
 }
 
-// writeLarge sends a large request, in turns with others.
-func (e *exchange) writeLarge(ctx context.Context, head []byte) (wrote, cut bool, err error) {
+// writeLarge sends a large request through the link shaper.
+func (e *exchange) writeLarge(ctx context.Context, head []byte) (anyWritten, truncated bool, err error) {
 	count, err := e.conn.Write(head)
 	if err != nil {
 		return count > 0, false, err
 	}
 	paced := e.message.Shaper.NewWriter(ctx, e.conn.Conn)
 	if e.message.Rest != nil && e.message.Length < 0 {
-		cut, err = e.writeChunked(&chunkWriter{to: paced})
-		return true, cut, err
+		truncated, err = e.writeChunked(&chunkWriter{to: paced})
+		return true, truncated, err
 	}
 	pieces := e.message.Body.Pieces()
 	if _, err = pieces.WriteTo(paced); err != nil || e.message.Rest == nil {
 		return true, false, err
 	}
-	cut, err = e.copyRest(paced, e.message.Length-e.message.Body.Length())
-	return true, cut, err
+	truncated, err = e.copyRest(paced, e.message.Length-e.message.Body.Length())
+	return true, truncated, err
 }
 
-// writeChunked sends a body whose length is not known. One that was cut gets no last chunk.
-func (e *exchange) writeChunked(chunks *chunkWriter) (cut bool, err error) {
+// writeChunked sends a body of unknown length. A truncated one gets no last chunk.
+func (e *exchange) writeChunked(chunks *chunkWriter) (truncated bool, err error) {
 	pieces := e.message.Body.Pieces()
 	if _, err = pieces.WriteTo(chunks); err != nil {
 		return false, err
 	}
-	if cut, err = e.copyRest(chunks, -1); err != nil {
-		return cut, err
+	if truncated, err = e.copyRest(chunks, -1); err != nil {
+		return truncated, err
 	}
 	_, err = io.WriteString(chunks.to, "0\r\n\r\n")
 	return false, err
 }
 
-// copyRest passes on what follows the beginning; so many bytes, if that is known.
-func (e *exchange) copyRest(to io.Writer, length int64) (cut bool, err error) {
-	from := &source{from: e.message.Rest}
+// copyRest streams the rest of the body. length is its length in bytes, negative if unknown.
+func (e *exchange) copyRest(to io.Writer, length int64) (truncated bool, err error) {
+	from := &errorRecorder{from: e.message.Rest}
 	copied, err := io.Copy(to, from)
 	switch {
 	case from.err != nil:
 		return true, from.err
 	case err == nil && length >= 0 && copied != length:
-		return true, errBodyCut
+		return true, errBodyTruncated
 	}
 	return false, err
 }
 
-// source remembers why a body could not be read on.
-type source struct {
+// errorRecorder records the error with which reading a body failed.
+type errorRecorder struct {
 	from io.Reader
 	err  error
 }
 
-func (s *source) Read(into []byte) (int, error) {
+func (s *errorRecorder) Read(into []byte) (int, error) {
 	count, err := s.from.Read(into)
 	if err != nil && !errors.Is(err, io.EOF) {
 		s.err = err
@@ -143,11 +144,11 @@
 	return count, err
 }
 
-// join waits for the end of the write. A worker that answered before it had the whole body,
-// or took no more of it, gets nothing else on this connection.
-func (e *exchange) join(ctx context.Context, s *sending, answer *Result) {
+// awaitWrite waits for the end of the write. If the worker answered before it had received the
+// whole body, or stopped reading it, the connection is not reused.
+func (e *exchange) awaitWrite(ctx context.Context, s *requestWrite, answer *Result) {
 	if answer.Err == nil && !s.ended() {
-		timer := time.NewTimer(lastWrite)
+		timer := time.NewTimer(writeEndGrace)
 		select {
 		case <-s.done:
 		case <-timer.C:
@@ -163,13 +164,13 @@
 	if s.err == nil {
 		return
 	}
-	answer.closing = true
-	if answer.Status == 0 && !(interrupted && s.wrote) {
-		*answer = s.failure(ctx, e.until)
+	answer.closesConn = true
+	if answer.Status == 0 && !(interrupted && s.anyWritten) {
+		*answer = s.failedResult(ctx, e.deadline)
 	}
 }
 
-// interrupt ends the write; the answer may be read on.
+// interrupt ends the write. The answer can still be read.
 func (e *exchange) interrupt() {
 	_ = e.conn.SetWriteDeadline(time.Now())
 	if e.message.Interrupt != nil {
