--- /dev/null
+++ b/internal/coord/memory/timeoutstore.go
@@ -0,0 +1,21 @@
+package memory
+
+import (
+	"context"
+	"time"
+
+	"github.com/shalefork/shalefork/internal/coord"
+)
+
+// TimeoutStore is a store whose commits are given up after CommitTimeout, as by a real client.
+type TimeoutStore struct {
+	coord.Store
+	CommitTimeout time.Duration
+}
+
+// Commit implements coord.Store.
+func (b TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
+	bounded, cancel := context.WithTimeout(ctx, b.CommitTimeout)
+	defer cancel()
+	return b.Store.Commit(bounded, txn)
+}
--- a/internal/departure/departure_test.go
+++ b/internal/departure/departure_test.go
@@ -14,7 +14,7 @@
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func drawFact(t *rapid.T) Fact {
-	life := workers.Life{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), Born: workers.Born(rapid.IntRange(0, 2).Draw(t, "born"))}
+	life := workers.Incarnation{ID: rapid.SampledFrom([]workers.ID{"a", "b"}).Draw(t, "worker"), StartTime: workers.StartTime(rapid.IntRange(0, 2).Draw(t, "born"))}
 	return Fact{Worker: life, Since: start.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "since")) * time.Second)}
 }
 
@@ -23,7 +23,7 @@
 		list := rapid.SliceOfN(rapid.Custom(drawFact), 1, 8).Draw(t, "facts")
 		other := rapid.Permutation(list).Draw(t, "other")
 		merged := func(list []Fact) []Fact {
-			book := facts.NewBook[Fact]()
+			book := facts.NewTable[Fact]()
 			for _, one := range append(list, list...) {
 				book.Merge(one)
 			}
@@ -34,12 +34,12 @@
 }
 
 func TestADepartureCountsFromWhoKnewFirst(t *testing.T) {
-	book, life := facts.NewBook[Fact](), workers.Life{ID: "w", Born: 1}
+	book, life := facts.NewTable[Fact](), workers.Incarnation{ID: "w", StartTime: 1}
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(time.Second)}))
 	assert.Assert(t, !book.Merge(Fact{Worker: life, Since: start.Add(-sameSince)}), "others need not hear of so little")
 	assert.Assert(t, book.Merge(Fact{Worker: life, Since: start.Add(-time.Second)}))
 	known, _ := book.Fact(life)
 	assert.Equal(t, known.Since, start.Add(-time.Second))
-	assert.Equal(t, Tell(start, known).Fact(start), known)
+	assert.Equal(t, NewMessage(start, known).Fact(start), known)
 }
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -12,19 +12,19 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A record that can't be read left the keys of its service without owners for good.
-func TestARecordThatCantBeReadIsMadeAnewOnceAllHoldsHaveEnded(t *testing.T) {
-	play(t, func(b *bench) {
+// A record that can't be decoded left the keys of its service without owners permanently.
+func TestUnreadableRecordIsRebuiltAfterHoldsExpire(t *testing.T) {
+	runBench(t, func(b *testBench) {
 		_, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: RecordKey("cell/", "s"), Value: []byte("{")}}})
 		assert.NilError(b.t, err)
 		tenure, err := b.election.Campaign(b.t.Context(), 0)
 		assert.NilError(b.t, err)
-		go tenure.Keep(b.t.Context())
+		go tenure.KeepAlive(b.t.Context())
 		until := time.Now().Add(5 * time.Second)
 		go b.keeper.Lead(b.t.Context(), tenure, until)
 		time.Sleep(4900 * time.Millisecond)
 		b.orders.mu.Lock()
-		assert.Equal(b.t, len(b.orders.grants), 0, "others may hold keys still")
+		assert.Equal(b.t, len(b.orders.grants), 0, "other workers may still hold keys")
 		b.orders.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		assert.Assert(b.t, b.owner(7) != "")
@@ -37,14 +37,14 @@
 	})
 }
 
-// A worker that starts again gets its keys under a higher fence, and its speed is measured anew.
-func TestAWorkerThatStartsAgainGetsItsKeysAnew(t *testing.T) {
-	play(t, func(b *bench) {
-		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, Born: 1}
+// A worker that restarts must get its keys again under a higher fence.
+func TestRestartedWorkerGetsKeysUnderHigherFence(t *testing.T) {
+	runBench(t, func(b *testBench) {
+		first := workers.Worker{ID: "w1", Service: "s", Address: "w1", Slots: 2, State: workers.StateReady, StartTime: 1}
 		b.keeper.Workers.Replace([]workers.Worker{first}, nil, clock.Now())
 		b.lead(6*time.Second, func() {
 			time.Sleep(4 * time.Second)
-			first.Born = 2
+			first.StartTime = 2
 			b.keeper.Workers.Update([]workers.Worker{first}, nil, nil)
 		})
 		var fences []owner.Fence
@@ -58,9 +58,9 @@
 	})
 }
 
-// Keys stay for longer with a worker whose entry another writer has overwritten: its own comes
-// back with its next heartbeat.
-func TestKeysStayWhereAnEntryIsOverwritten(t *testing.T) {
+// Keys stay longer with a worker whose entry was overwritten by another writer than with one whose
+// entry was removed: the worker restores its entry with its next heartbeat.
+func TestKeysStayWhileEntryIsUnreadable(t *testing.T) {
 	for name, test := range map[string]struct {
 		unreadable, stays bool
 	}{
@@ -68,7 +68,7 @@
 		"its entry is gone":        {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(b *bench) {
+			runBench(t, func(b *testBench) {
 				var before, after workers.ID
 				done := make(chan struct{})
 				b.lead(8*time.Second, func() {
--- a/internal/owner/model_restart_test.go
+++ b/internal/owner/model_restart_test.go
@@ -37,7 +37,7 @@
 func (m *model) observeRestart(leaderIndex, workerIndex int) {
 	leader, worker := m.leaders[leaderIndex], m.workers[workerIndex]
 	leader.incarnations[workerIndex] = worker.incarnation
-	leader.ledger.ObserveIncarnation(m.now, workers.Life{ID: worker.id, Born: worker.incarnation}, "a")
+	leader.ledger.ObserveIncarnation(m.now, workers.Incarnation{ID: worker.id, StartTime: worker.incarnation}, "a")
 }
 
 // propagateFences marks the incarnations that have been informed of fences: the last leader was
--- a/internal/owner/restart.go
+++ b/internal/owner/restart.go
@@ -14,12 +14,12 @@
 // incarnation. Earlier holds therefore still have to expire or be released. Meanwhile the worker is
 // granted its own keys again under a higher fence, and fences that it has to know are sent again,
 // since a new incarnation has seen none of the earlier ones.
-func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Life, address string) bool {
+func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Incarnation, address string) bool {
 	previous, known := l.incarnations[incarnation.ID]
-	if incarnation.Born == 0 || previous == incarnation.Born {
+	if incarnation.StartTime == 0 || previous == incarnation.StartTime {
 		return false
 	}
-	l.incarnations[incarnation.ID] = incarnation.Born
+	l.incarnations[incarnation.ID] = incarnation.StartTime
 	if !known {
 		return false
 	}
--- a/internal/owner/restart_test.go
+++ b/internal/owner/restart_test.go
@@ -16,7 +16,7 @@
 	ledger := NewLedger(DefaultConfig(10*time.Second), 1)
 	candidates := equalCandidates(2, 30)
 	for _, candidate := range candidates {
-		ledger.ObserveIncarnation(now, workers.Life{ID: candidate.ID, Born: 1}, candidate.Address)
+		ledger.ObserveIncarnation(now, workers.Incarnation{ID: candidate.ID, StartTime: 1}, candidate.Address)
 	}
 	ledger.Assign(now, InitialOwners(candidates[:1], nil))
 	ledger.MarkStored(ledger.RecordVersion())
@@ -24,7 +24,7 @@
 }
 
 func (l *Ledger) observeRestart(now time.Time, candidate Candidate) bool {
-	return l.ObserveIncarnation(now, workers.Life{ID: candidate.ID, Born: 2}, candidate.Address)
+	return l.ObserveIncarnation(now, workers.Incarnation{ID: candidate.ID, StartTime: 2}, candidate.Address)
 }
 
 // Keys granted to the first incarnation must not count as held by the second: until the next
@@ -35,14 +35,14 @@
 	first := grantDue(t, ledger, now)
 	ledger.HandleReply(now, first, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !ledger.Assignment()[0].Moving)
-	assert.Assert(t, !ledger.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 1}, candidates[0].Address))
-	assert.Assert(t, !ledger.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID}, candidates[0].Address), "an announcement without a start time")
+	assert.Assert(t, !ledger.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 1}, candidates[0].Address))
+	assert.Assert(t, !ledger.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID}, candidates[0].Address), "an announcement without a start time")
 	assert.Assert(t, ledger.observeRestart(now, candidates[0]))
 	assert.Assert(t, ledger.Assignment()[0].Moving)
 	assert.Equal(t, len(ledger.Holds()), 0, "no standby may renew the keys")
 	again := grantDue(t, ledger, now)
 	assert.Assert(t, again.Fence > first.Fence)
-	assert.Equal(t, again.Target.Incarnation, workers.Born(2))
+	assert.Equal(t, again.Target.Incarnation, workers.StartTime(2))
 	ledger.HandleReply(now, again, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !ledger.Assignment()[0].Moving)
 }
@@ -64,7 +64,7 @@
 	ledger.MarkStored(ledger.RecordVersion())
 	release := grantDue(t, ledger, now.Add(time.Second))
 	assert.Assert(t, release.Release)
-	ledger.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 3}, candidates[0].Address)
+	ledger.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 3}, candidates[0].Address)
 	ledger.HandleReply(now, release, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, grantDue(t, ledger, now.Add(time.Second)).Release, "the third incarnation may have been renewed")
 }
@@ -135,7 +135,7 @@
 	ledger, candidates := ledgerWithIncarnations(t, now)
 	ledger.HandleReply(now, grantDue(t, ledger, now), Reply{Outcome: OutcomeOtherWorker})
 	assert.Assert(t, ledger.Failing(now, candidates[0].ID, time.Second))
-	ledger.ObserveIncarnation(now, workers.Life{ID: candidates[0].ID, Born: 2}, "elsewhere:1")
+	ledger.ObserveIncarnation(now, workers.Incarnation{ID: candidates[0].ID, StartTime: 2}, "elsewhere:1")
 	assert.Assert(t, !ledger.Failing(now, candidates[0].ID, time.Second))
 	assert.Equal(t, grantDue(t, ledger, now.Add(time.Second)).Target.Address, "elsewhere:1")
 	assert.Equal(t, ledger.Assignment()[0].Address, "elsewhere:1")
@@ -143,7 +143,7 @@
 
 func TestStandbyDoesNotRenewOtherIncarnation(t *testing.T) {
 	for name, test := range map[string]struct {
-		held, announced workers.Born
+		held, announced workers.StartTime
 		renews          bool
 	}{
 		"the same incarnation":              {held: 1, announced: 1, renews: true},
@@ -158,7 +158,7 @@
 			hold := Hold{Keys: KeyRange{0, 9}, Target: Target{ID: "w", Address: "a", Incarnation: test.held}, Fence: 7}
 			standby.SetHolds(1, 1, []Hold{hold}, now.Add(time.Minute))
 			standby.LeaderLost()
-			standby.ObserveIncarnation(workers.Life{ID: "w", Born: test.announced})
+			standby.ObserveIncarnation(workers.Incarnation{ID: "w", StartTime: test.announced})
 			assert.Equal(t, len(standby.Due(now)) == 1, test.renews)
 		})
 	}
--- a/internal/peerlink/facts.go
+++ b/internal/peerlink/facts.go
@@ -24,7 +24,7 @@
 }
 
 // factsFor returns the facts of a book that a link is to be sent now, and records them as sent.
-func factsFor[F facts.Fact[F]](book *facts.Book[F], sent *factsSent, now time.Time) []F {
+func factsFor[F facts.Fact[F]](book *facts.Table[F], sent *factsSent, now time.Time) []F {
 	if book == nil || now.Sub(sent.at) < factsInterval {
 		return nil
 	}
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -115,9 +115,9 @@
 	// has reported.
 	Quota []quota.Grant `json:"u,omitempty"`
 	// Limits are new facts on the limits that workers announce.
-	Limits []workerlimit.Told `json:"w,omitempty"`
+	Limits []workerlimit.Message `json:"w,omitempty"`
 	// Leaving are workers that announce their departure in their responses.
-	Leaving []departure.Told `json:"s,omitempty"`
+	Leaving []departure.Message `json:"s,omitempty"`
 	// Backoffs are sent to operators only.
 	Backoffs []BackoffShare `json:"bo,omitempty"`
 }
@@ -254,7 +254,7 @@
 	ID      workers.ID `json:"i"`
 	Address string     `json:"a"`
 	// Incarnation is that of the worker that holds refer to; zero if unknown.
-	Incarnation workers.Born `json:"b,omitempty"`
+	Incarnation workers.StartTime `json:"b,omitempty"`
 }
 
 // Report contains what a process has counted and learned since its last report.
@@ -278,9 +278,9 @@
 	// Quota is the use of the tenants' limits at this process and its followers.
 	Quota []quota.Report `json:"u,omitempty"`
 	// Limits are the limits of workers that this process or one of its followers has learned.
-	Limits []workerlimit.Told `json:"l,omitempty"`
+	Limits []workerlimit.Message `json:"l,omitempty"`
 	// Leaving are workers that announce their departure in their responses.
-	Leaving []departure.Told `json:"s,omitempty"`
+	Leaving []departure.Message `json:"s,omitempty"`
 }
 
 // Empty reports whether the report contains nothing.
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -20,7 +20,7 @@
 	// Number identifies the request on its connection.
 	Number uint64 `json:"n"`
 	// Limit is what the sender knows of the worker's limit.
-	Limit workerlimit.Told `json:"l"`
+	Limit workerlimit.Message `json:"l"`
 	// MaxWaitMillis is the longest time that the request may wait.
 	MaxWaitMillis int64 `json:"p,omitempty"`
 }
@@ -33,7 +33,7 @@
 	Granted    bool  `json:"g,omitempty"`
 	WaitMillis int64 `json:"w,omitempty"`
 	// LimitEnded is set if the worker no longer announces a limit.
-	LimitEnded *workerlimit.Told `json:"e,omitempty"`
+	LimitEnded *workerlimit.Message `json:"e,omitempty"`
 }
 
 // Wait returns how long the request waits, or how long the sender must not ask again.
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -41,7 +41,7 @@
 	// othersLoad is the number of requests of other processes at the worker, and slowdown the
 	// relative duration of work, as reported by the worker. means are the averages of both over the
 	// service's workers.
-	othersLoad, slowdown estimate.Told
+	othersLoad, slowdown estimate.ReportedValue
 	means                *reportedMeans
 	// latency measures the time that the worker works on a request.
 	latency estimate.Latency
@@ -64,11 +64,11 @@
 	// failed connection attempt.
 	unreachableUntil time.Time
 	// gone reports that another worker answered at the address.
-	gone bool
-	cold coldGate
+	gone        bool
+	coldLimiter coldLimiter
 	// witness holds what was observed of the worker's end. probeAt is the start time of the last
 	// probe of its address, which may be in the future.
-	witness quarantine.Witness
+	witness quarantine.CrashObserver
 	probeAt time.Time
 }
 
@@ -86,7 +86,7 @@
 func (b *backend) isOtherIncarnation(worker workers.Worker) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return worker.Born != 0 && b.worker.Born != 0 && worker.Born != b.worker.Born
+	return worker.StartTime != 0 && b.worker.StartTime != 0 && worker.StartTime != b.worker.StartTime
 }
 
 // update replaces the worker's announced description. If the new one has no incarnation, because the
@@ -94,8 +94,8 @@
 func (b *backend) update(worker workers.Worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if worker.Born == 0 {
-		worker.Born = b.worker.Born
+	if worker.StartTime == 0 {
+		worker.StartTime = b.worker.StartTime
 	}
 	b.worker = worker
 }
@@ -131,7 +131,7 @@
 	switch {
 	case b.gone || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
 		return choice{}, false
-	case load >= maxLoadRatio*slots || !b.cold.ready(now, b.worker.WarmAt, coldRate, nodes):
+	case load >= maxLoadRatio*slots || !b.coldLimiter.ready(now, b.worker.WarmAt, coldRate, nodes):
 		return choice{}, false
 	}
 	return choice{backend: b, estimate: b.expected(now, b.latency.Mean(prior)), hasFreeSlot: load+1 <= slots}, true
@@ -190,7 +190,7 @@
 func (b *backend) admit(now time.Time, coldRate float64, nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cold.take(now, b.worker.WarmAt, coldRate, nodes)
+	return b.coldLimiter.take(now, b.worker.WarmAt, coldRate, nodes)
 }
 
 // meanLatency returns the mean time of work on a request, and false if there are no measurements.
@@ -229,7 +229,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.inFlight--
-	b.count(now, result)
+	b.recordThrottleResult(now, result)
 	if result.HasLoad {
 		b.recordLoad(now, result.Load)
 	}
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -59,7 +59,7 @@
 	err := f.run(bounded)
 	r.hub.SetFollowedLeader("")
 	r.updates.invalidate() // what was not received by now is read from the service
-	r.standby.Lost()
+	r.standby.LeaderLost()
 	if ctx.Err() != nil {
 		r.hub.RedirectFollowers(leader.Address)
 		return
@@ -143,8 +143,8 @@
 	f.r.hub.SetFollowedLeader(f.leader.Address)
 	f.r.peers.Add(f.leader.Address, f.address)
 	f.r.quotas.holder.Linked()
-	f.r.limits.member.Linked()
-	f.r.leaving.member.Linked()
+	f.r.limits.member.QueueAll()
+	f.r.leaving.member.QueueAll()
 	line := f.r.log.Line(decision.KindLeaderFound).Str("leader", f.leader.Address).Int64("term", int64(f.leader.Term))
 	if f.viaRelay() {
 		line = line.Str("relay", f.address)
@@ -157,7 +157,7 @@
 func (f *followSession) awaitSuccessor(ctx context.Context) {
 	f.doubtOnce.Do(func() {
 		go func() {
-			if f.r.election.AwaitAnother(ctx, f.leader) {
+			if f.r.election.AwaitLeaderChange(ctx, f.leader) {
 				f.stop()
 			}
 		}()
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -13,64 +13,64 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// Header is the name of the header in which callers show their API key.
+// Header is the name of the header in which callers send their API key.
 const Header = "Authorization"
 
-// Scheme is the one scheme of that header by which a key is shown.
+// Scheme is the only scheme of that header that is accepted.
 const Scheme = "Bearer"
 
 // secretBytes is the length of a secret: that of the hash, so that guessing one is as hard as
-// the other.
+// guessing the other.
 const secretBytes = sha256.Size
 
-// Secret keys the hash under which one process looks API keys up. It never leaves the process.
+// Secret keys the hash under which one process looks up API keys. It never leaves the process.
 type Secret [secretBytes]byte
 
-// Finding is what became of the look for a caller's tenant.
-type Finding string
+// AuthResult is the result of identifying a caller.
+type AuthResult string
 
-// Findings.
+// Results of identifying a caller.
 const (
-	// Proved: the caller has shown a key that a tenant holds.
-	Proved Finding = "proved"
-	// Missing: the caller shows no key.
-	Missing Finding = "key-missing"
-	// Malformed: what the caller shows is no key of the scheme, or more than one.
-	Malformed Finding = "key-malformed"
-	// Unknown: no tenant holds the key, and none was seen to hold it.
-	Unknown Finding = "key-unknown"
-	// TakenAway: a tenant held the key in a configuration that was in force here.
-	TakenAway Finding = "key-taken-away"
+	// Authenticated: the caller sent a key that a tenant holds.
+	Authenticated AuthResult = "proved"
+	// Missing: the caller sent no key.
+	Missing AuthResult = "key-missing"
+	// Malformed: the caller sent something that is not a key of the scheme, or more than one key.
+	Malformed AuthResult = "key-malformed"
+	// Unknown: no tenant of the request's scope holds the key, and none is known to have held it.
+	Unknown AuthResult = "key-unknown"
+	// Revoked: a tenant held the key in an earlier configuration that was in force here.
+	Revoked AuthResult = "key-taken-away"
 )
 
-// Caller is who makes a request.
+// Caller describes who makes a request.
 type Caller struct {
-	Finding Finding
-	// Tenant is set where it was proved.
+	Result AuthResult
+	// Tenant is set if the result is Authenticated.
 	Tenant *routing.Tenant
-	// Former says who held a key that was taken away.
-	Former Former
+	// RevokedKey is set if the result is Revoked.
+	RevokedKey RevokedKey
 }
 
-// Former tells of a key that was taken away.
-type Former struct {
+// RevokedKey describes a key that was revoked.
+type RevokedKey struct {
 	Tenant routing.TenantName
-	// Gone is the first configuration in force here without the key.
-	Gone routing.Version
+	// RevokedIn is the first configuration in force here without the key.
+	RevokedIn routing.Version
 	// Scope of the tenant.
 	Scope routing.Scope
 }
 
-// mostFormer is of how many keys that were taken away an index knows: enough for the largest
-// tenant's at once, in half a megabyte. Those that went first are forgotten first.
-const mostFormer = 4096
+// maxRevoked limits how many revoked keys an index remembers: enough for all keys of the largest
+// tenant at once, in half a megabyte. Keys that were revoked first are forgotten first.
+const maxRevoked = 4096
 
-// tag is the keyed hash of a digest. Lookups compare tags, whose bits a caller can't choose
-// without the secret, so the time that they take tells nothing about keys.
+// tag is the keyed hash of a digest. Lookups compare tags, whose bits a caller can't choose without
+// the secret, so that the time they take reveals nothing about keys.
 type tag [sha256.Size]byte
 
 // holding is a key's digest and the tenant that holds it.
-type holding struct {
+type keyHolder struct {
 	digest routing.KeyDigest
 	tenant *routing.Tenant
 }
@@ -78,104 +78,105 @@
 // Index finds the tenants that hold API keys in one configuration. It is never changed after
 // NewIndex, and safe for concurrent use.
 type Index struct {
-	held   map[tag]holding
-	former map[tag]Former
-	// hashers are of type *hasher.
+	active  map[tag]keyHolder
+	revoked map[tag]RevokedKey
+	// hashers holds values of type *hasher.
 	hashers *sync.Pool
 }
 
-// NewIndex returns an index of a configuration's tenants. before is the index of the
-// configuration before, made with the same secret; nil if there is none.
-func NewIndex(secret Secret, config *routing.Config, before *Index) *Index {
+// NewIndex returns an index of a configuration's tenants. previous is the index of the previous
+// configuration, made with the same secret; nil if there is none.
+func NewIndex(secret Secret, config *routing.Config, previous *Index) *Index {
 	x := &Index{
-		held:    map[tag]holding{},
-		former:  map[tag]Former{},
+		active:  map[tag]keyHolder{},
+		revoked: map[tag]RevokedKey{},
 		hashers: &sync.Pool{New: func() any { return &hasher{keyed: hmac.New(sha256.New, secret[:])} }},
 	}
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
 	for _, one := range config.Tenants {
 		for _, digest := range one.Keys {
-			x.held[h.tag(digest)] = holding{digest: digest, tenant: one}
+			x.active[h.tag(digest)] = keyHolder{digest: digest, tenant: one}
 		}
 	}
-	if before != nil {
-		x.remember(before, config.Version)
+	if previous != nil {
+		x.addRevoked(previous, config.Version)
 	}
 	return x
 }
 
-// remember notes which keys stand no longer, as of a version.
-func (x *Index) remember(before *Index, version routing.Version) {
-	for key, former := range before.former {
-		if _, back := x.held[key]; !back {
-			x.former[key] = former
+// addRevoked records which keys of the previous index are no longer held, as of a version.
+func (x *Index) addRevoked(previous *Index, version routing.Version) {
+	for key, revoked := range previous.revoked {
+		if _, restored := x.active[key]; !restored {
+			x.revoked[key] = revoked
 		}
 	}
-	for key, was := range before.held {
-		if _, stands := x.held[key]; !stands {
-			x.former[key] = Former{Tenant: was.tenant.Name, Gone: version, Scope: was.tenant.Scope}
+	for key, was := range previous.active {
+		if _, held := x.active[key]; !held {
+			x.revoked[key] = RevokedKey{Tenant: was.tenant.Name, RevokedIn: version, Scope: was.tenant.Scope}
 		}
 	}
-	x.forget()
+	x.pruneRevoked()
 }
 
-// forget drops the keys that went first until no more than mostFormer are left.
-func (x *Index) forget() {
-	if len(x.former) <= mostFormer {
+// pruneRevoked forgets the keys that were revoked first until no more than maxRevoked are left.
+func (x *Index) pruneRevoked() {
+	if len(x.revoked) <= maxRevoked {
 		return
 	}
-	keys := make([]tag, 0, len(x.former))
-	for key := range x.former {
+	keys := make([]tag, 0, len(x.revoked))
+	for key := range x.revoked {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b tag) int { return int(x.former[a].Gone) - int(x.former[b].Gone) })
-	for _, key := range keys[:len(keys)-mostFormer] {
-		delete(x.former, key)
+	slices.SortFunc(keys, func(a, b tag) int { return int(x.revoked[a].RevokedIn) - int(x.revoked[b].RevokedIn) })
+	for _, key := range keys[:len(keys)-maxRevoked] {
+		delete(x.revoked, key)
 	}
 }
 
-// Keys returns how many keys are held.
-func (x *Index) Keys() int { return len(x.held) }
+// KeyCount returns how many keys are held.
+func (x *Index) KeyCount() int { return len(x.active) }
 
-// Identify finds out who makes a request within a scope, by its headers.
+// Identify returns who makes a request within a scope, by its headers.
 func (x *Index) Identify(header http.Header, scope routing.Scope) Caller {
-	key, finding := keyOf(header)
-	if finding != Proved {
-		return Caller{Finding: finding}
+	key, result := keyFromHeader(header)
+	if result != Authenticated {
+		return Caller{Result: result}
 	}
-	caller := x.find(key)
+	caller := x.lookUp(key)
 	if caller.scope() != scope {
-		return Caller{Finding: Unknown}
+		return Caller{Result: Unknown}
 	}
 	return caller
 }
 
-// scope returns that of the tenant that holds the key, or held it.
+// scope returns the scope of the tenant that holds the key, or held it.
 func (c Caller) scope() routing.Scope {
 	if c.Tenant != nil {
 		return c.Tenant.Scope
 	}
-	return c.Former.Scope
+	return c.RevokedKey.Scope
 }
 
-// find returns who holds a key.
-func (x *Index) find(key string) Caller {
+// lookUp returns who holds a key.
+func (x *Index) lookUp(key string) Caller {
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
 	digest := Digest(key)
-	looked := h.tag(digest)
-	if held, found := x.held[looked]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
-		return Caller{Finding: Proved, Tenant: held.tenant}
+	keyTag := h.tag(digest)
+	if held, found := x.active[keyTag]; found && subtle.ConstantTimeCompare(held.digest[:], digest[:]) == 1 {
+		return Caller{Result: Authenticated, Tenant: held.tenant}
 	}
-	if former, known := x.former[looked]; known {
-		return Caller{Finding: TakenAway, Former: former}
+	if revoked, known := x.revoked[keyTag]; known {
+		return Caller{Result: Revoked, RevokedKey: revoked}
 	}
-	return Caller{Finding: Unknown}
+	return Caller{Result: Unknown}
 }
 
-// keyOf reads the key that a request shows; the finding is Proved where it shows one.
-func keyOf(header http.Header) (string, Finding) {
+// keyFromHeader returns the key that a request contains; the result is Authenticated if it contains
+// one.
+func keyFromHeader(header http.Header) (string, AuthResult) {
 	lines := header[Header]
 	if len(lines) == 0 {
 		return "", Missing
@@ -185,18 +186,18 @@
 	}
 	scheme, key, _ := strings.Cut(lines[0], " ")
 	key = strings.TrimLeft(key, " ")
-	if !strings.EqualFold(scheme, Scheme) || !Valid(key) {
+	if !strings.EqualFold(scheme, Scheme) || !IsValidKey(key) {
 		return "", Malformed
 	}
-	return key, Proved
+	return key, Authenticated
 }
 
 // Valid reports whether a text can be an API key.
-func Valid(key string) bool { return key != "" && !strings.ContainsFunc(key, odd) }
+func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, isInvalidKeyRune) }
 
-// odd reports whether a character can't be part of a key: a blank, a control character, or one
-// outside of ASCII.
-func odd(r rune) bool { return r <= ' ' || r > '~' }
+// isInvalidKeyRune reports whether a character can't be part of a key: a space, a control
+// character, or one outside of ASCII.
+func isInvalidKeyRune(r rune) bool { return r <= ' ' || r > '~' }
 
 // hasher hashes digests under a secret. It is used by one goroutine at a time.
 type hasher struct {
--- a/internal/workers/leaving.go
+++ b/internal/workers/leaving.go
@@ -6,57 +6,59 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// Leaves notes that a life of a worker says in its answers that it leaves, as is known since a time.
-// From then on it counts as draining, whatever its entry says.
-func (d *Directory) Leaves(life Life, since time.Time) {
+// MarkLeaving records that an incarnation of a worker reports in its answers that it is leaving,
+// which is known since a time. From then on it counts as draining, whatever its entry says.
+func (d *Directory) MarkLeaving(incarnation Incarnation, since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if before, known := d.leaving[life]; known && !since.Before(before) {
+	if before, known := d.leaving[incarnation]; known && !since.Before(before) {
 		return
 	}
-	d.leaving[life] = since
-	d.noteLeaving()
-	d.index()
+	d.leaving[incarnation] = since
+	d.applyLeaving()
+	d.rebuildIndex()
 }
 
-// noteLeaving lets announced workers drain that have said that they leave. What a life said whose start
-// was not known holds for the first one that is announced, not for those after it. The caller holds mu.
-func (d *Directory) noteLeaving() {
-	for life, since := range d.leaving {
-		worker, announced := d.byID[life.ID]
-		if !announced || !life.MayBe(worker.Life()) {
+// applyLeaving marks announced workers as draining if they have reported that they are leaving. A
+// report without a start time applies to the first incarnation that is announced, not to those
+// after it. The caller holds mu.
+func (d *Directory) applyLeaving() {
+	for incarnation, since := range d.leaving {
+		worker, announced := d.byID[incarnation.ID]
+		if !announced || !incarnation.MayEqual(worker.Incarnation()) {
 			continue
 		}
-		if life != worker.Life() && worker.Born != 0 {
-			delete(d.leaving, life)
-			if before, known := d.leaving[worker.Life()]; !known || since.Before(before) {
-				d.leaving[worker.Life()] = since
+		if incarnation != worker.Incarnation() && worker.StartTime != 0 {
+			delete(d.leaving, incarnation)
+			if before, known := d.leaving[worker.Incarnation()]; !known || since.Before(before) {
+				d.leaving[worker.Incarnation()] = since
 			}
 		}
 		worker.State = StateDraining
-		d.byID[life.ID] = worker
-		if noted, draining := d.drainingSince[life.ID]; !draining || since.Before(noted) {
-			d.drainingSince[life.ID] = since
+		d.byID[incarnation.ID] = worker
+		if noted, draining := d.drainingSince[incarnation.ID]; !draining || since.Before(noted) {
+			d.drainingSince[incarnation.ID] = since
 		}
 	}
 }
 
-// forgetLeaving forgets the word of workers that have been gone for long. The caller holds mu.
-func (d *Directory) forgetLeaving() {
-	for life, since := range d.leaving {
-		_, announced := d.byID[life.ID]
-		_, goneLately := d.goneAt[life.ID]
-		if !announced && !goneLately && clock.Since(since) > goneMemory {
-			delete(d.leaving, life)
+// pruneLeaving forgets the reports of workers that have been gone for a long time. The caller holds
+// mu.
+func (d *Directory) pruneLeaving() {
+	for incarnation, since := range d.leaving {
+		_, announced := d.byID[incarnation.ID]
+		_, recentlyGone := d.goneAt[incarnation.ID]
+		if !announced && !recentlyGone && clock.Since(since) > goneRetention {
+			delete(d.leaving, incarnation)
 		}
 	}
 }
 
-// saidLeaving returns since when a worker that is not announced is known to leave by its own word;
-// false if it is not. The caller holds mu.
-func (d *Directory) saidLeaving(id ID) (since time.Time, leaving bool) {
-	for life, at := range d.leaving {
-		if life.ID == id && (!leaving || at.Before(since)) {
+// leavingSince returns since when a worker that is not announced is known to be leaving by its own
+// report; false if it is not. The caller holds mu.
+func (d *Directory) leavingSince(id ID) (since time.Time, leaving bool) {
+	for incarnation, at := range d.leaving {
+		if incarnation.ID == id && (!leaving || at.Before(since)) {
 			since, leaving = at, true
 		}
 	}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -14,18 +14,18 @@
 	return Worker{ID: id, Service: "s", Address: string(id), Zone: "z", Slots: 2, State: state}
 }
 
-func TestDrainingCountsFromWhenItMayHaveBegun(t *testing.T) {
+func TestDrainTimeCountsFromEarliestStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		learn func(d *Directory)
 		want  time.Duration
 	}{
-		"told":                    {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
-		"found in a list":         {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
-		"told late":               {learn: func(d *Directory) { toldLate(d, time.Second) }, want: 1300 * time.Millisecond},
-		"told twice":              {learn: func(d *Directory) { toldLate(d, time.Second); toldLate(d, 0) }, want: 1300 * time.Millisecond},
-		"listed after a cut":      {learn: listedAfterACut, want: 5300 * time.Millisecond},
-		"told before it was read": {learn: toldThenListed, want: 300 * time.Millisecond},
-		"not draining":            {learn: func(d *Directory) { d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now()) }},
+		"told":                      {learn: func(d *Directory) { d.Update([]Worker{worker("a", StateDraining)}, nil, nil) }, want: 300 * time.Millisecond},
+		"found in a list":           {learn: func(d *Directory) { listed(d, time.Now()) }, want: 300*time.Millisecond + listAge},
+		"late update":               {learn: func(d *Directory) { updatedLate(d, time.Second) }, want: 1300 * time.Millisecond},
+		"two updates":               {learn: func(d *Directory) { updatedLate(d, time.Second); updatedLate(d, 0) }, want: 1300 * time.Millisecond},
+		"listed after a disconnect": {learn: listedAfterDisconnect, want: 5300 * time.Millisecond},
+		"update before the list":    {learn: updatedThenListed, want: 300 * time.Millisecond},
+		"not draining":              {learn: func(d *Directory) { d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,23 +38,23 @@
 	}
 }
 
-// toldLate brings news that the first process has known for some time.
-func toldLate(d *Directory, age time.Duration) {
-	d.Update([]Worker{worker("a", StateDraining)}, nil, Learned{"a": time.Now().Add(-age)})
+// updatedLate applies an update that the first process received some time ago.
+func updatedLate(d *Directory, age time.Duration) {
+	d.Update([]Worker{worker("a", StateDraining)}, nil, LearnedTimes{"a": time.Now().Add(-age)})
 }
 
-// listedAfterACut finds a draining worker 5 s after all was known last.
-func listedAfterACut(d *Directory) {
+// listedAfterDisconnect reads a list with a draining worker 5 s after everything was known last.
+func listedAfterDisconnect(d *Directory) {
 	d.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
 	listed(d, time.Now().Add(-5*time.Second))
 }
 
-// listed finds a draining worker in a list, if all was known at a time before.
+// listed reads a list with a draining worker, if everything was known up to since.
 func listed(d *Directory, since time.Time) {
-	d.Replace([]Worker{worker("a", StateDraining)}, Learned{"a": d.ListedSince(since)}, since)
+	d.Replace([]Worker{worker("a", StateDraining)}, LearnedTimes{"a": d.EarliestListChange(since)}, since)
 }
 
-func toldThenListed(d *Directory) {
+func updatedThenListed(d *Directory) {
 	d.Update([]Worker{worker("a", StateDraining)}, nil, nil)
 	d.Replace([]Worker{worker("a", StateDraining)}, nil, time.Now())
 }
@@ -72,38 +72,38 @@
 		assert.Equal(t, directory.Count(), 0)
 		directory.Update([]Worker{worker("a", StateReady)}, nil, nil)
 		assert.Equal(t, directory.GoneFor("a"), time.Duration(0))
-		list, _ := directory.Of("s")
+		list, _ := directory.ByService("s")
 		assert.Equal(t, len(list), 1)
 	})
 }
 
-func TestEntriesThatLapsedWithTheServiceAreWaitedFor(t *testing.T) {
+func TestWorkersAreKeptWhenEntriesExpireDuringOutage(t *testing.T) {
 	ready, draining := worker("a", StateReady), worker("a", StateDraining)
 	for name, c := range map[string]struct {
 		learn func(d *Directory)
-		// known a moment later, and known at the end.
+		// soon: known right after; late: still known at the end.
 		soon, late bool
 	}{
-		"listed without it":     {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()) }, soon: true},
-		"told that it is gone":  {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil) }, soon: true},
-		"gone twice":            {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil); d.Replace(nil, nil, time.Now()) }, soon: true},
-		"back soon":             {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Update([]Worker{ready}, nil, nil) }, soon: true, late: true},
-		"back in a list":        {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Replace([]Worker{ready}, nil, time.Now()) }, soon: true, late: true},
-		"draining when it went": {learn: func(d *Directory) { d.Update([]Worker{draining}, nil, nil); d.Replace(nil, nil, time.Now()) }},
+		"missing from a list":       {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()) }, soon: true},
+		"removed by an update":      {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil) }, soon: true},
+		"removed twice":             {learn: func(d *Directory) { d.Update(nil, []ID{"a"}, nil); d.Replace(nil, nil, time.Now()) }, soon: true},
+		"back soon":                 {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Update([]Worker{ready}, nil, nil) }, soon: true, late: true},
+		"back in a list":            {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.Replace([]Worker{ready}, nil, time.Now()) }, soon: true, late: true},
+		"draining when it vanished": {learn: func(d *Directory) { d.Update([]Worker{draining}, nil, nil); d.Replace(nil, nil, time.Now()) }},
 		"drains after it was back": {learn: func(d *Directory) {
 			d.Replace(nil, nil, time.Now())
 			d.Update([]Worker{draining}, nil, nil)
 			d.Replace(nil, nil, time.Now())
 		}},
-		"others were not cut off": {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.EndSettling() }},
-		"nor before it was gone":  {learn: func(d *Directory) { d.EndSettling(); d.Replace(nil, nil, time.Now()) }},
-		"after all have settled":  {learn: func(d *Directory) { time.Sleep(2 * SettleTime); d.Replace(nil, nil, time.Now()) }},
+		"others were connected":        {learn: func(d *Directory) { d.Replace(nil, nil, time.Now()); d.EndSettling() }},
+		"others were connected before": {learn: func(d *Directory) { d.EndSettling(); d.Replace(nil, nil, time.Now()) }},
+		"after settling":               {learn: func(d *Directory) { time.Sleep(2 * SettleTime); d.Replace(nil, nil, time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				directory := NewDirectory()
 				directory.Replace([]Worker{ready}, nil, time.Now())
-				directory.Settle(time.Now().Add(SettleTime))
+				directory.BeginSettling(time.Now().Add(SettleTime))
 				c.learn(directory)
 				_, known := directory.Get("a")
 				assert.Equal(t, known, c.soon)
@@ -118,19 +118,20 @@
 	}
 }
 
-// Operators see from these which worker was kept on suspicion, and until when.
-func TestWhatVanishesIsReported(t *testing.T) {
+// These reports show operators which workers were kept although their entries vanished, and until
+// when.
+func TestVanishedEntriesAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		settling bool
 		learn    func(d *Directory) Vanished
 		want     Vanished
 		expired  []ID
 	}{
-		"from a list":       {learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Gone: []ID{"a"}}},
-		"by a change":       {learn: func(d *Directory) Vanished { return d.Update(nil, []ID{"a", "never known"}, nil) }, want: Vanished{Gone: []ID{"a"}}},
-		"kept":              {settling: true, learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Kept: []ID{"a"}}, expired: []ID{"a"}},
-		"kept, told again":  {settling: true, learn: goneTwice, want: Vanished{}, expired: []ID{"a"}},
-		"kept, and is back": {settling: true, learn: goneAndBack, want: Vanished{}},
+		"from a list":         {learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Gone: []ID{"a"}}},
+		"by an update":        {learn: func(d *Directory) Vanished { return d.Update(nil, []ID{"a", "never known"}, nil) }, want: Vanished{Gone: []ID{"a"}}},
+		"kept":                {settling: true, learn: func(d *Directory) Vanished { return d.Replace(nil, nil, time.Now()) }, want: Vanished{Kept: []ID{"a"}}, expired: []ID{"a"}},
+		"kept, removed again": {settling: true, learn: goneTwice, want: Vanished{}, expired: []ID{"a"}},
+		"kept, and is back":   {settling: true, learn: goneAndBack, want: Vanished{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -139,14 +140,14 @@
 				directory.OnExpired(func(ids []ID) { expired = append(expired, ids...) })
 				directory.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
 				if c.settling {
-					directory.Settle(time.Now().Add(SettleTime))
+					directory.BeginSettling(time.Now().Add(SettleTime))
 				}
 				assert.DeepEqual(t, c.learn(directory), c.want)
-				assert.Equal(t, directory.Kept(), len(c.expired))
+				assert.Equal(t, directory.KeptCount(), len(c.expired))
 				time.Sleep(SettleTime)
 				synctest.Wait()
 				assert.DeepEqual(t, expired, c.expired)
-				assert.Equal(t, directory.Kept(), 0)
+				assert.Equal(t, directory.KeptCount(), 0)
 			})
 		})
 	}
@@ -162,40 +163,40 @@
 	return d.Update([]Worker{worker("a", StateReady)}, nil, nil)
 }
 
-// A service that comes and goes begins the wait anew each time. A worker that left is not kept
-// for all of that.
-func TestAVanishedEntryIsWaitedForOnce(t *testing.T) {
+// A service that repeatedly becomes unreachable begins a settling period each time. A worker that
+// left must not be kept for all of them.
+func TestRepeatedOutagesDoNotExtendTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("a", StateReady)}, nil, time.Now())
-		directory.Settle(time.Now().Add(SettleTime))
+		directory.BeginSettling(time.Now().Add(SettleTime))
 		directory.Replace(nil, nil, time.Now())
 		for range 5 {
 			time.Sleep(SettleTime / 2)
-			directory.Settle(time.Now().Add(SettleTime))
+			directory.BeginSettling(time.Now().Add(SettleTime))
 			directory.Replace(nil, nil, time.Now())
 		}
 		synctest.Wait()
 		_, known := directory.Get("a")
 		assert.Assert(t, !known)
-		assert.Equal(t, directory.GoneFor("a"), 5*SettleTime/2, "counted from when its entry went")
+		assert.Equal(t, directory.GoneFor("a"), 5*SettleTime/2, "counted from when its entry vanished")
 	})
 }
 
-func TestTheWaitOfOthersIsShorterForEachEntry(t *testing.T) {
+func TestPeerSettlingIsLimitedPerEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		settle func(d *Directory, now time.Time)
 		kept   time.Duration
 	}{
-		"of others":            {settle: func(d *Directory, now time.Time) { d.SettleTold(now.Add(SettleTime), time.Second) }, kept: time.Second},
-		"of others, soon over": {settle: func(d *Directory, now time.Time) { d.SettleTold(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
-		"its own":              {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(SettleTime)) }, kept: SettleTime},
+		"of a peer":       {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(SettleTime), time.Second) }, kept: time.Second},
+		"peer, ends soon": {settle: func(d *Directory, now time.Time) { d.BeginPeerSettling(now.Add(time.Second/2), time.Second) }, kept: time.Second / 2},
+		"its own":         {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(SettleTime)) }, kept: SettleTime},
 		"both": {settle: func(d *Directory, now time.Time) {
-			d.SettleTold(now.Add(time.Second), time.Second)
-			d.Settle(now.Add(2 * time.Second))
+			d.BeginPeerSettling(now.Add(time.Second), time.Second)
+			d.BeginSettling(now.Add(2 * time.Second))
 		}, kept: 2 * time.Second},
-		"its own has passed":      {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(-time.Second)) }},
-		"its own is counted anew": {settle: func(d *Directory, now time.Time) { d.Settle(now.Add(time.Second)); d.Settle(now) }},
+		"own has passed":  {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(-time.Second)) }},
+		"own is replaced": {settle: func(d *Directory, now time.Time) { d.BeginSettling(now.Add(time.Second)); d.BeginSettling(now) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -214,15 +215,15 @@
 	}
 }
 
-func TestAWorkerThatIsInNoListIsMissedFromWhenItIsAskedFor(t *testing.T) {
+func TestUnlistedWorkerIsGoneSinceItsFirstLookup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		assert.Equal(t, directory.GoneFor("a"), time.Duration(0))
 		time.Sleep(time.Second)
-		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "no list was read")
+		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "no list has been read")
 		directory.Replace(nil, nil, time.Now())
 		time.Sleep(time.Second)
-		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "its entry may be on its way")
+		assert.Equal(t, directory.GoneFor("a"), time.Duration(0), "first lookup: its entry may follow")
 		time.Sleep(time.Second)
 		assert.Equal(t, directory.GoneFor("a"), time.Second)
 		directory.Update([]Worker{worker("a", StateReady)}, nil, nil)
@@ -230,19 +231,19 @@
 	})
 }
 
-// A worker goes on to leave while this machine is suspended.
-func TestTimesOfWorkersCountASuspension(t *testing.T) {
+// Workers continue to leave while this machine is suspended.
+func TestWorkerTimesIncludeSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		directory.Replace([]Worker{worker("drains", StateReady), worker("leaves", StateReady), worker("lapses", StateReady)}, nil, time.Now())
-		directory.Settle(clock.Now().Add(time.Hour))
+		directory.BeginSettling(clock.Now().Add(time.Hour))
 		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"lapses"}, nil)
-		directory.Settle(clock.Now())
+		directory.BeginSettling(clock.Now())
 		directory.Update(nil, []ID{"leaves"}, nil)
 		defer clock.Suspend(8 * time.Second)()
 		assert.Equal(t, directory.DrainingFor("drains"), 8*time.Second)
 		assert.Equal(t, directory.GoneFor("leaves"), 8*time.Second)
 		directory.Expire()
-		assert.Equal(t, directory.Kept(), 0)
+		assert.Equal(t, directory.KeptCount(), 0)
 	})
 }
