--- a/internal/bodies/pipe.go
+++ b/internal/bodies/pipe.go
@@ -154,10 +154,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := &Spool{budget: p.budget, length: p.buffered}
-	for _, one := range p.parts {
-		s.reserved += one.reserved
-		if len(one.bytes) > 0 {
-			s.pieces = append(s.pieces, one.bytes)
+	for _, pending := range p.parts {
+		s.reserved += pending.reserved
+		if len(pending.bytes) > 0 {
+			s.pieces = append(s.pieces, pending.bytes)
 		}
 	}
 	p.parts, p.buffered, p.closed = nil, 0, true
@@ -211,8 +211,8 @@
 func (p *Pipe) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.parts {
-		p.budget.Release(one.reserved)
+	for _, pending := range p.parts {
+		p.budget.Release(pending.reserved)
 	}
 	p.parts, p.buffered, p.closed = nil, 0, true
 	p.changed.Broadcast()
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -284,7 +284,8 @@
 	}
 }
 
-// responseDone is called when the first response of the queue was written or has failed.
+// responseDone is called when the first response of the queue was written, or when a response can't
+// be written.
 func (c *conn) responseDone(r *response) {
 	c.splitter.running.Add(-1)
 	c.mu.Lock()
--- a/internal/pipeline/splitter.go
+++ b/internal/pipeline/splitter.go
@@ -95,14 +95,14 @@
 
 // onStateChange notifies a connection that net/http has answered its request.
 func (s *Splitter) onStateChange(accepted net.Conn, state http.ConnState) {
-	if c, ours := accepted.(*conn); ours && state == http.StateIdle {
+	if c, ok := accepted.(*conn); ok && state == http.StateIdle {
 		c.serverIdle()
 	}
 }
 
 // serveFromServer serves a request that net/http has read.
 func (s *Splitter) serveFromServer(writer http.ResponseWriter, request *http.Request) {
-	if c, ours := request.Context().Value(connKey{}).(*conn); ours {
+	if c, ok := request.Context().Value(connKey{}).(*conn); ok {
 		writer = &serverWriter{ResponseWriter: writer, conn: c}
 	}
 	s.handler.ServeHTTP(writer, request)
--- a/internal/upstream/large_test.go
+++ b/internal/upstream/large_test.go
@@ -46,13 +46,13 @@
 func (w *scriptedWorker) newMessage(t *testing.T, body io.Reader, length, buffered int64) *Message {
 	t.Helper()
 	spool := bodies.NewSpool(w.budget, false)
-	whole, err := spool.Fill(body, length, buffered)
+	complete, err := spool.Fill(body, length, buffered)
 	assert.NilError(t, err)
 	m := &Message{
 		Method: "POST", URI: "/x", Host: "h", ID: "one", Header: http.Header{"X-Id": {"one"}}, Body: spool, Length: spool.Length(),
 		Budget: w.budget, Shaper: bodies.NewLinkShaper(0), AnswerBufferSize: testBudget, AtMostOnce: true,
 	}
-	if !whole {
+	if !complete {
 		m.Rest, m.Length = body, length
 	}
 	return m
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -124,7 +124,8 @@
 }
 
 // ParseLeaving reports whether any of the headers states that the worker is leaving. A malformed
-// value counts as true, since a worker that is not leaving sends no such header.
+// value counts as true, since a worker that is not leaving sends no such header; an empty one does
+// not.
 func ParseLeaving(values []string) bool {
 	for _, value := range values {
 		text := strings.TrimSpace(value)
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -91,16 +91,16 @@
 	if err != nil {
 		return count > 0, false, err
 	}
-	paced := e.message.Shaper.NewWriter(ctx, e.conn.Conn)
+	shaped := e.message.Shaper.NewWriter(ctx, e.conn.Conn)
 	if e.message.Rest != nil && e.message.Length < 0 {
-		truncated, err = e.writeChunked(&chunkWriter{to: paced})
+		truncated, err = e.writeChunked(&chunkWriter{to: shaped})
 		return true, truncated, err
 	}
 	pieces := e.message.Body.Pieces()
-	if _, err = pieces.WriteTo(paced); err != nil || e.message.Rest == nil {
+	if _, err = pieces.WriteTo(shaped); err != nil || e.message.Rest == nil {
 		return true, false, err
 	}
-	truncated, err = e.copyRest(paced, e.message.Length-e.message.Body.Length())
+	truncated, err = e.copyRest(shaped, e.message.Length-e.message.Body.Length())
 	return true, truncated, err
 }
 
