--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -36,4 +36,4 @@
 }
 
 // Counts reports whether Now counts the time for which the machine is suspended.
-func Counts() bool { return kernel != nil }
+func CountsSuspension() bool { return kernel != nil }
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -23,7 +23,7 @@
 
 func TestBackoffDoublesUpToItsLongest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		backoff := Backoff{First: time.Second, Longest: 3 * time.Second}
+		backoff := Backoff{Initial: time.Second, Max: 3 * time.Second}
 		slept := func() time.Duration {
 			began := time.Now()
 			assert.Assert(t, backoff.Sleep(t.Context()))
@@ -46,11 +46,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				backoff := Backoff{First: time.Second, Longest: 3 * time.Second}
+				backoff := Backoff{Initial: time.Second, Max: 3 * time.Second}
 				backoff.Sleep(t.Context())
 				backoff.Sleep(t.Context())
 				began := time.Now()
-				backoff.SleepRest(t.Context(), c.took)
+				backoff.SleepAfter(t.Context(), c.took)
 				assert.Equal(t, time.Since(began), c.slept)
 			})
 		})
--- a/internal/clock/steady.go
+++ b/internal/clock/suspension.go
@@ -12,14 +12,14 @@
 // contexts are the runtime's, and take times of time.Now.
 //
 // Asking the kernel costs a system call, so what a machine was suspended for is looked at every
-// LookEvery, and by Refresh before each order that a promise rests on.
+// PollInterval, and by Refresh before each order that a promise rests on.
 
 const (
-	// LookEvery is the pause between looks at the kernel's clock. A process that wakes believes
+	// PollInterval is the pause between looks at the kernel's clock. A process that wakes believes
 	// for as long that no time has passed, but for what Refresh goes before; the users' platform
 	// gives it 3 s to catch up. Each look wakes the process: with 100 ms a quiet day of 11
 	// routers cost 6.38 s of processor time in place of 6.09 (means of three runs each).
-	LookEvery = 500 * time.Millisecond
+	PollInterval = 500 * time.Millisecond
 	// leastSuspension is the least time that counts as a suspension: the two clocks are read
 	// one after the other, microseconds apart.
 	leastSuspension = 20 * time.Millisecond
@@ -47,8 +47,8 @@
 // Nanos returns a time of Now as a number, for atomic variables.
 func Nanos(t time.Time) int64 { return int64(t.Sub(began)) }
 
-// OfNanos returns the time that a number of Nanos stands for.
-func OfNanos(nanos int64) time.Time { return began.Add(time.Duration(nanos)) }
+// FromNanos returns the time that a number of Nanos stands for.
+func FromNanos(nanos int64) time.Time { return began.Add(time.Duration(nanos)) }
 
 // Suspended returns for how long the machine was suspended since the process began, as far as
 // that was looked at.
@@ -114,7 +114,7 @@
 
 // Suspend lets Now jump as if the machine had been suspended, for tests, which must not run
 // beside others. What it returns takes that back.
-func Suspend(d time.Duration) (restore func()) {
+func SimulateSuspension(d time.Duration) (restore func()) {
 	before := suspended.Add(int64(d)) - int64(d)
 	return func() { suspended.Store(before) }
 }
--- a/internal/clock/steady_test.go
+++ b/internal/clock/suspension_test.go
@@ -46,11 +46,11 @@
 
 func TestNowGoesOnWhileTheMachineIsSuspended(t *testing.T) {
 	began := Now()
-	restore := Suspend(8 * time.Second)
+	restore := SimulateSuspension(8 * time.Second)
 	defer restore()
 	assert.Assert(t, Since(began) >= 8*time.Second)
 	assert.Assert(t, Until(began.Add(10*time.Second)) <= 2*time.Second)
-	assert.Assert(t, OfNanos(Nanos(began)).Equal(began))
+	assert.Assert(t, FromNanos(Nanos(began)).Equal(began))
 	assert.Equal(t, Refresh(), time.Duration(0), "this machine was not")
 }
 
--- a/internal/coord/follow.go
+++ b/internal/coord/follow.go
@@ -79,7 +79,7 @@
 // Follow keeps a view up to date with the items under a prefix until ctx ends.
 func Follow(ctx context.Context, store Store, prefix string, view View, options Options) {
 	follower := &follower{store: store, prefix: prefix, view: view, options: options}
-	follower.backoff = clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
+	follower.backoff = clock.Backoff{Initial: retryDelay, Max: maxRetryDelay}
 	for ctx.Err() == nil {
 		if err := follower.step(ctx); err != nil && ctx.Err() == nil {
 			follower.handleFailure(ctx, err)
@@ -267,5 +267,5 @@
 	if first && took >= maxRetryDelay { // the watch that timed out was delay enough
 		return
 	}
-	f.backoff.SleepRest(ctx, took)
+	f.backoff.SleepAfter(ctx, took)
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -100,7 +100,7 @@
 // first. It uses short watches, since a watch that the service dropped without notice reports no
 // change.
 func (e *Election) AwaitLeaderChange(ctx context.Context, leader Leader) bool {
-	backoff := clock.Backoff{First: retryDelay, Longest: maxRetryDelay}
+	backoff := clock.Backoff{Initial: retryDelay, Max: maxRetryDelay}
 	after := leader.Revision
 	for ctx.Err() == nil {
 		changed, at, err := e.watchLeader(ctx, leader, after)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -179,7 +179,7 @@
 		tenure, err := candidate(memory.New(), "a").Campaign(t.Context(), 0)
 		assert.NilError(t, err)
 		assert.Assert(t, clock.Now().Before(tenure.AuthorityUntil()))
-		defer clock.Suspend(2 * LeaseTTL)()
+		defer clock.SimulateSuspension(2 * LeaseTTL)()
 		assert.Assert(t, clock.Now().After(tenure.AuthorityUntil()))
 	})
 }
--- a/internal/keeper/suspend_test.go
+++ b/internal/keeper/suspend_test.go
@@ -31,7 +31,7 @@
 			before := b.grantCount()
 			assert.Assert(t, before > 0)
 			b.store.SetDown(true)
-			restore := clock.Suspend(12 * time.Second)
+			restore := clock.SimulateSuspension(12 * time.Second)
 			defer restore()
 			time.Sleep(2 * time.Second)
 			assert.Equal(t, b.grantCount(), before)
--- a/internal/lab/link/rate.go
+++ b/internal/lab/link/bandwidth.go
@@ -7,24 +7,24 @@
 
 // Rate is a bandwidth that links share: bytes leave in the order in which they come, one way. It
 // is safe for concurrent use.
-type Rate struct {
+type Bandwidth struct {
 	perSecond float64
 	mu        sync.Mutex
 	free      time.Time
 }
 
-// NewRate returns a bandwidth, in bytes a second.
-func NewRate(bytesPerSecond float64) *Rate { return &Rate{perSecond: bytesPerSecond} }
+// NewBandwidth returns a bandwidth, in bytes a second.
+func NewBandwidth(bytesPerSecond float64) *Bandwidth { return &Bandwidth{perSecond: bytesPerSecond} }
 
 // Queue returns how long bytes that come now wait for those before them.
-func (r *Rate) Queue(now time.Time) time.Duration {
+func (r *Bandwidth) QueueDelay(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(0, r.free.Sub(now))
 }
 
 // take lets bytes wait for those before them, and returns when they have passed.
-func (r *Rate) take(now time.Time, bytes int) time.Time {
+func (r *Bandwidth) take(now time.Time, bytes int) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.free.Before(now) {
@@ -36,8 +36,8 @@
 
 // Share makes the link's requests and answers take their turns with those of other links. Nil:
 // as many as there are pass at once.
-func (l *Link) Share(requests, answers *Rate) {
-	l.ShareFrom("", requests, answers)
+func (l *Link) SetBandwidth(requests, answers *Bandwidth) {
+	l.SetOriginBandwidth("", requests, answers)
 }
 
 // awaitTurn waits until bytes have passed.
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -11,26 +11,26 @@
 )
 
 // Harm is what is done to the connections of a link.
-type Harm int
+type Fault int
 
 // Ways to harm connections.
 const (
 	// None passes all bytes.
-	None Harm = iota
+	NoFault Fault = iota
 	// Delays passes them later.
 	Delays
 	// Silences passes nothing either way; connections stay open, and new ones hang as well.
-	Silences
+	BlocksTraffic
 	// Deafens passes requests and no answers.
-	Deafens
+	BlocksResponses
 	// Mutes passes answers and no requests.
-	Mutes
+	BlocksRequests
 	// Strands silences the connections that there are for good, while new ones work.
-	Strands
+	BlocksExisting
 	// Resets resets all connections, and each new one.
-	Resets
+	ResetsConnections
 	// Truncates resets connections in the middle of an answer.
-	Truncates
+	TruncatesResponses
 )
 
 const (
@@ -47,15 +47,15 @@
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
-	harm     Harm
+	harm     Fault
 	// origin tells who has made a connection, from and to which address; nil: nobody asks. from are the harms to the
 	// connections of each, beside that to all.
 	origin func(from, to netip.AddrPort) string
-	from   map[string]Harm
+	from   map[string]Fault
 	pairs  map[*pair]struct{}
 	closed bool
 	// rates bound requests and answers, by who has made the connection; nil: nothing does.
-	rates map[string][2]*Rate
+	rates map[string][2]*Bandwidth
 }
 
 // pair is one connection and its other half.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{listener: listener, to: to, pairs: map[*pair]struct{}{}, from: map[string]Harm{}, rates: map[string][2]*Rate{}}
+	l := &Link{listener: listener, to: to, pairs: map[*pair]struct{}{}, from: map[string]Fault{}, rates: map[string][2]*Bandwidth{}}
 	go l.accept()
 	return l, nil
 }
@@ -82,15 +82,15 @@
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 // Set changes what is done to the connections, those that there are included.
-func (l *Link) Set(harm Harm) {
+func (l *Link) SetFault(harm Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.harm = harm
 	for one := range l.pairs {
 		switch harm {
-		case Strands:
+		case BlocksExisting:
 			one.stranded = true
-		case Resets:
+		case ResetsConnections:
 			one.reset()
 		}
 	}
@@ -136,7 +136,7 @@
 	one := &pair{near: near, far: far}
 	l.lookUp(one)
 	l.mu.Lock()
-	refused := l.closed || l.harm == Resets
+	refused := l.closed || l.harm == ResetsConnections
 	if !refused {
 		l.pairs[one] = struct{}{}
 	}
@@ -172,14 +172,14 @@
 		_, known := l.pairs[of]
 		l.mu.Unlock()
 		switch {
-		case !open || !known || harm == Resets:
+		case !open || !known || harm == ResetsConnections:
 			return false
-		case stranded, harm == Silences, harm == Deafens && answers, harm == Mutes && !answers:
+		case stranded, harm == BlocksTraffic, harm == BlocksResponses && answers, harm == BlocksRequests && !answers:
 			time.Sleep(wait)
 			continue
 		case harm == Delays:
 			time.Sleep(delay)
-		case harm == Truncates && answers:
+		case harm == TruncatesResponses && answers:
 			_, _ = to.Write(bytes[:min(truncated, len(bytes))])
 			return false
 		}
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -43,29 +43,29 @@
 
 func TestHarms(t *testing.T) {
 	for name, c := range map[string]struct {
-		harm Harm
+		harm Fault
 		// kept and fresh say that an answer comes on the connection that there was, and on a
 		// new one.
 		kept, fresh bool
 	}{
-		"none":      {harm: None, kept: true, fresh: true},
+		"none":      {harm: NoFault, kept: true, fresh: true},
 		"delays":    {harm: Delays, kept: true, fresh: true},
-		"silences":  {harm: Silences},
-		"deafens":   {harm: Deafens},
-		"mutes":     {harm: Mutes},
-		"strands":   {harm: Strands, fresh: true},
-		"resets":    {harm: Resets},
-		"truncates": {harm: Truncates},
+		"silences":  {harm: BlocksTraffic},
+		"deafens":   {harm: BlocksResponses},
+		"mutes":     {harm: BlocksRequests},
+		"strands":   {harm: BlocksExisting, fresh: true},
+		"resets":    {harm: ResetsConnections},
+		"truncates": {harm: TruncatesResponses},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			link, client := newLink(t)
 			assert.NilError(t, ask(link, client))
-			link.Set(c.harm)
+			link.SetFault(c.harm)
 			assert.Equal(t, ask(link, client) == nil, c.kept)
 			client.CloseIdleConnections()
 			assert.Equal(t, ask(link, client) == nil, c.fresh)
-			link.Set(None)
+			link.SetFault(NoFault)
 			client.CloseIdleConnections()
 			assert.NilError(t, ask(link, client))
 		})
@@ -75,14 +75,14 @@
 // What links share takes its turn: the last of several bodies has waited for all of them.
 func TestLinksShareARate(t *testing.T) {
 	const perSecond = 64 << 10
-	rate := NewRate(perSecond)
+	rate := NewBandwidth(perSecond)
 	start := time.Now()
 	assert.Equal(t, rate.take(start, perSecond/2), start.Add(time.Second/2))
 	assert.Equal(t, rate.take(start, perSecond/2), start.Add(time.Second))
-	assert.Equal(t, rate.Queue(start.Add(300*time.Millisecond)), 700*time.Millisecond)
+	assert.Equal(t, rate.QueueDelay(start.Add(300*time.Millisecond)), 700*time.Millisecond)
 	assert.Equal(t, rate.take(start.Add(2*time.Second), perSecond), start.Add(3*time.Second))
 	link, client := newLink(t)
-	link.Share(nil, NewRate(1000))
+	link.SetBandwidth(nil, NewBandwidth(1000))
 	began := time.Now()
 	assert.NilError(t, ask(link, client))
 	assert.Assert(t, time.Since(began) >= time.Duration(len(body))*time.Millisecond)
@@ -91,13 +91,13 @@
 // What is done to the connections of one leaves those of others as they are.
 func TestHarmsByWhoAsks(t *testing.T) {
 	for name, c := range map[string]struct {
-		harm          Harm
+		harm          Fault
 		struck, other bool
 	}{
-		"none":     {harm: None, struck: true, other: true},
-		"silences": {harm: Silences, other: true},
-		"deafens":  {harm: Deafens, other: true},
-		"mutes":    {harm: Mutes, other: true},
+		"none":     {harm: NoFault, struck: true, other: true},
+		"silences": {harm: BlocksTraffic, other: true},
+		"deafens":  {harm: BlocksResponses, other: true},
+		"mutes":    {harm: BlocksRequests, other: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -106,14 +106,14 @@
 			origins := make(chan string, 2)
 			origins <- "struck"
 			origins <- "other"
-			link.Ask(func(_, _ netip.AddrPort) string { return <-origins })
-			link.SetFrom("third", Silences) // from now on connections wait until it is known who asks
-			link.ShareFrom("other", nil, NewRate(10000))
+			link.SetOriginLookup(func(_, _ netip.AddrPort) string { return <-origins })
+			link.SetOriginFault("third", BlocksTraffic) // from now on connections wait until it is known who asks
+			link.SetOriginBandwidth("other", nil, NewBandwidth(10000))
 			assert.NilError(t, ask(link, struck))
 			began := time.Now()
 			assert.NilError(t, ask(link, other))
 			assert.Assert(t, time.Since(began) >= time.Duration(len(body))*time.Millisecond/10)
-			link.SetFrom("struck", c.harm)
+			link.SetOriginFault("struck", c.harm)
 			assert.Equal(t, ask(link, other) == nil, c.other)
 			assert.Equal(t, ask(link, struck) == nil, c.struck)
 		})
--- a/internal/lab/link/origin.go
+++ b/internal/lab/link/origin.go
@@ -7,7 +7,7 @@
 
 // Ask lets a function tell from the addresses of a connection who has made it; empty: nobody of
 // whom it knows. Connections that there are stay unknown.
-func (l *Link) Ask(origin func(from, to netip.AddrPort) string) {
+func (l *Link) SetOriginLookup(origin func(from, to netip.AddrPort) string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.origin = origin
@@ -16,17 +16,17 @@
 // SetFrom changes what is done to the connections that one has made, those that there are
 // included: Delays, Silences, Deafens, Mutes
 // or Truncates. What is done to all goes first.
-func (l *Link) SetFrom(origin string, harm Harm) {
+func (l *Link) SetOriginFault(origin string, harm Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.from[origin] = harm
 }
 
 // ShareFrom is Share for the connections that one has made.
-func (l *Link) ShareFrom(origin string, requests, answers *Rate) {
+func (l *Link) SetOriginBandwidth(origin string, requests, answers *Bandwidth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rates[origin] = [2]*Rate{requests, answers}
+	l.rates[origin] = [2]*Bandwidth{requests, answers}
 }
 
 // lookUp finds out who has made a connection: before it passes anything if what is done depends
@@ -51,7 +51,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, harm := range l.from {
-		if harm != None {
+		if harm != NoFault {
 			return true
 		}
 	}
@@ -72,8 +72,8 @@
 }
 
 // harmOf returns what is done to a connection now. The caller holds mu.
-func (l *Link) harmOf(one *pair) Harm {
-	if l.harm != None {
+func (l *Link) harmOf(one *pair) Fault {
+	if l.harm != NoFault {
 		return l.harm
 	}
 	return l.from[one.origin]
--- a/internal/lab/mutate/mutations.go
+++ b/internal/lab/mutate/mutations.go
@@ -16,8 +16,8 @@
 
 // mutations break the rules of docs/PROOFS.md.
 var mutations = slices.Concat(
-	ownerMutations, lifeMutations, requestMutations, newsMutations,
-	harmMutations, clockMutations,
+	ownerMutations, incarnationMutations, requestMutations, updateMutations,
+	quarantineMutations, clockMutations,
 	quotaMutations, tenantMutations, fairMutations,
 	bodyMutations, regionMutations, limitMutations, noticeMutations,
 )
--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_incarnations.go
@@ -1,7 +1,7 @@
 package main
 
-// lifeMutations take what a life of a worker left behind for what the next one has.
-var lifeMutations = []mutation{
+// incarnationMutations take what a life of a worker left behind for what the next one has.
+var incarnationMutations = []mutation{
 	{
 		name: "drain-outlives-its-life",
 		file: "internal/workers/workers.go",
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_quarantine.go
@@ -1,7 +1,7 @@
 package main
 
-// harmMutations let requests that crash workers through, or take others for them.
-var harmMutations = []mutation{
+// quarantineMutations let requests that crash workers through, or take others for them.
+var quarantineMutations = []mutation{
 	{
 		name: "harmful-request-never-quarantined",
 		file: "internal/quarantine/record.go",
@@ -85,7 +85,7 @@
 var clockMutations = []mutation{
 	{
 		name: "lease-on-the-steady-clock",
-		file: "internal/clock/steady.go",
+		file: "internal/clock/suspension.go",
 		old:  "func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }",
 		new:  "func Now() time.Time { return time.Now() }",
 		pkg:  "./internal/election", test: "TestSuspensionEndsAuthority",
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_updates.go
@@ -1,8 +1,8 @@
 package main
 
-// newsMutations act on configurations, evacuations, entries and words of leaders that are older than
+// updateMutations act on configurations, evacuations, entries and words of leaders that are older than
 // what is known, or not approved.
-var newsMutations = []mutation{
+var updateMutations = []mutation{
 	{
 		name: "pool-of-an-evacuated-zone-used",
 		file: "internal/workers/workers.go",
--- a/internal/lab/tracetest/tracetest.go
+++ b/internal/lab/tracetest/tracetest.go
@@ -22,7 +22,7 @@
 // Play runs each script of the package under test as a subtest of its name.
 // The function play gets the script's text and returns all that happened. It is
 // a failure if there is no script at all.
-func Play(t *testing.T, play func(t *testing.T, script string) string) {
+func RunScripts(t *testing.T, play func(t *testing.T, script string) string) {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*" + extension)
 	assert.NilError(t, err)
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestTraces(t *testing.T) {
-	tracetest.Play(t, func(_ *testing.T, script string) string {
+	tracetest.RunScripts(t, func(_ *testing.T, script string) string {
 		head := lifecycle.Head{Team: "tawila"}
 		var trace strings.Builder
 		for line := range strings.Lines(script) {
--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -118,7 +118,7 @@
 	slow, err := lablink.New("127.0.0.1:0", address)
 	assert.NilError(t, err)
 	t.Cleanup(slow.Close)
-	slow.Share(nil, lablink.NewRate(bytesPerSecond))
+	slow.SetBandwidth(nil, lablink.NewBandwidth(bytesPerSecond))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	all := make([]*collector, followers)
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -18,7 +18,7 @@
 	until := now.Add(requested)
 	for {
 		before := b.backoffUntil.Load()
-		currentEnd := clock.OfNanos(before)
+		currentEnd := clock.FromNanos(before)
 		if !until.After(currentEnd) {
 			return 0, false
 		}
@@ -34,7 +34,7 @@
 
 // backoffLeft returns the remaining time of the worker's backoff, or zero if there is none.
 func (b *backend) backoffLeft(now time.Time) time.Duration {
-	return max(0, clock.OfNanos(b.backoffUntil.Load()).Sub(now))
+	return max(0, clock.FromNanos(b.backoffUntil.Load()).Sub(now))
 }
 
 // recordBackoff starts a backoff, or logs that it can't be parsed, if the answer requests one.
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -59,7 +59,7 @@
 func (b *backend) setLimitedUntil(until time.Time) { b.limitUntil.Store(clock.Nanos(until)) }
 
 // limitedUntil returns until when requests are kept away from the worker if it names a limit.
-func (b *backend) limitedUntil() time.Time { return clock.OfNanos(b.limitUntil.Load()) }
+func (b *backend) limitedUntil() time.Time { return clock.FromNanos(b.limitUntil.Load()) }
 
 // limitRetryAfter is when a caller may come back whose request a limit keeps away for some time.
 func limitRetryAfter(wait time.Duration) time.Duration {
--- a/internal/proxy/regionlink_test.go
+++ b/internal/proxy/regionlink_test.go
@@ -32,11 +32,11 @@
 	)
 	large := strings.Repeat("x", answerBytes)
 	far := newFakeWorker(t, "w1", alwaysAnswer(large))
-	rate := link.NewRate(perSecond)
+	rate := link.NewBandwidth(perSecond)
 	between, err := link.New("127.0.0.1:0", far.listener.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(between.Close)
-	between.Share(nil, rate)
+	between.SetBandwidth(nil, rate)
 	entry := far.entry("pool")
 	entry.Address, entry.Zone, entry.Slots = between.Address(), "far", 1000
 	started := time.Now()
@@ -76,7 +76,7 @@
 	longest, looks := time.Duration(0), 0
 	for time.Since(started) < lasts {
 		now := time.Now()
-		queued := rate.Queue(now)
+		queued := rate.QueueDelay(now)
 		if time.Since(now) <= prompt {
 			longest = max(longest, queued)
 			looks++
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -81,7 +81,7 @@
 // storeUnreachable reports whether this process reads the service itself and can't reach it.
 func (p *prefixState) storeUnreachable(now time.Time) bool {
 	failed := p.failedAt.Load()
-	return failed > p.syncedAt.Load() && now.Sub(clock.OfNanos(failed)) < maxAttemptInterval
+	return failed > p.syncedAt.Load() && now.Sub(clock.FromNanos(failed)) < maxAttemptInterval
 }
 
 // newestRevision returns the revision of the newest change that was read.
@@ -268,15 +268,15 @@
 // service.
 func (r *Router) storeSyncedAt() time.Time {
 	if len(r.settings.Operators) > 0 { // bundles define the workers too
-		return clock.OfNanos(r.config.syncedAt.Load())
+		return clock.FromNanos(r.config.syncedAt.Load())
 	}
-	return clock.OfNanos(min(r.entries.syncedAt.Load(), r.config.syncedAt.Load()))
+	return clock.FromNanos(min(r.entries.syncedAt.Load(), r.config.syncedAt.Load()))
 }
 
 // completeAsOf returns the time up to which this process knew everything under a prefix, read from
 // the service or received in updates.
 func (r *Router) completeAsOf(state *prefixState) time.Time {
-	return clock.OfNanos(max(state.syncedAt.Load(), r.updates.currentAsOf()))
+	return clock.FromNanos(max(state.syncedAt.Load(), r.updates.currentAsOf()))
 }
 
 // earliestWatchChange returns the earliest time at which changes that a watch returns now may have
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -56,7 +56,7 @@
 	// The lookup that finds no leader has measured the distance to the store, on which the campaign
 	// delay depends.
 	paused := false
-	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
+	backoff := clock.Backoff{Initial: retryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
 		began := clock.Now()
 		leader, found, err := r.lookUpLeader(ctx)
@@ -71,7 +71,7 @@
 				backoff.Reset()
 				continue
 			}
-			backoff.SleepRest(ctx, clock.Since(began))
+			backoff.SleepAfter(ctx, clock.Since(began))
 		case found && r.hasEnded(ctx, leader):
 			r.proceedWithoutLeader(ctx)
 			paused = r.campaign(ctx, leader.Revision, paused)
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -52,7 +52,7 @@
 // awaitOtherLeader waits until peers name another leader than the lost one. It queries them only
 // while this process can't reach the service, which otherwise names the next leader.
 func (r *Router) awaitOtherLeader(ctx context.Context, lost election.Leader) {
-	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
+	backoff := clock.Backoff{Initial: retryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
 		backoff.Sleep(ctx)
 		if !r.config.storeUnreachable(clock.Now()) {
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	clock.Counts()
+	clock.CountsSuspension()
 	now := clock.Now()
 	tenant := &routing.Tenant{Name: "a", Rate: 1e9, Burst: 1}
 	q := &quotas{holder: quota.NewHolder(now, "n", 1, quota.Bound{Window: 5 * time.Second})}
--- a/internal/router/revocation.go
+++ b/internal/router/revocation.go
@@ -24,6 +24,6 @@
 // configOutdated reports whether keys may have been revoked, without this process knowing, for as
 // long as the settings allow.
 func (r *Router) configOutdated() bool {
-	known := clock.OfNanos(max(r.config.syncedAt.Load(), r.configAsOf.Load()))
+	known := clock.FromNanos(max(r.config.syncedAt.Load(), r.configAsOf.Load()))
 	return clock.Since(known) > r.settings.RevokeWithin.Std()-revocationMargin
 }
--- a/internal/router/suspension.go
+++ b/internal/router/suspension.go
@@ -12,12 +12,12 @@
 // time does so by itself, since clock.Now advances during a suspension; other state is invalidated
 // here.
 func (r *Router) watchSuspension(ctx context.Context) {
-	if !clock.Counts() {
+	if !clock.CountsSuspension() {
 		r.log.Line(decision.KindSuspended).Msg("no clock that includes suspended time on this platform; suspensions are not detected")
 		return
 	}
 	known := clock.Suspended()
-	for clock.Sleep(ctx, clock.LookEvery) {
+	for clock.Sleep(ctx, clock.PollInterval) {
 		clock.Refresh()
 		if now := clock.Suspended(); now > known {
 			r.handleResume(now - known)
--- a/internal/router/suspension_test.go
+++ b/internal/router/suspension_test.go
@@ -18,7 +18,7 @@
 	var source updateSource
 	source.received(clock.Now(), 0, true)
 	assert.Assert(t, source.live())
-	defer clock.Suspend(2 * peerlink.SilenceLimit)()
+	defer clock.SimulateSuspension(2 * peerlink.SilenceLimit)()
 	assert.Assert(t, !source.live())
 }
 
@@ -33,7 +33,7 @@
 		elapse(time.Second)
 		remove(t, store, "w/left")
 		assert.Equal(t, usable(r), 1)
-		defer clock.Suspend(8 * time.Second)()
+		defer clock.SimulateSuspension(8 * time.Second)()
 		r.handleResume(8 * time.Second)
 		elapse(time.Second)
 		assert.Equal(t, usable(r), 0)
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -111,7 +111,7 @@
 		return
 	}
 	readState := b.leader.readState()
-	unreachable := time.Since(clock.OfNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
+	unreachable := time.Since(clock.FromNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
 	readState.Settled = !unreachable && readState.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
 	update := peerlink.Update{Leading: true, StoreUnreachable: unreachable, ReadState: readState}
 	from, to := b.router.entriesView.revision(), b.leader.entriesView.revision()
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -53,12 +53,12 @@
 		"delegation is late":          {delegation: delegation(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
 		"not a standby":               {then: (*Standby).LeaderLost},
 		"asked to stop":               {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
-		"suspended beyond delegation": {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.Suspend(7 * time.Second) }},
+		"suspended beyond delegation": {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.SimulateSuspension(7 * time.Second) }},
 		"leader found again":          {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.HandleUpdate(3, nil) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				defer clock.Suspend(0)()
+				defer clock.SimulateSuspension(0)()
 				log := decision.NewTo(io.Discard, "n")
 				defer log.Close()
 				orders := &countingOrders{}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -240,7 +240,7 @@
 		directory.Update([]Worker{worker("drains", StateDraining)}, []ID{"lapses"}, nil)
 		directory.BeginSettling(clock.Now())
 		directory.Update(nil, []ID{"leaves"}, nil)
-		defer clock.Suspend(8 * time.Second)()
+		defer clock.SimulateSuspension(8 * time.Second)()
 		assert.Equal(t, directory.DrainingFor("drains"), 8*time.Second)
 		assert.Equal(t, directory.GoneFor("leaves"), 8*time.Second)
 		directory.Expire()
--- a/ownership/now.go
+++ b/ownership/now.go
@@ -18,4 +18,4 @@
 }
 
 // CountsSuspension reports whether Now counts the time for which the machine is suspended.
-func CountsSuspension() bool { return clock.Counts() }
+func CountsSuspension() bool { return clock.CountsSuspension() }
--- a/ownership/now_test.go
+++ b/ownership/now_test.go
@@ -18,7 +18,7 @@
 	work, begun := holder.Begin(Now(), 5)
 	assert.Assert(t, begun)
 	defer work.End()
-	defer clock.Suspend(4 * time.Second)()
+	defer clock.SimulateSuspension(4 * time.Second)()
 	assert.Assert(t, !holder.Holds(Now(), 5))
 	assert.Assert(t, !work.StillHeld(Now()), "its effect must not be kept")
 	_, begun = holder.Begin(Now(), 5)
