--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -63,7 +63,7 @@
 func (b *backend) setLimitedUntil(until time.Time) { b.limitUntil.Store(clock.Nanos(until)) }
 
 // limitedUntil returns the time until which the worker is blocked if it has a rate limit.
-func (b *backend) limitedUntil() time.Time { return clock.OfNanos(b.limitUntil.Load()) }
+func (b *backend) limitedUntil() time.Time { return clock.FromNanos(b.limitUntil.Load()) }
 
 // limitRetryAfter returns the Retry-After delay of a request that a rate limit blocks for the given
 // time.
