--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -177,7 +177,7 @@
 	flags.attach(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
-			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ReadWorker}
+			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ParseWorker}
 			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
 	}}
