--- a/Makefile
+++ b/Makefile
@@ -20,9 +20,9 @@
 	go test -run '^$$' -fuzz FuzzFollow -fuzztime $(FUZZTIME) ./internal/peerlink
 	go test -run '^$$' -fuzz FuzzLoad -fuzztime $(FUZZTIME) ./internal/owner
 	go test -run '^$$' -fuzz FuzzRead -fuzztime $(FUZZTIME) -fuzzminimizetime 5x ./internal/bundle
-	go test -run '^$$' -fuzz FuzzReadConfig -fuzztime $(FUZZTIME) -fuzzminimizetime 5x ./platform
-	go test -run '^$$' -fuzz FuzzReadWorker -fuzztime $(FUZZTIME) ./platform
-	go test -run '^$$' -fuzz FuzzSealConfig -fuzztime $(FUZZTIME) -fuzzminimizetime 5x ./platform
+	go test -run '^$$' -fuzz FuzzParseConfig -fuzztime $(FUZZTIME) -fuzzminimizetime 5x ./platform
+	go test -run '^$$' -fuzz FuzzParseWorker -fuzztime $(FUZZTIME) ./platform
+	go test -run '^$$' -fuzz FuzzHashAPIKeys -fuzztime $(FUZZTIME) -fuzzminimizetime 5x ./platform
 	go test -run '^$$' -fuzz FuzzIdentify -fuzztime $(FUZZTIME) ./internal/tenant
 
 bench:
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -77,6 +77,6 @@
 		file: "internal/upstream/notice.go",
 		old:  "parseLimit(response.Header.Values(h.Limit))",
 		new:  "parseLimit(nil)",
-		pkg:  "./platform/session", test: "TestAWorkerThatNamesALimitGetsNoMoreFromAllRoutersTogether",
+		pkg:  "./platform/session", test: "TestWorkerLimitHoldsAcrossAllRouters",
 	},
 }
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -8,7 +8,7 @@
 		file: "internal/upstream/notice.go",
 		old:  "SaysLeaving(response.Header.Values(h.Leaving))",
 		new:  "SaysLeaving(nil)",
-		pkg:  "./platform/session", test: "TestAWorkerThatSaysInAnswersThatItLeavesGetsNoMoreRequests",
+		pkg:  "./platform/session", test: "TestWorkerThatSignalsLeavingGetsNoMoreRequests",
 	},
 	{
 		name: "entry-ends-a-workers-word",
@@ -36,21 +36,21 @@
 		file: "internal/peerlink/update.go",
 		old:  "	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.NewMessage)\n",
 		new:  "	_ = departure.NewMessage\n",
-		pkg:  "./platform/session", test: "TestAllRoutersKnowThatAWorkerLeavesThroughRelays",
+		pkg:  "./platform/session", test: "TestLeavingWorkerIsKnownThroughRelays",
 	},
 	{
 		name: "leader-is-not-told-who-leaves",
 		file: "internal/router/report.go",
 		old:  "	report.Leaving = r.leaving.report()\n",
 		new:  "",
-		pkg:  "./platform/session", test: "TestOthersKnowThatAWorkerOfAPoolLeaves",
+		pkg:  "./platform/session", test: "TestLeavingPoolWorkerIsKnownToOtherRouters",
 	},
 	{
 		name: "orders-do-not-tell-that-a-worker-leaves",
 		file: "platform/orders.go",
 		old:  "upstream.SaysLeaving(response.Header.Values(leavingHeader))",
 		new:  "upstream.SaysLeaving(nil)",
-		pkg:  "./platform", test: "TestOrdersTellThatTheirWorkerLeaves",
+		pkg:  "./platform", test: "TestOrderReplyReportsLeavingWorker",
 	},
 	{
 		name: "shorter-backoff-ends-a-longer-one",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -77,7 +77,7 @@
 		file: "internal/router/serve.go",
 		old:  "\t_ = server.Shutdown(bounded)",
 		new:  "\t_ = bounded\n\t_ = server.Close()",
-		pkg:  "./platform/session", test: "TestPlannedStopCutsNothing",
+		pkg:  "./platform/session", test: "TestPlannedStopInterruptsNoRequests",
 	},
 	{
 		name: "quarantined-request-waits-its-turn",
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -81,10 +81,10 @@
 	},
 	{
 		name: "keys-sealed-in-one-spelling",
-		file: "platform/seal.go",
+		file: "platform/hashkeys.go",
 		old:  "		if !strings.EqualFold(field, keysField) {",
 		new:  "		if field != keysField {",
-		pkg:  "./platform", test: "TestKeysAreSealedHoweverTheyAreWritten",
+		pkg:  "./platform", test: "TestHashAPIKeysInAnySpelling",
 	},
 	{
 		name: "key-in-the-complaint-of-a-bundle",
@@ -112,7 +112,7 @@
 		file: "internal/router/lead.go",
 		old:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found {",
 		new:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found && false {",
-		pkg:  "./platform/session", test: "TestRefusedRoutersFindTheNextLeader",
+		pkg:  "./platform/session", test: "TestRoutersWithoutStoreFindNextLeader",
 	},
 	{
 		name: "leader-named-but-not-asked",
