--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_incarnations.go
@@ -1,7 +1,7 @@
 package main
 
-// lifeMutations take what a life of a worker left behind for what the next one has.
-var lifeMutations = []mutation{
+// incarnationMutations take what a life of a worker left behind for what the next one has.
+var incarnationMutations = []mutation{
 	{
 		name: "drain-outlives-its-life",
 		file: "internal/workers/workers.go",
@@ -28,7 +28,7 @@
 		file: "internal/quarantine/record.go",
 		old:  "workers.Incarnation{ID: c.Worker, StartTime: c.Born}",
 		new:  "workers.Incarnation{ID: c.Worker}",
-		pkg:  "./internal/quarantine", test: "TestEachLifeThatCrashesCounts",
+		pkg:  "./internal/quarantine", test: "TestCrashOfEachIncarnationCounts",
 	},
 	{
 		name: "overwritten-entry-waited-for",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -33,14 +33,14 @@
 	{
 		name: "cold-worker-gets-any-number",
 		file: "internal/proxy/coldlimiter.go",
-		old:  "\treturn g.tokens >= 1",
+		old:  "\treturn l.tokens >= 1",
 		new:  "\treturn true",
 		pkg:  "./internal/proxy", test: "TestColdWorkerRateHoldsOverAllProcesses",
 	},
 	{
 		name: "written-to-a-connection-that-is-reset",
 		file: "internal/upstream/exchange.go",
-		old:  "\tif message.Once && !connection.used &&",
+		old:  "\tif message.AtMostOnce && !connection.used &&",
 		new:  "\tif false &&",
 		pkg:  "./internal/proxy", test: "TestConnectionResetBeforeWriteMeansNotRun",
 	},
@@ -77,13 +77,13 @@
 		file: "internal/router/serve.go",
 		old:  "\t_ = server.Shutdown(bounded)",
 		new:  "\t_ = bounded\n\t_ = server.Close()",
-		pkg:  "./platform/session", test: "TestPlannedStopCutsNothing",
+		pkg:  "./platform/session", test: "TestPlannedStopInterruptsNoRequests",
 	},
 	{
 		name: "quarantined-request-waits-its-turn",
-		file: "internal/quarantine/ledger.go",
+		file: "internal/quarantine/changelog.go",
 		old:  "entry.version > upTo && entry.record.Standing() != Quarantined",
 		new:  "entry.version > upTo",
-		pkg:  "./internal/quarantine", test: "TestWhatALedgerTells",
+		pkg:  "./internal/quarantine", test: "TestChangeLogSince",
 	},
 }
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -5,8 +5,8 @@
 	{
 		name: "caller-names-its-tenant",
 		file: "internal/upstream/message.go",
-		old:  "(m.Guarded && headers.Tells(name))",
-		new:  "(m.Guarded && name == \"Authorization\")",
+		old:  "(m.StripIdentity && headers.IdentifiesCaller(name))",
+		new:  "(m.StripIdentity && name == \"Authorization\")",
 		pkg:  "./internal/proxy", test: "TestPublicRouteSendsNoTenant",
 	},
 	{
@@ -26,7 +26,7 @@
 	{
 		name: "own-headers-dropped-by-the-other-side",
 		file: "internal/upstream/headers.go",
-		old:  "(!named[name] || h.Owns(name))",
+		old:  "(!named[name] || h.IsSystemHeader(name))",
 		new:  "!named[name]",
 		pkg:  "./internal/proxy", test: "TestWorkerReceivesTenantButNotKey",
 	},
@@ -81,10 +81,10 @@
 	},
 	{
 		name: "keys-sealed-in-one-spelling",
-		file: "platform/seal.go",
+		file: "platform/hashkeys.go",
 		old:  "		if !strings.EqualFold(field, keysField) {",
 		new:  "		if field != keysField {",
-		pkg:  "./platform", test: "TestKeysAreSealedHoweverTheyAreWritten",
+		pkg:  "./platform", test: "TestHashAPIKeysInAnySpelling",
 	},
 	{
 		name: "key-in-the-complaint-of-a-bundle",
@@ -112,7 +112,7 @@
 		file: "internal/router/lead.go",
 		old:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found {",
 		new:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found && false {",
-		pkg:  "./platform/session", test: "TestRefusedRoutersFindTheNextLeader",
+		pkg:  "./platform/session", test: "TestRoutersWithoutStoreFindNextLeader",
 	},
 	{
 		name: "leader-named-but-not-asked",
--- a/internal/proxy/backoff.go
+++ b/internal/proxy/backoff.go
@@ -18,7 +18,7 @@
 	until := now.Add(requested)
 	for {
 		before := b.backoffUntil.Load()
-		currentEnd := clock.OfNanos(before)
+		currentEnd := clock.FromNanos(before)
 		if !until.After(currentEnd) {
 			return 0, false
 		}
@@ -34,21 +34,21 @@
 
 // backoffLeft returns the remaining time of the worker's backoff, or zero if there is none.
 func (b *backend) backoffLeft(now time.Time) time.Duration {
-	return max(0, clock.OfNanos(b.backoffUntil.Load()).Sub(now))
+	return max(0, clock.FromNanos(b.backoffUntil.Load()).Sub(now))
 }
 
 // recordBackoff starts a backoff, or logs that it can't be parsed, if the answer requests one.
 func (c *call) recordBackoff(to *backend, result *upstream.Result) {
-	switch result.Backoff.Asking {
-	case upstream.BackoffAsked:
+	switch result.Backoff.Status {
+	case upstream.BackoffRequested:
 		c.proxy.Metrics.recordNotice(c.service.Name, noticeBackoff)
-		extension, started := to.startBackoff(clock.Now(), result.Backoff.For)
+		extension, started := to.startBackoff(clock.Now(), result.Backoff.Duration)
 		if c.service.Keyed && extension > 0 {
 			c.proxy.Meter.CountBackoff(to.id(), extension)
 		}
 		if started {
 			c.proxy.Log.Line(decision.KindWorkerBackoff).Str("worker", string(to.id())).Str("id", c.message.ID).
-				Float64("for", result.Backoff.For.Seconds()).Msg("")
+				Float64("for", result.Backoff.Duration.Seconds()).Msg("")
 		}
 	case upstream.UnreadableBackoff:
 		c.proxy.Metrics.recordNotice(c.service.Name, noticeUnreadableBackoff)
