--- a/cmd/shalefork-lab/soak.go
+++ b/cmd/shalefork-lab/soak.go
@@ -17,7 +17,7 @@
 	config.InTurn = true
 	var broken string
 	subcommand := cli.NewSubcommand("demo", "Run routers on the platform's stand-in under load and each kind of fault in turn, and check them.")
-	attach(subcommand, &config)
+	addFlags(subcommand, &config)
 	subcommand.String(&broken, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		config.Break = soak.Break(broken)
@@ -29,7 +29,7 @@
 func soakCommand() cli.Command {
 	config := soak.DefaultConfig()
 	subcommand := cli.NewSubcommand("soak", "Run routers on the platform's stand-in under load and random faults, and check them.")
-	attach(subcommand, &config)
+	addFlags(subcommand, &config)
 	var broken string
 	subcommand.String(&broken, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
 	subcommand.StringSlice(&config.Faults, "", "faults", "Kinds of faults that are drawn, by name; all if none is named")
@@ -45,7 +45,7 @@
 	}}
 }
 
-func attach(subcommand *flaggy.Subcommand, config *soak.Config) {
+func addFlags(subcommand *flaggy.Subcommand, config *soak.Config) {
 	subcommand.String(&config.Shalefork, "s", "shalefork", "Path of the program shalefork")
 	subcommand.Int(&config.Routers, "", "routers", "How many routers are run")
 	subcommand.Int(&config.Rate, "r", "rate", "Requests per second")
--- a/cmd/shalefork/explain.go
+++ b/cmd/shalefork/explain.go
@@ -19,7 +19,7 @@
 	subcommand.String(&request, "r", "request", "The request's id")
 	subcommand.String(&around, "a", "around", "A time such as 2026-07-02T04:30:20Z, by the processes' clocks")
 	return cli.Command{Subcommand: subcommand, Run: func(context.Context) cli.ExitCode {
-		return exitOf(runExplain(file, request, around))
+		return reportError(runExplain(file, request, around))
 	}}
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	found, err := choose(lines, request, around)
+	found, err := selectLines(lines, request, around)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	return explain.Write(os.Stdout, found)
 }
 
-func choose(lines []explain.Line, request, around string) ([]explain.Line, error) {
+func selectLines(lines []explain.Line, request, around string) ([]explain.Line, error) {
 	if request != "" {
 		return explain.Course(lines, request), nil
 	}
--- a/cmd/shalefork/metrics_test.go
+++ b/cmd/shalefork/metrics_test.go
@@ -30,12 +30,12 @@
 `
 
 // describer is a registerer that only notes what is registered.
-type describer struct {
+type descriptionRecorder struct {
 	prometheus.Gatherer
 	rows []string
 }
 
-func (d *describer) Register(collector prometheus.Collector) error {
+func (d *descriptionRecorder) Register(collector prometheus.Collector) error {
 	descriptions := make(chan *prometheus.Desc, 16)
 	collector.Describe(descriptions)
 	close(descriptions)
@@ -45,13 +45,13 @@
 	return nil
 }
 
-func (d *describer) MustRegister(collectors ...prometheus.Collector) {
+func (d *descriptionRecorder) MustRegister(collectors ...prometheus.Collector) {
 	for _, collector := range collectors {
 		_ = d.Register(collector)
 	}
 }
 
-func (d *describer) Unregister(prometheus.Collector) bool { return true }
+func (d *descriptionRecorder) Unregister(prometheus.Collector) bool { return true }
 
 var description = regexp.MustCompile(`fqName: "([^"]*)", help: "([^"]*)", unit: "[^"]*", constLabels: \{[^}]*\}, variableLabels: \{([^}]*)\}`)
 
@@ -83,8 +83,8 @@
 	return "count"
 }
 
-func TestMetricsPageMatchesTheCode(t *testing.T) {
-	noted := &describer{}
+func TestMetricsPageMatchesCode(t *testing.T) {
+	noted := &descriptionRecorder{}
 	router.New(settings.Router{}, router.Adapter{}, decision.NewTo(io.Discard, "n"), noted)
 	assert.Assert(t, len(noted.rows) > 0)
 	slices.Sort(noted.rows)
@@ -93,7 +93,7 @@
 }
 
 // What alarms watch must be there.
-func TestAlarmsNameMetrics(t *testing.T) {
+func TestAlarmsReferToExistingMetrics(t *testing.T) {
 	metrics, err := os.ReadFile("../../docs/operations/metrics.md")
 	assert.NilError(t, err)
 	alarms, err := os.ReadFile("../../docs/operations/alarms.md")
--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -20,10 +20,10 @@
 )
 
 // patience is how long a command tries to reach the key-value service.
-const patience = 10 * time.Second
+const storeTimeout = 10 * time.Second
 
-// exitOf writes an error of a command line and returns the code that belongs to it.
-func exitOf(err error) cli.ExitCode {
+// reportError writes an error of a command line and returns the code that belongs to it.
+func reportError(err error) cli.ExitCode {
 	if err == nil {
 		return operator.ExitOK
 	}
@@ -37,7 +37,7 @@
 	json bool
 }
 
-func (f *storeFlags) attach(subcommand *flaggy.Subcommand) {
+func (f *storeFlags) addFlags(subcommand *flaggy.Subcommand) {
 	subcommand.String(&f.file, "s", "settings", "Settings of a router, YAML, which name the service; else "+settingsVariable+" names them")
 	subcommand.Bool(&f.json, "j", "json", "Write JSON")
 }
@@ -47,12 +47,12 @@
 }
 
 // run calls action with the key-value service, for as long as its patience lasts.
-func (f *storeFlags) run(ctx context.Context, action func(context.Context, operator.Output, *platform.Store) operator.ExitCode) operator.ExitCode {
+func (f *storeFlags) withStore(ctx context.Context, action func(context.Context, operator.Output, *platform.Store) operator.ExitCode) operator.ExitCode {
 	config, _, err := readSettings(settingsFile(f.file))
 	if err != nil {
 		return f.output().Fail(err)
 	}
-	bounded, cancel := context.WithTimeout(ctx, patience)
+	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return action(bounded, f.output(), platform.NewStore(config.Store))
 }
@@ -82,8 +82,8 @@
 	keyFile string
 }
 
-func (f *signingFlags) attach(subcommand *flaggy.Subcommand) {
-	f.storeFlags.attach(subcommand)
+func (f *signingFlags) addFlags(subcommand *flaggy.Subcommand) {
+	f.storeFlags.addFlags(subcommand)
 	subcommand.String(&f.name, "o", "operator", "Name of the operator")
 	subcommand.String(&f.keyFile, "k", "key", "File with the operator's key")
 }
@@ -91,12 +91,12 @@
 // signedAction does something with the bundles in an operator's name.
 type signedAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode
 
-func (f *signingFlags) run(ctx context.Context, action signedAction) operator.ExitCode {
+func (f *signingFlags) withRegistry(ctx context.Context, action signedAction) operator.ExitCode {
 	by, err := operator.LoadIdentity(f.name, f.keyFile)
 	if err != nil {
 		return f.output().Fail(err)
 	}
-	return f.storeFlags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+	return f.storeFlags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 		return action(ctx, output, registry.New(store, router.KeyPrefix), by)
 	})
 }
@@ -129,9 +129,9 @@
 	flags := &signingFlags{}
 	subcommand := cli.NewSubcommand(name, help)
 	subcommand.AddPositionalValue(&file, "file", 1, true, "The bundle, YAML")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
 			return action(ctx, output, bundles, by, file)
 		})
 	}}
@@ -143,13 +143,13 @@
 	subcommand := cli.NewSubcommand("roll", "Put an approved version into force.")
 	subcommand.AddPositionalValue(&team, "team", 1, true, "The team")
 	subcommand.AddPositionalValue(&version, "number", 2, true, "The version's number")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		number, err := strconv.ParseUint(version, 10, 64)
 		if err != nil {
 			return flags.output().Fail(operator.Error.New("the version must be a number"))
 		}
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
 			return operator.Roll(ctx, output, bundles, by, bundle.TeamName(team), bundle.Version(number))
 		})
 	}}
@@ -163,9 +163,9 @@
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand(name, help)
 	subcommand.AddPositionalValue(&team, "team", 1, true, "The team")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return action(ctx, output, registry.New(store, router.KeyPrefix), bundle.TeamName(team))
 		})
 	}}
@@ -174,9 +174,9 @@
 func statusCommand() cli.Command {
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("status", "Show who leads and who owns which keys.")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ReadWorker}
 			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
@@ -190,9 +190,9 @@
 func quarantineListCommand() cli.Command {
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("list", "Show the requests that were under way at crashes, and those that are sent no longer.")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return operator.ListSuspects(ctx, output, store, router.KeyPrefix)
 		})
 	}}
@@ -203,9 +203,9 @@
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("lift", "Let a request be sent again.")
 	subcommand.AddPositionalValue(&fingerprint, "fingerprint", 1, true, "The request, as list shows it")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return operator.LiftQuarantine(ctx, output, store, router.KeyPrefix, fingerprint)
 		})
 	}}
--- a/cmd/shalefork/router.go
+++ b/cmd/shalefork/router.go
@@ -30,7 +30,7 @@
 func runRouter(ctx context.Context, file string) cli.ExitCode {
 	config, data, err := readSettings(file)
 	if err != nil {
-		return exitOf(err)
+		return reportError(err)
 	}
 	log := decision.New(config.Node)
 	hangup := make(chan os.Signal, 1)
--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -10,17 +10,17 @@
 // suspended, and CLOCK_MONOTONIC, which time.Now reads, does not. Nil if the kernel has none.
 var kernel = newKernel()
 
-func newKernel() *detector {
+func newKernel() *suspensionDetector {
 	for _, id := range []int32{unix.CLOCK_MONOTONIC, unix.CLOCK_BOOTTIME} {
 		if _, err := kernelTime(id); err != nil {
 			return nil
 		}
 	}
-	return newDetector(reader(unix.CLOCK_MONOTONIC), reader(unix.CLOCK_BOOTTIME))
+	return newSuspensionDetector(clockReader(unix.CLOCK_MONOTONIC), clockReader(unix.CLOCK_BOOTTIME))
 }
 
 // reader returns a function that reads a clock of the kernel, which was there at the start.
-func reader(id int32) func() time.Duration {
+func clockReader(id int32) func() time.Duration {
 	return func() time.Duration {
 		now, _ := kernelTime(id)
 		return now
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepEndsAfterDurationOrWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		assert.Assert(t, Sleep(t.Context(), time.Second))
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestBackoffDoublesUpToItsLongest(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backoff := Backoff{Initial: time.Second, Max: 3 * time.Second}
 		slept := func() time.Duration {
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestBackoffCountsTheTimeOfACall(t *testing.T) {
+func TestBackoffDeductsDurationOfCall(t *testing.T) {
 	for name, c := range map[string]struct{ took, slept time.Duration }{
 		"refused at once": {slept: 3 * time.Second},
 		"took a moment":   {took: 500 * time.Millisecond, slept: 2500 * time.Millisecond},
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -20,13 +20,13 @@
 	// gives it 3 s to catch up. Each look wakes the process: with 100 ms a quiet day of 11
 	// routers cost 6.38 s of processor time in place of 6.09 (means of three runs each).
 	PollInterval = 500 * time.Millisecond
-	// leastSuspension is the least time that counts as a suspension: the two clocks are read
+	// minSuspension is the least time that counts as a suspension: the two clocks are read
 	// one after the other, microseconds apart.
-	leastSuspension = 20 * time.Millisecond
-	// readTime is how long one reading of both clocks may take, and readTries how often it is
+	minSuspension = 20 * time.Millisecond
+	// maxReadTime is how long one reading of both clocks may take, and readAttempts how often it is
 	// tried: a thread may lose its turn in between.
-	readTime  = time.Millisecond
-	readTries = 3
+	maxReadTime  = time.Millisecond
+	readAttempts = 3
 )
 
 // suspended is for how long the machine was suspended since the process began, in nanoseconds.
@@ -42,13 +42,13 @@
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // began is the zero of Nanos.
-var began = time.Now()
+var processStart = time.Now()
 
 // Nanos returns a time of Now as a number, for atomic variables.
-func Nanos(t time.Time) int64 { return int64(t.Sub(began)) }
+func Nanos(t time.Time) int64 { return int64(t.Sub(processStart)) }
 
 // FromNanos returns the time that a number of Nanos stands for.
-func FromNanos(nanos int64) time.Time { return began.Add(time.Duration(nanos)) }
+func FromNanos(nanos int64) time.Time { return processStart.Add(time.Duration(nanos)) }
 
 // Suspended returns for how long the machine was suspended since the process began, as far as
 // that was looked at.
@@ -56,28 +56,28 @@
 
 // detector finds suspensions by comparing two clocks, each of which returns the time since an
 // instant of its own.
-type detector struct {
+type suspensionDetector struct {
 	mu sync.Mutex
 	// steady stands still while the machine is suspended, and boot does not.
-	steady, boot func() time.Duration
+	monotonic, boot func() time.Duration
 	// ahead is by how much boot was ahead of steady at first.
-	ahead time.Duration
+	initialOffset time.Duration
 }
 
-func newDetector(steady, boot func() time.Duration) *detector {
-	d := &detector{steady: steady, boot: boot}
-	d.ahead, _ = d.read()
+func newSuspensionDetector(steady, boot func() time.Duration) *suspensionDetector {
+	d := &suspensionDetector{monotonic: steady, boot: boot}
+	d.initialOffset, _ = d.readOffset()
 	return d
 }
 
 // read returns by how much boot is ahead, or a little less; false if no reading was quick
 // enough to tell.
-func (d *detector) read() (time.Duration, bool) {
-	for range readTries {
-		before := d.steady()
+func (d *suspensionDetector) readOffset() (time.Duration, bool) {
+	for range readAttempts {
+		before := d.monotonic()
 		boot := d.boot()
-		after := d.steady()
-		if after-before <= readTime {
+		after := d.monotonic()
+		if after-before <= maxReadTime {
 			return boot - after, true
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 // look returns for how long the machine was suspended in all, if that is more than known.
-func (d *detector) look(known time.Duration) time.Duration {
+func (d *suspensionDetector) totalSuspension(known time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ahead, ok := d.read()
-	if !ok || ahead-d.ahead-known < leastSuspension {
+	ahead, ok := d.readOffset()
+	if !ok || ahead-d.initialOffset-known < minSuspension {
 		return known
 	}
-	return ahead - d.ahead
+	return ahead - d.initialOffset
 }
 
 // Refresh looks whether the machine was suspended since the last look, and returns for how long.
@@ -102,7 +102,7 @@
 	}
 	for {
 		known := suspended.Load()
-		found := int64(kernel.look(time.Duration(known)))
+		found := int64(kernel.totalSuspension(time.Duration(known)))
 		if found <= known {
 			return 0
 		}
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -8,19 +8,19 @@
 )
 
 // clocks are two clocks that a test sets; reading the steady one may take time.
-type clocks struct {
-	steadyAt, bootAt time.Duration
-	reads            time.Duration
+type fakeClocks struct {
+	monotonicTime, bootTime time.Duration
+	readDuration            time.Duration
 }
 
-func (c *clocks) steady() time.Duration {
-	c.steadyAt, c.bootAt = c.steadyAt+c.reads, c.bootAt+c.reads
-	return c.steadyAt
+func (c *fakeClocks) readMonotonic() time.Duration {
+	c.monotonicTime, c.bootTime = c.monotonicTime+c.readDuration, c.bootTime+c.readDuration
+	return c.monotonicTime
 }
 
-func (c *clocks) boot() time.Duration { return c.bootAt }
+func (c *fakeClocks) readBoot() time.Duration { return c.bootTime }
 
-func TestSuspensionsAreFound(t *testing.T) {
+func TestSuspensionDetection(t *testing.T) {
 	tests := map[string]struct {
 		passes, suspended time.Duration
 		reads             time.Duration
@@ -30,21 +30,21 @@
 		"suspended":                 {passes: time.Second, suspended: 8 * time.Second, want: 8 * time.Second},
 		"and once more":             {passes: time.Second, suspended: 8 * time.Second, known: 5 * time.Second, want: 8 * time.Second},
 		"no longer than was known":  {passes: time.Second, suspended: 8 * time.Second, known: 8 * time.Second, want: 8 * time.Second},
-		"too short to tell":         {suspended: leastSuspension - time.Millisecond},
-		"read a little late":        {suspended: 8 * time.Second, reads: readTime / 4, want: 8*time.Second - readTime/4},
-		"the reader lost its turns": {suspended: 8 * time.Second, reads: 10 * readTime},
+		"too short to tell":         {suspended: minSuspension - time.Millisecond},
+		"read a little late":        {suspended: 8 * time.Second, reads: maxReadTime / 4, want: 8*time.Second - maxReadTime/4},
+		"the reader lost its turns": {suspended: 8 * time.Second, reads: 10 * maxReadTime},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := &clocks{steadyAt: time.Minute, bootAt: time.Hour}
-			d := newDetector(c.steady, c.boot)
-			c.steadyAt, c.bootAt, c.reads = c.steadyAt+test.passes, c.bootAt+test.passes+test.suspended, test.reads
-			assert.Equal(t, d.look(test.known), test.want)
+			c := &fakeClocks{monotonicTime: time.Minute, bootTime: time.Hour}
+			d := newSuspensionDetector(c.readMonotonic, c.readBoot)
+			c.monotonicTime, c.bootTime, c.readDuration = c.monotonicTime+test.passes, c.bootTime+test.passes+test.suspended, test.reads
+			assert.Equal(t, d.totalSuspension(test.known), test.want)
 		})
 	}
 }
 
-func TestNowGoesOnWhileTheMachineIsSuspended(t *testing.T) {
+func TestNowCountsSuspension(t *testing.T) {
 	began := Now()
 	restore := SimulateSuspension(8 * time.Second)
 	defer restore()
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -12,7 +12,7 @@
 
 // promising are the packages in which a time outlives an instant: leases, holds, leaves, beliefs,
 // budgets. The steady clock must not be read there, since it stands while a machine is suspended.
-var promising = []string{
+var timeCriticalPackages = []string{
 	"bodies", "coord", "departure", "election", "facts", "keeper", "keytable", "owner", "peerlink", "proxy", "quarantine", "quota", "router", "standby", "upstream", "workerlimit", "workers",
 }
 
@@ -23,8 +23,8 @@
 	ofRuntime = regexp.MustCompile(`context\.WithDeadline\(`)
 )
 
-func TestPromisesCountSuspensions(t *testing.T) {
-	for _, name := range promising {
+func TestTimeCriticalPackagesCountSuspension(t *testing.T) {
+	for _, name := range timeCriticalPackages {
 		files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
 		assert.NilError(t, err)
 		assert.Assert(t, len(files) > 0, name)
--- a/internal/lab/link/bandwidth.go
+++ b/internal/lab/link/bandwidth.go
@@ -5,54 +5,58 @@
 	"time"
 )
 
-// Rate is a bandwidth that links share: bytes leave in the order in which they come, one way. It
-// is safe for concurrent use.
+// Bandwidth is a limited bandwidth in one direction that links may share. Bytes pass in the order
+// in which they arrive. It is safe for concurrent use.
 type Bandwidth struct {
-	perSecond float64
-	mu        sync.Mutex
-	free      time.Time
+	bytesPerSecond float64
+	mu             sync.Mutex
+	// idleAt is when all bytes that have arrived will have passed.
+	idleAt time.Time
 }
 
-// NewBandwidth returns a bandwidth, in bytes a second.
-func NewBandwidth(bytesPerSecond float64) *Bandwidth { return &Bandwidth{perSecond: bytesPerSecond} }
+// NewBandwidth returns a bandwidth of bytesPerSecond.
+func NewBandwidth(bytesPerSecond float64) *Bandwidth {
+	return &Bandwidth{bytesPerSecond: bytesPerSecond}
+}
 
-// Queue returns how long bytes that come now wait for those before them.
-func (r *Bandwidth) QueueDelay(now time.Time) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return max(0, r.free.Sub(now))
+// QueueDelay returns how long bytes that arrive now wait for earlier ones.
+func (b *Bandwidth) QueueDelay(now time.Time) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return max(0, b.idleAt.Sub(now))
 }
 
-// take lets bytes wait for those before them, and returns when they have passed.
-func (r *Bandwidth) take(now time.Time, bytes int) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.free.Before(now) {
-		r.free = now
+// reserve queues bytes behind earlier ones, and returns when they will have passed.
+func (b *Bandwidth) reserve(now time.Time, bytes int) time.Time {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.idleAt.Before(now) {
+		b.idleAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(bytes) / r.perSecond * float64(time.Second)))
-	return r.free
+	b.idleAt = b.idleAt.Add(time.Duration(float64(bytes) / b.bytesPerSecond * float64(time.Second)))
+	return b.idleAt
 }
 
-// Share makes the link's requests and answers take their turns with those of other links. Nil:
-// as many as there are pass at once.
-func (l *Link) SetBandwidth(requests, answers *Bandwidth) {
-	l.SetOriginBandwidth("", requests, answers)
+// SetBandwidth limits the link's requests and responses to bandwidths that other links may share.
+// Nil means no limit.
+func (l *Link) SetBandwidth(requests, responses *Bandwidth) {
+	l.SetOriginBandwidth("", requests, responses)
 }
 
-// awaitTurn waits until bytes have passed.
-func (l *Link) awaitTurn(of *pair, bytes int, answers bool) {
+// awaitBandwidth waits until the bandwidth of a pair's origin, or else that of the link, has let
+// bytes pass.
+func (l *Link) awaitBandwidth(pair *connPair, bytes int, responses bool) {
 	l.mu.Lock()
-	rates, own := l.rates[of.origin]
-	if !own {
-		rates = l.rates[""]
+	bandwidths, ok := l.bandwidths[pair.origin]
+	if !ok {
+		bandwidths = l.bandwidths[""]
 	}
-	rate := rates[0]
-	if answers {
-		rate = rates[1]
+	bandwidth := bandwidths[0]
+	if responses {
+		bandwidth = bandwidths[1]
 	}
 	l.mu.Unlock()
-	if rate != nil {
-		time.Sleep(time.Until(rate.take(time.Now(), bytes)))
+	if bandwidth != nil {
+		time.Sleep(time.Until(bandwidth.reserve(time.Now(), bytes)))
 	}
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -1,5 +1,5 @@
-// Package link is a TCP proxy of tests that harms the connections between two processes from
-// outside both.
+// Package link is a TCP proxy for tests. It injects faults into the connections between two
+// processes without changing either process.
 package link
 
 import (
@@ -10,105 +10,111 @@
 	"time"
 )
 
-// Harm is what is done to the connections of a link.
+// Fault is a fault that a link injects into its connections.
 type Fault int
 
-// Ways to harm connections.
+// Faults of connections.
 const (
-	// None passes all bytes.
+	// NoFault forwards all bytes without delay.
 	NoFault Fault = iota
-	// Delays passes them later.
+	// Delays forwards all bytes after a delay.
 	Delays
-	// Silences passes nothing either way; connections stay open, and new ones hang as well.
+	// BlocksTraffic forwards nothing in either direction. Connections stay open, and new ones
+	// are accepted but block as well.
 	BlocksTraffic
-	// Deafens passes requests and no answers.
+	// BlocksResponses forwards requests but no responses.
 	BlocksResponses
-	// Mutes passes answers and no requests.
+	// BlocksRequests forwards responses but no requests.
 	BlocksRequests
-	// Strands silences the connections that there are for good, while new ones work.
+	// BlocksExisting permanently blocks the connections that are open when the fault is set;
+	// new ones work.
 	BlocksExisting
-	// Resets resets all connections, and each new one.
+	// ResetsConnections resets all open connections and each new one.
 	ResetsConnections
-	// Truncates resets connections in the middle of an answer.
+	// TruncatesResponses closes connections in the middle of a response.
 	TruncatesResponses
 )
 
 const (
-	// delay is by how much bytes are later; wait is the pause between looks whether silence is over.
-	delay = 100 * time.Millisecond
-	wait  = 10 * time.Millisecond
-	// piece is how much is passed at once, and truncated how much of an answer.
-	piece     = 32 << 10
-	truncated = 20
+	// addedDelay is the delay of each forwarded buffer under the fault Delays.
+	addedDelay = 100 * time.Millisecond
+	// pollInterval is how often a blocked connection checks whether its fault has ended.
+	pollInterval = 10 * time.Millisecond
+	// bufferSize is the largest number of bytes that are forwarded at once.
+	bufferSize = 32 << 10
+	// truncatedSize is the number of bytes of a truncated response that are forwarded.
+	truncatedSize = 20
 )
 
-// Link passes connections on to one address. It is safe for concurrent use.
+// Link forwards connections to one address. It is safe for concurrent use.
 type Link struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
-	harm     Fault
-	// origin tells who has made a connection, from and to which address; nil: nobody asks. from are the harms to the
-	// connections of each, beside that to all.
-	origin func(from, to netip.AddrPort) string
-	from   map[string]Fault
-	pairs  map[*pair]struct{}
-	closed bool
-	// rates bound requests and answers, by who has made the connection; nil: nothing does.
-	rates map[string][2]*Bandwidth
+	fault    Fault
+	// lookUpOrigin returns the origin of a connection, by its client's address and the link's;
+	// nil if origins are not looked up.
+	lookUpOrigin func(from, to netip.AddrPort) string
+	// originFaults are the faults of the connections of each origin. They apply while fault is
+	// NoFault.
+	originFaults map[string]Fault
+	pairs        map[*connPair]struct{}
+	closed       bool
+	// bandwidths limit requests and responses, by the origin of the connection; nil means no limit.
+	bandwidths map[string][2]*Bandwidth
 }
 
-// pair is one connection and its other half.
-type pair struct {
-	near, far net.Conn
-	// origin is who has made it; empty: unknown.
+// connPair is a client's connection to the link and the link's connection to the server.
+type connPair struct {
+	client, server net.Conn
+	// origin identifies the client; empty if it is unknown.
 	origin string
-	// stranded says that nothing passes any more.
-	stranded bool
+	// stalled reports whether the pair is permanently blocked.
+	stalled bool
 }
 
-// New listens on an address of its own for connections to another.
-func New(listen, to string) (*Link, error) {
+// New listens on one address and forwards connections to another.
+func New(listen, target string) (*Link, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{listener: listener, to: to, pairs: map[*pair]struct{}{}, from: map[string]Fault{}, rates: map[string][2]*Bandwidth{}}
+	l := &Link{listener: listener, target: target, pairs: map[*connPair]struct{}{}, originFaults: map[string]Fault{}, bandwidths: map[string][2]*Bandwidth{}}
 	go l.accept()
 	return l, nil
 }
 
-// Address is where connections are taken.
+// Address returns the address that the link listens on.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes what is done to the connections, those that there are included.
-func (l *Link) SetFault(harm Fault) {
+// SetFault changes the fault of all connections, including those that are open.
+func (l *Link) SetFault(fault Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.harm = harm
-	for one := range l.pairs {
-		switch harm {
+	l.fault = fault
+	for pair := range l.pairs {
+		switch fault {
 		case BlocksExisting:
-			one.stranded = true
+			pair.stalled = true
 		case ResetsConnections:
-			one.reset()
+			pair.reset()
 		}
 	}
 }
 
-// Close ends all connections.
+// Close stops listening and resets all connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	_ = l.listener.Close()
-	for one := range l.pairs {
-		one.reset()
+	for pair := range l.pairs {
+		pair.reset()
 	}
 }
 
-func (p *pair) reset() {
-	for _, conn := range []net.Conn{p.near, p.far} {
+func (p *connPair) reset() {
+	for _, conn := range []net.Conn{p.client, p.server} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -118,44 +124,45 @@
 
 func (l *Link) accept() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go l.connect(near)
+		go l.connect(client)
 	}
 }
 
-func (l *Link) connect(near net.Conn) {
-	far, err := net.Dial("tcp", l.to)
+func (l *Link) connect(client net.Conn) {
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
-		one := &pair{near: near, far: near}
-		one.reset()
+		pair := &connPair{client: client, server: client}
+		pair.reset()
 		return
 	}
-	one := &pair{near: near, far: far}
-	l.lookUp(one)
+	pair := &connPair{client: client, server: server}
+	l.resolveOrigin(pair)
 	l.mu.Lock()
-	refused := l.closed || l.harm == ResetsConnections
+	refused := l.closed || l.fault == ResetsConnections
 	if !refused {
-		l.pairs[one] = struct{}{}
+		l.pairs[pair] = struct{}{}
 	}
 	l.mu.Unlock()
 	if refused {
-		one.reset()
+		pair.reset()
 		return
 	}
-	go l.pass(one, far, near, false)
-	l.pass(one, near, far, true)
+	go l.copyBytes(pair, server, client, false)
+	l.copyBytes(pair, client, server, true)
 }
 
-// pass copies from one half to the other until it ends. answers says that these are answers.
-func (l *Link) pass(of *pair, to, from net.Conn, answers bool) {
-	defer l.drop(of)
-	buffer := make([]byte, piece)
+// copyBytes copies from one connection of a pair to the other until one of them ends. responses
+// tells whether the bytes are responses rather than requests.
+func (l *Link) copyBytes(pair *connPair, to, from net.Conn, responses bool) {
+	defer l.closePair(pair)
+	buffer := make([]byte, bufferSize)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && !l.forward(of, to, buffer[:count], answers) {
+		if count > 0 && !l.forward(pair, to, buffer[:count], responses) {
 			return
 		}
 		if err != nil {
@@ -164,36 +171,37 @@
 	}
 }
 
-// forward passes bytes on as the harm has it; false if the connection is over.
-func (l *Link) forward(of *pair, to io.Writer, bytes []byte, answers bool) bool {
+// forward writes bytes as the pair's fault permits, and waits while it blocks them. It returns
+// false once the connection must be closed.
+func (l *Link) forward(pair *connPair, to io.Writer, bytes []byte, responses bool) bool {
 	for {
 		l.mu.Lock()
-		harm, stranded, open := l.harmOf(of), of.stranded, !l.closed
-		_, known := l.pairs[of]
+		fault, stalled, open := l.faultOf(pair), pair.stalled, !l.closed
+		_, known := l.pairs[pair]
 		l.mu.Unlock()
 		switch {
-		case !open || !known || harm == ResetsConnections:
+		case !open || !known || fault == ResetsConnections:
 			return false
-		case stranded, harm == BlocksTraffic, harm == BlocksResponses && answers, harm == BlocksRequests && !answers:
-			time.Sleep(wait)
+		case stalled, fault == BlocksTraffic, fault == BlocksResponses && responses, fault == BlocksRequests && !responses:
+			time.Sleep(pollInterval)
 			continue
-		case harm == Delays:
-			time.Sleep(delay)
-		case harm == TruncatesResponses && answers:
-			_, _ = to.Write(bytes[:min(truncated, len(bytes))])
+		case fault == Delays:
+			time.Sleep(addedDelay)
+		case fault == TruncatesResponses && responses:
+			_, _ = to.Write(bytes[:min(truncatedSize, len(bytes))])
 			return false
 		}
-		l.awaitTurn(of, len(bytes), answers)
+		l.awaitBandwidth(pair, len(bytes), responses)
 		_, err := to.Write(bytes)
 		return err == nil
 	}
 }
 
-// drop ends a connection.
-func (l *Link) drop(of *pair) {
+// closePair closes both connections of a pair.
+func (l *Link) closePair(pair *connPair) {
 	l.mu.Lock()
-	delete(l.pairs, of)
+	delete(l.pairs, pair)
 	l.mu.Unlock()
-	_ = of.near.Close()
-	_ = of.far.Close()
+	_ = pair.client.Close()
+	_ = pair.server.Close()
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -13,12 +13,12 @@
 	"gotest.tools/v3/assert"
 )
 
-const body = "an answer that is longer than what is passed of one that is truncated"
+const responseBody = "a response that is longer than the forwarded part of one that is truncated"
 
 func newLink(t *testing.T) (*Link, *http.Client) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(writer, body)
+		_, _ = io.WriteString(writer, responseBody)
 	}))
 	t.Cleanup(server.Close)
 	link, err := New("127.0.0.1:0", strings.TrimPrefix(server.URL, "http://"))
@@ -27,95 +27,95 @@
 	return link, &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 }
 
-// ask returns whether a whole answer came.
-func ask(link *Link, client *http.Client) error {
+// get sends a request through the link. It fails unless the whole response arrives.
+func get(link *Link, client *http.Client) error {
 	response, err := client.Get("http://" + link.Address())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
-	if err == nil && string(content) != body {
+	if err == nil && string(content) != responseBody {
 		return fmt.Errorf("got %q", content)
 	}
 	return err
 }
 
-func TestHarms(t *testing.T) {
+func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		harm Fault
-		// kept and fresh say that an answer comes on the connection that there was, and on a
-		// new one.
-		kept, fresh bool
+		fault Fault
+		// openWorks and newWorks tell whether a response arrives on the connection that is open
+		// when the fault is set, and on a new one.
+		openWorks, newWorks bool
 	}{
-		"none":      {harm: NoFault, kept: true, fresh: true},
-		"delays":    {harm: Delays, kept: true, fresh: true},
-		"silences":  {harm: BlocksTraffic},
-		"deafens":   {harm: BlocksResponses},
-		"mutes":     {harm: BlocksRequests},
-		"strands":   {harm: BlocksExisting, fresh: true},
-		"resets":    {harm: ResetsConnections},
-		"truncates": {harm: TruncatesResponses},
+		"none":                {fault: NoFault, openWorks: true, newWorks: true},
+		"delays":              {fault: Delays, openWorks: true, newWorks: true},
+		"blocks traffic":      {fault: BlocksTraffic},
+		"blocks responses":    {fault: BlocksResponses},
+		"blocks requests":     {fault: BlocksRequests},
+		"blocks existing":     {fault: BlocksExisting, newWorks: true},
+		"resets connections":  {fault: ResetsConnections},
+		"truncates responses": {fault: TruncatesResponses},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			link, client := newLink(t)
-			assert.NilError(t, ask(link, client))
-			link.SetFault(c.harm)
-			assert.Equal(t, ask(link, client) == nil, c.kept)
+			assert.NilError(t, get(link, client))
+			link.SetFault(c.fault)
+			assert.Equal(t, get(link, client) == nil, c.openWorks)
 			client.CloseIdleConnections()
-			assert.Equal(t, ask(link, client) == nil, c.fresh)
+			assert.Equal(t, get(link, client) == nil, c.newWorks)
 			link.SetFault(NoFault)
 			client.CloseIdleConnections()
-			assert.NilError(t, ask(link, client))
+			assert.NilError(t, get(link, client))
 		})
 	}
 }
 
-// What links share takes its turn: the last of several bodies has waited for all of them.
-func TestLinksShareARate(t *testing.T) {
-	const perSecond = 64 << 10
-	rate := NewBandwidth(perSecond)
+// Bytes on a shared bandwidth queue: the last of several bodies waits for all earlier ones.
+func TestLinksShareBandwidth(t *testing.T) {
+	const bytesPerSecond = 64 << 10
+	bandwidth := NewBandwidth(bytesPerSecond)
 	start := time.Now()
-	assert.Equal(t, rate.take(start, perSecond/2), start.Add(time.Second/2))
-	assert.Equal(t, rate.take(start, perSecond/2), start.Add(time.Second))
-	assert.Equal(t, rate.QueueDelay(start.Add(300*time.Millisecond)), 700*time.Millisecond)
-	assert.Equal(t, rate.take(start.Add(2*time.Second), perSecond), start.Add(3*time.Second))
+	assert.Equal(t, bandwidth.reserve(start, bytesPerSecond/2), start.Add(time.Second/2))
+	assert.Equal(t, bandwidth.reserve(start, bytesPerSecond/2), start.Add(time.Second))
+	assert.Equal(t, bandwidth.QueueDelay(start.Add(300*time.Millisecond)), 700*time.Millisecond)
+	assert.Equal(t, bandwidth.reserve(start.Add(2*time.Second), bytesPerSecond), start.Add(3*time.Second))
 	link, client := newLink(t)
 	link.SetBandwidth(nil, NewBandwidth(1000))
 	began := time.Now()
-	assert.NilError(t, ask(link, client))
-	assert.Assert(t, time.Since(began) >= time.Duration(len(body))*time.Millisecond)
+	assert.NilError(t, get(link, client))
+	assert.Assert(t, time.Since(began) >= time.Duration(len(responseBody))*time.Millisecond)
 }
 
-// What is done to the connections of one leaves those of others as they are.
-func TestHarmsByWhoAsks(t *testing.T) {
+// A fault of one origin's connections does not affect those of others.
+func TestFaultsByOrigin(t *testing.T) {
 	for name, c := range map[string]struct {
-		harm          Fault
-		struck, other bool
+		fault           Fault
+		affected, other bool
 	}{
-		"none":     {harm: NoFault, struck: true, other: true},
-		"silences": {harm: BlocksTraffic, other: true},
-		"deafens":  {harm: BlocksResponses, other: true},
-		"mutes":    {harm: BlocksRequests, other: true},
+		"none":             {fault: NoFault, affected: true, other: true},
+		"blocks traffic":   {fault: BlocksTraffic, other: true},
+		"blocks responses": {fault: BlocksResponses, other: true},
+		"blocks requests":  {fault: BlocksRequests, other: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			link, struck := newLink(t)
+			link, affected := newLink(t)
 			other := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 			origins := make(chan string, 2)
-			origins <- "struck"
+			origins <- "affected"
 			origins <- "other"
 			link.SetOriginLookup(func(_, _ netip.AddrPort) string { return <-origins })
-			link.SetOriginFault("third", BlocksTraffic) // from now on connections wait until it is known who asks
+			link.SetOriginFault("third", BlocksTraffic) // makes new connections wait for their origin
 			link.SetOriginBandwidth("other", nil, NewBandwidth(10000))
-			assert.NilError(t, ask(link, struck))
+			assert.NilError(t, get(link, affected))
 			began := time.Now()
-			assert.NilError(t, ask(link, other))
-			assert.Assert(t, time.Since(began) >= time.Duration(len(body))*time.Millisecond/10)
-			link.SetOriginFault("struck", c.harm)
-			assert.Equal(t, ask(link, other) == nil, c.other)
-			assert.Equal(t, ask(link, struck) == nil, c.struck)
+			assert.NilError(t, get(link, other))
+			assert.Assert(t, time.Since(began) >= time.Duration(len(responseBody))*time.Millisecond/10)
+			link.SetOriginFault("affected", c.fault)
+			assert.Equal(t, get(link, other) == nil, c.other)
+			assert.Equal(t, get(link, affected) == nil, c.affected)
 		})
 	}
 }
--- a/internal/lab/link/origin.go
+++ b/internal/lab/link/origin.go
@@ -5,76 +5,77 @@
 	"net/netip"
 )
 
-// Ask lets a function tell from the addresses of a connection who has made it; empty: nobody of
-// whom it knows. Connections that there are stay unknown.
-func (l *Link) SetOriginLookup(origin func(from, to netip.AddrPort) string) {
+// SetOriginLookup sets the function that returns the origin of a connection, which is the name of
+// its client, by the client's address and the link's; empty if the client is unknown. It is not
+// called for connections that are already open.
+func (l *Link) SetOriginLookup(lookUp func(from, to netip.AddrPort) string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.origin = origin
+	l.lookUpOrigin = lookUp
 }
 
-// SetFrom changes what is done to the connections that one has made, those that there are
-// included: Delays, Silences, Deafens, Mutes
-// or Truncates. What is done to all goes first.
-func (l *Link) SetOriginFault(origin string, harm Fault) {
+// SetOriginFault changes the fault of the connections of one origin, including those that are
+// open: NoFault, Delays, BlocksTraffic, BlocksResponses, BlocksRequests or TruncatesResponses. A
+// fault that SetFault sets for all connections takes precedence.
+func (l *Link) SetOriginFault(origin string, fault Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.from[origin] = harm
+	l.originFaults[origin] = fault
 }
 
-// ShareFrom is Share for the connections that one has made.
-func (l *Link) SetOriginBandwidth(origin string, requests, answers *Bandwidth) {
+// SetOriginBandwidth is SetBandwidth for the connections of one origin.
+func (l *Link) SetOriginBandwidth(origin string, requests, responses *Bandwidth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rates[origin] = [2]*Bandwidth{requests, answers}
+	l.bandwidths[origin] = [2]*Bandwidth{requests, responses}
 }
 
-// lookUp finds out who has made a connection: before it passes anything if what is done depends
-// on that, and beside it else, since a look may take as long as a request. Looks of the soak take
-// 5 ms where the kernel has 1,200 sockets, measured on a machine at work.
-func (l *Link) lookUp(one *pair) {
-	found := make(chan struct{})
+// resolveOrigin looks up the origin of a pair. It waits for the result if an origin has a fault;
+// otherwise the lookup runs concurrently, since it may take as long as a request: those of the soak
+// test take 5 ms where the kernel has 1,200 sockets, measured on a busy machine.
+func (l *Link) resolveOrigin(pair *connPair) {
+	done := make(chan struct{})
 	go func() {
-		defer close(found)
-		origin := l.originOf(one.near)
+		defer close(done)
+		origin := l.originOf(pair.client)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		one.origin = origin
+		pair.origin = origin
 	}()
-	if l.harmsSome() {
-		<-found
+	if l.hasOriginFault() {
+		<-done
 	}
 }
 
-// harmsSome reports whether the connections of some are harmed.
-func (l *Link) harmsSome() bool {
+// hasOriginFault reports whether an origin's connections have a fault.
+func (l *Link) hasOriginFault() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, harm := range l.from {
-		if harm != NoFault {
+	for _, fault := range l.originFaults {
+		if fault != NoFault {
 			return true
 		}
 	}
 	return false
 }
 
-// originOf returns who has made a connection.
-func (l *Link) originOf(near net.Conn) string {
+// originOf returns the origin of a client's connection; empty if it is unknown.
+func (l *Link) originOf(client net.Conn) string {
 	l.mu.Lock()
-	origin := l.origin
+	lookUp := l.lookUpOrigin
 	l.mu.Unlock()
-	from, ok := near.RemoteAddr().(*net.TCPAddr)
-	to, also := near.LocalAddr().(*net.TCPAddr)
-	if origin == nil || !ok || !also {
+	from, ok := client.RemoteAddr().(*net.TCPAddr)
+	to, toOK := client.LocalAddr().(*net.TCPAddr)
+	if lookUp == nil || !ok || !toOK {
 		return ""
 	}
-	return origin(from.AddrPort(), to.AddrPort())
+	return lookUp(from.AddrPort(), to.AddrPort())
 }
 
-// harmOf returns what is done to a connection now. The caller holds mu.
-func (l *Link) harmOf(one *pair) Fault {
-	if l.harm != NoFault {
-		return l.harm
+// faultOf returns the current fault of a pair. The caller holds mu.
+func (l *Link) faultOf(pair *connPair) Fault {
+	if l.fault != NoFault {
+		return l.fault
 	}
-	return l.from[one.origin]
+	return l.originFaults[pair.origin]
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -17,18 +17,18 @@
 // Ports that are given, in turn.
 const (
 	firstPort = 20000
-	ports     = 40000
+	portCount = 40000
 )
 
 // given counts the addresses that were given.
-var given atomic.Uint32
+var addressCount atomic.Uint32
 
 // Address returns an address, of TCP, that was not given before by this process while
 // others are in use, and that nobody listens at.
 func Address() netip.AddrPort {
-	for range ports {
-		port := uint16(firstPort + (given.Add(1)-1)%ports)
-		address := netip.AddrPortFrom(host(os.Getpid()), port)
+	for range portCount {
+		port := uint16(firstPort + (addressCount.Add(1)-1)%portCount)
+		address := netip.AddrPortFrom(hostAddress(os.Getpid()), port)
 		if isFree(address) {
 			return address
 		}
@@ -37,7 +37,7 @@
 }
 
 // host returns the loopback address of a process: Linux's process ids have 22 bits at most.
-func host(pid int) netip.Addr {
+func hostAddress(pid int) netip.Addr {
 	const own = 64 // 127.64.0.0 to 127.127.255.255
 	return netip.AddrFrom4([4]byte{127, own | byte(pid>>16)&63, byte(pid >> 8), byte(pid)})
 }
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestProcessesHaveAddressesOfTheirOwn(t *testing.T) {
+func TestEachProcessHasItsOwnAddress(t *testing.T) {
 	for name, c := range map[string]struct {
 		pid  int
 		want string
@@ -17,12 +17,12 @@
 		"usual":    {pid: 70000, want: "127.65.17.112"},
 		"greatest": {pid: 1<<22 - 1, want: "127.127.255.255"},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, host(c.pid), netip.MustParseAddr(c.want)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, hostAddress(c.pid), netip.MustParseAddr(c.want)) })
 	}
 }
 
 // Connections that a test makes take ports of another address than those that are given.
-func TestAConnectionTakesNoAddressThatMayBeGiven(t *testing.T) {
+func TestOutgoingConnectionUsesOtherAddress(t *testing.T) {
 	address := Address()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	assert.NilError(t, err)
@@ -34,7 +34,7 @@
 	assert.Assert(t, near.Addr() != address.Addr(), "%v", near)
 }
 
-func TestAddressesAreGivenOnce(t *testing.T) {
+func TestAddressesAreUnique(t *testing.T) {
 	seen := map[netip.AddrPort]bool{}
 	for range 200 {
 		address := Address()
--- a/internal/lab/losses/losses_test.go
+++ b/internal/lab/losses/losses_test.go
@@ -10,14 +10,14 @@
 	"gotest.tools/v3/golden"
 )
 
-func TestADayAsATable(t *testing.T) {
+func TestDayTable(t *testing.T) {
 	report, err := os.ReadFile("testdata/day.report")
 	assert.NilError(t, err)
 	day, err := Read(bytes.NewReader(report))
 	assert.NilError(t, err)
 	lost := 0.0
-	for _, one := range day.Parts {
-		lost += one.Lost
+	for _, one := range day.Losses {
+		lost += one.Amount
 	}
 	assert.Assert(t, lost > 1-day.Worth-0.002 && lost < 1-day.Worth+0.002, "the parts add up: %f of %f", lost, 1-day.Worth)
 	var text strings.Builder
@@ -25,7 +25,7 @@
 	golden.Assert(t, text.String(), "day.golden")
 }
 
-func TestOtherTextsAreNoReport(t *testing.T) {
+func TestOtherTextIsRejected(t *testing.T) {
 	for name, text := range map[string]string{"nothing": "", "a log": "1.2 r1 {\"kind\":\"start\"}\n"} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Read(strings.NewReader(text))
--- a/internal/lab/mutate/main.go
+++ b/internal/lab/mutate/main.go
@@ -8,7 +8,7 @@
 )
 
 func main() {
-	chosen, err := choose(os.Args[1:])
+	chosen, err := selectMutations(os.Args[1:])
 	if err == nil {
 		err = runAll(chosen)
 	}
@@ -19,7 +19,7 @@
 }
 
 // choose returns the mutations with the given names, all if there are none.
-func choose(names []string) ([]mutation, error) {
+func selectMutations(names []string) ([]mutation, error) {
 	if len(names) == 0 {
 		return mutations, nil
 	}
@@ -42,20 +42,20 @@
 		return err
 	}
 	defer work.remove()
-	bad := 0
+	notKilled := 0
 	for _, m := range chosen {
 		began := time.Now()
-		result := work.try(m)
+		result := work.run(m)
 		if result.outcome != outcomeKilled {
-			bad++
+			notKilled++
 		}
 		fmt.Printf("%-9s %-28s %s %s (%.0fs)\n", result.outcome, m.name, m.pkg, m.test, time.Since(began).Seconds())
 		if result.detail != "" {
 			fmt.Println(result.detail)
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d mutations were not caught", bad, len(chosen))
+	if notKilled > 0 {
+		return fmt.Errorf("%d of %d mutations were not caught", notKilled, len(chosen))
 	}
 	return nil
 }
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -126,7 +126,7 @@
 		file: "ownership/holder.go",
 		old:  " && w.holder.fences[w.key] == w.fence",
 		new:  "",
-		pkg:  "./ownership", test: "TestEffectIsVoidOnceTheGrantIsOver",
+		pkg:  "./ownership", test: "TestWorkIsNotStillHeldAfterGrantEnds",
 	},
 	{
 		name: "grant-before-its-record-is-stored",
--- a/internal/lab/mutate/mutations_test.go
+++ b/internal/lab/mutate/mutations_test.go
@@ -10,7 +10,7 @@
 )
 
 // A change of product code must not silently take a mutation's line away.
-func TestEveryMutationFindsItsLine(t *testing.T) {
+func TestEachMutationMatchesOnce(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			text, err := os.ReadFile(filepath.Join("..", "..", "..", filepath.FromSlash(m.file)))
--- a/internal/lab/mutate/tree.go
+++ b/internal/lab/mutate/tree.go
@@ -44,8 +44,8 @@
 	return tree{root: root}, copySources(root)
 }
 
-// leftOut are directories without sources.
-var leftOut = []string{".git", "bin", "target", "journal"}
+// excludedDirs are directories without sources.
+var excludedDirs = []string{".git", "bin", "target", "journal"}
 
 func copySources(root string) error {
 	return filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -53,7 +53,7 @@
 			return err
 		}
 		if entry.IsDir() {
-			if slices.Contains(leftOut, entry.Name()) {
+			if slices.Contains(excludedDirs, entry.Name()) {
 				return filepath.SkipDir
 			}
 			return os.MkdirAll(filepath.Join(root, path), 0o755)
@@ -71,7 +71,7 @@
 }
 
 // try runs the test of a mutation without and with the change.
-func (t tree) try(m mutation) result {
+func (t tree) run(m mutation) result {
 	path := filepath.Join(t.root, m.file)
 	original, err := os.ReadFile(path)
 	if err != nil {
@@ -80,7 +80,7 @@
 	if found := strings.Count(string(original), m.old); found != 1 {
 		return invalid(fmt.Errorf("%s: found %d times, not once: %q", m.file, found, m.old))
 	}
-	if output, err := t.test(m); err != nil {
+	if output, err := t.runTest(m); err != nil {
 		return invalid(fmt.Errorf("the test fails without the change: %w\n%s", err, output))
 	}
 	defer func() { _ = os.WriteFile(path, original, 0o644) }()
@@ -91,11 +91,11 @@
 	if output, err := t.command("go", "build", "./..."); err != nil {
 		return invalid(fmt.Errorf("it does not compile: %w\n%s", err, output))
 	}
-	return t.judge(m)
+	return t.runChanged(m)
 }
 
-func (t tree) judge(m mutation) result {
-	output, err := t.test(m)
+func (t tree) runChanged(m mutation) result {
+	output, err := t.runTest(m)
 	if err == nil {
 		return result{outcome: outcomeSurvived}
 	}
@@ -114,7 +114,7 @@
 }
 
 // test runs the named test once.
-func (t tree) test(m mutation) (string, error) {
+func (t tree) runTest(m mutation) (string, error) {
 	output, err := t.command("go", "test", "-count=1", "-timeout=5m", "-run", "^"+m.test+"$", m.pkg)
 	if err == nil && strings.Contains(output, "no tests to run") {
 		return output, fmt.Errorf("no test is named %s", m.test)
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const long = time.Minute
+const stopTimeout = time.Minute
 
 func start(t *testing.T, group *Group, script string) *Process {
 	t.Helper()
@@ -21,7 +21,7 @@
 }
 
 // gone reports that no process has the id: it was ended and waited for.
-func gone(pid int) bool {
+func processEnded(pid int) bool {
 	return syscall.Kill(pid, 0) == syscall.ESRCH
 }
 
@@ -36,16 +36,16 @@
 	assert.Equal(t, len(left), 0)
 	for _, child := range []*Process{stubborn, frozen, killed} {
 		assert.Assert(t, child.Ended())
-		assert.Assert(t, gone(child.PID()))
+		assert.Assert(t, processEnded(child.PID()))
 	}
 	_, err := group.Start(Spec{Path: "/bin/true"})
 	assert.ErrorContains(t, err, "closed")
 }
 
-func TestOutputAndExitAreKept(t *testing.T) {
+func TestOutputAndExitStatusAreRecorded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
 	group := NewGroup()
-	defer group.Close(long)
+	defer group.Close(stopTimeout)
 	child, err := group.Start(Spec{Path: "/bin/sh", Args: []string{"-c", "echo hello; exit 3"}, OutputPath: path})
 	assert.NilError(t, err)
 	err = child.Wait(context.Background())
--- a/ownership/holder_test.go
+++ b/ownership/holder_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestReleaseGivesUpWithItsCaller(t *testing.T) {
+func TestReleaseReturnsWhenContextEnds(t *testing.T) {
 	holder := NewHolder()
 	now := time.Now()
 	holder.Grant(now, Grant{Keys: all, Fence: 1, Hold: time.Hour})
@@ -91,7 +91,7 @@
 }
 
 // Work that a pause or a move has overtaken must not be kept.
-func TestEffectIsVoidOnceTheGrantIsOver(t *testing.T) {
+func TestWorkIsNotStillHeldAfterGrantEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := NewHolder()
 	holder.Grant(now, Grant{Keys: all, Fence: 1, Hold: hold})
--- a/ownership/now_test.go
+++ b/ownership/now_test.go
@@ -11,7 +11,7 @@
 )
 
 // A server's hold of keys ends while its machine is suspended: others get them.
-func TestAHoldEndsInASuspension(t *testing.T) {
+func TestHoldEndsDuringSuspension(t *testing.T) {
 	assert.Equal(t, CountsSuspension(), runtime.GOOS == "linux")
 	holder := NewHolder()
 	assert.Equal(t, holder.Grant(Now(), Grant{Keys: Keys{From: 0, To: 9}, Fence: 1, Hold: 3 * time.Second}), Taken)
