--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernel compares Linux's clocks: CLOCK_BOOTTIME counts the time for which the machine is
-// suspended, and CLOCK_MONOTONIC, which time.Now reads, does not. Nil if the kernel has none.
+// kernel compares two clocks of the Linux kernel: CLOCK_BOOTTIME counts the time during which the
+// machine is suspended; CLOCK_MONOTONIC, which time.Now reads, does not. It is nil if the kernel
+// lacks one of them.
 var kernel = newKernel()
 
 func newKernel() *suspensionDetector {
@@ -19,7 +20,7 @@
 	return newSuspensionDetector(clockReader(unix.CLOCK_MONOTONIC), clockReader(unix.CLOCK_BOOTTIME))
 }
 
-// reader returns a function that reads a clock of the kernel, which was there at the start.
+// clockReader returns a function that reads a kernel clock that newKernel has read successfully.
 func clockReader(id int32) func() time.Duration {
 	return func() time.Duration {
 		now, _ := kernelTime(id)
@@ -35,5 +36,5 @@
 	return time.Duration(now.Nano()), nil
 }
 
-// Counts reports whether Now counts the time for which the machine is suspended.
+// CountsSuspension reports whether Now counts the time during which the machine is suspended.
 func CountsSuspension() bool { return kernel != nil }
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -2,8 +2,9 @@
 
 package clock
 
-// kernel is nil where no clock is known that counts the time for which the machine is suspended.
+// kernel is nil on systems without a known clock that counts the time during which the machine is
+// suspended.
 var kernel *detector
 
-// Counts reports whether Now counts the time for which the machine is suspended.
+// CountsSuspension reports whether Now counts the time during which the machine is suspended.
 func Counts() bool { return false }
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -1,4 +1,4 @@
-// Package clock holds what the packages share that deal with time.
+// Package clock provides a clock that counts suspensions of the machine, sleeping and backoff.
 package clock
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, and reports false if ctx ended first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -38,11 +38,11 @@
 }
 
 func TestBackoffDeductsDurationOfCall(t *testing.T) {
-	for name, c := range map[string]struct{ took, slept time.Duration }{
-		"refused at once": {slept: 3 * time.Second},
-		"took a moment":   {took: 500 * time.Millisecond, slept: 2500 * time.Millisecond},
-		"took most of it": {took: 2500 * time.Millisecond, slept: time.Second},
-		"took longer":     {took: time.Minute, slept: time.Second},
+	for name, c := range map[string]struct{ elapsed, slept time.Duration }{
+		"refused at once":        {slept: 3 * time.Second},
+		"took part of the delay": {elapsed: 500 * time.Millisecond, slept: 2500 * time.Millisecond},
+		"took most of the delay": {elapsed: 2500 * time.Millisecond, slept: time.Second},
+		"took longer":            {elapsed: time.Minute, slept: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 				backoff.Sleep(t.Context())
 				backoff.Sleep(t.Context())
 				began := time.Now()
-				backoff.SleepAfter(t.Context(), c.took)
+				backoff.SleepAfter(t.Context(), c.elapsed)
 				assert.Equal(t, time.Since(began), c.slept)
 			})
 		})
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -6,72 +6,74 @@
 	"time"
 )
 
-// The steady clock of time.Now stands still while its machine is suspended. What a promise
-// rests on must not: leases, holds and leaves of others end meanwhile. Now, Since and Until
-// count that time, and are used for all that outlives an instant. Deadlines of connections and
-// contexts are the runtime's, and take times of time.Now.
+// The monotonic clock of time.Now stops while the machine is suspended, but leases, holds and
+// delegations that other processes rely on expire meanwhile. Now, Since and Until count that time
+// and are used for every time that is kept beyond the current call. Deadlines of connections and
+// contexts belong to the Go runtime and take times of time.Now.
 //
-// Asking the kernel costs a system call, so what a machine was suspended for is looked at every
-// PollInterval, and by Refresh before each order that a promise rests on.
+// Reading the kernel's clocks costs a system call, so the total suspension is refreshed only every
+// PollInterval, and by Refresh before each order whose safety depends on it.
 
 const (
-	// PollInterval is the pause between looks at the kernel's clock. A process that wakes believes
-	// for as long that no time has passed, but for what Refresh goes before; the users' platform
-	// gives it 3 s to catch up. Each look wakes the process: with 100 ms a quiet day of 11
-	// routers cost 6.38 s of processor time in place of 6.09 (means of three runs each).
+	// PollInterval is the interval between reads of the kernel's clocks. After a suspension, a
+	// process may miss the suspended time for up to this long, except where Refresh is called
+	// first; the users' platform allows 3 s to catch up. Each read wakes the process: with 100 ms,
+	// a simulated day of 11 routers with little load cost 6.38 s of processor time instead of 6.09 s
+	// (means of three runs each).
 	PollInterval = 500 * time.Millisecond
-	// minSuspension is the least time that counts as a suspension: the two clocks are read
-	// one after the other, microseconds apart.
+	// minSuspension is the shortest difference that counts as a suspension: the two clocks are
+	// read one after the other, microseconds apart.
 	minSuspension = 20 * time.Millisecond
-	// maxReadTime is how long one reading of both clocks may take, and readAttempts how often it is
-	// tried: a thread may lose its turn in between.
-	maxReadTime  = time.Millisecond
+	// maxReadTime is how long one reading of both clocks may take. A slower one, whose thread may
+	// have been descheduled in between, is discarded.
+	maxReadTime = time.Millisecond
+	// readAttempts is the number of readings that are tried.
 	readAttempts = 3
 )
 
-// suspended is for how long the machine was suspended since the process began, in nanoseconds.
+// suspended is the total time in nanoseconds for which the machine was suspended since the process
+// started.
 var suspended atomic.Int64
 
-// Now returns the time on a clock that goes on while the machine is suspended.
+// Now returns the time of a clock that also runs while the machine is suspended.
 func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 
-// Since returns the time since t, which came from Now.
+// Since returns the time since t, which must be a time from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which came from Now.
+// Until returns the time until t, which must be a time from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// began is the zero of Nanos.
+// processStart is the time that Nanos maps to 0.
 var processStart = time.Now()
 
-// Nanos returns a time of Now as a number, for atomic variables.
+// Nanos converts a time from Now to a number, for atomic variables.
 func Nanos(t time.Time) int64 { return int64(t.Sub(processStart)) }
 
-// FromNanos returns the time that a number of Nanos stands for.
+// FromNanos converts a number from Nanos back to the time.
 func FromNanos(nanos int64) time.Time { return processStart.Add(time.Duration(nanos)) }
 
-// Suspended returns for how long the machine was suspended since the process began, as far as
-// that was looked at.
+// Suspended returns the total time for which the machine was suspended since the process started,
+// as of the last Refresh.
 func Suspended() time.Duration { return time.Duration(suspended.Load()) }
 
-// detector finds suspensions by comparing two clocks, each of which returns the time since an
-// instant of its own.
+// suspensionDetector finds suspensions by comparing two clocks, which may have different epochs.
 type suspensionDetector struct {
 	mu sync.Mutex
-	// steady stands still while the machine is suspended, and boot does not.
+	// monotonic stops while the machine is suspended; boot does not.
 	monotonic, boot func() time.Duration
-	// ahead is by how much boot was ahead of steady at first.
+	// initialOffset is how far boot was ahead of monotonic when the detector was created.
 	initialOffset time.Duration
 }
 
-func newSuspensionDetector(steady, boot func() time.Duration) *suspensionDetector {
-	d := &suspensionDetector{monotonic: steady, boot: boot}
+func newSuspensionDetector(monotonic, boot func() time.Duration) *suspensionDetector {
+	d := &suspensionDetector{monotonic: monotonic, boot: boot}
 	d.initialOffset, _ = d.readOffset()
 	return d
 }
 
-// read returns by how much boot is ahead, or a little less; false if no reading was quick
-// enough to tell.
+// readOffset returns how far boot is ahead of monotonic, less at most maxReadTime; false if each
+// reading took longer than that.
 func (d *suspensionDetector) readOffset() (time.Duration, bool) {
 	for range readAttempts {
 		before := d.monotonic()
@@ -84,18 +86,20 @@
 	return 0, false
 }
 
-// look returns for how long the machine was suspended in all, if that is more than known.
+// totalSuspension returns the total time for which the machine was suspended, or known if that is
+// not exceeded by minSuspension.
 func (d *suspensionDetector) totalSuspension(known time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ahead, ok := d.readOffset()
-	if !ok || ahead-d.initialOffset-known < minSuspension {
+	offset, ok := d.readOffset()
+	if !ok || offset-d.initialOffset-known < minSuspension {
 		return known
 	}
-	return ahead - d.initialOffset
+	return offset - d.initialOffset
 }
 
-// Refresh looks whether the machine was suspended since the last look, and returns for how long.
+// Refresh checks whether the machine was suspended since the last Refresh, and returns for how
+// long. It returns 0 where CountsSuspension is false.
 func Refresh() time.Duration {
 	if kernel == nil {
 		return 0
@@ -112,8 +116,8 @@
 	}
 }
 
-// Suspend lets Now jump as if the machine had been suspended, for tests, which must not run
-// beside others. What it returns takes that back.
+// SimulateSuspension advances Now as if the machine had been suspended for d, until restore is
+// called. It is for tests, which must not run in parallel with others.
 func SimulateSuspension(d time.Duration) (restore func()) {
 	before := suspended.Add(int64(d)) - int64(d)
 	return func() { suspended.Store(before) }
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -10,17 +10,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// promising are the packages in which a time outlives an instant: leases, holds, leaves, beliefs,
-// budgets. The steady clock must not be read there, since it stands while a machine is suspended.
+// timeCriticalPackages are the packages that keep times beyond the current call: those of leases,
+// holds, delegations, budgets and the state received from other processes. They must not read the
+// monotonic clock, which stops while the machine is suspended.
 var timeCriticalPackages = []string{
 	"bodies", "coord", "departure", "election", "facts", "keeper", "keytable", "owner", "peerlink", "proxy", "quarantine", "quota", "router", "standby", "upstream", "workerlimit", "workers",
 }
 
-// A deadline of a connection is the runtime's, and counts on the steady clock.
+// The runtime's deadlines of connections and contexts use the monotonic clock.
 var (
-	steady    = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
-	deadline  = regexp.MustCompile(`Set(Read|Write)?Deadline\(time\.Now\(\)`)
-	ofRuntime = regexp.MustCompile(`context\.WithDeadline\(`)
+	monotonic       = regexp.MustCompile(`\btime\.(Now|Since|Until)\(`)
+	connDeadline    = regexp.MustCompile(`Set(Read|Write)?Deadline\(time\.Now\(\)`)
+	contextDeadline = regexp.MustCompile(`context\.WithDeadline\(`)
 )
 
 func TestTimeCriticalPackagesCountSuspension(t *testing.T) {
@@ -35,9 +36,9 @@
 			content, err := os.ReadFile(file)
 			assert.NilError(t, err)
 			for number, line := range strings.Split(string(content), "\n") {
-				reads := steady.MatchString(line) && !deadline.MatchString(line)
+				reads := monotonic.MatchString(line) && !connDeadline.MatchString(line)
 				assert.Assert(t, !reads, "%s:%d: use clock.Now, Since or Until: %s", file, number+1, line)
-				assert.Assert(t, !ofRuntime.MatchString(line), "%s:%d: use context.WithTimeout and clock.Until: %s", file, number+1, line)
+				assert.Assert(t, !contextDeadline.MatchString(line), "%s:%d: use context.WithTimeout and clock.Until: %s", file, number+1, line)
 			}
 		}
 	}
--- a/ownership/now_test.go
+++ b/ownership/now_test.go
@@ -10,7 +10,8 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A server's hold of keys ends while its machine is suspended: others get them.
+// A hold expires while the server's machine is suspended, since the keys may be granted to another
+// server meanwhile.
 func TestHoldEndsDuringSuspension(t *testing.T) {
 	assert.Equal(t, CountsSuspension(), runtime.GOOS == "linux")
 	holder := NewHolder()
@@ -20,7 +21,7 @@
 	defer work.End()
 	defer clock.SimulateSuspension(4 * time.Second)()
 	assert.Assert(t, !holder.Holds(Now(), 5))
-	assert.Assert(t, !work.StillHeld(Now()), "its effect must not be kept")
+	assert.Assert(t, !work.StillHeld(Now()), "the effect of the work must be discarded")
 	_, begun = holder.Begin(Now(), 5)
 	assert.Assert(t, !begun)
 }
