--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,10 +1,10 @@
-// Package loopback gives the processes of a test addresses on this machine that nobody else
-// is given.
+// Package loopback allocates addresses on this machine for the processes of a test, without
+// collisions with other tests.
 //
-// A port of 127.0.0.1 that is free when it is looked for may be taken when it is used: by
-// another test, or as the near end of any connection that is made meanwhile. Routers of a
-// test did not start for that. Each test process therefore has a loopback address of its own,
-// from its process id, and counts the ports on it.
+// A port of 127.0.0.1 that is found free may be in use by the time it is bound: by another test,
+// or as the local port of an outgoing connection. Routers in tests failed to start because of
+// this. Each test process therefore derives its own loopback address from its process ID, and
+// allocates ports on it in sequence.
 package loopback
 
 import (
@@ -14,17 +14,17 @@
 	"sync/atomic"
 )
 
-// Ports that are given, in turn.
+// Ports that are allocated in sequence.
 const (
 	firstPort = 20000
 	portCount = 40000
 )
 
-// given counts the addresses that were given.
+// addressCount is the number of addresses that were tried so far.
 var addressCount atomic.Uint32
 
-// Address returns an address, of TCP, that was not given before by this process while
-// others are in use, and that nobody listens at.
+// Address returns a TCP address that no process listens on. This process does not allocate it
+// again before it has tried all other ports.
 func Address() netip.AddrPort {
 	for range portCount {
 		port := uint16(firstPort + (addressCount.Add(1)-1)%portCount)
@@ -36,10 +36,10 @@
 	panic("all ports of the process's loopback address are in use")
 }
 
-// host returns the loopback address of a process: Linux's process ids have 22 bits at most.
+// hostAddress returns the loopback address of a process. Process IDs on Linux have at most 22 bits.
 func hostAddress(pid int) netip.Addr {
-	const own = 64 // 127.64.0.0 to 127.127.255.255
-	return netip.AddrFrom4([4]byte{127, own | byte(pid>>16)&63, byte(pid >> 8), byte(pid)})
+	const base = 64 // 127.64.0.0 to 127.127.255.255
+	return netip.AddrFrom4([4]byte{127, base | byte(pid>>16)&63, byte(pid >> 8), byte(pid)})
 }
 
 func isFree(address netip.AddrPort) bool {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -13,15 +13,15 @@
 		pid  int
 		want string
 	}{
-		"small":    {pid: 1, want: "127.64.0.1"},
-		"usual":    {pid: 70000, want: "127.65.17.112"},
-		"greatest": {pid: 1<<22 - 1, want: "127.127.255.255"},
+		"small":   {pid: 1, want: "127.64.0.1"},
+		"typical": {pid: 70000, want: "127.65.17.112"},
+		"largest": {pid: 1<<22 - 1, want: "127.127.255.255"},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, hostAddress(c.pid), netip.MustParseAddr(c.want)) })
 	}
 }
 
-// Connections that a test makes take ports of another address than those that are given.
+// Outgoing connections use ports of another address than the allocated ones.
 func TestOutgoingConnectionUsesOtherAddress(t *testing.T) {
 	address := Address()
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
@@ -30,8 +30,8 @@
 	conn, err := net.Dial("tcp", address.String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	near := conn.LocalAddr().(*net.TCPAddr).AddrPort()
-	assert.Assert(t, near.Addr() != address.Addr(), "%v", near)
+	local := conn.LocalAddr().(*net.TCPAddr).AddrPort()
+	assert.Assert(t, local.Addr() != address.Addr(), "%v", local)
 }
 
 func TestAddressesAreUnique(t *testing.T) {
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses reads the text report of a played day and tells where its worth was
-// lost, so that the parts add up to what is missing to 1. It is for the lab only.
+// Package losses reads the text report of a simulated day and lists where the day lost worth,
+// which is 1 at most. The losses add up to the difference between 1 and the day's worth. It is for
+// the lab only.
 package losses
 
 import (
@@ -17,32 +18,33 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("losses")
 
-// Part is one reason for lost worth, as a share of the day's worth.
+// Loss is the worth that was lost for one reason, as a share of the full worth of 1.
 type Loss struct {
 	Name   string
 	Amount float64
 }
 
-// Ending is how many requests ended unserved in one way.
+// Failure is the number of requests that failed for one reason.
 type Failure struct {
 	Name  string
 	Count int
 }
 
-// Window is a time of the day and the share of its credit that was earned.
+// Window is a time window of the day and the share of its credit that was earned.
 type Window struct {
 	StartSecond int
 	Earned      float64
 }
 
-// Day is what a report tells of one day.
+// Day is the content of a report.
 type Day struct {
 	Name  string
 	Worth float64
-	// Parts of what is missing to 1, the largest first.
+	// Losses are sorted by amount, largest first.
 	Losses []Loss
-	// Endings of requests that were not served, and Worst windows.
-	Failures     []Failure
+	// Failures are the requests that were not served, by their last error.
+	Failures []Failure
+	// WorstWindows are the windows that earned the least, worst first.
 	WorstWindows []Window
 }
 
@@ -55,10 +57,10 @@
 	windowLine  = regexp.MustCompile(`^(\d+)\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+(\d+\.\d+)\s`)
 )
 
-// maxWorstWindows is how many windows are told.
+// maxWorstWindows is the number of windows that a Day lists.
 const maxWorstWindows = 5
 
-// Read reads a report.
+// Read parses a report.
 func Read(report io.Reader) (Day, error) {
 	var day Day
 	scanner := bufio.NewScanner(report)
@@ -88,7 +90,7 @@
 	return 0
 }
 
-// read takes one line.
+// parseLine parses one line. Lines of other kinds are ignored.
 func (d *Day) parseLine(line string) {
 	switch {
 	case worthLine.MatchString(line):
@@ -108,52 +110,52 @@
 	}
 }
 
-// readWorth takes the weighed parts of the credit.
+// parseWorth parses the weighted parts of the day's worth and adds what each of them lost.
 func (d *Day) parseWorth(text string) {
-	for _, one := range strings.Split(text, ", ") {
-		if found := partText.FindStringSubmatch(one); found != nil {
+	for _, part := range strings.Split(text, ", ") {
+		if found := partText.FindStringSubmatch(part); found != nil {
 			d.addLoss(found[1], parseNumber(found[3])*(1-parseNumber(found[2])))
 		}
 	}
 }
 
-func (d *Day) addLoss(name string, lost float64) {
-	if lost > 0 {
-		d.Losses = append(d.Losses, Loss{Name: name, Amount: lost})
+func (d *Day) addLoss(name string, amount float64) {
+	if amount > 0 {
+		d.Losses = append(d.Losses, Loss{Name: name, Amount: amount})
 	}
 }
 
-// number reads digits that a pattern has found.
+// parseNumber parses a number that a pattern has matched.
 func parseNumber(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic(err) // the pattern takes numbers only
+		panic(err) // the patterns match only numbers
 	}
 	return value
 }
 
-// minListedLoss is the least part that is told apart.
+// minListedLoss is the smallest loss that is listed separately.
 const minListedLoss = 0.002
 
-// Write writes the day as a table of Markdown.
+// Write writes the day as Markdown: a table of the losses, then the failures and the worst windows.
 func (d Day) Write(to io.Writer) error {
 	text := fmt.Sprintf("| %s: worth %.3f | lost |\n|---|---|\n", d.Name, d.Worth)
-	rest := 0.0
+	smaller := 0.0
 	total := 0.0
-	for _, part := range d.Losses {
-		total += part.Amount
-		if part.Amount < minListedLoss {
-			rest += part.Amount
+	for _, loss := range d.Losses {
+		total += loss.Amount
+		if loss.Amount < minListedLoss {
+			smaller += loss.Amount
 			continue
 		}
-		text += fmt.Sprintf("| %s | %.4f |\n", part.Name, part.Amount)
+		text += fmt.Sprintf("| %s | %.4f |\n", loss.Name, loss.Amount)
 	}
-	text += fmt.Sprintf("| all smaller | %.4f |\n| sum | %.4f |\n\n", rest, total)
-	for _, one := range d.Failures {
-		text += fmt.Sprintf("- not served, %s: %d\n", one.Name, one.Count)
+	text += fmt.Sprintf("| all smaller | %.4f |\n| sum | %.4f |\n\n", smaller, total)
+	for _, failure := range d.Failures {
+		text += fmt.Sprintf("- not served, %s: %d\n", failure.Name, failure.Count)
 	}
-	for _, one := range d.WorstWindows {
-		text += fmt.Sprintf("- from second %d: %.3f of the credit\n", one.StartSecond, one.Earned)
+	for _, window := range d.WorstWindows {
+		text += fmt.Sprintf("- from second %d: %.3f of the credit\n", window.StartSecond, window.Earned)
 	}
 	_, err := io.WriteString(to, text)
 	return Error.Wrap(err)
--- a/internal/lab/mutate/doc.go
+++ b/internal/lab/mutate/doc.go
@@ -1,9 +1,10 @@
-// Command mutate breaks one safety rule at a time in a copy of the source tree,
-// by a change of one line, and shows that a named test then fails.
+// Command mutate breaks one safety rule at a time in a copy of the source tree, by replacing one
+// piece of code, and checks that a named test then fails.
 //
 //	go run ./internal/lab/mutate            all mutations
-//	go run ./internal/lab/mutate NAME...    some of them
+//	go run ./internal/lab/mutate NAME...    the named mutations
 //
-// It ends with status 1 if a mutation's text is not found exactly once, does not
-// compile, or survives its test. The copy is removed at the end.
+// It exits with status 1 if a mutation's code is not found exactly once, if the test fails without
+// the mutation, or if the mutated code does not compile or passes the test. The copy is removed at
+// the end.
 package main
--- a/internal/lab/mutate/main.go
+++ b/internal/lab/mutate/main.go
@@ -8,9 +8,9 @@
 )
 
 func main() {
-	chosen, err := selectMutations(os.Args[1:])
+	selected, err := selectMutations(os.Args[1:])
 	if err == nil {
-		err = runAll(chosen)
+		err = runAll(selected)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mutate:", err)
@@ -18,34 +18,33 @@
 	}
 }
 
-// choose returns the mutations with the given names, all if there are none.
+// selectMutations returns the mutations with the given names, or all if names is empty.
 func selectMutations(names []string) ([]mutation, error) {
 	if len(names) == 0 {
 		return mutations, nil
 	}
-	var chosen []mutation
+	var selected []mutation
 	for _, name := range names {
-		at := slices.IndexFunc(mutations, func(m mutation) bool { return m.name == name })
-		if at < 0 {
+		index := slices.IndexFunc(mutations, func(m mutation) bool { return m.name == name })
+		if index < 0 {
 			return nil, fmt.Errorf("no mutation is named %q", name)
 		}
-		chosen = append(chosen, mutations[at])
+		selected = append(selected, mutations[index])
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-// runAll tries each mutation in one copy of the tree and prints what became of
-// it.
-func runAll(chosen []mutation) error {
-	work, err := copyTree()
+// runAll runs each mutation in one copy of the source tree and prints the outcomes.
+func runAll(selected []mutation) error {
+	copied, err := copyTree()
 	if err != nil {
 		return err
 	}
-	defer work.remove()
+	defer copied.remove()
 	notKilled := 0
-	for _, m := range chosen {
+	for _, m := range selected {
 		began := time.Now()
-		result := work.run(m)
+		result := copied.run(m)
 		if result.outcome != outcomeKilled {
 			notKilled++
 		}
@@ -55,7 +54,7 @@
 		}
 	}
 	if notKilled > 0 {
-		return fmt.Errorf("%d of %d mutations were not caught", notKilled, len(chosen))
+		return fmt.Errorf("%d of %d mutations were not caught", notKilled, len(selected))
 	}
 	return nil
 }
--- a/internal/lab/mutate/mutations.go
+++ b/internal/lab/mutate/mutations.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// mutation breaks one rule by a change of one place.
+// mutation breaks one rule by replacing one piece of code.
 type mutation struct {
 	name string
-	// file has the text old exactly once; new takes its place.
+	// file contains the text old exactly once, which new replaces.
 	file string
 	old  string
 	new  string
-	// test of the package pkg fails then.
+	// test is the test function in package pkg that must fail on the mutated code.
 	pkg  string
 	test string
 }
 
-// mutations break the rules of docs/PROOFS.md.
+// mutations break the rules that docs/PROOFS.md lists.
 var mutations = slices.Concat(
 	ownerMutations, incarnationMutations, requestMutations, updateMutations,
 	quarantineMutations, clockMutations,
--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -1,7 +1,7 @@
 package main
 
-// bodyMutations let bodies of requests and answers be taken for what they are not, or hold more
-// than they may.
+// bodyMutations make bodies of requests and responses be misinterpreted or use more memory than
+// allowed.
 var bodyMutations = []mutation{
 	{
 		name: "chunks-pass-the-limit",
--- a/internal/lab/mutate/mutations_fair.go
+++ b/internal/lab/mutate/mutations_fair.go
@@ -1,6 +1,6 @@
 package main
 
-// fairMutations let one tenant's flood fall on others, or starve somebody.
+// fairMutations let a flood of one tenant's requests affect other tenants, or starve some requests.
 var fairMutations = []mutation{
 	{
 		name: "flood-does-not-yield",
--- a/internal/lab/mutate/mutations_incarnations.go
+++ b/internal/lab/mutate/mutations_incarnations.go
@@ -1,6 +1,6 @@
 package main
 
-// incarnationMutations take what a life of a worker left behind for what the next one has.
+// incarnationMutations apply the state of one incarnation of a worker to the next one.
 var incarnationMutations = []mutation{
 	{
 		name: "drain-outlives-its-life",
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -1,6 +1,7 @@
 package main
 
-// limitMutations let workers get more than they name, or take limits for what they are not.
+// limitMutations send workers more requests than the limits that they announce allow, or
+// misinterpret these limits.
 var limitMutations = []mutation{
 	{
 		name: "early-answer-ends-a-limit",
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -1,7 +1,7 @@
 package main
 
-// noticeMutations send to workers that have said that they leave, or have asked for backoffs, or take
-// what they say for what it is not.
+// noticeMutations send requests to workers that have announced that they are leaving or have
+// requested a backoff, or misinterpret the notices of workers.
 var noticeMutations = []mutation{
 	{
 		name: "routers-do-not-read-that-a-worker-leaves",
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -1,6 +1,7 @@
 package main
 
-// ownerMutations let two workers hold the same keys, or orders of a former leader count.
+// ownerMutations let two workers hold the same keys, or let orders of a previous leader take
+// effect.
 var ownerMutations = []mutation{
 	{
 		name: "former-owner-not-outwaited",
--- a/internal/lab/mutate/mutations_quarantine.go
+++ b/internal/lab/mutate/mutations_quarantine.go
@@ -1,6 +1,6 @@
 package main
 
-// quarantineMutations let requests that crash workers through, or take others for them.
+// quarantineMutations fail to quarantine requests that crash workers, or quarantine others.
 var quarantineMutations = []mutation{
 	{
 		name: "harmful-request-never-quarantined",
@@ -81,7 +81,7 @@
 	},
 }
 
-// clockMutations make a process miss that its machine was suspended.
+// clockMutations make a process ignore that its machine was suspended.
 var clockMutations = []mutation{
 	{
 		name: "lease-on-the-steady-clock",
--- a/internal/lab/mutate/mutations_regions.go
+++ b/internal/lab/mutate/mutations_regions.go
@@ -1,6 +1,7 @@
 package main
 
-// regionMutations serve bound requests outside, or let large bodies fill the link between regions.
+// regionMutations serve requests outside their allowed regions, or let large bodies use up the
+// bandwidth between regions.
 var regionMutations = []mutation{
 	{
 		name: "pool-serves-outside-its-regions",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -1,6 +1,6 @@
 package main
 
-// requestMutations let requests run twice or too often, or lose and mix up their answers.
+// requestMutations let requests run twice or too often, or lose or mix up their responses.
 var requestMutations = []mutation{
 	{
 		name: "sent-again-after-it-may-have-run",
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -1,6 +1,6 @@
 package main
 
-// tenantMutations let callers pass for tenants that they are not, or API keys out.
+// tenantMutations let callers act as other tenants, or leak API keys.
 var tenantMutations = []mutation{
 	{
 		name: "caller-names-its-tenant",
--- a/internal/lab/mutate/mutations_test.go
+++ b/internal/lab/mutate/mutations_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A change of product code must not silently take a mutation's line away.
+// A change of the source must not silently remove the code that a mutation replaces.
 func TestEachMutationMatchesOnce(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/lab/mutate/mutations_updates.go
+++ b/internal/lab/mutate/mutations_updates.go
@@ -1,7 +1,7 @@
 package main
 
-// updateMutations act on configurations, evacuations, entries and words of leaders that are older than
-// what is known, or not approved.
+// updateMutations make processes act on configurations, evacuations, entries and updates from
+// leaders that are outdated or not approved.
 var updateMutations = []mutation{
 	{
 		name: "pool-of-an-evacuated-zone-used",
--- a/internal/lab/mutate/tree.go
+++ b/internal/lab/mutate/tree.go
@@ -11,25 +11,25 @@
 	"strings"
 )
 
-// outcome is what became of a mutation.
+// outcome is the result category of a mutation.
 type outcome string
 
 const (
-	// outcomeKilled: the named test passed before the change and failed after.
+	// outcomeKilled: the test passes on the original code and fails on the mutated code.
 	outcomeKilled outcome = "killed"
-	// outcomeSurvived: the named test passed in spite of the change.
+	// outcomeSurvived: the test passes on the mutated code.
 	outcomeSurvived outcome = "SURVIVED"
-	// outcomeInvalid: the change could not be tried.
+	// outcomeInvalid: the mutation could not be tested.
 	outcomeInvalid outcome = "INVALID"
 )
 
-// result of one mutation; detail explains an outcome that is not killed.
+// result is the result of one mutation. detail explains outcomeInvalid.
 type result struct {
 	outcome outcome
 	detail  string
 }
 
-// tree is a copy of the source tree that is changed and changed back.
+// tree is a copy of the source tree in which mutations are applied and reverted.
 type tree struct{ root string }
 
 // copyTree copies the Go module in the working directory, without .git.
@@ -44,7 +44,7 @@
 	return tree{root: root}, copySources(root)
 }
 
-// excludedDirs are directories without sources.
+// excludedDirs are not copied, since they contain no source code.
 var excludedDirs = []string{".git", "bin", "target", "journal"}
 
 func copySources(root string) error {
@@ -70,15 +70,15 @@
 	_ = os.RemoveAll(t.root)
 }
 
-// try runs the test of a mutation without and with the change.
+// run runs the test of a mutation on the original code, and then on the mutated code.
 func (t tree) run(m mutation) result {
 	path := filepath.Join(t.root, m.file)
 	original, err := os.ReadFile(path)
 	if err != nil {
 		return invalid(err)
 	}
-	if found := strings.Count(string(original), m.old); found != 1 {
-		return invalid(fmt.Errorf("%s: found %d times, not once: %q", m.file, found, m.old))
+	if count := strings.Count(string(original), m.old); count != 1 {
+		return invalid(fmt.Errorf("%s: found %d times, not once: %q", m.file, count, m.old))
 	}
 	if output, err := t.runTest(m); err != nil {
 		return invalid(fmt.Errorf("the test fails without the change: %w\n%s", err, output))
@@ -94,13 +94,14 @@
 	return t.runChanged(m)
 }
 
+// runChanged runs the test of a mutation that has been applied.
 func (t tree) runChanged(m mutation) result {
 	output, err := t.runTest(m)
 	if err == nil {
 		return result{outcome: outcomeSurvived}
 	}
-	var ended *exec.ExitError
-	if !errors.As(err, &ended) {
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) {
 		return invalid(err)
 	}
 	if !strings.Contains(output, "FAIL") {
@@ -113,7 +114,7 @@
 	return result{outcome: outcomeInvalid, detail: err.Error()}
 }
 
-// test runs the named test once.
+// runTest runs the test of a mutation once.
 func (t tree) runTest(m mutation) (string, error) {
 	output, err := t.command("go", "test", "-count=1", "-timeout=5m", "-run", "^"+m.test+"$", m.pkg)
 	if err == nil && strings.Contains(output, "no tests to run") {
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts the processes of a test on this machine and leaves
-// none behind: each is stopped and waited for by its id, and the kernel kills
-// it should the test itself be killed.
+// Package process runs the child processes of a test on this machine and leaves none of them
+// running. Each child is stopped and waited for by its process ID, and the kernel kills it if the
+// test itself is killed.
 package process
 
 import (
@@ -17,24 +17,24 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("lab process")
 
-// Spec says what to start.
+// Spec describes a child process to start.
 type Spec struct {
-	// Name is for people and for the file that takes standard error.
+	// Name identifies the child in messages and file names.
 	Name string
 	Path string
 	Args []string
-	// LogPath takes standard error; empty discards it.
+	// LogPath is the file that standard error is appended to; empty discards it.
 	LogPath string
-	// OutputPath takes standard output; empty discards it.
+	// OutputPath is the file that standard output is appended to; empty discards it.
 	OutputPath string
 }
 
-// Process is one child.
+// Process is a child process.
 type Process struct {
 	spec    Spec
 	command *exec.Cmd
 	files   []*os.File
-	// ended is closed once the child was waited for; err is set before.
+	// ended is closed once the child has been waited for; err is set before that.
 	ended chan struct{}
 	err   error
 }
@@ -44,12 +44,12 @@
 	return p.spec.Name
 }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.command.Process.Pid
 }
 
-// Signal sends a signal. A child that has ended is no error.
+// Signal sends a signal. It returns no error if the child has ended.
 func (p *Process) Signal(signal syscall.Signal) error {
 	err := p.command.Process.Signal(signal)
 	if err == os.ErrProcessDone {
@@ -58,7 +58,7 @@
 	return Error.Wrap(err)
 }
 
-// Ended reports whether the child is gone.
+// Ended reports whether the child has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.ended:
@@ -68,7 +68,7 @@
 	}
 }
 
-// Wait returns the child's error once it has ended, or that of ctx.
+// Wait waits for the child to end and returns its error, or that of ctx if ctx ends first.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.ended:
@@ -78,7 +78,7 @@
 	}
 }
 
-// Kill ends the child at once and waits for it. It works on a stopped one too.
+// Kill kills the child and waits for it, even if a signal has stopped the child.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -87,12 +87,12 @@
 	return nil
 }
 
-// Stop asks the child to end, and kills it if it has not after grace.
+// Stop sends SIGTERM to the child and kills it if it is still running after grace.
 func (p *Process) Stop(grace time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	// A stopped child takes the signal only after it was continued.
+	// A child that is stopped handles the signal only once it is continued.
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	close(p.ended)
 }
 
-// Group starts children and ends all of them. It is safe for concurrent use.
+// Group starts child processes and stops all of them. It is safe for concurrent use.
 type Group struct {
 	starter starter
 
@@ -121,12 +121,12 @@
 	closed   bool
 }
 
-// NewGroup returns a group without children. Close must be called.
+// NewGroup returns an empty group. The caller must call Close.
 func NewGroup() *Group {
 	return &Group{starter: newStarter()}
 }
 
-// Start starts a child. It fails on a closed group.
+// Start starts a child. It returns an error once the group is closed.
 func (g *Group) Start(spec Spec) (*Process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -152,10 +152,10 @@
 		ended:   make(chan struct{}),
 	}
 	child.command.SysProcAttr = &syscall.SysProcAttr{
-		// A group of its own, so that Ctrl-C at the terminal reaches only the
-		// test, which then ends its children in order.
+		// The child gets its own process group, so that Ctrl-C at the terminal reaches only the
+		// test, which then stops its children in order.
 		Setpgid: true,
-		// The kernel ends the child if the test is killed.
+		// The kernel kills the child if the test is killed.
 		Pdeathsig: syscall.SIGKILL,
 	}
 	output, err := child.create(spec.OutputPath)
@@ -188,25 +188,25 @@
 	return file, nil
 }
 
-// Close stops all children side by side, kills those that have not ended after
-// grace, and waits for every one. It returns the ids of those that would not
-// end, which is none unless a signal could not be sent.
+// Close stops all children concurrently, kills those that are still running after grace, and waits
+// for each of them. It returns the process IDs of children that are still running, which can only
+// happen if a signal could not be sent.
 func (g *Group) Close(grace time.Duration) []int {
 	g.mu.Lock()
 	g.closed = true
 	children := g.children
 	g.mu.Unlock()
-	var waiting sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, child := range children {
-		waiting.Go(func() { _ = child.Stop(grace) })
+		stopping.Go(func() { _ = child.Stop(grace) })
 	}
-	waiting.Wait()
+	stopping.Wait()
 	g.starter.close()
-	var left []int
+	var running []int
 	for _, child := range children {
 		if !child.Ended() {
-			left = append(left, child.PID())
+			running = append(running, child.PID())
 		}
 	}
-	return left
+	return running
 }
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -20,21 +20,21 @@
 	return child
 }
 
-// gone reports that no process has the id: it was ended and waited for.
+// processEnded reports whether no process has the ID, so that it has ended and was waited for.
 func processEnded(pid int) bool {
 	return syscall.Kill(pid, 0) == syscall.ESRCH
 }
 
 func TestCloseLeavesNoChildBehind(t *testing.T) {
 	group := NewGroup()
-	stubborn := start(t, group, "trap '' TERM; exec sleep 60")
-	frozen := start(t, group, "exec sleep 60")
-	assert.NilError(t, frozen.Signal(syscall.SIGSTOP))
+	ignoresTerm := start(t, group, "trap '' TERM; exec sleep 60")
+	stopped := start(t, group, "exec sleep 60")
+	assert.NilError(t, stopped.Signal(syscall.SIGSTOP))
 	killed := start(t, group, "exec sleep 60")
 	assert.NilError(t, killed.Kill())
-	left := group.Close(time.Millisecond)
-	assert.Equal(t, len(left), 0)
-	for _, child := range []*Process{stubborn, frozen, killed} {
+	running := group.Close(time.Millisecond)
+	assert.Equal(t, len(running), 0)
+	for _, child := range []*Process{ignoresTerm, stopped, killed} {
 		assert.Assert(t, child.Ended())
 		assert.Assert(t, processEnded(child.PID()))
 	}
--- a/internal/lab/process/starter.go
+++ b/internal/lab/process/starter.go
@@ -5,8 +5,8 @@
 	"runtime"
 )
 
-// starter starts all children from one thread that lives as long as it does:
-// the kernel takes the end of the starting thread for the end of the parent.
+// starter starts all children from one thread that runs until close. With Pdeathsig, the kernel
+// kills a child when the thread that started it ends, even if the parent process is still running.
 type starter struct {
 	requests chan startRequest
 }
--- a/internal/lab/tracetest/tracetest.go
+++ b/internal/lab/tracetest/tracetest.go
@@ -1,9 +1,8 @@
-// Package tracetest plays scripts of events through a pure package and compares
-// what came of them with recorded outcomes, in the manner of etcd's raft. It is
-// for tests only.
+// Package tracetest runs scripts of events against a pure package and compares the output with
+// golden files, like the data-driven tests of etcd's raft. It is for tests only.
 //
-// A script is testdata/NAME.trace, its outcome testdata/NAME.golden. Run the
-// test with -update to record outcomes anew, and read what changed.
+// A script is testdata/NAME.trace and its expected output testdata/NAME.golden. Run the test with
+// -update to rewrite the golden files, and review the differences.
 package tracetest
 
 import (
@@ -16,13 +15,13 @@
 	"gotest.tools/v3/golden"
 )
 
-// extension is the end of a script's file name.
+// extension is the file name extension of scripts.
 const extension = ".trace"
 
-// Play runs each script of the package under test as a subtest of its name.
-// The function play gets the script's text and returns all that happened. It is
-// a failure if there is no script at all.
-func RunScripts(t *testing.T, play func(t *testing.T, script string) string) {
+// RunScripts runs each script of the package under test as a subtest with the script's name. The
+// function run gets the script's text and returns the output. The test fails if there are no
+// scripts.
+func RunScripts(t *testing.T, run func(t *testing.T, script string) string) {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/*" + extension)
 	assert.NilError(t, err)
@@ -32,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			script, err := os.ReadFile(path)
 			assert.NilError(t, err)
-			golden.Assert(t, play(t, string(script)), name+".golden")
+			golden.Assert(t, run(t, string(script)), name+".golden")
 		})
 	}
 }
