--- a/cmd/shalefork-lab/losses.go
+++ b/cmd/shalefork-lab/losses.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/lab/losses"
 )
 
-// lossesCommand tells where a played day lost its worth.
+// lossesCommand prints where a simulated day lost worth, from its text report.
 func lossesCommand() cli.Command {
 	var file string
 	subcommand := cli.NewSubcommand("losses", "Read the text report of a played day and print where its worth was lost, as Markdown.")
@@ -23,8 +23,8 @@
 	}}
 }
 
-func printLosses(file string) error {
-	report, err := os.Open(file)
+func printLosses(path string) error {
+	report, err := os.Open(path)
 	if err != nil {
 		return err
 	}
--- a/cmd/shalefork-lab/main.go
+++ b/cmd/shalefork-lab/main.go
@@ -1,5 +1,4 @@
-// Command shalefork-lab plays the system against a stand-in of its platform; it is
-// never deployed.
+// Command shalefork-lab tests the system against a stand-in for its platform. It is never deployed.
 package main
 
 import (
--- a/cmd/shalefork-lab/soak.go
+++ b/cmd/shalefork-lab/soak.go
@@ -11,27 +11,27 @@
 	"github.com/shalefork/shalefork/platform/soak"
 )
 
-// demoCommand plays each kind of fault in turn.
+// demoCommand runs routers under each kind of fault in turn.
 func demoCommand() cli.Command {
 	config := soak.DefaultConfig()
 	config.Sequential = true
-	var broken string
+	var brokenRule string
 	subcommand := cli.NewSubcommand("demo", "Run routers on the platform's stand-in under load and each kind of fault in turn, and check them.")
 	addFlags(subcommand, &config)
-	subcommand.String(&broken, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
+	subcommand.String(&brokenRule, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		config.Break = soak.Break(broken)
+		config.Break = soak.Break(brokenRule)
 		return run(ctx, config)
 	}}
 }
 
-// soakCommand plays random faults.
+// soakCommand runs routers under random faults.
 func soakCommand() cli.Command {
 	config := soak.DefaultConfig()
 	subcommand := cli.NewSubcommand("soak", "Run routers on the platform's stand-in under load and random faults, and check them.")
 	addFlags(subcommand, &config)
-	var broken string
-	subcommand.String(&broken, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
+	var brokenRule string
+	subcommand.String(&brokenRule, "b", "break", "Break a rule on purpose, so that the checks fail: ignore-releases, leave-unseen or cut-stops")
 	subcommand.StringSlice(&config.Faults, "", "faults", "Kinds of faults that are drawn, by name; all if none is named")
 	subcommand.StringSlice(&config.Parts, "", "with", "Parts that are played beside: tenants, bodies, regions, lives, limits or notices; may be given more than once")
 	subcommand.String(&config.Replay, "", "replay", "File of a run whose plan is played again")
@@ -40,7 +40,7 @@
 	subcommand.UInt64(&config.Seed, "", "seed", "Seed of the faults")
 	subcommand.Int(&config.HarmfulRequests, "", "harmful", "How many requests crash the workers that run them")
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		config.Break = soak.Break(broken)
+		config.Break = soak.Break(brokenRule)
 		return run(ctx, config)
 	}}
 }
--- a/cmd/shalefork/explain.go
+++ b/cmd/shalefork/explain.go
@@ -11,7 +11,8 @@
 	"github.com/shalefork/shalefork/internal/explain"
 )
 
-// explainCommand shows a request's course from log lines.
+// explainCommand shows what happened to a request, or the state of processes at a time, from log
+// lines.
 func explainCommand() cli.Command {
 	var file, request, around string
 	subcommand := cli.NewSubcommand("explain", "Show a request's course, or what the processes believed, from their logs.")
@@ -29,28 +30,29 @@
 	}
 	var reader io.Reader = os.Stdin
 	if file != "" {
-		opened, err := os.Open(file)
+		input, err := os.Open(file)
 		if err != nil {
 			return explain.Error.Wrap(err)
 		}
-		defer func() { _ = opened.Close() }()
-		reader = opened
+		defer func() { _ = input.Close() }()
+		reader = input
 	}
-	lines, passed, err := explain.Read(reader)
+	lines, skipped, err := explain.Read(reader)
 	if err != nil {
 		return err
 	}
-	found, err := selectLines(lines, request, around)
+	selected, err := selectLines(lines, request, around)
 	if err != nil {
 		return err
 	}
-	if len(found) == 0 {
-		return explain.Error.Wrap(explain.Error.New("no line tells of it, in %d lines (%d more are no log lines)", len(lines), passed))
+	if len(selected) == 0 {
+		return explain.Error.Wrap(explain.Error.New("no line tells of it, in %d lines (%d more are no log lines)", len(lines), skipped))
 	}
 	fmt.Println("times are those of each process's own clock")
-	return explain.Write(os.Stdout, found)
+	return explain.Write(os.Stdout, selected)
 }
 
+// selectLines returns the lines about a request, or those around a time if request is empty.
 func selectLines(lines []explain.Line, request, around string) ([]explain.Line, error) {
 	if request != "" {
 		return explain.Course(lines, request), nil
--- a/cmd/shalefork/metrics_test.go
+++ b/cmd/shalefork/metrics_test.go
@@ -18,8 +18,8 @@
 	"github.com/shalefork/shalefork/internal/settings"
 )
 
-// metricsPage is the page for operators, kept equal to the code. To write it
-// anew: go test ./cmd/shalefork -update
+// metricsPage is the operators' page, which must match the code. To regenerate it, run
+// go test ./cmd/shalefork -update.
 const metricsPage = "../../../docs/operations/metrics.md"
 
 const metricsHead = `# Metrics
@@ -29,7 +29,7 @@
 This page is made from the code by a test of ` + "`cmd/shalefork`" + `.
 `
 
-// describer is a registerer that only notes what is registered.
+// descriptionRecorder is a registerer that only records the descriptions of metrics.
 type descriptionRecorder struct {
 	prometheus.Gatherer
 	rows []string
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("| `%s` | %s | %s | %s | %s |", parts[1], kind(parts[1]), unit(parts[1]), labels, parts[2])
 }
 
-// histograms are the only metrics whose name does not tell their kind.
+// histograms are the only metrics whose kind does not follow from their name.
 var histograms = []string{"shalefork_router_request_seconds", "shalefork_router_order_seconds", "shalefork_router_store_seconds"}
 
 func kind(name string) string {
@@ -75,24 +75,24 @@
 }
 
 func unit(name string) string {
-	for _, known := range []string{"seconds", "bytes"} {
-		if strings.Contains(name, "_"+known) {
-			return known
+	for _, candidate := range []string{"seconds", "bytes"} {
+		if strings.Contains(name, "_"+candidate) {
+			return candidate
 		}
 	}
 	return "count"
 }
 
 func TestMetricsPageMatchesCode(t *testing.T) {
-	noted := &descriptionRecorder{}
-	router.New(settings.Router{}, router.Adapter{}, decision.NewTo(io.Discard, "n"), noted)
-	assert.Assert(t, len(noted.rows) > 0)
-	slices.Sort(noted.rows)
-	page := metricsHead + "\n| name | kind | unit | labels | what |\n|---|---|---|---|---|\n" + strings.Join(noted.rows, "\n") + "\n"
+	recorder := &descriptionRecorder{}
+	router.New(settings.Router{}, router.Adapter{}, decision.NewTo(io.Discard, "n"), recorder)
+	assert.Assert(t, len(recorder.rows) > 0)
+	slices.Sort(recorder.rows)
+	page := metricsHead + "\n| name | kind | unit | labels | what |\n|---|---|---|---|---|\n" + strings.Join(recorder.rows, "\n") + "\n"
 	golden.Assert(t, page, metricsPage)
 }
 
-// What alarms watch must be there.
+// Each metric that an alarm refers to must exist.
 func TestAlarmsReferToExistingMetrics(t *testing.T) {
 	metrics, err := os.ReadFile("../../docs/operations/metrics.md")
 	assert.NilError(t, err)
--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -19,10 +19,10 @@
 	"github.com/shalefork/shalefork/platform"
 )
 
-// patience is how long a command tries to reach the key-value service.
+// storeTimeout limits how long a command uses the key-value service.
 const storeTimeout = 10 * time.Second
 
-// reportError writes an error of a command line and returns the code that belongs to it.
+// reportError writes err, if any, to standard error and returns the exit code.
 func reportError(err error) cli.ExitCode {
 	if err == nil {
 		return operator.ExitOK
@@ -31,7 +31,7 @@
 	return operator.ExitInvalid
 }
 
-// storeFlags are what a command needs to call the key-value service.
+// storeFlags are the flags of commands that call the key-value service.
 type storeFlags struct {
 	file string
 	json bool
@@ -46,7 +46,7 @@
 	return operator.Output{Result: os.Stdout, Complaint: os.Stderr, JSON: f.json}
 }
 
-// run calls action with the key-value service, for as long as its patience lasts.
+// withStore calls action with the key-value service and a context that ends after storeTimeout.
 func (f *storeFlags) withStore(ctx context.Context, action func(context.Context, operator.Output, *platform.Store) operator.ExitCode) operator.ExitCode {
 	config, _, err := readSettings(settingsFile(f.file))
 	if err != nil {
@@ -57,7 +57,7 @@
 	return action(bounded, f.output(), platform.NewStore(config.Store))
 }
 
-// settingsFile returns the file that a flag names, or else the environment.
+// settingsFile returns the path in a flag, or that in the environment if the flag is empty.
 func settingsFile(flag string) string {
 	if flag != "" {
 		return flag
@@ -65,7 +65,7 @@
 	return os.Getenv(settingsVariable)
 }
 
-// readSettings reads the settings in a file, and returns also its bytes.
+// readSettings reads a settings file and returns the settings and the file's content.
 func readSettings(file string) (settings.Router, []byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return config, data, err
 }
 
-// signingFlags are what a command needs to write in an operator's name.
+// signingFlags are the flags of commands that write on behalf of an operator.
 type signingFlags struct {
 	storeFlags
 	name    string
@@ -88,16 +88,16 @@
 	subcommand.String(&f.keyFile, "k", "key", "File with the operator's key")
 }
 
-// signedAction does something with the bundles in an operator's name.
-type signedAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode
+// signedAction accesses the bundles on behalf of an operator.
+type signedAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode
 
 func (f *signingFlags) withRegistry(ctx context.Context, action signedAction) operator.ExitCode {
-	by, err := operator.LoadIdentity(f.name, f.keyFile)
+	signer, err := operator.LoadIdentity(f.name, f.keyFile)
 	if err != nil {
 		return f.output().Fail(err)
 	}
 	return f.storeFlags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
-		return action(ctx, output, registry.New(store, router.KeyPrefix), by)
+		return action(ctx, output, registry.New(store, router.KeyPrefix), signer)
 	})
 }
 
@@ -121,8 +121,8 @@
 	}}
 }
 
-// fileAction does something with a bundle's file in an operator's name.
-type fileAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator, file string) operator.ExitCode
+// fileAction processes a bundle's file on behalf of an operator.
+type fileAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator, file string) operator.ExitCode
 
 func bundleFileCommand(name, help string, action fileAction) cli.Command {
 	var file string
@@ -131,8 +131,8 @@
 	subcommand.AddPositionalValue(&file, "file", 1, true, "The bundle, YAML")
 	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
-			return action(ctx, output, bundles, by, file)
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode {
+			return action(ctx, output, bundles, signer, file)
 		})
 	}}
 }
@@ -149,13 +149,13 @@
 		if err != nil {
 			return flags.output().Fail(operator.Error.New("the version must be a number"))
 		}
-		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
-			return operator.Roll(ctx, output, bundles, by, bundle.TeamName(team), bundle.Version(number))
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode {
+			return operator.Roll(ctx, output, bundles, signer, bundle.TeamName(team), bundle.Version(number))
 		})
 	}}
 }
 
-// teamAction shows something of a team.
+// teamAction shows information about a team.
 type teamAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, team bundle.TeamName) operator.ExitCode
 
 func bundleTeamCommand(name, help string, action teamAction) cli.Command {
--- a/cmd/shalefork/router.go
+++ b/cmd/shalefork/router.go
@@ -15,7 +15,8 @@
 	"github.com/shalefork/shalefork/platform"
 )
 
-// settingsVariable names the settings file where no flag does.
+// settingsVariable is the environment variable with the path of the settings file, for command lines
+// without the flag.
 const settingsVariable = "SHALEFORK_SETTINGS"
 
 func routerCommand() cli.Command {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs one of a program's commands under a context that SIGTERM
-// and SIGINT end, and exits with the command's code.
+// Package cli runs one of a program's commands with a context that SIGTERM and SIGINT cancel, and
+// exits with the command's exit code.
 package cli
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/integrii/flaggy"
 )
 
-// ExitCode is what a program ends with.
+// ExitCode is the exit code of a program.
 type ExitCode int
 
-// ExitUsage is the code of a command line that makes no sense.
+// ExitUsage is the exit code for an invalid command line.
 const ExitUsage ExitCode = 2
 
-// Command is one leaf of the tree of subcommands.
+// Command is a subcommand that runs, a leaf of the tree of subcommands.
 type Command struct {
 	Subcommand *flaggy.Subcommand
-	// Run does the work. Its context ends on SIGTERM or SIGINT.
+	// Run runs the command. SIGTERM and SIGINT cancel its context.
 	Run func(ctx context.Context) ExitCode
 }
 
-// Program is a parser with its commands.
+// Program is a command-line parser with its commands.
 type Program struct {
 	parser   *flaggy.Parser
 	commands []Command
@@ -38,13 +38,13 @@
 	return &Program{parser: parser}
 }
 
-// Add attaches a command at the top level.
+// Add adds a command at the top level.
 func (p *Program) Add(command Command) {
 	p.parser.AttachSubcommand(command.Subcommand, 1)
 	p.commands = append(p.commands, command)
 }
 
-// AddGroup attaches a subcommand that only holds others.
+// AddGroup adds a subcommand that only groups commands.
 func (p *Program) AddGroup(name, description string, commands ...Command) {
 	group := flaggy.NewSubcommand(name)
 	group.Description = description
@@ -55,7 +55,7 @@
 	p.commands = append(p.commands, commands...)
 }
 
-// Main parses the arguments, runs the command that they name and exits.
+// Main parses the arguments, runs the command that they select and exits.
 func (p *Program) Main(arguments []string) {
 	if err := p.parser.ParseArgs(arguments); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -77,7 +77,7 @@
 	return ExitUsage
 }
 
-// NewSubcommand returns a subcommand with its description.
+// NewSubcommand returns a subcommand with a name and a description.
 func NewSubcommand(name, description string) *flaggy.Subcommand {
 	subcommand := flaggy.NewSubcommand(name)
 	subcommand.Description = description
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry makes the registry of metrics and the handler that shows them.
-// Log lines are internal/decision's.
+// Package telemetry creates the metrics registry of a process and the HTTP handler that serves it.
+// Logging is in internal/decision.
 package telemetry
 
 import (
@@ -9,11 +9,10 @@
 	"net/http"
 )
 
-// PathMetrics is where a process shows its metrics.
+// PathMetrics is the HTTP path under which a process serves its metrics.
 const PathMetrics = "/metrics"
 
-// NewRegistry returns a registry that already holds the metrics of the Go
-// runtime and of the process itself.
+// NewRegistry returns a registry that contains the metrics of the Go runtime and of the process.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -23,7 +22,7 @@
 	return registry
 }
 
-// MetricsHandler shows the registry's metrics in the Prometheus text format.
+// MetricsHandler serves the registry's metrics in the Prometheus text format.
 func MetricsHandler(gatherer prometheus.Gatherer) http.Handler {
 	return promhttp.HandlerFor(gatherer, promhttp.HandlerOpts{})
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMetricsHandlerShowsTheRegistry(t *testing.T) {
+func TestMetricsHandlerServesRegistry(t *testing.T) {
 	registry := NewRegistry()
 	moves := prometheus.NewCounter(prometheus.CounterOpts{Name: "moves_total"})
 	registry.MustRegister(moves)
--- a/ownership/holder_test.go
+++ b/ownership/holder_test.go
@@ -22,29 +22,29 @@
 		want    Outcome
 		holdsAt map[time.Duration]bool
 	}{
-		"first": {
+		"first grant": {
 			grant: Grant{Keys: all, Fence: 1, Hold: hold}, want: Taken,
 			holdsAt: map[time.Duration]bool{0: true, hold - 1: true, hold: false},
 		},
-		"again renews": {
+		"renewal": {
 			before: []Grant{{Keys: all, Fence: 1, Hold: hold / 2}},
 			grant:  Grant{Keys: all, Fence: 1, Hold: hold}, want: Taken,
 			holdsAt: map[time.Duration]bool{hold - 1: true},
 		},
-		"shorter than before": {
+		"shorter hold than before": {
 			before: []Grant{{Keys: all, Fence: 1, Hold: hold}},
 			grant:  Grant{Keys: all, Fence: 2, Hold: time.Second}, want: Taken,
 			holdsAt: map[time.Duration]bool{time.Second: false},
 		},
-		"below a fence on one of its keys": {
+		"lower than the fence of one key": {
 			before: []Grant{{Keys: Keys{From: 7, To: 7}, Fence: 5, Hold: hold}},
 			grant:  Grant{Keys: all, Fence: 4, Hold: hold}, want: Fenced,
 			holdsAt: map[time.Duration]bool{0: true},
 		},
-		"no keys":       {grant: Grant{Keys: Keys{From: 7, To: 6}, Fence: 1, Hold: hold}, want: Invalid},
-		"beyond":        {grant: Grant{Keys: Keys{From: 7, To: KeyCount}, Fence: 1, Hold: hold}, want: Invalid},
-		"no time":       {grant: Grant{Keys: all, Fence: 1}, want: Invalid},
-		"a part of all": {grant: Grant{Keys: Keys{From: 8, To: 9}, Fence: 1, Hold: hold}, want: Taken, holdsAt: map[time.Duration]bool{0: false}},
+		"empty range":               {grant: Grant{Keys: Keys{From: 7, To: 6}, Fence: 1, Hold: hold}, want: Invalid},
+		"range beyond the last key": {grant: Grant{Keys: Keys{From: 7, To: KeyCount}, Fence: 1, Hold: hold}, want: Invalid},
+		"no duration":               {grant: Grant{Keys: all, Fence: 1}, want: Invalid},
+		"range without key 7":       {grant: Grant{Keys: Keys{From: 8, To: 9}, Fence: 1, Hold: hold}, want: Taken, holdsAt: map[time.Duration]bool{0: false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			holder := NewHolder()
@@ -68,12 +68,12 @@
 		began := time.Now()
 		time.AfterFunc(time.Second, work.End)
 		assert.NilError(t, holder.Release(t.Context(), Keys{From: 0, To: 6}, 9))
-		assert.Equal(t, time.Since(began), time.Duration(0), "work on other keys is not waited for")
+		assert.Equal(t, time.Since(began), time.Duration(0), "release must not wait for work on other keys")
 		assert.NilError(t, holder.Release(t.Context(), Keys{From: 7, To: 8}, 9))
 		assert.Equal(t, time.Since(began), time.Second)
 		_, held = holder.Begin(time.Now(), 7)
 		assert.Assert(t, !held)
-		assert.Equal(t, holder.Grant(time.Now(), Grant{Keys: Keys{From: 8, To: 8}, Fence: 8, Hold: hold}), Fenced, "a late grant is refused")
+		assert.Equal(t, holder.Grant(time.Now(), Grant{Keys: Keys{From: 8, To: 8}, Fence: 8, Hold: hold}), Fenced, "a delayed grant is rejected")
 	})
 }
 
@@ -86,20 +86,21 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Assert(t, errors.Is(holder.Release(ctx, all, 2), context.Canceled))
-	assert.Assert(t, !holder.Holds(now, 7), "no new work begins all the same")
+	assert.Assert(t, !holder.Holds(now, 7), "the keys are released nevertheless")
 	assert.NilError(t, holder.Release(t.Context(), Keys{From: 9, To: 8}, 3))
 }
 
-// Work that a pause or a move has overtaken must not be kept.
+// The effect of work must be discarded if the hold expired or the key was granted again with another
+// fence while the work was in progress, such as during a pause of the process or a move of the key.
 func TestWorkIsNotStillHeldAfterGrantEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := NewHolder()
 	holder.Grant(now, Grant{Keys: all, Fence: 1, Hold: hold})
 	work, _ := holder.Begin(now, 7)
 	assert.Assert(t, work.StillHeld(now))
-	assert.Assert(t, !work.StillHeld(now.Add(hold)), "the grant has run out")
+	assert.Assert(t, !work.StillHeld(now.Add(hold)), "the grant has expired")
 	holder.Grant(now, Grant{Keys: all, Fence: 2, Hold: hold})
-	assert.Assert(t, !work.StillHeld(now), "it is held under another fence")
+	assert.Assert(t, !work.StillHeld(now), "the key is held with another fence")
 	work.End()
 	work.End()
 	assert.NilError(t, holder.Release(t.Context(), all, 3))
