--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -4,7 +4,7 @@
 
 // kernel is nil on systems without a known clock that counts the time during which the machine is
 // suspended.
-var kernel *detector
+var kernel *suspensionDetector
 
 // CountsSuspension reports whether Now counts the time during which the machine is suspended.
-func Counts() bool { return false }
+func CountsSuspension() bool { return false }
