--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -19,11 +19,11 @@
 	"github.com/shalefork/shalefork/platform"
 )
 
-// patience is how long a command tries to reach the key-value service.
-const patience = 10 * time.Second
+// storeTimeout limits how long a command uses the key-value service.
+const storeTimeout = 10 * time.Second
 
-// exitOf writes an error of a command line and returns the code that belongs to it.
-func exitOf(err error) cli.ExitCode {
+// reportError writes err, if any, to standard error and returns the exit code.
+func reportError(err error) cli.ExitCode {
 	if err == nil {
 		return operator.ExitOK
 	}
@@ -31,13 +31,13 @@
 	return operator.ExitInvalid
 }
 
-// storeFlags are what a command needs to call the key-value service.
+// storeFlags are the flags of commands that call the key-value service.
 type storeFlags struct {
 	file string
 	json bool
 }
 
-func (f *storeFlags) attach(subcommand *flaggy.Subcommand) {
+func (f *storeFlags) addFlags(subcommand *flaggy.Subcommand) {
 	subcommand.String(&f.file, "s", "settings", "Settings of a router, YAML, which name the service; else "+settingsVariable+" names them")
 	subcommand.Bool(&f.json, "j", "json", "Write JSON")
 }
@@ -46,18 +46,18 @@
 	return operator.Output{Result: os.Stdout, Complaint: os.Stderr, JSON: f.json}
 }
 
-// run calls action with the key-value service, for as long as its patience lasts.
-func (f *storeFlags) run(ctx context.Context, action func(context.Context, operator.Output, *platform.Store) operator.ExitCode) operator.ExitCode {
+// withStore calls action with the key-value service and a context that ends after storeTimeout.
+func (f *storeFlags) withStore(ctx context.Context, action func(context.Context, operator.Output, *platform.Store) operator.ExitCode) operator.ExitCode {
 	config, _, err := readSettings(settingsFile(f.file))
 	if err != nil {
 		return f.output().Fail(err)
 	}
-	bounded, cancel := context.WithTimeout(ctx, patience)
+	bounded, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return action(bounded, f.output(), platform.NewStore(config.Store))
 }
 
-// settingsFile returns the file that a flag names, or else the environment.
+// settingsFile returns the path in a flag, or that in the environment if the flag is empty.
 func settingsFile(flag string) string {
 	if flag != "" {
 		return flag
@@ -65,7 +65,7 @@
 	return os.Getenv(settingsVariable)
 }
 
-// readSettings reads the settings in a file, and returns also its bytes.
+// readSettings reads a settings file and returns the settings and the file's content.
 func readSettings(file string) (settings.Router, []byte, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -75,29 +75,29 @@
 	return config, data, err
 }
 
-// signingFlags are what a command needs to write in an operator's name.
+// signingFlags are the flags of commands that write on behalf of an operator.
 type signingFlags struct {
 	storeFlags
 	name    string
 	keyFile string
 }
 
-func (f *signingFlags) attach(subcommand *flaggy.Subcommand) {
-	f.storeFlags.attach(subcommand)
+func (f *signingFlags) addFlags(subcommand *flaggy.Subcommand) {
+	f.storeFlags.addFlags(subcommand)
 	subcommand.String(&f.name, "o", "operator", "Name of the operator")
 	subcommand.String(&f.keyFile, "k", "key", "File with the operator's key")
 }
 
-// signedAction does something with the bundles in an operator's name.
-type signedAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode
+// signedAction accesses the bundles on behalf of an operator.
+type signedAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode
 
-func (f *signingFlags) run(ctx context.Context, action signedAction) operator.ExitCode {
-	by, err := operator.LoadIdentity(f.name, f.keyFile)
+func (f *signingFlags) withRegistry(ctx context.Context, action signedAction) operator.ExitCode {
+	signer, err := operator.LoadIdentity(f.name, f.keyFile)
 	if err != nil {
 		return f.output().Fail(err)
 	}
-	return f.storeFlags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
-		return action(ctx, output, registry.New(store, router.KeyPrefix), by)
+	return f.storeFlags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return action(ctx, output, registry.New(store, router.KeyPrefix), signer)
 	})
 }
 
@@ -121,18 +121,18 @@
 	}}
 }
 
-// fileAction does something with a bundle's file in an operator's name.
-type fileAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator, file string) operator.ExitCode
+// fileAction processes a bundle's file on behalf of an operator.
+type fileAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator, file string) operator.ExitCode
 
 func bundleFileCommand(name, help string, action fileAction) cli.Command {
 	var file string
 	flags := &signingFlags{}
 	subcommand := cli.NewSubcommand(name, help)
 	subcommand.AddPositionalValue(&file, "file", 1, true, "The bundle, YAML")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
-			return action(ctx, output, bundles, by, file)
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode {
+			return action(ctx, output, bundles, signer, file)
 		})
 	}}
 }
@@ -143,19 +143,19 @@
 	subcommand := cli.NewSubcommand("roll", "Put an approved version into force.")
 	subcommand.AddPositionalValue(&team, "team", 1, true, "The team")
 	subcommand.AddPositionalValue(&version, "number", 2, true, "The version's number")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		number, err := strconv.ParseUint(version, 10, 64)
 		if err != nil {
 			return flags.output().Fail(operator.Error.New("the version must be a number"))
 		}
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, by registry.Operator) operator.ExitCode {
-			return operator.Roll(ctx, output, bundles, by, bundle.TeamName(team), bundle.Version(number))
+		return flags.withRegistry(ctx, func(ctx context.Context, output operator.Output, bundles *registry.Registry, signer registry.Operator) operator.ExitCode {
+			return operator.Roll(ctx, output, bundles, signer, bundle.TeamName(team), bundle.Version(number))
 		})
 	}}
 }
 
-// teamAction shows something of a team.
+// teamAction shows information about a team.
 type teamAction func(ctx context.Context, output operator.Output, bundles *registry.Registry, team bundle.TeamName) operator.ExitCode
 
 func bundleTeamCommand(name, help string, action teamAction) cli.Command {
@@ -163,9 +163,9 @@
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand(name, help)
 	subcommand.AddPositionalValue(&team, "team", 1, true, "The team")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return action(ctx, output, registry.New(store, router.KeyPrefix), bundle.TeamName(team))
 		})
 	}}
@@ -174,9 +174,9 @@
 func statusCommand() cli.Command {
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("status", "Show who leads and who owns which keys.")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ParseWorker}
 			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
@@ -190,9 +190,9 @@
 func quarantineListCommand() cli.Command {
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("list", "Show the requests that were under way at crashes, and those that are sent no longer.")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return operator.ListSuspects(ctx, output, store, router.KeyPrefix)
 		})
 	}}
@@ -203,9 +203,9 @@
 	flags := &storeFlags{}
 	subcommand := cli.NewSubcommand("lift", "Let a request be sent again.")
 	subcommand.AddPositionalValue(&fingerprint, "fingerprint", 1, true, "The request, as list shows it")
-	flags.attach(subcommand)
+	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
-		return flags.run(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
+		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
 			return operator.LiftQuarantine(ctx, output, store, router.KeyPrefix, fingerprint)
 		})
 	}}
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -1,6 +1,7 @@
 package main
 
-// ownerMutations let two workers hold the same keys, or orders of a former leader count.
+// ownerMutations let two workers hold the same keys, or let orders of a previous leader take
+// effect.
 var ownerMutations = []mutation{
 	{
 		name: "former-owner-not-outwaited",
@@ -126,7 +127,7 @@
 		file: "ownership/holder.go",
 		old:  " && w.holder.fences[w.key] == w.fence",
 		new:  "",
-		pkg:  "./ownership", test: "TestEffectIsVoidOnceTheGrantIsOver",
+		pkg:  "./ownership", test: "TestWorkIsNotStillHeldAfterGrantEnds",
 	},
 	{
 		name: "grant-before-its-record-is-stored",
--- a/ownership/now_test.go
+++ b/ownership/now_test.go
@@ -10,8 +10,9 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A server's hold of keys ends while its machine is suspended: others get them.
-func TestAHoldEndsInASuspension(t *testing.T) {
+// A hold expires while the server's machine is suspended, since the keys may be granted to another
+// server meanwhile.
+func TestHoldEndsDuringSuspension(t *testing.T) {
 	assert.Equal(t, CountsSuspension(), runtime.GOOS == "linux")
 	holder := NewHolder()
 	assert.Equal(t, holder.Grant(Now(), Grant{Keys: Keys{From: 0, To: 9}, Fence: 1, Hold: 3 * time.Second}), Taken)
@@ -20,7 +21,7 @@
 	defer work.End()
 	defer clock.SimulateSuspension(4 * time.Second)()
 	assert.Assert(t, !holder.Holds(Now(), 5))
-	assert.Assert(t, !work.StillHeld(Now()), "its effect must not be kept")
+	assert.Assert(t, !work.StillHeld(Now()), "the effect of the work must be discarded")
 	_, begun = holder.Begin(Now(), 5)
 	assert.Assert(t, !begun)
 }
