--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -43,7 +43,7 @@
 }
 
 func (f *storeFlags) output() operator.Output {
-	return operator.Output{Result: os.Stdout, Complaint: os.Stderr, JSON: f.json}
+	return operator.Output{Result: os.Stdout, Errors: os.Stderr, JSON: f.json}
 }
 
 // withStore calls action with the key-value service and a context that ends after storeTimeout.
@@ -177,7 +177,7 @@
 	flags.addFlags(subcommand)
 	return cli.Command{Subcommand: subcommand, Run: func(ctx context.Context) cli.ExitCode {
 		return flags.withStore(ctx, func(ctx context.Context, output operator.Output, store *platform.Store) operator.ExitCode {
-			announced := operator.Announced{Prefix: platform.WorkersPrefix, Read: platform.ParseWorker}
+			announced := operator.WorkerEntries{Prefix: platform.WorkersPrefix, Parse: platform.ParseWorker}
 			return operator.Status(ctx, output, store, router.KeyPrefix, announced, peerlink.QueryNotices)
 		})
 	}}
