--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -243,7 +243,7 @@
 	}
 	t.Metrics.observeOrder(svc.name, order, reply.Outcome, clock.Since(start))
 	if reply.Leaving && t.OnWorkerLeaving != nil {
-		t.OnWorkerLeaving(workers.Incarnation{ID: order.Target.ID, StartTime: order.Target.Incarnation})
+		t.OnWorkerLeaving(workers.Incarnation{ID: order.Target.ID, StartTime: order.Target.StartTime})
 	}
 	select {
 	case t.replies <- orderResult{service: svc, order: order, reply: reply}:
--- a/internal/lab/mutate/mutations_incarnations.go
+++ b/internal/lab/mutate/mutations_incarnations.go
@@ -26,7 +26,7 @@
 	{
 		name: "crashes-of-lives-counted-as-one",
 		file: "internal/quarantine/record.go",
-		old:  "workers.Incarnation{ID: c.Worker, StartTime: c.Born}",
+		old:  "workers.Incarnation{ID: c.Worker, StartTime: c.StartTime}",
 		new:  "workers.Incarnation{ID: c.Worker}",
 		pkg:  "./internal/quarantine", test: "TestCrashOfEachIncarnationCounts",
 	},
@@ -54,7 +54,7 @@
 	{
 		name: "answer-of-the-life-before-believed",
 		file: "internal/owner/dispatch.go",
-		old:  "\torder.targetRestarted = order.Target.Incarnation != l.incarnations[order.Target.ID]",
+		old:  "\torder.targetRestarted = order.Target.StartTime != l.startTimes[order.Target.ID]",
 		new:  "\torder.targetRestarted = false",
 		pkg:  "./internal/owner", test: "TestEveryOrderOfEvents",
 	},
@@ -68,7 +68,7 @@
 	{
 		name: "standby-renews-another-life",
 		file: "internal/owner/standby.go",
-		old:  "hold.Target.ID == incarnation.ID && hold.Target.Incarnation != incarnation.StartTime &&",
+		old:  "hold.Target.ID == incarnation.ID && hold.Target.StartTime != incarnation.StartTime &&",
 		new:  "false &&",
 		pkg:  "./internal/owner", test: "TestStandbyDoesNotRenewOtherIncarnation",
 	},
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -34,7 +34,7 @@
 	{
 		name: "routers-are-not-told-who-leaves",
 		file: "internal/peerlink/update.go",
-		old:  "	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.NewMessage)\n",
+		old:  "	update.Leaving = encodeFacts(now, dueFacts(h.Leaving, &l.leaving, now), departure.NewMessage)\n",
 		new:  "	_ = departure.NewMessage\n",
 		pkg:  "./platform/session", test: "TestLeavingWorkerIsKnownThroughRelays",
 	},
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -80,7 +80,7 @@
 	}
 	// A worker that could not be reached may have restarted since. A new incarnation is granted the
 	// keys under a higher fence, too.
-	restarted := s.maybeRestarted && s.fence == s.acceptedFence && l.reportsIncarnation(s.owner)
+	restarted := s.maybeRestarted && s.fence == s.acceptedFence && l.reportsStartTime(s.owner)
 	if (s.unconfirmed || restarted) && !renewOnly {
 		s.fence = l.nextFence()
 		l.holdsVersion++
@@ -94,7 +94,7 @@
 
 // HandleReply processes the result of an order.
 func (l *Ledger) HandleReply(now time.Time, order Order, reply Reply) {
-	order.targetRestarted = order.Target.Incarnation != l.incarnations[order.Target.ID]
+	order.targetRestarted = order.Target.StartTime != l.startTimes[order.Target.ID]
 	if !order.targetRestarted {
 		l.recordOutcome(now, order, reply.Outcome)
 	}
@@ -216,7 +216,7 @@
 			// This incarnation now rejects all earlier grants, and those that it has accepted end
 			// sooner.
 			s.unconfirmed = false
-			if l.reportsIncarnation(s.owner) {
+			if l.reportsStartTime(s.owner) {
 				s.restartGrantUntil = later(s.restartGrantUntil, s.delayedGrantUntil)
 			}
 			s.delayedGrantUntil = time.Time{}
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -13,8 +13,8 @@
 	fence     Fence
 	spans     []*span
 	addresses map[workers.ID]string
-	// incarnations holds the last announced incarnation of each worker that reports one.
-	incarnations map[workers.ID]workers.StartTime
+	// startTimes holds the last announced start time of each worker that reports one.
+	startTimes map[workers.ID]workers.StartTime
 	// recordVersion counts changes that have to be stored; storedVersion is the last that is stored
 	// durably.
 	recordVersion uint64
@@ -46,7 +46,7 @@
 		config:         config,
 		fence:          term.FirstFence(),
 		addresses:      map[workers.ID]string{},
-		incarnations:   map[workers.ID]workers.StartTime{},
+		startTimes:     map[workers.ID]workers.StartTime{},
 		lastUnanswered: map[workers.ID]time.Time{},
 		failing:        map[workers.ID]failure{},
 		ended:          map[workers.ID]bool{},
--- a/internal/owner/model_explore_test.go
+++ b/internal/owner/model_explore_test.go
@@ -20,7 +20,7 @@
 	fmt.Fprintf(&text, "%v %s|", m.bounds, at(m.lease))
 	for _, worker := range m.workers {
 		fmt.Fprintf(&text, "%d %s %d %v %v|", worker.fence, at(worker.until), worker.highestFence, worker.partitioned, worker.unpreventable)
-		fmt.Fprintf(&text, "%d %d %v|", worker.incarnation, worker.previousFence, worker.unaware)
+		fmt.Fprintf(&text, "%d %d %v|", worker.startTime, worker.previousFence, worker.unaware)
 	}
 	for _, leader := range m.leaders {
 		fmt.Fprintf(&text, "%s %v %v %v %d %d %d %d|", at(leader.authority), leader.storeUnreachable, leader.dead, leader.write != nil,
@@ -28,7 +28,7 @@
 		span := leader.ledger.spans[0]
 		fmt.Fprintf(&text, "%s %d %v %s %s %v %d %s %v %s %v|", span.owner, span.fence, span.granted, at(span.heldUntil), at(span.delayedHeldUntil),
 			span.unconfirmed, span.unconfirmedFence, at(span.delayedGrantUntil), span.inFlight, at(span.nextOrderAt), span.pending)
-		fmt.Fprintf(&text, "%v %v %d %s %v|", span.mayHaveGrant(), span.maybeRestarted, span.acceptedFence, at(span.restartGrantUntil), leader.incarnations)
+		fmt.Fprintf(&text, "%v %v %d %s %v|", span.mayHaveGrant(), span.maybeRestarted, span.acceptedFence, at(span.restartGrantUntil), leader.startTimes)
 		if span.pending != nil {
 			fmt.Fprintf(&text, "%v|", *span.pending)
 		}
@@ -47,7 +47,7 @@
 		fmt.Fprintf(&text, "%s %d %v|", hold.Target.ID, hold.Fence, hold.inFlight)
 	}
 	for _, sent := range m.orders {
-		fmt.Fprintf(&text, "%d %d|", sent.order.Target.Incarnation, sent.incarnation)
+		fmt.Fprintf(&text, "%d %d|", sent.order.Target.StartTime, sent.startTime)
 		fmt.Fprintf(&text, "%s %v %d %v %v %d %s|", sent.order.Target.ID, sent.order.Release, sent.order.Fence, sent.delayed, sent.partitioned, sent.leader, at(sent.until))
 	}
 	text.Write(m.record)
--- a/internal/owner/model_restart_test.go
+++ b/internal/owner/model_restart_test.go
@@ -19,7 +19,7 @@
 			list = append(list, fmt.Sprintf("restart %d", index))
 		}
 		for leaderIndex, leader := range m.leaders {
-			if !leader.dead && leader.incarnations[index] != m.workers[index].incarnation {
+			if !leader.dead && leader.startTimes[index] != m.workers[index].startTime {
 				list = append(list, fmt.Sprintf("restart-heard %d", leaderIndex*modelWorkerCount+index))
 			}
 		}
@@ -28,7 +28,7 @@
 }
 
 func (m *model) restart(worker *modelWorker) {
-	worker.incarnation++
+	worker.startTime++
 	worker.previousFence = max(worker.previousFence, worker.fence)
 	worker.fence, worker.highestFence, worker.until, worker.unpreventable = 0, 0, m.now, false
 	worker.unaware = true
@@ -36,8 +36,8 @@
 
 func (m *model) observeRestart(leaderIndex, workerIndex int) {
 	leader, worker := m.leaders[leaderIndex], m.workers[workerIndex]
-	leader.incarnations[workerIndex] = worker.incarnation
-	leader.ledger.ObserveIncarnation(m.now, workers.Incarnation{ID: worker.id, StartTime: worker.incarnation}, "a")
+	leader.startTimes[workerIndex] = worker.startTime
+	leader.ledger.ObserveIncarnation(m.now, workers.Incarnation{ID: worker.id, StartTime: worker.startTime}, "a")
 }
 
 // propagateFences marks the incarnations that have been informed of fences: the last leader was
@@ -45,7 +45,7 @@
 func (m *model) propagateFences() {
 	leader := m.leaders[len(m.leaders)-1]
 	for index, worker := range m.workers {
-		if leader.incarnations[index] == worker.incarnation && !worker.partitioned && !leader.dead && !m.now.After(leader.authority) {
+		if leader.startTimes[index] == worker.startTime && !worker.partitioned && !leader.dead && !m.now.After(leader.authority) {
 			worker.unaware = false
 		}
 	}
@@ -60,5 +60,5 @@
 		return false
 	}
 	ended := sent.leader != fromStandby && !m.now.Before(m.leaders[sent.leader].authority)
-	return ended || sent.incarnation != worker.incarnation
+	return ended || sent.startTime != worker.startTime
 }
--- a/internal/owner/model_standby_test.go
+++ b/internal/owner/model_standby_test.go
@@ -61,7 +61,7 @@
 	grant := Grant{Keys: hold.Keys, Fence: hold.Fence, Hold: modelConfig.Hold}
 	renewal := Renewal{Target: hold.Target, Grant: grant, sentAt: m.now, hold: hold}
 	order := Order{Target: hold.Target, Keys: hold.Keys, Fence: hold.Fence, Grant: grant, sentAt: m.now}
-	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, incarnation: hold.Target.Incarnation})
+	m.orders = append(m.orders, &modelOrder{order: order, renewal: renewal, leader: fromStandby, startTime: hold.Target.StartTime})
 	m.standby.delegation.LastRenewal = m.now
 	for _, leader := range m.leaders {
 		if leader.term == m.standby.term {
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -55,9 +55,9 @@
 	// could have informed the worker of a higher fence, because the worker was partitioned or had
 	// restarted unnoticed. Such holds are not checked.
 	unpreventable bool
-	// incarnation identifies the run of the worker; zero if it does not report it. previousFence is
-	// the highest fence of its earlier incarnations.
-	incarnation   workers.StartTime
+	// startTime identifies the incarnation of the worker; zero if the worker does not report it.
+	// previousFence is the highest fence of its earlier incarnations.
+	startTime     workers.StartTime
 	previousFence Fence
 	// unaware means that no leader can have informed this incarnation of a higher fence yet.
 	unaware bool
@@ -77,8 +77,8 @@
 	until   time.Time
 	// partitioned means that the worker was partitioned while the order was delayed.
 	partitioned bool
-	// incarnation is the worker's incarnation that the sender knew.
-	incarnation workers.StartTime
+	// startTime identifies the incarnation of the worker that the sender knew.
+	startTime workers.StartTime
 }
 
 // modelWrite is a record that is being written to the store.
@@ -94,8 +94,8 @@
 	// storeUnreachable means that the leader can't reach the store.
 	storeUnreachable, dead bool
 	write                  *modelWrite
-	// incarnations are the workers' incarnations that the leader was notified of.
-	incarnations [modelWorkerCount]workers.StartTime
+	// startTimes identify the workers' incarnations that the leader was notified of.
+	startTimes [modelWorkerCount]workers.StartTime
 }
 
 // model is a state that is reached by a path of choices.
@@ -120,7 +120,7 @@
 		}
 		worker := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
 		if bounds.restarts > 0 {
-			worker.incarnation = 1
+			worker.startTime = 1
 		}
 		m.workers = append(m.workers, worker)
 	}
@@ -383,8 +383,8 @@
 			leader.write = &modelWrite{recordVersion: leader.ledger.RecordVersion(), value: value}
 		}
 		for _, order := range leader.ledger.Due(m.now, renewOnly) {
-			incarnation := leader.incarnations[slices.Index(m.workers, m.worker(order.Target.ID))]
-			m.orders = append(m.orders, &modelOrder{order: order, leader: index, incarnation: incarnation})
+			startTime := leader.startTimes[slices.Index(m.workers, m.worker(order.Target.ID))]
+			m.orders = append(m.orders, &modelOrder{order: order, leader: index, startTime: startTime})
 		}
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -52,9 +52,9 @@
 type Target struct {
 	ID      workers.ID
 	Address string
-	// Incarnation identifies the run of the worker's process that is meant; zero if it is not
-	// known. A restarted worker holds no keys and has seen no fences.
-	Incarnation workers.StartTime
+	// StartTime identifies the incarnation of the worker that is meant; zero if it is not known. A
+	// restarted worker holds no keys and has seen no fences.
+	StartTime workers.StartTime
 }
 
 // Grant gives keys to a worker for a limited time.
--- a/internal/owner/restart.go
+++ b/internal/owner/restart.go
@@ -15,11 +15,11 @@
 // granted its own keys again under a higher fence, and fences that it has to know are sent again,
 // since a new incarnation has seen none of the earlier ones.
 func (l *Ledger) ObserveIncarnation(now time.Time, incarnation workers.Incarnation, address string) bool {
-	previous, known := l.incarnations[incarnation.ID]
+	previous, known := l.startTimes[incarnation.ID]
 	if incarnation.StartTime == 0 || previous == incarnation.StartTime {
 		return false
 	}
-	l.incarnations[incarnation.ID] = incarnation.StartTime
+	l.startTimes[incarnation.ID] = incarnation.StartTime
 	if !known {
 		return false
 	}
@@ -62,11 +62,11 @@
 	s.nextOrderAt = now
 }
 
-// reportsIncarnation reports whether a worker announces its start time. Workers that do not get a
-// new ID when they restart.
-func (l *Ledger) reportsIncarnation(id workers.ID) bool { return l.incarnations[id] != 0 }
+// reportsStartTime reports whether a worker announces its start time. Workers that announce none
+// get a new ID when they restart.
+func (l *Ledger) reportsStartTime(id workers.ID) bool { return l.startTimes[id] != 0 }
 
-// target returns the address and incarnation that a worker's orders are sent to.
+// target returns the address and start time that a worker's orders are sent to.
 func (l *Ledger) target(id workers.ID) Target {
-	return Target{ID: id, Address: l.addresses[id], Incarnation: l.incarnations[id]}
+	return Target{ID: id, Address: l.addresses[id], StartTime: l.startTimes[id]}
 }
--- a/internal/owner/restart_test.go
+++ b/internal/owner/restart_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, len(ledger.Holds()), 0, "no standby may renew the keys")
 	again := grantDue(t, ledger, now)
 	assert.Assert(t, again.Fence > first.Fence)
-	assert.Equal(t, again.Target.Incarnation, workers.StartTime(2))
+	assert.Equal(t, again.Target.StartTime, workers.StartTime(2))
 	ledger.HandleReply(now, again, Reply{Outcome: OutcomeDone})
 	assert.Assert(t, !ledger.Assignment()[0].Moving)
 }
@@ -101,7 +101,7 @@
 			assert.Equal(t, len(due) == 1, test.fenceSent)
 			if test.fenceSent {
 				assert.Assert(t, due[0].Release)
-				assert.Equal(t, due[0].Target, Target{ID: candidates[0].ID, Address: candidates[0].Address, Incarnation: 2})
+				assert.Equal(t, due[0].Target, Target{ID: candidates[0].ID, Address: candidates[0].Address, StartTime: 2})
 				assert.Equal(t, due[0].Fence, grant.Fence)
 			}
 		})
@@ -155,7 +155,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			standby := NewStandby(DefaultConfig(10 * time.Second))
-			hold := Hold{Keys: KeyRange{0, 9}, Target: Target{ID: "w", Address: "a", Incarnation: test.held}, Fence: 7}
+			hold := Hold{Keys: KeyRange{0, 9}, Target: Target{ID: "w", Address: "a", StartTime: test.held}, Fence: 7}
 			standby.SetHolds(1, 1, []Hold{hold}, now.Add(time.Minute))
 			standby.LeaderLost()
 			standby.ObserveIncarnation(workers.Incarnation{ID: "w", StartTime: test.announced})
--- a/internal/owner/standby.go
+++ b/internal/owner/standby.go
@@ -68,7 +68,7 @@
 // no longer renewed.
 func (s *Standby) ObserveIncarnation(incarnation workers.Incarnation) {
 	s.holds = slices.DeleteFunc(s.holds, func(hold *standbyHold) bool {
-		return hold.Target.ID == incarnation.ID && hold.Target.Incarnation != incarnation.StartTime && hold.Target.Incarnation != 0 && incarnation.StartTime != 0
+		return hold.Target.ID == incarnation.ID && hold.Target.StartTime != incarnation.StartTime && hold.Target.StartTime != 0 && incarnation.StartTime != 0
 	})
 }
 
--- a/internal/owner/unconfirmed.go
+++ b/internal/owner/unconfirmed.go
@@ -36,7 +36,7 @@
 
 // addAcknowledged tracks a previous owner that rejects delayed grants, unless it restarts.
 func (l *Ledger) addAcknowledged(now time.Time, old previousOwner, s *span) {
-	if !l.reportsIncarnation(old.worker) || !now.Before(old.restartGrantUntil) {
+	if !l.reportsStartTime(old.worker) || !now.Before(old.restartGrantUntil) {
 		return
 	}
 	l.recordVersion++
@@ -75,7 +75,7 @@
 // dueFenceUpdates returns the releases that raise the fences at workers with unconfirmed grants.
 func (l *Ledger) dueFenceUpdates(now time.Time) []Order {
 	l.unconfirmed = slices.DeleteFunc(l.unconfirmed, func(grant *unconfirmedGrant) bool {
-		return !grant.inFlight && (now.After(grant.until) || (l.ended[grant.worker] && !l.reportsIncarnation(grant.worker)))
+		return !grant.inFlight && (now.After(grant.until) || (l.ended[grant.worker] && !l.reportsStartTime(grant.worker)))
 	})
 	var due []Order
 	for _, grant := range l.unconfirmed {
@@ -98,7 +98,7 @@
 	grant.nextOrderAt = now.Add(l.config.RetryDelay)
 	if (reply.Outcome == OutcomeDone || reply.Outcome == OutcomeOtherWorker) && !order.targetRestarted {
 		grant.acknowledged = true
-		if !l.reportsIncarnation(grant.worker) {
+		if !l.reportsStartTime(grant.worker) {
 			grant.until = time.Time{} // its ID is not used again after a restart
 		}
 	}
--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -83,7 +83,7 @@
 // follow follows a process, and reconnects when the link breaks, until ctx ends.
 func (c *collector) follow(ctx context.Context, address string) {
 	follower := Follower{
-		Hello: Hello{Node: "n"}, Table: c.table, TakeReport: NewMeter().Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
+		Hello: Hello{Node: "n"}, Table: c.table, TakeReport: NewMeter().TakeReport, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {}, OnLeadershipUncertain: func() {},
 		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true }, ConfigRevision: func() coord.Revision { return 0 },
 		EntriesRevision: func() coord.Revision { c.mu.Lock(); defer c.mu.Unlock(); return c.entriesRevision },
 		ListPosition:    func() (workers.ID, coord.Revision) { c.mu.Lock(); defer c.mu.Unlock(); return c.after, c.revision },
--- a/internal/peerlink/facts.go
+++ b/internal/peerlink/facts.go
@@ -23,16 +23,17 @@
 	at      time.Time
 }
 
-// factsFor returns the facts of a book that a link is to be sent now, and records them as sent.
-func factsFor[F facts.Fact[F]](book *facts.Table[F], sent *factsSent, now time.Time) []F {
-	if book == nil || now.Sub(sent.at) < factsInterval {
+// dueFacts returns the facts of a table that are due to be sent on a link, and records them as
+// sent.
+func dueFacts[F facts.Fact[F]](table *facts.Table[F], sent *factsSent, now time.Time) []F {
+	if table == nil || now.Sub(sent.at) < factsInterval {
 		return nil
 	}
 	limit := maxFacts
 	if sent.version == 0 {
 		limit = maxFirstFacts
 	}
-	list, upTo := book.Since(sent.version, limit)
+	list, upTo := table.Since(sent.version, limit)
 	sent.version = upTo
 	if len(list) > 0 {
 		sent.at = now
--- a/internal/peerlink/lines_test.go
+++ b/internal/peerlink/lines_test.go
@@ -111,7 +111,7 @@
 						_, _ = holds.Holds()
 					}
 				}
-				if changes, tells, _ := update.DecodeSuspects(); tells {
+				if changes, included, _ := update.DecodeSuspects(); included {
 					view.HandleUpdate(time.Unix(1000, 0), hub.ApplySuspects(changes))
 				}
 			},
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -158,7 +158,7 @@
 		if !known {
 			index = len(described.Workers)
 			indexes[hold.Target.ID] = index
-			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, Incarnation: hold.Target.Incarnation})
+			described.Workers = append(described.Workers, NamedWorker{ID: hold.Target.ID, Address: hold.Target.Address, StartTime: hold.Target.StartTime})
 		}
 		runs = append(runs, [4]int64{int64(hold.Keys.From), int64(hold.Keys.To), int64(index), int64(hold.Fence)})
 	}
@@ -180,7 +180,7 @@
 		}
 		worker := h.Workers[run[2]]
 		holds = append(holds, owner.Hold{
-			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, Incarnation: worker.Incarnation},
+			Keys: owner.KeyRange{From: int(run[0]), To: int(run[1])}, Target: owner.Target{ID: worker.ID, Address: worker.Address, StartTime: worker.StartTime},
 			Fence: owner.Fence(run[3]),
 		})
 	}
@@ -191,7 +191,7 @@
 type ConfigChanges struct {
 	Revision coord.Revision `json:"r"`
 	// AgeMillis is for how long the first process has known this revision. AgeUnknown is set if the
-	// process has read it in a list, and can't tell since when it has been in force.
+	// process has read it in a list, and does not know since when it has been in force.
 	AgeMillis  int64 `json:"a,omitempty"`
 	AgeUnknown bool  `json:"u,omitempty"`
 	// Packed contains the items that have changed since the receiver's revision, and Keys are the
@@ -221,12 +221,12 @@
 type ReadState struct {
 	Config  coord.Revision `json:"c"`
 	Workers coord.Revision `json:"w"`
-	// SettleMillis is for how long entries that vanish may only have lapsed, because the service
+	// SettleMillis is for how long entries that vanish may merely have expired, because the service
 	// was unreachable.
 	SettleMillis int64 `json:"s,omitempty"`
 	// Settled is set once the leader has reached the service for long enough that an entry which it
-	// no longer knows is gone. This also holds for a process that was itself cut off from the
-	// service.
+	// no longer knows belongs to a worker that has left. This also holds for a process that was
+	// itself cut off from the service.
 	Settled bool `json:"y,omitempty"`
 }
 
@@ -253,8 +253,8 @@
 type NamedWorker struct {
 	ID      workers.ID `json:"i"`
 	Address string     `json:"a"`
-	// Incarnation is that of the worker that holds refer to; zero if unknown.
-	Incarnation workers.StartTime `json:"b,omitempty"`
+	// StartTime identifies the incarnation of the worker that holds refer to; zero if unknown.
+	StartTime workers.StartTime `json:"b,omitempty"`
 }
 
 // Report contains what a process has counted and learned since its last report.
--- a/internal/peerlink/meter.go
+++ b/internal/peerlink/meter.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Take returns the counts and resets them. Response times are included at most every
+// TakeReport returns the counts and resets them. Response times are included at most every
 // responseTimesInterval.
-func (m *Meter) Take() Report {
+func (m *Meter) TakeReport() Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	report := Report{}
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -87,7 +87,7 @@
 	t.Helper()
 	f := &testFollower{table: keytable.New(), meter: NewMeter(), result: make(chan error, 1)}
 	follower := Follower{
-		Hello: hello, Table: f.table, TakeReport: f.meter.Take, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {},
+		Hello: hello, Table: f.table, TakeReport: f.meter.TakeReport, Nodes: &atomic.Int32{}, OnFirstUpdate: func() {},
 		OnOwnersApplied: func(routing.ServiceName) {}, KeepFollowing: func(Update) bool { return true },
 		EntriesRevision: func() coord.Revision { return coord.Revision(f.entriesRevision.Load()) }, ConfigRevision: func() coord.Revision { return 0 },
 		OnUpdate: f.onUpdate, OnLeadershipUncertain: func() { f.leadershipUncertain.Store(true) },
--- a/internal/peerlink/suspects_test.go
+++ b/internal/peerlink/suspects_test.go
@@ -98,8 +98,8 @@
 func transferSuspects(t *testing.T, from *Hub, over *link, to *Hub) []quarantine.Record {
 	var update Update
 	from.addSuspects(over, &update, time.Now())
-	changes, tells, err := update.DecodeSuspects()
+	changes, included, err := update.DecodeSuspects()
 	assert.NilError(t, err)
-	assert.Assert(t, tells)
+	assert.Assert(t, included)
 	return to.ApplySuspects(changes)
 }
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -25,8 +25,8 @@
 		h.bulkTransfers.release(l)
 	}
 	h.addSuspects(l, &update, now)
-	update.Limits = encodeFacts(now, factsFor(h.Limits, &l.limits, now), workerlimit.NewMessage)
-	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.NewMessage)
+	update.Limits = encodeFacts(now, dueFacts(h.Limits, &l.limits, now), workerlimit.NewMessage)
+	update.Leaving = encodeFacts(now, dueFacts(h.Leaving, &l.leaving, now), departure.NewMessage)
 	update.Quota, l.pendingGrants = l.pendingGrants, nil
 	update.Peers = h.peerAddressesFor(l, now)
 	if h.leading {
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -61,8 +61,8 @@
 	Draining   bool                `json:"d,omitempty"`
 	// WarmMillis is how much longer the worker is slow.
 	WarmMillis int64 `json:"w,omitempty"`
-	// Born is when this incarnation of the worker began, as it has announced itself.
-	Born workers.StartTime `json:"b,omitempty"`
+	// StartTime is when this incarnation of the worker began, as announced by the worker.
+	StartTime workers.StartTime `json:"b,omitempty"`
 	// LearnedAt is since when the first process has known the change, and AgeMillis is for how long
 	// at the time of the message.
 	LearnedAt time.Time `json:"-"`
@@ -76,7 +76,7 @@
 	return WorkerChange{
 		Revision: revision, ID: worker.ID, Service: worker.Service, Address: worker.Address, Zone: worker.Zone,
 		Slots: worker.Slots, Draining: worker.State == workers.StateDraining,
-		WarmMillis: max(0, clock.Until(worker.WarmAt).Milliseconds()), warmAt: worker.WarmAt, Born: worker.StartTime,
+		WarmMillis: max(0, clock.Until(worker.WarmAt).Milliseconds()), warmAt: worker.WarmAt, StartTime: worker.StartTime,
 	}
 }
 
@@ -88,6 +88,6 @@
 	}
 	return workers.Worker{
 		ID: c.ID, Service: c.Service, Address: c.Address, Zone: c.Zone, Slots: c.Slots, State: state,
-		WarmAt: c.warmAt, StartTime: c.Born,
+		WarmAt: c.warmAt, StartTime: c.StartTime,
 	}
 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -49,7 +49,7 @@
 func (c *call) forwardBody(result *upstream.Result) error {
 	if result.Stream == nil && result.Body.Length() <= bodies.MaxSmall {
 		small := result.Body.Prefix(bodies.MaxSmall)
-		c.proxy.Turns.RecordSent(len(small))
+		c.proxy.LinkShaper.RecordSent(len(small))
 		_, err := c.writer.Write(small)
 		return err
 	}
@@ -57,7 +57,7 @@
 	defer c.proxy.downloads.Add(-1)
 	controller := http.NewResponseController(c.writer)
 	to := bodies.NewWriter(c.writer, controller)
-	paced := c.proxy.Turns.NewWriter(c.request.Context(), to)
+	paced := c.proxy.LinkShaper.NewWriter(c.request.Context(), to)
 	if err := writeAnswer(paced, result, controller.Flush); err != nil {
 		return err
 	}
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -63,13 +63,13 @@
 	// unreachableUntil is the time before which no request is sent to an owner of keys after a
 	// failed connection attempt.
 	unreachableUntil time.Time
-	// gone reports that another worker answered at the address.
-	gone        bool
+	// replaced reports that another worker answered at the address.
+	replaced    bool
 	coldLimiter coldLimiter
-	// witness holds what was observed of the worker's end. probeAt is the start time of the last
-	// probe of its address, which may be in the future.
-	witness quarantine.CrashObserver
-	probeAt time.Time
+	// crashObserver holds what was observed of the worker's end. probeAt is the start time of the
+	// last probe of its address, which may be in the future.
+	crashObserver quarantine.CrashObserver
+	probeAt       time.Time
 }
 
 // reportedMeans are the averages of the loads that a service's workers report.
@@ -129,7 +129,7 @@
 	defer b.mu.Unlock()
 	load, slots := b.estimatedLoad(now), float64(b.worker.Slots)
 	switch {
-	case b.gone || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
+	case b.replaced || now.Before(b.cooldownUntil) || now.Before(b.fullUntil):
 		return choice{}, false
 	case load >= maxLoadRatio*slots || !b.coldLimiter.ready(now, b.worker.WarmAt, coldRate, nodes):
 		return choice{}, false
@@ -170,11 +170,11 @@
 	return b.estimatedLoad(now) / float64(b.worker.Slots)
 }
 
-// usable reports whether the worker is neither gone nor in a cooldown after failures.
+// usable reports whether the worker is neither replaced nor in a cooldown after failures.
 func (b *backend) usable(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.gone && !now.Before(b.cooldownUntil)
+	return !b.replaced && !now.Before(b.cooldownUntil)
 }
 
 // usableAsOwner reports whether requests for keys that the worker owns may be sent to it. Since no
@@ -182,7 +182,7 @@
 func (b *backend) usableAsOwner(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.gone && !now.Before(b.unreachableUntil)
+	return !b.replaced && !now.Before(b.unreachableUntil)
 }
 
 // admit counts a request that is about to be sent. It returns false if the worker is warming up and
@@ -223,8 +223,8 @@
 	b.inFlight--
 }
 
-// finish updates the state with the result of a send. It returns true if the worker recovers, or starts
-// failing by a late answer or a failed connection, or is gone.
+// finish updates the state with the result of a send. It returns true if the worker recovers, or
+// starts failing by a late answer or a failed connection, or is replaced by another.
 func (b *backend) finish(now time.Time, result *upstream.Result) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -242,7 +242,7 @@
 	case upstream.NotRun, upstream.ConnectionRejected:
 		b.fullUntil = now.Add(fullCooldown)
 	case upstream.Misdirected:
-		b.gone = true
+		b.replaced = true
 		changed = true
 	case upstream.TimedOut:
 		changed = b.failures == 0
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	small := length <= bodies.MaxSmall // or unknown
-	spool := bodies.NewSpool(c.proxy.Room, small)
+	spool := bodies.NewSpool(c.proxy.MemoryBudget, small)
 	c.cleanups.add(spool.Free)
 	if !small && !c.awaitBodyMemory(spool) {
 		return false
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -32,10 +32,10 @@
 func (f *testProxy) awaitNoBodies(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f.proxy.Room.Used() == 0 && f.proxy.uploads.Load() == 0 && f.proxy.downloads.Load() == 0 {
+		if f.proxy.MemoryBudget.Used() == 0 && f.proxy.uploads.Load() == 0 && f.proxy.downloads.Load() == 0 {
 			return poll.Success()
 		}
-		return poll.Continue("%d bytes are in use", f.proxy.Room.Used())
+		return poll.Continue("%d bytes are in use", f.proxy.MemoryBudget.Used())
 	}, poll.WithTimeout(5*time.Second))
 }
 
@@ -146,8 +146,8 @@
 func TestLargeBodiesBeyondMemoryLimitAreRefused(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
-	f.proxy.Room = bodies.NewMemoryBudget(100_000)
-	assert.Assert(t, f.proxy.Room.Reserve(87_000))
+	f.proxy.MemoryBudget = bodies.NewMemoryBudget(100_000)
+	assert.Assert(t, f.proxy.MemoryBudget.Reserve(87_000))
 	for name, length := range map[string]int64{"of known length": testDownload, "in chunks": -1} {
 		began := time.Now()
 		response, reason := f.upload(t, "/up/", unsized{bytes.NewReader(make([]byte, testDownload))}, length)
@@ -159,7 +159,7 @@
 	assert.Equal(t, w.receivedCount(), 0)
 	response, _ := f.get(t, "POST", "/unsafe/", "small")
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	f.proxy.Room.Release(87_000)
+	f.proxy.MemoryBudget.Release(87_000)
 	response, _ = f.upload(t, "/up/", bytes.NewReader(make([]byte, testDownload)), testDownload)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	f.awaitNoBodies(t)
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -81,7 +81,7 @@
 		}
 	}
 	c.message.AtMostOnce = !c.route.Repeatable
-	c.message.Budget, c.message.Shaper = c.proxy.Room, c.proxy.Turns
+	c.message.Budget, c.message.Shaper = c.proxy.MemoryBudget, c.proxy.LinkShaper
 	c.message.AnswerBufferSize, c.message.AnswerBufferTime = c.answerBuffering()
 	if c.message.ID == "" {
 		c.refuse(http.StatusBadRequest, reasonMalformed, 0)
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -102,12 +102,12 @@
 	}
 }
 
-// recordCutOff records a request that was sent and got no complete answer. It returns true if the
-// worker is known to have ended, so that its end interrupted the request.
+// recordInterrupted records a request that was sent and got no complete answer. It returns true if
+// the worker is known to have ended, so that its end interrupted the request.
 func (b *backend) recordInterrupted(now time.Time, attempt quarantine.Attempt) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.RecordInterrupted(now, attempt)
+	return b.crashObserver.RecordInterrupted(now, attempt)
 }
 
 // recordEnd records that the worker has ended. It returns the requests that were interrupted by
@@ -115,7 +115,7 @@
 func (b *backend) recordEnd(now time.Time) (attempts []quarantine.Attempt, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.witness.RecordEnd(now)
+	return b.crashObserver.RecordEnd(now)
 }
 
 // scheduleProbe returns the delay after which to probe the worker's address; due is false if a
@@ -189,7 +189,7 @@
 	p.Log.Line(decision.KindSuspect).Str("id", attempt.ID).Str("fingerprint", attempt.Request.String()).
 		Str("worker", string(to.id())).Str("route", attempt.Route).Str("caller", attempt.Caller.String()).Msg("")
 	incarnation := to.info().Incarnation()
-	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: incarnation.ID, Born: incarnation.StartTime, At: now}) {
+	for _, quarantined := range p.Suspects.RecordCrash(now, attempt, quarantine.Crash{Worker: incarnation.ID, StartTime: incarnation.StartTime, At: now}) {
 		LogQuarantined(p.Log, quarantined)
 	}
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -115,10 +115,10 @@
 	Outdated func() bool
 	// Starting reports that this process does not know yet which requests are quarantined.
 	Starting atomic.Bool
-	// Room bounds the memory of bodies in flight, and Turns the rate at which large ones use the
-	// link.
-	Room  *bodies.MemoryBudget
-	Turns *bodies.LinkShaper
+	// MemoryBudget bounds the memory of bodies in flight, and LinkShaper the rate at which large
+	// ones use the link.
+	MemoryBudget *bodies.MemoryBudget
+	LinkShaper   *bodies.LinkShaper
 	// DrainPeriod is for how long workers that are leaving may get requests.
 	DrainPeriod time.Duration
 	// EvacuationPeriod is for how long the workers of an evacuated zone may get requests.
@@ -141,7 +141,7 @@
 	ending, end := context.WithCancel(context.Background())
 	p := &Proxy{
 		fleet: newFleet(zone, directory, limits), Nodes: &atomic.Int32{}, Suspects: quarantine.NewView(),
-		Room: bodies.NewMemoryBudget(0), Turns: bodies.NewLinkShaper(0), unread: newUnreadHeaders(), ending: ending, end: end,
+		MemoryBudget: bodies.NewMemoryBudget(0), LinkShaper: bodies.NewLinkShaper(0), unread: newUnreadHeaders(), ending: ending, end: end,
 	}
 	_, _ = cryptorand.Read(p.secret[:]) // never fails
 	p.fleet.isBlocked = p.isBlocked
@@ -245,10 +245,10 @@
 		c.refuse(http.StatusNotFound, reasonNoRoute, 0)
 		return
 	}
-	if !c.identify(active.keys) || !c.takeQuota() {
+	if !c.identify(active.keys) || !c.acquireQuota() {
 		return
 	}
-	defer c.returnQuota()
+	defer c.releaseQuota()
 	c.sends.maxRuns = max(1, c.route.Attempts)
 	c.service = c.selectService(active)
 	if !c.prepare() {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -12,16 +12,16 @@
 // Limits enforces the rate limits that workers report, over all routers together. It is safe for
 // concurrent use.
 type Limits interface {
-	// Count returns the number of workers with a rate limit, and Limited reports whether a worker
-	// has one.
-	Count() int
-	Limited(worker workers.Incarnation) bool
-	// Take requests a permit for sending a request to a worker at most maxWait from now. If
-	// granted, the request may be sent after wait; if not, wait is the time after which to ask
-	// again. Take returns within timeout.
-	Take(worker workers.Incarnation, maxWait, timeout time.Duration) (wait time.Duration, granted bool)
-	// Answered processes what an answer reports about its worker's rate limit.
-	Answered(worker workers.Incarnation, answer *upstream.Result)
+	// LimitedCount returns the number of workers with a rate limit, and IsLimited reports whether a
+	// worker has one.
+	LimitedCount() int
+	IsLimited(worker workers.Incarnation) bool
+	// AcquirePermit requests a permit for sending a request to a worker at most maxWait from now.
+	// If granted, the request may be sent after wait; if not, wait is the time after which to ask
+	// again. AcquirePermit returns within timeout.
+	AcquirePermit(worker workers.Incarnation, maxWait, timeout time.Duration) (wait time.Duration, granted bool)
+	// RecordAnswer processes what an answer reports about its worker's rate limit.
+	RecordAnswer(worker workers.Incarnation, answer *upstream.Result)
 }
 
 // permitTimeoutShare is the fraction of a request's target latency within which its permit must be
@@ -33,11 +33,11 @@
 const limitRetryJitter = 0.25
 
 // anyLimited reports whether any worker has a rate limit.
-func (p *Proxy) anyLimited() bool { return p.Limits != nil && p.Limits.Count() > 0 }
+func (p *Proxy) anyLimited() bool { return p.Limits != nil && p.Limits.LimitedCount() > 0 }
 
 // isLimited reports whether a worker has a rate limit. It costs one atomic load while none has.
 func (p *Proxy) isLimited(to *backend) bool {
-	return p.anyLimited() && p.Limits.Limited(to.info().Incarnation())
+	return p.anyLimited() && p.Limits.IsLimited(to.info().Incarnation())
 }
 
 // acquirePermit requests permission to send the request to a worker, which may have a rate limit,
@@ -52,7 +52,7 @@
 		return until.Sub(now), false
 	}
 	timeout := min(time.Duration(permitTimeoutShare*float64(c.route.Target)), max(0, c.timeLeft()-answerMargin))
-	wait, ok = c.proxy.Limits.Take(to.info().Incarnation(), maxWait, timeout)
+	wait, ok = c.proxy.Limits.AcquirePermit(to.info().Incarnation(), maxWait, timeout)
 	if !ok {
 		to.setLimitedUntil(clock.Now().Add(wait))
 	}
@@ -77,8 +77,8 @@
 	if limits == nil {
 		return
 	}
-	if limits.Count() > 0 && limits.Limited(worker.Incarnation()) {
+	if limits.LimitedCount() > 0 && limits.IsLimited(worker.Incarnation()) {
 		c.proxy.Metrics.recordLimitedSend(c.service.Name)
 	}
-	limits.Answered(worker.Incarnation(), result)
+	limits.RecordAnswer(worker.Incarnation(), result)
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -25,20 +25,20 @@
 	answers   []upstream.Limit
 }
 
-func (l *fakeLimits) Count() int {
+func (l *fakeLimits) LimitedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.limited)
 }
 
-func (l *fakeLimits) Limited(worker workers.Incarnation) bool {
+func (l *fakeLimits) IsLimited(worker workers.Incarnation) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, limited := l.limited[worker.ID]
 	return limited
 }
 
-func (l *fakeLimits) Take(workers.Incarnation, time.Duration, time.Duration) (time.Duration, bool) {
+func (l *fakeLimits) AcquirePermit(workers.Incarnation, time.Duration, time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requested++
@@ -49,7 +49,7 @@
 	return 0, true
 }
 
-func (l *fakeLimits) Answered(_ workers.Incarnation, answer *upstream.Result) {
+func (l *fakeLimits) RecordAnswer(_ workers.Incarnation, answer *upstream.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers = append(l.answers, answer.Limit)
--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -16,38 +16,38 @@
 
 // fakeQuota admits as many requests as it has units.
 type fakeQuota struct {
-	mu                    sync.Mutex
-	units                 int
-	taken, sent, returned int
+	mu                       sync.Mutex
+	units                    int
+	acquired, sent, released int
 }
 
-func (q *fakeQuota) Take(context.Context, *routing.Tenant) (time.Time, time.Duration) {
+func (q *fakeQuota) Acquire(context.Context, *routing.Tenant) (time.Time, time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.taken-q.returned >= q.units {
+	if q.acquired-q.released >= q.units {
 		return time.Time{}, 1700 * time.Millisecond
 	}
-	q.taken++
+	q.acquired++
 	return clock.Now(), 0
 }
 
-func (q *fakeQuota) Sent(time.Time, *routing.Tenant) time.Time {
+func (q *fakeQuota) RecordSent(time.Time, *routing.Tenant) time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.sent++
 	return clock.Now()
 }
 
-func (q *fakeQuota) Return(time.Time, *routing.Tenant) {
+func (q *fakeQuota) Release(time.Time, *routing.Tenant) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.returned++
+	q.released++
 }
 
 func (q *fakeQuota) counts() [3]int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return [3]int{q.taken, q.sent, q.returned}
+	return [3]int{q.acquired, q.sent, q.released}
 }
 
 // newQuotaProxy returns a test proxy whose tenant a has a limit, and whose worker runs a script.
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -66,9 +66,9 @@
 		"Second sends that this process may make at once.", []string{"service"}, nil)
 	bodiesDescription = prometheus.NewDesc("shalefork_router_large_bodies",
 		"Large bodies in flight: uploads from callers, downloads to them.", []string{"direction"}, nil)
-	roomDescription = prometheus.NewDesc("shalefork_router_bodies_bytes",
+	memoryUsedDescription = prometheus.NewDesc("shalefork_router_bodies_bytes",
 		"Memory that bodies in flight take.", nil, nil)
-	roomLimitDescription = prometheus.NewDesc("shalefork_router_bodies_limit_bytes",
+	memoryLimitDescription = prometheus.NewDesc("shalefork_router_bodies_limit_bytes",
 		"Memory that bodies in flight may take; 0: any.", nil, nil)
 )
 
@@ -77,8 +77,8 @@
 	descriptions <- waitingDescription
 	descriptions <- tokensDescription
 	descriptions <- bodiesDescription
-	descriptions <- roomDescription
-	descriptions <- roomLimitDescription
+	descriptions <- memoryUsedDescription
+	descriptions <- memoryLimitDescription
 }
 
 // Collect implements prometheus.Collector.
@@ -88,8 +88,8 @@
 	}
 	gauge(bodiesDescription, float64(p.uploads.Load()), "upload")
 	gauge(bodiesDescription, float64(p.downloads.Load()), "download")
-	gauge(roomDescription, float64(p.Room.Used()))
-	gauge(roomLimitDescription, float64(p.Room.Limit()))
+	gauge(memoryUsedDescription, float64(p.MemoryBudget.Used()))
+	gauge(memoryLimitDescription, float64(p.MemoryBudget.Limit()))
 	p.fleet.mu.Lock()
 	services := maps.Clone(p.fleet.services)
 	p.fleet.mu.Unlock()
--- a/internal/quarantine/leaders_test.go
+++ b/internal/quarantine/leaders_test.go
@@ -141,7 +141,7 @@
 					continue
 				}
 				worker := workers.ID(rapid.StringMatching("[a-e]").Draw(t, "worker"))
-				tracker.RecordCrash(now, one, Crash{Worker: worker, Born: workers.StartTime(now.Unix()), At: now})
+				tracker.RecordCrash(now, one, Crash{Worker: worker, StartTime: workers.StartTime(now.Unix()), At: now})
 			}
 			lists[index] = tracker.Records()
 		}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -47,9 +47,9 @@
 // Crash is the crash of a worker at which a request was in progress.
 type Crash struct {
 	Worker workers.ID
-	// Born distinguishes the incarnations of a worker that restarts under its ID: the crash of each
-	// counts.
-	Born workers.StartTime
+	// StartTime distinguishes the incarnations of a worker that restarts under its ID: the crash of
+	// each counts.
+	StartTime workers.StartTime
 	// Caller is the one whose request was in progress.
 	Caller netip.Addr
 	At     time.Time
@@ -57,7 +57,7 @@
 
 // incarnation returns the incarnation of the worker that crashed.
 func (c Crash) incarnation() workers.Incarnation {
-	return workers.Incarnation{ID: c.Worker, StartTime: c.Born}
+	return workers.Incarnation{ID: c.Worker, StartTime: c.StartTime}
 }
 
 // same reports whether both are the same crash, with a request of the same caller in progress. Their
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -54,12 +54,12 @@
 // crash decodes the crash, whose age is as of now.
 func (c SnapshotCrash) crash(now time.Time) Crash {
 	at := now.Add(-time.Duration(c.AgeMillis) * time.Millisecond)
-	return Crash{Worker: c.Worker, Born: c.StartTime, Caller: c.Caller, At: at}
+	return Crash{Worker: c.Worker, StartTime: c.StartTime, Caller: c.Caller, At: at}
 }
 
 // toSnapshot encodes the crash as of now.
 func (c Crash) toSnapshot(now time.Time) SnapshotCrash {
-	return SnapshotCrash{Worker: c.Worker, StartTime: c.Born, Caller: c.Caller, AgeMillis: now.Sub(c.At).Milliseconds()}
+	return SnapshotCrash{Worker: c.Worker, StartTime: c.StartTime, Caller: c.Caller, AgeMillis: now.Sub(c.At).Milliseconds()}
 }
 
 // NewSnapshot encodes records as of now.
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -309,9 +309,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := NewTracker()
-			for index, born := range test.incarnations {
+			for index, startTime := range test.incarnations {
 				seconds := 10 * float64(index)
-				crash := Crash{Worker: "w", Born: born, At: at(seconds)}
+				crash := Crash{Worker: "w", StartTime: startTime, At: at(seconds)}
 				tracker.RecordCrash(at(seconds), attempt(1), crash.toSnapshot(at(seconds)).crash(at(seconds)))
 			}
 			assert.Equal(t, tracker.Standing(attempt(1).callerRequest()) == Quarantined, test.quarantined)
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -16,7 +16,7 @@
 	h.ApplyGrant(now, Grant{Node: "node", Incarnation: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{tenant.Name: {units, units, 0}}})
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Take(now, tenant)
+		h.Acquire(now, tenant)
 		now = now.Add(time.Microsecond)
 	}
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// Take spends a unit for a request of a tenant. If there is none, wait is the time until one is
+// Acquire spends a unit for a request of a tenant. If there is none, wait is the time until one is
 // likely to be free here.
-func (h *Holder) Take(now time.Time, tenant *routing.Tenant) (granted bool, wait time.Duration) {
+func (h *Holder) Acquire(now time.Time, tenant *routing.Tenant) (granted bool, wait time.Duration) {
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -137,9 +137,9 @@
 // spreadSteps is the number of distinct retry times.
 const spreadSteps = 16
 
-// Await returns a channel that is closed once a tenant's credit is raised here; nil while its
-// callers must not wait for that, since units were missing recently.
-func (h *Holder) Await(now time.Time, tenant *routing.Tenant) <-chan struct{} {
+// CreditRaised returns a channel that is closed once a tenant's credit is raised here; nil while
+// its callers must not wait for that, since units were missing recently.
+func (h *Holder) CreditRaised(now time.Time, tenant *routing.Tenant) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(tenant)
@@ -154,7 +154,7 @@
 
 // Refused counts a refused request. Its tenant counts as over its limit for overLimitFor, during
 // which its callers don't wait for units.
-func (h *Holder) Refused(now time.Time, tenant *routing.Tenant) {
+func (h *Holder) RecordRefused(now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(tenant)
@@ -166,26 +166,26 @@
 // wait in vain for units at most once in that time.
 const overLimitFor = time.Second
 
-// Return gives back a unit that was taken at a time for a request that no worker has run or will
-// run.
-func (h *Holder) Return(taken time.Time, tenant *routing.Tenant) {
+// Release gives back a unit that was acquired at a time for a request that no worker has run or
+// will run.
+func (h *Holder) Release(acquiredAt time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if a := h.accounts[tenant.Name]; a != nil && a.window.remove(taken.Sub(h.epoch)) {
+	if a := h.accounts[tenant.Name]; a != nil && a.window.remove(acquiredAt.Sub(h.epoch)) {
 		a.granted--
 	}
 }
 
-// Sent records that a request for which a unit was taken is sent to a worker only now: the unit
-// counts as spent now.
-func (h *Holder) Sent(taken, now time.Time, tenant *routing.Tenant) {
+// RecordSent records that a request for which a unit was acquired is sent to a worker only now: the
+// unit counts as spent now.
+func (h *Holder) RecordSent(acquiredAt, now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.accounts[tenant.Name]
 	if a == nil {
 		return
 	}
-	a.window.remove(taken.Sub(h.epoch))
+	a.window.remove(acquiredAt.Sub(h.epoch))
 	a.window.advance(now.Sub(h.epoch))
 	a.window.add()
 }
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -24,7 +24,7 @@
 // takeAll counts how many requests a holder grants at one moment.
 func takeAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
 	count := 0
-	for granted, _ := h.Take(at, tenant); granted; granted, _ = h.Take(at, tenant) {
+	for granted, _ := h.Acquire(at, tenant); granted; granted, _ = h.Acquire(at, tenant) {
 		count++
 	}
 	return count
@@ -66,8 +66,8 @@
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
 	assert.Equal(t, takeAll(h, began, tenant), 50)
-	h.Sent(began, began.Add(3*time.Second), tenant)
-	h.Return(began, tenant)
+	h.RecordSent(began, began.Add(3*time.Second), tenant)
+	h.Release(began, tenant)
 	assert.Equal(t, takeAll(h, began.Add(3*time.Second), tenant), 1)
 	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Stamp: 5000})
 	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
@@ -87,7 +87,7 @@
 	for _, grant := range c.Tick(now, true, 1) {
 		h.ApplyGrant(now, grant)
 	}
-	granted, _ := h.Take(now, tenant)
+	granted, _ := h.Acquire(now, tenant)
 	assert.Assert(t, granted)
 }
 
@@ -114,7 +114,7 @@
 	for _, grant := range c.Tick(now, true, 1) {
 		h.ApplyGrant(now, grant)
 	}
-	granted, wait := h.Take(now, tenant)
+	granted, wait := h.Acquire(now, tenant)
 	assert.Assert(t, !granted)
 	assert.Assert(t, wait > bound.TakeoverDelay() && wait < bound.TakeoverDelay()+bound.Window, wait)
 	assert.Equal(t, len(c.Tick(now, true, 1)), 0, "the withheld time is sent once")
--- a/internal/quota/refusals_test.go
+++ b/internal/quota/refusals_test.go
@@ -80,8 +80,8 @@
 			staticTaken = append(staticTaken, now)
 		}
 		waiting = slices.DeleteFunc(waiting, func(one waitingRequest) bool {
-			if one.router.holder.Await(s.now, tenant) == nil || !s.now.Before(one.until) {
-				one.router.holder.Refused(s.now, tenant)
+			if one.router.holder.CreditRaised(s.now, tenant) == nil || !s.now.Before(one.until) {
+				one.router.holder.RecordRefused(s.now, tenant)
 				stats.refused++
 				return true
 			}
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -301,7 +301,7 @@
 	if s.now.Before(r.frozenUntil) {
 		return true // a suspended router does not answer
 	}
-	granted, _ := r.holder.Take(s.now, r.tenant)
+	granted, _ := r.holder.Acquire(s.now, r.tenant)
 	if granted {
 		s.granted = append(s.granted, grantedRequest{holder: r.holder, at: s.now})
 	}
@@ -325,6 +325,6 @@
 		return
 	}
 	at := rapid.IntRange(0, len(s.granted)-1).Draw(t, "returned")
-	s.granted[at].holder.Return(s.granted[at].at, s.tenant)
+	s.granted[at].holder.Release(s.granted[at].at, s.tenant)
 	s.granted = append(s.granted[:at], s.granted[at+1:]...)
 }
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -91,7 +91,7 @@
 }
 
 // In a real outage, workers are kept: entries are back within 2 s of the service's return.
-func TestEntriesLapsedInOutageAreKept(t *testing.T) {
+func TestEntriesExpiredInOutageAreKept(t *testing.T) {
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 50 * time.Millisecond {
 		t.Run(phase.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -45,9 +45,9 @@
 	leaderlessSince time.Time
 	// aheadSince is since when this process reaches the service while a relay without a leader does
 	// not; zero otherwise.
-	aheadSince time.Time
-	doubtOnce  sync.Once
-	stop       context.CancelFunc
+	aheadSince         time.Time
+	awaitSuccessorOnce sync.Once
+	stop               context.CancelFunc
 }
 
 // followLeader follows the leader until it is lost, then waits until the service names another one,
@@ -143,8 +143,8 @@
 	f.r.hub.SetFollowedLeader(f.leader.Address)
 	f.r.peers.Add(f.leader.Address, f.address)
 	f.r.quotas.holder.Linked()
-	f.r.limits.member.QueueAll()
-	f.r.leaving.member.QueueAll()
+	f.r.limits.limiter.QueueAll()
+	f.r.leaving.replica.QueueAll()
 	line := f.r.log.Line(decision.KindLeaderFound).Str("leader", f.leader.Address).Int64("term", int64(f.leader.Term))
 	if f.viaRelay() {
 		line = line.Str("relay", f.address)
@@ -155,7 +155,7 @@
 // awaitSuccessor waits for another leader, since this one reports that there may be one, and stops
 // following once the service names it.
 func (f *followSession) awaitSuccessor(ctx context.Context) {
-	f.doubtOnce.Do(func() {
+	f.awaitSuccessorOnce.Do(func() {
 		go func() {
 			if f.r.election.AwaitLeaderChange(ctx, f.leader) {
 				f.stop()
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -237,12 +237,12 @@
 	go r.keepSuspects(tenureCtx, tenure)
 	go r.quotas.coordinate(tenureCtx, tenure)
 	r.limits.lead(tenure)
-	r.leaving.member.SetLeading(true)
+	r.leaving.replica.SetLeading(true)
 	r.leaderStoreUnreachable.Store(false) // it referred to the previous leader
 	r.nodes.Store(int32(r.hub.Nodes()))
 	r.keeper.Lead(tenureCtx, tenure, until)
 	r.limits.stopLeading() // before another process may lead
-	r.leaving.member.SetLeading(false)
+	r.leaving.replica.SetLeading(false)
 	resign, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
 	tenure.Resign(resign)
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -24,26 +24,26 @@
 // leavingWorkers tracks the workers that announce in their responses that they leave. They are
 // treated as draining here, and reported to other processes.
 type leavingWorkers struct {
-	r      *Router
-	member *facts.Replica[departure.Fact]
+	r       *Router
+	replica *facts.Replica[departure.Fact]
 }
 
 func newLeavingWorkers(r *Router) *leavingWorkers {
-	return &leavingWorkers{r: r, member: facts.NewReplica[departure.Fact]()}
+	return &leavingWorkers{r: r, replica: facts.NewReplica[departure.Fact]()}
 }
 
 // noteLeaving records that a worker has announced to this process, in response to a request or an
 // order, that it leaves.
 func (l *leavingWorkers) noteLeaving(worker workers.Incarnation) {
-	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.member.Add, seenBySelf)
+	l.add(departure.Fact{Worker: worker, Since: clock.Now()}, l.replica.Add, seenBySelf)
 }
 
 // handleReports records facts reported by followers of this process.
-func (l *leavingWorkers) handleReports(reports []departure.Message) { l.addAll(reports, l.member.Add) }
+func (l *leavingWorkers) handleReports(reports []departure.Message) { l.addAll(reports, l.replica.Add) }
 
 // handleUpdate applies facts received from the leader or a relay.
 func (l *leavingWorkers) handleUpdate(reports []departure.Message) {
-	l.addAll(reports, l.member.ApplyUpdate)
+	l.addAll(reports, l.replica.ApplyUpdate)
 }
 
 func (l *leavingWorkers) addAll(reports []departure.Message, record func(departure.Fact) bool) {
@@ -67,7 +67,7 @@
 func (l *leavingWorkers) report() []departure.Message {
 	var reports []departure.Message
 	now := clock.Now()
-	for _, fact := range l.member.TakeReport(maxLeavingPerReport) {
+	for _, fact := range l.replica.TakeReport(maxLeavingPerReport) {
 		reports = append(reports, departure.NewMessage(now, fact))
 	}
 	return reports
@@ -76,7 +76,7 @@
 // run forgets removed workers, until ctx ends.
 func (l *leavingWorkers) run(ctx context.Context) {
 	for clock.Sleep(ctx, leavingCleanupInterval) {
-		l.member.Table().Forget(func(fact departure.Fact) bool {
+		l.replica.Table().Forget(func(fact departure.Fact) bool {
 			_, announced := l.r.workers.Get(fact.Worker.ID)
 			return !announced && l.r.workers.GoneFor(fact.Worker.ID) > leavingRetention
 		})
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -31,9 +31,9 @@
 	})
 	gauge("shalefork_router_cold_workers", "Workers that say that they warm up.", func() float64 { return float64(r.workers.ColdCount()) })
 	gauge("shalefork_router_leaving_workers", "Workers that have said in an answer that they leave, here or to another router.",
-		func() float64 { return float64(r.leaving.member.Table().ActiveCount()) })
+		func() float64 { return float64(r.leaving.replica.Table().ActiveCount()) })
 	gauge("shalefork_router_limited_workers", "Workers that name a limit of requests a second from all routers together.",
-		func() float64 { return float64(r.limits.book.ActiveCount()) })
+		func() float64 { return float64(r.limits.table.ActiveCount()) })
 	registerer.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "shalefork_router_unreadable_limits_total", Help: "Answers of workers that named a limit which can't be read.",
 	}, func() float64 { return float64(r.limits.unreadable.Load()) }))
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -67,17 +67,17 @@
 	return clock.Now()
 }
 
-// Take implements proxy.Quota.
-func (q *quotas) Take(ctx context.Context, tenant *routing.Tenant) (time.Time, time.Duration) {
+// Acquire implements proxy.Quota.
+func (q *quotas) Acquire(ctx context.Context, tenant *routing.Tenant) (time.Time, time.Duration) {
 	now := refreshedNow()
-	granted, wait := q.holder.Take(now, tenant)
+	granted, wait := q.holder.Acquire(now, tenant)
 	if granted {
 		return now, 0
 	}
 	if at, granted := q.await(ctx, now, tenant); granted {
 		return at, 0
 	}
-	q.holder.Refused(clock.Now(), tenant)
+	q.holder.RecordRefused(clock.Now(), tenant)
 	return time.Time{}, wait
 }
 
@@ -86,7 +86,7 @@
 	timer := time.NewTimer(unitTimeout)
 	defer timer.Stop()
 	for {
-		raised := q.holder.Await(now, tenant)
+		raised := q.holder.CreditRaised(now, tenant)
 		if raised == nil {
 			return now, false
 		}
@@ -98,22 +98,22 @@
 			return now, false
 		}
 		now = refreshedNow()
-		if granted, _ := q.holder.Take(now, tenant); granted {
+		if granted, _ := q.holder.Acquire(now, tenant); granted {
 			return now, true
 		}
 	}
 }
 
-// Sent implements proxy.Quota.
-func (q *quotas) Sent(granted time.Time, tenant *routing.Tenant) time.Time {
+// RecordSent implements proxy.Quota.
+func (q *quotas) RecordSent(granted time.Time, tenant *routing.Tenant) time.Time {
 	now := refreshedNow()
-	q.holder.Sent(granted, now, tenant)
+	q.holder.RecordSent(granted, now, tenant)
 	return now
 }
 
 // Return implements proxy.Quota.
-func (q *quotas) Return(granted time.Time, tenant *routing.Tenant) {
-	q.holder.Return(granted, tenant)
+func (q *quotas) Release(granted time.Time, tenant *routing.Tenant) {
+	q.holder.Release(granted, tenant)
 }
 
 // collectReports returns the reports of this router and of its followers to the leader.
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -25,7 +25,7 @@
 	config.Version = 1
 	assert.Assert(t, r.proxy.Use(config))
 	tenant := config.Tenants["a"]
-	refused, wait := r.quotas.Take(t.Context(), tenant)
+	refused, wait := r.quotas.Acquire(t.Context(), tenant)
 	assert.Assert(t, refused.IsZero(), "no leader has granted units")
 	assert.Assert(t, wait > 0)
 	coordinator := quota.NewCoordinator(clock.Now(), 1, true, r.quotas.bound)
@@ -35,12 +35,12 @@
 		assert.Assert(t, !lowered)
 		r.quotas.handleGrants(grants)
 	}
-	granted, _ := r.quotas.Take(t.Context(), tenant)
+	granted, _ := r.quotas.Acquire(t.Context(), tenant)
 	assert.Assert(t, !granted.IsZero())
 	usages := r.quotas.holder.Usages(clock.Now())
 	assert.Equal(t, len(usages), 1)
 	assert.Equal(t, usages[0].Used, 1)
-	r.quotas.Return(granted, tenant)
+	r.quotas.Release(granted, tenant)
 	assert.Equal(t, r.quotas.holder.Usages(clock.Now())[0].Used, 0)
 }
 
@@ -76,7 +76,7 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		q.Take(context.Background(), tenant)
+		q.Acquire(context.Background(), tenant)
 	}
 }
 
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -18,7 +18,7 @@
 
 // report returns the report to the leader.
 func (r *Router) report() peerlink.Report {
-	report := r.meter.Take()
+	report := r.meter.TakeReport()
 	report.Followers = r.hub.Followers()
 	r.standby.AddToReport(&report)
 	report.Evidence = r.proxy.Suspects.CollectEvidence(clock.Now())
@@ -39,7 +39,7 @@
 		case <-ticker.C:
 		}
 		r.nodes.Store(int32(r.hub.Nodes()))
-		if report := r.meter.Take(); !report.Empty() {
+		if report := r.meter.TakeReport(); !report.Empty() {
 			select {
 			case r.reports <- report:
 			default:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -162,7 +162,7 @@
 	r.proxy.Headers, r.proxy.Table, r.proxy.Meter = adapter.Headers, r.table, r.meter
 	r.proxy.DrainPeriod, r.proxy.EvacuationPeriod = config.Drain.Std(), config.Evacuate.Std()
 	r.proxy.Log, r.proxy.Nodes, r.proxy.Metrics = log, r.nodes, proxy.NewMetrics(metrics)
-	r.proxy.Room, r.proxy.Turns = r.newRoom(), bodies.NewLinkShaper(config.Machine.LinkMbps)
+	r.proxy.MemoryBudget, r.proxy.LinkShaper = r.newMemoryBudget(), bodies.NewLinkShaper(config.Machine.LinkMbps)
 	r.proxy.Starting.Store(true)
 	r.configAsOf.Store(distantPast)
 	if config.Revocation == settings.RevocationStrict {
@@ -191,12 +191,12 @@
 	r.proxy.Quota = r.quotas
 	r.hub.OnQuota(r.quotas.handleReports)
 	r.limits = newWorkerLimits(r)
-	r.keeper.Limits = r.limits.book.Rate
-	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.book.Table
+	r.keeper.Limits = r.limits.table.Rate
+	r.proxy.Limits, r.hub.Limits = r.limits, r.limits.table.Table
 	r.hub.OnLimits(r.limits.handleReports)
 	r.hub.OnPermit(r.limits.handlePermitRequest)
 	r.leaving = newLeavingWorkers(r)
-	r.proxy.OnWorkerLeaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.member.Table()
+	r.proxy.OnWorkerLeaving, r.hub.Leaving = r.leaving.noteLeaving, r.leaving.replica.Table()
 	r.hub.OnLeaving(r.leaving.handleReports)
 	r.proxy.KeyMovesBlocked = func() bool { return r.leaderStoreUnreachable.Load() || r.hub.StoreUnreachable() }
 	r.keeper.OnWorkerLeaving = r.leaving.noteLeaving
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -62,10 +62,10 @@
 	lastUninformed time.Time
 	// leftAt is when the service acknowledged that the worker leaves; zero if it does not.
 	leftAt time.Time
-	// lapsed is whether the entry expired in an outage of the service.
-	lapsed bool
-	// born is the incarnation of the worker.
-	born workers.StartTime
+	// expired is whether the entry expired in an outage of the service.
+	expired bool
+	// startTime identifies the incarnation of the worker.
+	startTime workers.StartTime
 }
 
 func newViewModel(t *testing.T) *viewModel {
@@ -76,16 +76,16 @@
 	b.leader.adapter.Store, b.leader.adapter.WorkersPrefix = b.leaderStore, "w/"
 	go b.leader.followPrefix(t.Context(), "w/", b.leader.entriesView, b.leader.entries)
 	b.store = &cutStore{Store: b.routerStore.Store}
-	b.born = 100
+	b.startTime = 100
 	b.announce(workers.StateReady)
 	return b
 }
 
 // announce writes the worker's entry.
 func (b *viewModel) announce(state workers.State) {
-	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.born)}}})
+	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.startTime)}}})
 	assert.NilError(b.t, err)
-	worker := workers.Worker{ID: "a", Service: "s", State: state, StartTime: b.born}
+	worker := workers.Worker{ID: "a", Service: "s", State: state, StartTime: b.startTime}
 	b.changes = append(b.changes, peerlink.NewWorkerChange(at, worker))
 }
 
@@ -169,10 +169,10 @@
 // restart starts another incarnation of the worker, whose clock may have stepped back. A notice of
 // leaving belongs to the previous incarnation.
 func (b *viewModel) restart() {
-	if b.lapsed || b.storeDown || time.Since(b.lastDown) < catchUpTime {
+	if b.expired || b.storeDown || time.Since(b.lastDown) < catchUpTime {
 		return
 	}
-	b.born -= 7
+	b.startTime -= 7
 	b.announce(workers.StateReady)
 	if !b.leftAt.IsZero() {
 		b.leftAt = time.Time{}
@@ -211,19 +211,19 @@
 		return
 	}
 	b.remove()
-	b.lapsed = true
+	b.expired = true
 	time.AfterFunc(entryReturn, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.announce(workers.StateReady)
-		b.lapsed = false
+		b.expired = false
 	})
 }
 
 // leave lets the worker leave, unless the service is or recently was disturbed: the time from which
 // the departure counts would then be unknown.
 func (b *viewModel) leave(announced bool) {
-	if !b.leftAt.IsZero() || b.lapsed || b.storeDown || time.Since(b.lastDown) < catchUpTime {
+	if !b.leftAt.IsZero() || b.expired || b.storeDown || time.Since(b.lastDown) < catchUpTime {
 		return
 	}
 	if announced {
@@ -237,7 +237,7 @@
 // check returns an error if the first router's current view is wrong.
 func (b *viewModel) check() error {
 	believed := usable(b.router) > 0
-	downMeanwhile := b.storeDown && (b.lapsed || b.router.workers.KeptCount() > 0 || !believed)
+	downMeanwhile := b.storeDown && (b.expired || b.router.workers.KeptCount() > 0 || !believed)
 	if downMeanwhile || b.cut && !(b.leads && b.leaderLinked && !b.leaderIsCut) {
 		b.lastUninformed = time.Now()
 	}
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -49,10 +49,10 @@
 // worker, it asks the leader for a permit; while this process leads, it grants permits to others.
 // It implements proxy.Limits.
 type workerLimits struct {
-	r      *Router
-	member *workerlimit.Limiter
-	book   workerlimit.Table
-	link   peerlink.PermitClient
+	r       *Router
+	limiter *workerlimit.Limiter
+	table   workerlimit.Table
+	link    peerlink.PermitClient
 	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
 	// noAskUntil is the time, in clock.Nanos, until which no leader is asked.
@@ -63,9 +63,9 @@
 }
 
 func newWorkerLimits(r *Router) *workerLimits {
-	member := workerlimit.NewLimiter()
+	limiter := workerlimit.NewLimiter()
 	return &workerLimits{
-		r: r, member: member, book: member.Table(),
+		r: r, limiter: limiter, table: limiter.Table(),
 		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
@@ -75,16 +75,16 @@
 }
 
 // Count implements proxy.Limits.
-func (l *workerLimits) Count() int { return l.book.ActiveCount() }
+func (l *workerLimits) LimitedCount() int { return l.table.ActiveCount() }
 
 // Limited implements proxy.Limits.
-func (l *workerLimits) Limited(worker workers.Incarnation) bool {
-	_, limited := l.book.Rate(worker)
+func (l *workerLimits) IsLimited(worker workers.Incarnation) bool {
+	_, limited := l.table.Rate(worker)
 	return limited
 }
 
-// Answered implements proxy.Limits.
-func (l *workerLimits) Answered(worker workers.Incarnation, answer *upstream.Result) {
+// RecordAnswer implements proxy.Limits.
+func (l *workerLimits) RecordAnswer(worker workers.Incarnation, answer *upstream.Result) {
 	switch {
 	case answer.Limit.Status == upstream.Limited:
 		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
@@ -92,14 +92,14 @@
 		l.unreadable.Add(1)
 		l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(worker.ID)).
 			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("invalid limit in a response; the previous limit stays in effect")
-	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.Limited(worker):
+	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.IsLimited(worker):
 		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.SentAt}, seenBySelf)
 	}
 }
 
 // learn records a fact that was observed here or reported by a follower.
 func (l *workerLimits) learn(fact workerlimit.Fact, seenBy string) {
-	if l.member.Add(fact) {
+	if l.limiter.Add(fact) {
 		l.log(fact, seenBy)
 	}
 }
@@ -116,7 +116,7 @@
 func (l *workerLimits) handleUpdate(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
-		if fact := one.Fact(now); l.member.ApplyUpdate(fact) {
+		if fact := one.Fact(now); l.limiter.ApplyUpdate(fact) {
 			l.log(fact, seenByPeer)
 		}
 	}
@@ -126,15 +126,15 @@
 func (l *workerLimits) report() []workerlimit.Message {
 	var reports []workerlimit.Message
 	now := clock.Now()
-	for _, fact := range l.member.TakeReport(maxLimitsPerReport) {
+	for _, fact := range l.limiter.TakeReport(maxLimitsPerReport) {
 		reports = append(reports, workerlimit.NewMessage(now, fact))
 	}
 	return reports
 }
 
-// Take implements proxy.Limits.
-func (l *workerLimits) Take(worker workers.Incarnation, maxWait, timeout time.Duration) (time.Duration, bool) {
-	fact, known := l.book.Fact(worker)
+// AcquirePermit implements proxy.Limits.
+func (l *workerLimits) AcquirePermit(worker workers.Incarnation, maxWait, timeout time.Duration) (time.Duration, bool) {
+	fact, known := l.table.Fact(worker)
 	if !known || fact.Ended {
 		return 0, true
 	}
@@ -189,7 +189,7 @@
 	if tenure == nil {
 		return peerlink.Permit{}, false
 	}
-	permit, leading := l.member.Issue(now, fact, maxWait, !now.Before(tenure.AuthorityUntil()))
+	permit, leading := l.limiter.Issue(now, fact, maxWait, !now.Before(tenure.AuthorityUntil()))
 	if permit.Updated {
 		l.log(fact, seenByPeer)
 	}
@@ -204,11 +204,11 @@
 // lead starts pacing the requests of all routers, for a tenure.
 func (l *workerLimits) lead(tenure *election.Tenure) {
 	l.tenure.Store(tenure)
-	l.member.SetLeading(true)
+	l.limiter.SetLeading(true)
 }
 
 // stopLeading stops pacing the requests of all routers.
-func (l *workerLimits) stopLeading() { l.member.SetLeading(false) }
+func (l *workerLimits) stopLeading() { l.limiter.SetLeading(false) }
 
 // run cleans up the recorded limits until ctx ends.
 func (l *workerLimits) run(ctx context.Context) {
@@ -219,7 +219,7 @@
 
 // forget drops the limits of workers that are gone.
 func (l *workerLimits) forget() {
-	l.member.Forget(clock.Now(), func(id workers.ID) bool {
+	l.limiter.Forget(clock.Now(), func(id workers.ID) bool {
 		_, announced := l.r.workers.Get(id)
 		return !announced && l.r.workers.GoneFor(id) > limitRetention
 	})
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -32,8 +32,8 @@
 			if len(item.Value) == 0 {
 				return workers.Worker{}, &workers.EntryError{Reason: workers.ReasonUnreadable}
 			}
-			state, born, _ := strings.Cut(string(item.Value), " ")
-			at, _ := strconv.Atoi(born)
+			state, startTime, _ := strings.Cut(string(item.Value), " ")
+			at, _ := strconv.Atoi(startTime)
 			return workers.Worker{ID: id, Service: "s", State: workers.State(state), StartTime: workers.StartTime(at)}, nil
 		},
 	}
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -65,7 +65,7 @@
 	if current.Ended {
 		return Permit{Granted: true, LimitEnded: &current, Updated: updated}, true
 	}
-	wait, granted := l.pacer.Take(now, fact.Worker, current.Rate, maxWait, leadershipUncertain)
+	wait, granted := l.pacer.Acquire(now, fact.Worker, current.Rate, maxWait, leadershipUncertain)
 	return Permit{Granted: granted, Wait: wait, Updated: updated}, true
 }
 
--- a/internal/workerlimit/pacer.go
+++ b/internal/workerlimit/pacer.go
@@ -39,10 +39,10 @@
 // NewPacer returns a pacer that has granted no requests.
 func NewPacer() *Pacer { return &Pacer{buckets: map[workers.ID]*bucket{}} }
 
-// Take asks whether a request may be sent, within maxWait, to a worker that accepts perSecond
-// requests per second. If it is granted, it is sent after wait; else wait is the delay before the
-// next try. leadershipUncertain says that another process may lead.
-func (p *Pacer) Take(now time.Time, worker workers.Incarnation, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
+// Acquire requests a permit: whether a request may be sent, within maxWait, to a worker that
+// accepts perSecond requests per second. If it is granted, it is sent after wait; else wait is the
+// delay before the next try. leadershipUncertain says that another process may lead.
+func (p *Pacer) Acquire(now time.Time, worker workers.Incarnation, perSecond float64, maxWait time.Duration, leadershipUncertain bool) (wait time.Duration, granted bool) {
 	burst := maxBurstTime
 	perSecond = max(perSecond, minRate)
 	if leadershipUncertain {
--- a/internal/workerlimit/pacer_test.go
+++ b/internal/workerlimit/pacer_test.go
@@ -52,7 +52,7 @@
 					continue
 				}
 				requested++
-				if _, granted := p.Take(now, worker, test.perSecond, 0, false); granted {
+				if _, granted := p.Acquire(now, worker, test.perSecond, 0, false); granted {
 					sent = append(sent, now)
 				}
 			}
@@ -66,27 +66,27 @@
 
 func TestWaitingRequestsAreSpacedEvenly(t *testing.T) {
 	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
-	wait, granted := p.Take(start, worker, 10, 250*time.Millisecond, false)
+	wait, granted := p.Acquire(start, worker, 10, 250*time.Millisecond, false)
 	assert.Assert(t, granted && wait == 0)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond} {
-		wait, granted = p.Take(start, worker, 10, 250*time.Millisecond, false)
+		wait, granted = p.Acquire(start, worker, 10, 250*time.Millisecond, false)
 		assert.Assert(t, granted)
 		assert.Equal(t, wait, want)
 	}
-	_, granted = p.Take(start, worker, 10, 250*time.Millisecond, false)
+	_, granted = p.Acquire(start, worker, 10, 250*time.Millisecond, false)
 	assert.Assert(t, !granted)
 }
 
 func TestRetryDelaysOfRefusedRequestsAreStaggered(t *testing.T) {
 	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
-	p.Take(start, worker, 10, 0, false)
+	p.Acquire(start, worker, 10, 0, false)
 	for _, want := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond} {
-		wait, granted := p.Take(start, worker, 10, 0, false)
+		wait, granted := p.Acquire(start, worker, 10, 0, false)
 		assert.Assert(t, !granted)
 		assert.Equal(t, wait, want)
 	}
 	for range 100 {
-		wait, _ := p.Take(start, worker, 10, 0, false)
+		wait, _ := p.Acquire(start, worker, 10, 0, false)
 		assert.Assert(t, wait <= maxRetryDelay)
 	}
 }
@@ -97,13 +97,13 @@
 		uncertainFrom := start.Add(10 * time.Second)
 		var sent []time.Time
 		for now := start; now.Before(start.Add(40 * time.Second)); now = now.Add(time.Millisecond) {
-			if _, granted := before.Take(now, worker, perSecond, 0, now.After(uncertainFrom)); granted {
+			if _, granted := before.Acquire(now, worker, perSecond, 0, now.After(uncertainFrom)); granted {
 				sent = append(sent, now)
 			}
 			if !now.After(uncertainFrom) {
 				continue
 			}
-			if _, granted := after.Take(now, worker, perSecond, 0, false); granted {
+			if _, granted := after.Acquire(now, worker, perSecond, 0, false); granted {
 				sent = append(sent, now)
 			}
 		}
@@ -114,11 +114,11 @@
 func TestRaisedLimitIsUsedAtOnce(t *testing.T) {
 	p, worker := NewPacer(), workers.Incarnation{ID: "w"}
 	for second := range 10 {
-		p.Take(at(float64(second)), worker, 0, 0, false)
+		p.Acquire(at(float64(second)), worker, 0, 0, false)
 	}
 	count := 0
 	for now := at(10); now.Before(at(12)); now = now.Add(time.Millisecond) {
-		if _, granted := p.Take(now, worker, 20, 0, false); granted {
+		if _, granted := p.Acquire(now, worker, 20, 0, false); granted {
 			count++
 		}
 	}
@@ -128,8 +128,8 @@
 func TestNewIncarnationStartsWithNewBucket(t *testing.T) {
 	p := NewPacer()
 	for range 2 {
-		p.Take(start, workers.Incarnation{ID: "w", StartTime: 1}, 1, 0, false)
+		p.Acquire(start, workers.Incarnation{ID: "w", StartTime: 1}, 1, 0, false)
 	}
-	_, granted := p.Take(start, workers.Incarnation{ID: "w", StartTime: 2}, 1, 0, false)
+	_, granted := p.Acquire(start, workers.Incarnation{ID: "w", StartTime: 2}, 1, 0, false)
 	assert.Assert(t, granted)
 }
