--- a/internal/coord/follow.go
+++ b/internal/coord/follow.go
@@ -30,13 +30,14 @@
 type View interface {
 	// Snapshot replaces all items.
 	Snapshot(items []Item, at Revision)
-	// Changed applies events in order.
-	Changed(events []Event, at Revision)
-	// Lost is called when the service becomes unavailable.
-	Lost(err error)
-	// Regained is called when the service is available again. since is a time at which the last failed
-	// call found it unavailable; it may have answered other processes since then.
-	Regained(since time.Time)
+	// ApplyEvents applies events in order.
+	ApplyEvents(events []Event, at Revision)
+	// OnUnreachable is called when the service becomes unreachable for this process or refuses
+	// calls.
+	OnUnreachable(err error)
+	// OnReachable is called when the service answers again. since is a time at which the last
+	// failed call found it unreachable; it may have answered other processes since then.
+	OnReachable(since time.Time)
 }
 
 // Options are the options of Follow. Fields may be nil unless stated otherwise.
@@ -61,7 +62,7 @@
 	// of which all changes are known. It may be nil.
 	OnSynced func(at time.Time)
 	// OnFailure is called after each call that failed, with a time at which the service was
-	// unavailable to this process. It may be nil.
+	// unreachable for this process. It may be nil.
 	OnFailure func(at time.Time)
 	// CoveredRevision returns the revision up to which the view knows all changes, including those
 	// received from other processes. If it is nil, only the changes read here count. It is required
@@ -98,14 +99,14 @@
 	partial PartialList
 	// awaited is true once AwaitInitialState was called.
 	awaited     bool
-	unavailable bool
+	unreachable bool
 	// pollNext is true if the next watch must return within catchUpTimeout.
 	pollNext bool
 	// listSentAt is when the request for the first page of the list was sent.
 	listSentAt time.Time
-	// sentAt is when the last call was sent. unavailableAt is a time at which the service was
-	// unavailable: when the last failed call was sent, or when it was refused.
-	sentAt, unavailableAt time.Time
+	// sentAt is when the last call was sent. unreachableAt is a time at which the service was
+	// unreachable: when the last failed call was sent, or when it was refused.
+	sentAt, unreachableAt time.Time
 	backoff               clock.Backoff
 }
 
@@ -170,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	f.markAvailable()
+	f.markReachable()
 	f.partial.Add(page)
 	if f.partial.Done {
 		f.finishList(f.partial)
@@ -213,11 +214,11 @@
 		return err
 	}
 	f.pollNext = false
-	f.markAvailable()
+	f.markReachable()
 	f.at = max(f.at, at)
 	returnedAt := clock.Now()
 	if len(events) > 0 {
-		f.view.Changed(events, f.at)
+		f.view.ApplyEvents(events, f.at)
 	}
 	f.reportSynced(returnedAt)
 	if len(events) > 0 {
@@ -243,26 +244,26 @@
 	return requested
 }
 
-func (f *follower) markAvailable() {
+func (f *follower) markReachable() {
 	f.backoff.Reset()
-	if f.unavailable {
-		f.unavailable = false
-		f.view.Regained(f.unavailableAt)
+	if f.unreachable {
+		f.unreachable = false
+		f.view.OnReachable(f.unreachableAt)
 	}
 }
 
 func (f *follower) handleFailure(ctx context.Context, err error) {
-	f.unavailableAt = f.sentAt
+	f.unreachableAt = f.sentAt
 	if errors.Is(err, ErrRefused) {
-		f.unavailableAt = clock.Now()
+		f.unreachableAt = clock.Now()
 	}
 	if f.options.OnFailure != nil {
-		f.options.OnFailure(f.unavailableAt)
+		f.options.OnFailure(f.unreachableAt)
 	}
-	took, first := clock.Since(f.sentAt), !f.unavailable
+	took, first := clock.Since(f.sentAt), !f.unreachable
 	if first {
-		f.unavailable = true
-		f.view.Lost(err)
+		f.unreachable = true
+		f.view.OnUnreachable(err)
 	}
 	if first && took >= maxRetryDelay { // the watch that timed out was delay enough
 		return
--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -16,12 +16,12 @@
 
 // recordingView is a view that records the calls of its methods.
 type recordingView struct {
-	values    map[string]string
-	snapshots int
-	lost      int
-	regained  int
-	// unavailableAt is the time last passed to Regained.
-	unavailableAt time.Time
+	values     map[string]string
+	snapshots  int
+	outages    int
+	recoveries int
+	// unreachableAt is the time last passed to OnReachable.
+	unreachableAt time.Time
 }
 
 func (r *recordingView) Snapshot(items []coord.Item, _ coord.Revision) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func (r *recordingView) Changed(events []coord.Event, _ coord.Revision) {
+func (r *recordingView) ApplyEvents(events []coord.Event, _ coord.Revision) {
 	for _, event := range events {
 		if event.Deleted {
 			delete(r.values, event.Key)
@@ -42,11 +42,11 @@
 	}
 }
 
-func (r *recordingView) Lost(error) { r.lost++ }
+func (r *recordingView) OnUnreachable(error) { r.outages++ }
 
-func (r *recordingView) Regained(since time.Time) {
-	r.regained++
-	r.unavailableAt = since
+func (r *recordingView) OnReachable(since time.Time) {
+	r.recoveries++
+	r.unreachableAt = since
 }
 
 // advance advances the virtual time and waits until all goroutines are blocked.
@@ -104,8 +104,8 @@
 		store.SetWatchesSilent(false)
 		advance(1600 * time.Millisecond)
 		assert.Equal(t, view.values["a/1"], "new")
-		assert.Equal(t, view.lost, 1)
-		assert.Equal(t, view.regained, 1)
+		assert.Equal(t, view.outages, 1)
+		assert.Equal(t, view.recoveries, 1)
 	})
 }
 
@@ -265,11 +265,11 @@
 	return r.Store.Watch(ctx, prefix, after, wait)
 }
 
-// Waits that begin with the service's return count from the time passed to Regained, at which the
-// service was certainly unavailable. That time must not be after its return, nor further before the
-// first answer than one attempt.
-func TestRegainedReportsLastFailure(t *testing.T) {
-	for name, setUnavailable := range map[string]func(store *refusingStore, is bool){
+// Waits that begin with the service's return count from the time passed to OnReachable, at which
+// the service was certainly unreachable. That time must not be after its return, nor further before
+// the first answer than one attempt.
+func TestOnReachableReportsLastFailure(t *testing.T) {
+	for name, setUnreachable := range map[string]func(store *refusingStore, is bool){
 		"silent":  func(store *refusingStore, is bool) { store.SetDown(is) },
 		"refuses": func(store *refusingStore, is bool) { store.refuses.Store(is) },
 	} {
@@ -283,14 +283,14 @@
 						BatchDelay:   func() time.Duration { return 0 },
 					})
 					advance(time.Second)
-					setUnavailable(store, true)
+					setUnreachable(store, true)
 					advance(8*time.Second + phase)
-					setUnavailable(store, false)
+					setUnreachable(store, false)
 					back := time.Now()
 					advance(4 * time.Second)
-					assert.Equal(t, view.regained, 1)
-					assert.Assert(t, !view.unavailableAt.After(back), "%v after its return", view.unavailableAt.Sub(back))
-					assert.Assert(t, back.Sub(view.unavailableAt) <= 1800*time.Millisecond, "%v before it", back.Sub(view.unavailableAt))
+					assert.Equal(t, view.recoveries, 1)
+					assert.Assert(t, !view.unreachableAt.After(back), "%v after its return", view.unreachableAt.Sub(back))
+					assert.Assert(t, back.Sub(view.unreachableAt) <= 1800*time.Millisecond, "%v before it", back.Sub(view.unreachableAt))
 					stop()
 					synctest.Wait()
 				})
--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -64,7 +64,7 @@
 		if message == nil {
 			continue
 		}
-		if message.Whole && message.After == "" {
+		if message.Full && message.After == "" {
 			clear(c.known)
 		}
 		changes, _ := message.Decode(time.Now())
@@ -214,7 +214,7 @@
 	assert.Equal(t, update.Page.After, workers.ID(""))
 	// The same holds for a process that was up to date long ago.
 	update = nextUpdate(hub, newLink(Hello{Entries: 9_999}))
-	assert.Assert(t, update.Page.Whole && update.Page.More && update.Entries == nil)
+	assert.Assert(t, update.Page.Full && update.Page.More && update.Entries == nil)
 }
 
 // If owners change during the transfer, the owners that were already sent change with them, and the
@@ -230,7 +230,7 @@
 			decoded, ok := message.Owners()
 			assert.Assert(t, ok)
 			table.Apply("s", keytable.Change{
-				Term: update.Term, Version: message.Version, Partial: message.Part, Full: message.Whole, Range: message.Keys, Owners: decoded,
+				Term: update.Term, Version: message.Version, Partial: message.Partial, Full: message.Full, Range: message.Keys, Owners: decoded,
 			})
 		}
 	}
@@ -261,7 +261,7 @@
 		"twice":            {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}, {9, 10, 0, 0}}},
 		"backwards":        {Workers: worker, Runs: [][4]int{{8, -3, 0, 0}}},
 		"key out of range": {Workers: worker, Runs: [][4]int{{0, owner.KeyCount, 0, 0}}},
-		"outside of Keys":  {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Whole: true, Keys: &owner.KeyRange{From: 5, To: 9}},
+		"outside of Keys":  {Workers: worker, Runs: [][4]int{{0, 9, 0, 0}}, Full: true, Keys: &owner.KeyRange{From: 5, To: 9}},
 		"not packed":       {Packed: []byte("x")},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peerlink/entries.go
+++ b/internal/peerlink/entries.go
@@ -119,7 +119,7 @@
 
 // fullList returns all workers, for a receiver that knows none.
 func (l *entryLog) fullList(now time.Time) *EntryChanges {
-	full := &EntryChanges{From: l.to, To: l.to, Whole: true}
+	full := &EntryChanges{From: l.to, To: l.to, Full: true}
 	for _, change := range l.current {
 		full.Changes = append(full.Changes, change.withAges(now))
 	}
@@ -183,7 +183,7 @@
 	if changes == nil {
 		return nil
 	}
-	immediate := changes.Whole || len(changes.Changes) == 0 || slices.ContainsFunc(changes.Changes, urgent)
+	immediate := changes.Full || len(changes.Changes) == 0 || slices.ContainsFunc(changes.Changes, urgent)
 	if !immediate && now.Sub(l.entriesSentAt) < newWorkersInterval {
 		return nil
 	}
@@ -197,15 +197,15 @@
 // packedEntries caches the last packed changes, as most links lag by the same ones.
 type packedEntries struct {
 	from, to coord.Revision
-	whole    bool
+	full     bool
 	packed   []byte
 	packedAt time.Time
 }
 
 // pack replaces the changes of a message by their packed form.
 func (p *packedEntries) pack(changes *EntryChanges, now time.Time) {
-	if p.from != changes.From || p.to != changes.To || p.whole != changes.Whole {
-		*p = packedEntries{from: changes.From, to: changes.To, whole: changes.Whole, packed: pack(changes.Changes), packedAt: now}
+	if p.from != changes.From || p.to != changes.To || p.full != changes.Full {
+		*p = packedEntries{from: changes.From, to: changes.To, full: changes.Full, packed: pack(changes.Changes), packedAt: now}
 	}
 	changes.Packed, changes.Changes, changes.PackedMillis = p.packed, nil, ageMillis(p.packedAt, now)
 }
--- a/internal/peerlink/follow.go
+++ b/internal/peerlink/follow.go
@@ -141,7 +141,7 @@
 		return false
 	}
 	f.Table.Apply(changed.Service, keytable.Change{
-		Term: term, Version: changed.Version, Partial: changed.Part, Full: changed.Whole, Range: changed.Keys, Owners: owners,
+		Term: term, Version: changed.Version, Partial: changed.Partial, Full: changed.Full, Range: changed.Keys, Owners: owners,
 	})
 	f.OnOwnersApplied(changed.Service)
 	return true
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -233,14 +233,14 @@
 // ServiceOwners contains owners of the keys of one service.
 type ServiceOwners struct {
 	Service routing.ServiceName `json:"s"`
-	// Version counts the leader's changes of the service's owners. Part is set if the rest of that
-	// version is still to come.
+	// Version counts the leader's changes of the service's owners. Partial is set if the rest of
+	// that version is still to come.
 	Version uint64 `json:"v"`
-	Part    bool   `json:"m,omitempty"`
-	// Whole is set if the message contains all owners of Keys, or of all keys if Keys is nil, and
+	Partial bool   `json:"m,omitempty"`
+	// Full is set if the message contains all owners of Keys, or of all keys if Keys is nil, and
 	// not only changes.
-	Whole bool            `json:"w,omitempty"`
-	Keys  *owner.KeyRange `json:"k,omitempty"`
+	Full bool            `json:"w,omitempty"`
+	Keys *owner.KeyRange `json:"k,omitempty"`
 	// Workers are indexed from 0. Runs are rows of first key, last key, index of the worker, and 1
 	// if the worker does not hold the keys yet, in the order of the keys. Packed replaces both if
 	// there are many.
--- a/internal/peerlink/owners.go
+++ b/internal/peerlink/owners.go
@@ -75,12 +75,12 @@
 	if !sent.complete() {
 		changes = keytable.Clip(changes, owner.KeyRange{To: sent.nextKey - 1})
 	}
-	message := ServiceOwners{Service: service, Version: published.version, Part: published.partial || !sent.complete()}
-	if len(changes) == 0 && message.Version == sent.version && message.Part == sent.partial {
+	message := ServiceOwners{Service: service, Version: published.version, Partial: published.partial || !sent.complete()}
+	if len(changes) == 0 && message.Version == sent.version && message.Partial == sent.partial {
 		return
 	}
 	message.encode(changes)
-	sent.version, sent.partial = message.Version, message.Part
+	sent.version, sent.partial = message.Version, message.Partial
 	update.Services = append(update.Services, message)
 }
 
@@ -93,10 +93,10 @@
 	keys := nextPieceKeys(published.owners, sent.nextKey)
 	sent.nextKey = keys.To + 1
 	message := ServiceOwners{
-		Service: service, Version: published.version, Whole: true, Keys: &keys, Part: published.partial || !sent.complete(),
+		Service: service, Version: published.version, Full: true, Keys: &keys, Partial: published.partial || !sent.complete(),
 	}
 	message.encode(keytable.Clip(published.owners, keys))
-	sent.version, sent.partial = message.Version, message.Part
+	sent.version, sent.partial = message.Version, message.Partial
 	update.Services = append(update.Services, message)
 	if published.needsPieces() {
 		h.bulkTransfers.reserve(now, message.approximateSize(), h.LinkRate)
--- a/internal/peerlink/pages.go
+++ b/internal/peerlink/pages.go
@@ -71,7 +71,7 @@
 	if entry.revision == 0 || entry.revision < log.from {
 		*entry = packedPage{revision: log.to, packed: pack(p.changesOf(log, index, now)), packedAt: now}
 	}
-	page := &EntryChanges{To: entry.revision, Whole: true, After: after, Packed: entry.packed, PackedMillis: ageMillis(entry.packedAt, now)}
+	page := &EntryChanges{To: entry.revision, Full: true, After: after, Packed: entry.packed, PackedMillis: ageMillis(entry.packedAt, now)}
 	if page.More = index < len(p.lastIDs); page.More {
 		page.Last = p.lastIDs[index]
 	}
--- a/internal/peerlink/suspects.go
+++ b/internal/peerlink/suspects.go
@@ -11,7 +11,7 @@
 	// suspectsInterval is the pause between messages to a link that contain suspected requests, and
 	// maxSuspects is how many of their changes a message contains. A packed change takes some 100
 	// bytes, so a burst of crashes uses 13 KB/s of a link, whose total traffic is limited to 20
-	// KB/s. Whole lists of 512 suspects took 50 KB up to five times a second.
+	// KB/s. Full lists of 512 suspects took 50 KB up to five times a second.
 	suspectsInterval = 500 * time.Millisecond
 	maxSuspects      = 64
 )
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -10,15 +10,15 @@
 )
 
 // EntryChanges contains all changes of workers' entries between two revisions. If From equals To
-// and Whole is false, there are too many changes to send, and the receiver has to read the entries
+// and Full is false, there are too many changes to send, and the receiver has to read the entries
 // from the service.
 type EntryChanges struct {
 	From coord.Revision `json:"f"`
 	To   coord.Revision `json:"t"`
-	// Whole is set if the changes contain all workers as of To. If these take several messages,
+	// Full is set if the changes contain all workers as of To. If these take several messages,
 	// this one contains the workers whose IDs come after After, up to and including Last, and More
 	// is set if others follow.
-	Whole   bool           `json:"w,omitempty"`
+	Full    bool           `json:"w,omitempty"`
 	After   workers.ID     `json:"n,omitempty"`
 	Last    workers.ID     `json:"l,omitempty"`
 	More    bool           `json:"m,omitempty"`
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -48,8 +48,8 @@
 	v.use()
 }
 
-// Changed implements coord.View.
-func (v *bundlesView) Changed(events []coord.Event, _ coord.Revision) {
+// ApplyEvents implements coord.View.
+func (v *bundlesView) ApplyEvents(events []coord.Event, _ coord.Revision) {
 	for _, event := range events {
 		v.take(event.Item)
 	}
@@ -96,12 +96,12 @@
 		Int("routes", compiled.Config.Routes()).Msg("in force")
 }
 
-// Lost implements coord.View.
-func (v *bundlesView) Lost(err error) {
+// OnUnreachable implements coord.View.
+func (v *bundlesView) OnUnreachable(err error) {
 	v.r.log.Line(decision.KindStoreLost).Str("for", "bundles").Err(err).Msg("")
 }
 
-// Regained implements coord.View.
-func (v *bundlesView) Regained(time.Time) {
+// OnReachable implements coord.View.
+func (v *bundlesView) OnReachable(time.Time) {
 	v.r.log.Line(decision.KindStoreBack).Str("for", "bundles").Msg("")
 }
--- a/internal/router/changetime_test.go
+++ b/internal/router/changetime_test.go
@@ -27,18 +27,18 @@
 		}, want: time.Second},
 		"watch without a failure": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
-			r.entriesView.Changed([]coord.Event{drains}, 11)
+			r.entriesView.ApplyEvents([]coord.Event{drains}, 11)
 		}, want: followerBatchDelay},
 		"first watch after failures": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
 			time.Sleep(2 * time.Second)
 			r.entries.failedAt.Store(clock.Nanos(clock.Now()))
-			r.entriesView.Changed([]coord.Event{drains}, 11)
+			r.entriesView.ApplyEvents([]coord.Event{drains}, 11)
 		}, want: 2 * time.Second},
 		"first watch after the leader's silence": {learn: func(r *Router) {
 			r.handleUpdate(peerlink.Update{})
 			time.Sleep(1200 * time.Millisecond)
-			r.entriesView.Changed([]coord.Event{drains}, 11)
+			r.entriesView.ApplyEvents([]coord.Event{drains}, 11)
 		}, want: 1200 * time.Millisecond},
 		"list after failures": {learn: func(r *Router) {
 			r.noteStoreSynced(r.entries, time.Now())
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -45,8 +45,8 @@
 	v.r.config.noteRead(newest)
 }
 
-// Changed implements coord.View.
-func (v *configView) Changed(events []coord.Event, at coord.Revision) {
+// ApplyEvents implements coord.View.
+func (v *configView) ApplyEvents(events []coord.Event, at coord.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var fresh []coord.Item
@@ -180,12 +180,12 @@
 	}
 }
 
-// Lost implements coord.View.
-func (v *configView) Lost(err error) {
+// OnUnreachable implements coord.View.
+func (v *configView) OnUnreachable(err error) {
 	v.r.log.Line(decision.KindStoreLost).Str("for", "configuration").Err(err).Msg("")
 }
 
-// Regained implements coord.View.
-func (v *configView) Regained(time.Time) {
+// OnReachable implements coord.View.
+func (v *configView) OnReachable(time.Time) {
 	v.r.log.Line(decision.KindStoreBack).Str("for", "configuration").Msg("")
 }
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -46,26 +46,26 @@
 		"none":   {write: func(*configView) {}},
 		"listed": {write: func(v *configView) { v.Snapshot([]coord.Item{written("evacuate/a", 9)}, 9) }, zones: []string{"a"}},
 		"one watched": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 		}, zones: []string{"a"}, knownSince: true},
 		"two": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}, {Item: written("evacuate/b", 10)}}, 10)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}, {Item: written("evacuate/b", 10)}}, 10)
 		}, zones: []string{"a", "b"}, knownSince: true},
 		"one withdrawn": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
-			v.Changed([]coord.Event{removed("evacuate/a", 10)}, 10)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+			v.ApplyEvents([]coord.Event{removed("evacuate/a", 10)}, 10)
 		}},
 		"withdrawn while disconnected": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 			v.Snapshot([]coord.Item{written("config", 8)}, 12)
 		}},
 		"an older list": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 			v.Snapshot([]coord.Item{written("config", 8)}, 8)
 		}, zones: []string{"a"}, knownSince: true},
 		"a newer configuration": {write: func(v *configView) {
-			v.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
-			v.Changed([]coord.Event{{Item: written("config", 10)}}, 10)
+			v.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+			v.ApplyEvents([]coord.Event{{Item: written("config", 10)}}, 10)
 		}, zones: []string{"a"}, knownSince: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	// The leader has a configuration and then an evacuation.
 	leader := newConfigRouter(t)
 	leader.configView.Snapshot([]coord.Item{written("config", 5)}, 6)
-	leader.configView.Changed([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
+	leader.configView.ApplyEvents([]coord.Event{{Item: written("evacuate/a", 9)}}, 9)
 	for name, c := range map[string]struct {
 		// items were read by the process, up to revision at.
 		items   []coord.Item
@@ -133,7 +133,7 @@
 	raw := coord.Item{Key: "op/config", Revision: 9, Value: []byte("a KEY in it")}
 	for name, receive := range map[string]func(v *configView){
 		"listed":  func(v *configView) { v.Snapshot([]coord.Item{raw}, 9) },
-		"watched": func(v *configView) { v.Changed([]coord.Event{{Item: raw}}, 9) },
+		"watched": func(v *configView) { v.ApplyEvents([]coord.Event{{Item: raw}}, 9) },
 		"received from a router that hashes nothing": func(v *configView) {
 			leader := newConfigRouter(t)
 			leader.configView.Snapshot([]coord.Item{raw}, 9)
--- a/internal/router/lag_test.go
+++ b/internal/router/lag_test.go
@@ -68,7 +68,7 @@
 	}
 	r.adapter.ParseConfig = func([]coord.Item) (*routing.Config, error) { return nil, nil }
 	change := coord.Event{Item: coord.Item{Key: "op/config", Revision: 9}}
-	r.configView.Changed([]coord.Event{change}, 9)
+	r.configView.ApplyEvents([]coord.Event{change}, 9)
 	for known.Load() != 9 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -61,7 +61,7 @@
 		time.Sleep(500 * time.Millisecond)
 		for _, hop := range [][2]*Router{{leader, relay}, {relay, last}} {
 			update := hop[0].hub.EntriesSince(0)
-			assert.Assert(t, update.Whole)
+			assert.Assert(t, update.Full)
 			assert.Assert(t, hop[1].entriesView.applyRelayed(*update))
 		}
 		assert.Equal(t, last.workers.Count(), 2)
--- a/internal/router/unreadable_test.go
+++ b/internal/router/unreadable_test.go
@@ -46,13 +46,13 @@
 			return true
 		},
 		"in a watch": func(v *workersView) bool {
-			v.Changed([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}, 12)
+			v.ApplyEvents([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}, 12)
 			return true
 		},
 		"in a whole list from a leader": func(v *workersView) bool {
 			leader := newTestRouter(t).entriesView
 			return v.applyRelayed(peerlink.EntryChanges{
-				To: 12, Whole: true, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}),
+				To: 12, Full: true, Changes: leader.changesOf([]coord.Event{{Item: overwrittenItem("b", 10)}, {Item: good}}),
 			})
 		},
 		"in changes from a leader": func(v *workersView) bool {
@@ -85,13 +85,13 @@
 				view := r.entriesView
 				view.Snapshot([]coord.Item{item("a", 8, state)}, 10)
 				r.workers.BeginSettling(time.Now().Add(time.Minute))
-				view.Changed([]coord.Event{{Item: overwrittenItem("a", 11)}}, 11)
+				view.ApplyEvents([]coord.Event{{Item: overwrittenItem("a", 11)}}, 11)
 				usable, _ := r.workers.Usable("s")
 				assert.Equal(t, len(usable), 0)
 				view.Snapshot([]coord.Item{overwrittenItem("a", 11)}, 12)
 				usable, _ = r.workers.Usable("s")
 				assert.Equal(t, len(usable), 0)
-				view.Changed([]coord.Event{{Item: item("a", 13, workers.StateReady)}}, 13)
+				view.ApplyEvents([]coord.Event{{Item: item("a", 13, workers.StateReady)}}, 13)
 				usable, _ = r.workers.Usable("s")
 				assert.Equal(t, len(usable), 1)
 				assert.Assert(t, !r.workers.Unreadable("a"))
@@ -103,8 +103,8 @@
 // A worker that has announced its start time always includes it.
 func TestEntryThatDropsItsStartTimeIsUnreadable(t *testing.T) {
 	r := newTestRouter(t)
-	r.entriesView.Changed([]coord.Event{{Item: item("a", 1, "ready 5")}, {Item: item("b", 2, "ready")}}, 2)
-	r.entriesView.Changed([]coord.Event{{Item: item("a", 3, "ready")}, {Item: item("b", 4, "ready")}}, 4)
+	r.entriesView.ApplyEvents([]coord.Event{{Item: item("a", 1, "ready 5")}, {Item: item("b", 2, "ready")}}, 2)
+	r.entriesView.ApplyEvents([]coord.Event{{Item: item("a", 3, "ready")}, {Item: item("b", 4, "ready")}}, 4)
 	assert.Assert(t, r.workers.Unreadable("a"))
 	_, known := r.workers.Get("b")
 	assert.Assert(t, known)
@@ -117,7 +117,7 @@
 	r := newTestRouter(t)
 	view := r.entriesView
 	view.Snapshot([]coord.Item{item("a", 8, "ready 1")}, 10)
-	view.Changed([]coord.Event{{Item: item("a", 12, "ready 2")}}, 12)
+	view.ApplyEvents([]coord.Event{{Item: item("a", 12, "ready 2")}}, 12)
 	late := peerlink.NewWorkerChange(11, workers.Worker{ID: "a", Service: "s", State: workers.StateDraining, StartTime: 1})
 	assert.Assert(t, view.applyRelayed(peerlink.EntryChanges{From: 10, To: 11, Changes: []peerlink.WorkerChange{late}}))
 	view.Snapshot([]coord.Item{item("a", 11, "draining 1")}, 11)
@@ -151,7 +151,7 @@
 	r.log = decision.NewTo(logged, "n")
 	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 1)}, 1)
 	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 1)}, 2)
-	r.entriesView.Changed([]coord.Event{{Item: overwrittenItem("a", 3)}}, 3)
+	r.entriesView.ApplyEvents([]coord.Event{{Item: overwrittenItem("a", 3)}}, 3)
 	r.entriesView.Snapshot([]coord.Item{overwrittenItem("a", 3)}, 4)
 	r.log.Line(decision.KindStop).Msg("")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -18,8 +18,8 @@
 	mu sync.Mutex
 	// at is the revision up to which all entries were read.
 	at coord.Revision
-	// lostAt is when the connection to the service was last lost.
-	lostAt time.Time
+	// unreachableSince is when the service last became unreachable.
+	unreachableSince time.Time
 	// unreadable holds the entries that can't be used as workers, as of their last changes.
 	unreadable map[workers.ID]unreadableEntry
 	zones      unknownZones
@@ -79,8 +79,8 @@
 	v.r.log.Line(decision.KindWorker).Int("announced", len(announced)).Int64("revision", int64(at)).Msg("worker list read")
 }
 
-// Changed implements coord.View.
-func (v *workersView) Changed(events []coord.Event, at coord.Revision) {
+// ApplyEvents implements coord.View.
+func (v *workersView) ApplyEvents(events []coord.Event, at coord.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.apply(v.changesOf(events), at)
@@ -91,7 +91,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	changes, err := update.Decode(clock.Now())
-	if update.Whole && err == nil {
+	if update.Full && err == nil {
 		return v.collectPage(update, changes)
 	}
 	if v.at < update.From || err != nil {
@@ -206,9 +206,9 @@
 	}
 }
 
-// Lost implements coord.View.
-func (v *workersView) Lost(err error) {
-	v.lostAt = clock.Now()
+// OnUnreachable implements coord.View.
+func (v *workersView) OnUnreachable(err error) {
+	v.unreachableSince = clock.Now()
 	v.r.log.Line(decision.KindStoreLost).Str("for", "workers").Err(err).Msg("")
 }
 
@@ -216,21 +216,21 @@
 // that are already sent take a moment to reach their worker.
 const catchUpMargin = 200 * time.Millisecond
 
-// Regained implements coord.View. Workers whose entries may have expired during the outage are kept
+// OnReachable implements coord.View. Workers whose entries may have expired during the outage are kept
 // for a while; a worker that left must get no requests once the router has to have caught up. That
 // deadline counts from the end of the outage or disconnection, but this process's first answer may
 // come a second later, because of the pause between attempts. The wait therefore counts from the
 // last failed attempt. Counted from the first answer, requests went to a worker that had left for
 // up to 3.9 s after the end of a disconnection, where 3 s are allowed (18 of 40 ends of a
 // disconnection between two attempts, in virtual time).
-func (v *workersView) Regained(since time.Time) {
+func (v *workersView) OnReachable(since time.Time) {
 	now := clock.Now()
 	until := now.Add(workers.SettleTime)
 	if caughtUp := since.Add(v.r.settings.CatchUp.Std() - catchUpMargin); caughtUp.Before(until) {
 		until = caughtUp
 	}
 	v.r.workers.BeginSettling(until)
-	v.r.log.Line(decision.KindStoreBack).Str("for", "workers").Float64("away", now.Sub(v.lostAt).Seconds()).
+	v.r.log.Line(decision.KindStoreBack).Str("for", "workers").Float64("away", now.Sub(v.unreachableSince).Seconds()).
 		Float64("waits", max(0, until.Sub(now)).Seconds()).Msg("")
 }
 
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -84,7 +84,7 @@
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining)
-	view.Changed([]coord.Event{{Item: item("a", 8, workers.StateReady)}}, 11)
+	view.ApplyEvents([]coord.Event{{Item: item("a", 8, workers.StateReady)}}, 11)
 	worker, _ = r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining, "already known events change nothing either")
 }
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-			r.entriesView.Regained(time.Now())
+			r.entriesView.OnReachable(time.Now())
 			r.entriesView.Snapshot(nil, 12)
 			r.handleUpdate(test.update)
 			_, known := r.workers.Get("a")
