--- a/cmd/shalefork/router.go
+++ b/cmd/shalefork/router.go
@@ -15,7 +15,8 @@
 	"github.com/shalefork/shalefork/platform"
 )
 
-// settingsVariable names the settings file where no flag does.
+// settingsVariable is the environment variable with the path of the settings file, for command lines
+// without the flag.
 const settingsVariable = "SHALEFORK_SETTINGS"
 
 func routerCommand() cli.Command {
@@ -30,7 +31,7 @@
 func runRouter(ctx context.Context, file string) cli.ExitCode {
 	config, data, err := readSettings(file)
 	if err != nil {
-		return exitOf(err)
+		return reportError(err)
 	}
 	log := decision.New(config.Node)
 	hangup := make(chan os.Signal, 1)
--- a/internal/clock/sleep_test.go
+++ b/internal/clock/sleep_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSleepEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestSleepEndsAfterDurationOrWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		assert.Assert(t, Sleep(t.Context(), time.Second))
@@ -21,9 +21,9 @@
 	})
 }
 
-func TestBackoffDoublesUpToItsLongest(t *testing.T) {
+func TestBackoffDoublesUpToMax(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		backoff := Backoff{First: time.Second, Longest: 3 * time.Second}
+		backoff := Backoff{Initial: time.Second, Max: 3 * time.Second}
 		slept := func() time.Duration {
 			began := time.Now()
 			assert.Assert(t, backoff.Sleep(t.Context()))
@@ -37,20 +37,20 @@
 	})
 }
 
-func TestBackoffCountsTheTimeOfACall(t *testing.T) {
-	for name, c := range map[string]struct{ took, slept time.Duration }{
-		"refused at once": {slept: 3 * time.Second},
-		"took a moment":   {took: 500 * time.Millisecond, slept: 2500 * time.Millisecond},
-		"took most of it": {took: 2500 * time.Millisecond, slept: time.Second},
-		"took longer":     {took: time.Minute, slept: time.Second},
+func TestBackoffDeductsDurationOfCall(t *testing.T) {
+	for name, c := range map[string]struct{ elapsed, slept time.Duration }{
+		"refused at once":        {slept: 3 * time.Second},
+		"took part of the delay": {elapsed: 500 * time.Millisecond, slept: 2500 * time.Millisecond},
+		"took most of the delay": {elapsed: 2500 * time.Millisecond, slept: time.Second},
+		"took longer":            {elapsed: time.Minute, slept: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				backoff := Backoff{First: time.Second, Longest: 3 * time.Second}
+				backoff := Backoff{Initial: time.Second, Max: 3 * time.Second}
 				backoff.Sleep(t.Context())
 				backoff.Sleep(t.Context())
 				began := time.Now()
-				backoff.SleepRest(t.Context(), c.took)
+				backoff.SleepAfter(t.Context(), c.elapsed)
 				assert.Equal(t, time.Since(began), c.slept)
 			})
 		})
--- a/internal/lab/mutate/mutations_bodies.go
+++ b/internal/lab/mutate/mutations_bodies.go
@@ -1,7 +1,7 @@
 package main
 
-// bodyMutations let bodies of requests and answers be taken for what they are not, or hold more
-// than they may.
+// bodyMutations make bodies of requests and responses be misinterpreted or use more memory than
+// allowed.
 var bodyMutations = []mutation{
 	{
 		name: "chunks-pass-the-limit",
@@ -12,10 +12,10 @@
 	},
 	{
 		name: "waits-of-the-router-count-against-callers",
-		file: "internal/bodies/pace.go",
-		old:  "	p.until = p.until.Add(now.Sub(p.stopped))\n",
+		file: "internal/bodies/progress.go",
+		old:  "	p.deadline = p.deadline.Add(now.Sub(p.lastWaitEnd))\n",
 		new:  "",
-		pkg:  "./internal/bodies", test: "TestWhatTheRouterWaitsForIsNotHeldAgainstTheCaller",
+		pkg:  "./internal/bodies", test: "TestTimeBetweenReadsAndWritesDoesNotCount",
 	},
 	{
 		name: "partly-passed-on-body-sent-again",
@@ -27,28 +27,28 @@
 	{
 		name: "early-answer-keeps-its-connection",
 		file: "internal/upstream/write.go",
-		old:  "\tanswer.Written = true\n\tif s.err == nil {\n\t\treturn\n\t}\n\tanswer.closing = true\n",
+		old:  "\tanswer.Written = true\n\tif s.err == nil {\n\t\treturn\n\t}\n\tanswer.closesConn = true\n",
 		new:  "\tanswer.Written = true\n\tif s.err == nil {\n\t\treturn\n\t}\n",
-		pkg:  "./internal/upstream", test: "TestAWorkerThatAnswersEarlyGetsNothingElse",
+		pkg:  "./internal/upstream", test: "TestConnectionIsNotReusedAfterEarlyAnswer",
 	},
 	{
 		name: "cut-body-gets-its-last-chunk",
 		file: "internal/upstream/write.go",
-		old:  "\tif cut, err = e.copyRest(chunks, -1); err != nil {",
-		new:  "\tif cut, err = e.copyRest(chunks, -1); false {",
-		pkg:  "./internal/upstream", test: "TestABodyThatItsCallerCutIsNotWhole",
+		old:  "\tif truncated, err = e.copyRest(chunks, -1); err != nil {",
+		new:  "\tif truncated, err = e.copyRest(chunks, -1); false {",
+		pkg:  "./internal/upstream", test: "TestTruncatedRequestBodyIsNotSentAsComplete",
 	},
 	{
 		name: "cut-body-waits-for-an-answer",
 		file: "internal/upstream/write.go",
-		old:  "\t\treturn true, errBodyCut\n",
+		old:  "\t\treturn true, errBodyTruncated\n",
 		new:  "\t\treturn false, nil\n",
-		pkg:  "./internal/upstream", test: "TestABodyThatItsCallerCutIsNotWhole",
+		pkg:  "./internal/upstream", test: "TestTruncatedRequestBodyIsNotSentAsComplete",
 	},
 	{
 		name: "large-answer-judged-by-nothing",
 		file: "internal/upstream/exchange.go",
-		old:  "Outcome: e.judge(response)}",
+		old:  "Outcome: e.classify(response)}",
 		new:  "Outcome: Answered}",
 		pkg:  "./internal/proxy", test: "TestLongAnswerWithoutSignatureIsRejected",
 	},
@@ -61,17 +61,17 @@
 	},
 	{
 		name: "large-bodies-without-a-bound",
-		file: "internal/bodies/room.go",
-		old:  "\tif r.limit == 0 || float64(",
+		file: "internal/bodies/memorybudget.go",
+		old:  "\tif b.limit == 0 || float64(",
 		new:  "\tif true || float64(",
-		pkg:  "./internal/bodies", test: "TestNoOrderOfBodiesExceedsTheRoom",
+		pkg:  "./internal/bodies", test: "TestMemoryBudgetIsNeverExceeded",
 	},
 	{
 		name: "body-that-stands-still-goes-on",
-		file: "internal/bodies/pace.go",
-		old:  "\tif most := now.Add(MaxStall); p.until.After(most) {",
-		new:  "\tif most := now.Add(MaxStall); false {",
-		pkg:  "./internal/bodies", test: "TestABodyIsJudgedByItsProgress",
+		file: "internal/bodies/progress.go",
+		old:  "\tif latest := now.Add(MaxStall); p.deadline.After(latest) {",
+		new:  "\tif latest := now.Add(MaxStall); false {",
+		pkg:  "./internal/bodies", test: "TestReaderFailsOnlyBelowMinimumProgress",
 	},
 	{
 		name: "stop-cuts-answers-that-have-begun",
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -1,6 +1,7 @@
 package main
 
-// limitMutations let workers get more than they name, or take limits for what they are not.
+// limitMutations send workers more requests than the limits that they announce allow, or
+// misinterpret these limits.
 var limitMutations = []mutation{
 	{
 		name: "early-answer-ends-a-limit",
@@ -77,6 +78,6 @@
 		file: "internal/upstream/notice.go",
 		old:  "parseLimit(response.Header.Values(h.Limit))",
 		new:  "parseLimit(nil)",
-		pkg:  "./platform/session", test: "TestAWorkerThatNamesALimitGetsNoMoreFromAllRoutersTogether",
+		pkg:  "./platform/session", test: "TestWorkerLimitHoldsAcrossAllRouters",
 	},
 }
--- a/internal/lab/mutate/mutations_notices.go
+++ b/internal/lab/mutate/mutations_notices.go
@@ -1,14 +1,14 @@
 package main
 
-// noticeMutations send to workers that have said that they leave, or have asked for backoffs, or take
-// what they say for what it is not.
+// noticeMutations send requests to workers that have announced that they are leaving or have
+// requested a backoff, or misinterpret the notices of workers.
 var noticeMutations = []mutation{
 	{
 		name: "routers-do-not-read-that-a-worker-leaves",
 		file: "internal/upstream/notice.go",
 		old:  "ParseLeaving(response.Header.Values(h.Leaving))",
 		new:  "ParseLeaving(nil)",
-		pkg:  "./platform/session", test: "TestAWorkerThatSaysInAnswersThatItLeavesGetsNoMoreRequests",
+		pkg:  "./platform/session", test: "TestWorkerThatSignalsLeavingGetsNoMoreRequests",
 	},
 	{
 		name: "entry-ends-a-workers-word",
@@ -34,23 +34,23 @@
 	{
 		name: "routers-are-not-told-who-leaves",
 		file: "internal/peerlink/update.go",
-		old:  "	update.Leaving = encodeFacts(now, factsFor(h.Leaving, &l.leaving, now), departure.NewMessage)\n",
+		old:  "	update.Leaving = encodeFacts(now, dueFacts(h.Leaving, &l.leaving, now), departure.NewMessage)\n",
 		new:  "	_ = departure.NewMessage\n",
-		pkg:  "./platform/session", test: "TestAllRoutersKnowThatAWorkerLeavesThroughRelays",
+		pkg:  "./platform/session", test: "TestLeavingWorkerIsKnownThroughRelays",
 	},
 	{
 		name: "leader-is-not-told-who-leaves",
 		file: "internal/router/report.go",
 		old:  "	report.Leaving = r.leaving.report()\n",
 		new:  "",
-		pkg:  "./platform/session", test: "TestOthersKnowThatAWorkerOfAPoolLeaves",
+		pkg:  "./platform/session", test: "TestLeavingPoolWorkerIsKnownToOtherRouters",
 	},
 	{
 		name: "orders-do-not-tell-that-a-worker-leaves",
 		file: "platform/orders.go",
 		old:  "upstream.ParseLeaving(response.Header.Values(leavingHeader))",
 		new:  "upstream.ParseLeaving(nil)",
-		pkg:  "./platform", test: "TestOrdersTellThatTheirWorkerLeaves",
+		pkg:  "./platform", test: "TestOrderReplyReportsLeavingWorker",
 	},
 	{
 		name: "shorter-backoff-ends-a-longer-one",
@@ -78,21 +78,21 @@
 		file: "internal/upstream/exchange.go",
 		old:  "	if target.Admits != nil && !target.Admits() {",
 		new:  "	if target.Admits != nil && !target.Admits() && false {",
-		pkg:  "./internal/upstream", test: "TestNothingIsWrittenToAWorkerThatDoesNotAdmitIt",
+		pkg:  "./internal/upstream", test: "TestNothingIsWrittenIfTargetNoLongerAdmitsRequest",
 	},
 	{
 		name: "backoff-of-another-worker-counts",
 		file: "internal/upstream/notice.go",
-		old:  "named != \"\" && named != target {",
-		new:  "named != \"\" && named != target && false {",
-		pkg:  "./internal/upstream", test: "TestWhoseAnswerSaysSomethingOfItsWorker",
+		old:  "answeredBy != \"\" && answeredBy != target {",
+		new:  "answeredBy != \"\" && answeredBy != target && false {",
+		pkg:  "./internal/upstream", test: "TestNoticeIsOnlyReadFromTargetWorker",
 	},
 	{
 		name: "refusal-of-any-kind-asks-for-a-backoff",
 		file: "internal/upstream/notice.go",
 		old:  "	if response.StatusCode == http.StatusServiceUnavailable {",
 		new:  "	if response.StatusCode >= http.StatusBadRequest {",
-		pkg:  "./internal/upstream", test: "TestWhoseAnswerSaysSomethingOfItsWorker",
+		pkg:  "./internal/upstream", test: "TestNoticeIsOnlyReadFromTargetWorker",
 	},
 	{
 		name: "leader-does-not-count-backoffs",
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_quarantine.go
@@ -1,7 +1,7 @@
 package main
 
-// harmMutations let requests that crash workers through, or take others for them.
-var harmMutations = []mutation{
+// quarantineMutations fail to quarantine requests that crash workers, or quarantine others.
+var quarantineMutations = []mutation{
 	{
 		name: "harmful-request-never-quarantined",
 		file: "internal/quarantine/record.go",
@@ -81,11 +81,11 @@
 	},
 }
 
-// clockMutations make a process miss that its machine was suspended.
+// clockMutations make a process ignore that its machine was suspended.
 var clockMutations = []mutation{
 	{
 		name: "lease-on-the-steady-clock",
-		file: "internal/clock/steady.go",
+		file: "internal/clock/suspension.go",
 		old:  "func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }",
 		new:  "func Now() time.Time { return time.Now() }",
 		pkg:  "./internal/election", test: "TestSuspensionEndsAuthority",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -1,6 +1,6 @@
 package main
 
-// requestMutations let requests run twice or too often, or lose and mix up their answers.
+// requestMutations let requests run twice or too often, or lose or mix up their responses.
 var requestMutations = []mutation{
 	{
 		name: "sent-again-after-it-may-have-run",
@@ -77,7 +77,7 @@
 		file: "internal/router/serve.go",
 		old:  "\t_ = server.Shutdown(bounded)",
 		new:  "\t_ = bounded\n\t_ = server.Close()",
-		pkg:  "./platform/session", test: "TestPlannedStopCutsNothing",
+		pkg:  "./platform/session", test: "TestPlannedStopInterruptsNoRequests",
 	},
 	{
 		name: "quarantined-request-waits-its-turn",
--- a/internal/lab/mutate/mutations_news.go
+++ b/internal/lab/mutate/mutations_updates.go
@@ -1,8 +1,8 @@
 package main
 
-// newsMutations act on configurations, evacuations, entries and words of leaders that are older than
-// what is known, or not approved.
-var newsMutations = []mutation{
+// updateMutations make processes act on configurations, evacuations, entries and updates from
+// leaders that are outdated or not approved.
+var updateMutations = []mutation{
 	{
 		name: "pool-of-an-evacuated-zone-used",
 		file: "internal/workers/workers.go",
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -56,7 +56,7 @@
 	// The lookup that finds no leader has measured the distance to the store, on which the campaign
 	// delay depends.
 	paused := false
-	backoff := clock.Backoff{First: retryPause, Longest: maxRetryPause}
+	backoff := clock.Backoff{Initial: retryPause, Max: maxRetryPause}
 	for ctx.Err() == nil {
 		began := clock.Now()
 		leader, found, err := r.lookUpLeader(ctx)
@@ -71,7 +71,7 @@
 				backoff.Reset()
 				continue
 			}
-			backoff.SleepRest(ctx, clock.Since(began))
+			backoff.SleepAfter(ctx, clock.Since(began))
 		case found && r.hasEnded(ctx, leader):
 			r.proceedWithoutLeader(ctx)
 			paused = r.campaign(ctx, leader.Revision, paused)
@@ -237,12 +237,12 @@
 	go r.keepSuspects(tenureCtx, tenure)
 	go r.quotas.coordinate(tenureCtx, tenure)
 	r.limits.lead(tenure)
-	r.leaving.member.SetLeading(true)
+	r.leaving.replica.SetLeading(true)
 	r.leaderStoreUnreachable.Store(false) // it referred to the previous leader
 	r.nodes.Store(int32(r.hub.Nodes()))
 	r.keeper.Lead(tenureCtx, tenure, until)
 	r.limits.stopLeading() // before another process may lead
-	r.leaving.member.SetLeading(false)
+	r.leaving.replica.SetLeading(false)
 	resign, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
 	tenure.Resign(resign)
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -32,8 +32,8 @@
 			if len(item.Value) == 0 {
 				return workers.Worker{}, &workers.EntryError{Reason: workers.ReasonUnreadable}
 			}
-			state, born, _ := strings.Cut(string(item.Value), " ")
-			at, _ := strconv.Atoi(born)
+			state, startTime, _ := strings.Cut(string(item.Value), " ")
+			at, _ := strconv.Atoi(startTime)
 			return workers.Worker{ID: id, Service: "s", State: workers.State(state), StartTime: workers.StartTime(at)}, nil
 		},
 	}
@@ -84,7 +84,7 @@
 	view.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 11)
 	worker, _ := r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining)
-	view.Changed([]coord.Event{{Item: item("a", 8, workers.StateReady)}}, 11)
+	view.ApplyEvents([]coord.Event{{Item: item("a", 8, workers.StateReady)}}, 11)
 	worker, _ = r.workers.Get("a")
 	assert.Equal(t, worker.State, workers.StateDraining, "already known events change nothing either")
 }
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.entriesView.Snapshot([]coord.Item{item("a", 8, workers.StateReady)}, 10)
-			r.entriesView.Regained(time.Now())
+			r.entriesView.OnReachable(time.Now())
 			r.entriesView.Snapshot(nil, 12)
 			r.handleUpdate(test.update)
 			_, known := r.workers.Get("a")
