--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -15,35 +15,35 @@
 	"gotest.tools/v3/golden"
 )
 
-// slowWriter blocks until it is let go.
-type slowWriter struct {
-	let chan struct{}
+// blockedWriter blocks until release is closed.
+type blockedWriter struct {
+	release chan struct{}
 }
 
-func (w *slowWriter) Write(line []byte) (int, error) {
-	<-w.let
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
 	return len(line), nil
 }
 
-type buffer struct {
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *buffer) Write(line []byte) (int, error) {
+func (b *lockedBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(line)
 }
 
-func (b *buffer) lines() []string {
+func (b *lockedBuffer) lines() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Split(strings.TrimSpace(b.text.String()), "\n")
 }
 
-func TestLinesAreBoundedForEachKind(t *testing.T) {
-	var written buffer
+func TestEachKindHasARateLimit(t *testing.T) {
+	var written lockedBuffer
 	log := NewTo(&written, "n1")
 	for range 1000 {
 		log.Line(KindRequest).Str("id", "x").Msg("")
@@ -61,26 +61,26 @@
 	assert.Equal(t, kinds["config"], 1)
 }
 
-func TestAFullPipeNeverBlocks(t *testing.T) {
-	writer := &slowWriter{let: make(chan struct{})}
-	defer close(writer.let)
+func TestBlockedWriterNeverBlocksLogging(t *testing.T) {
+	writer := &blockedWriter{release: make(chan struct{})}
+	defer close(writer.release)
 	log := NewTo(writer, "n1")
-	began := time.Now()
+	start := time.Now()
 	for _, described := range Descriptions() {
 		for range burstLines {
 			log.Line(described.Kind).Msg("")
 		}
 	}
-	assert.Assert(t, time.Since(began) < 5*time.Second)
+	assert.Assert(t, time.Since(start) < 5*time.Second)
 	assert.Assert(t, log.Dropped() > 0)
 }
 
 func TestLogsPageMatchesTheCode(t *testing.T) {
 	page := "# Log lines\n\nEach process writes JSON lines to standard output. Every line has `time`, `level`, `node`,\n`pid` and `kind`. " +
-		fmt.Sprintf("A kind may take %d lines a second, %d at once; what is over that is\ncounted in `lines-left-out`. Requests that went as planned are only counted in the metrics.\n", linesPerSecond, burstLines) +
-		"This page is made from the code by a test of `internal/decision`.\n\n| kind | tells | fields |\n|---|---|---|\n"
-	for _, one := range Descriptions() {
-		page += fmt.Sprintf("| `%s` | %s | %s |\n", one.Kind, one.Meaning, one.Fields)
+		fmt.Sprintf("A kind may take %d lines a second, %d at once; lines beyond that are\ncounted in `lines-left-out`. Requests that end as expected are only counted in the metrics.\n", linesPerSecond, burstLines) +
+		"This page is generated from the code by a test of `internal/decision`.\n\n| kind | meaning | fields |\n|---|---|---|\n"
+	for _, description := range Descriptions() {
+		page += fmt.Sprintf("| `%s` | %s | %s |\n", description.Kind, description.Meaning, description.Fields)
 	}
 	golden.Assert(t, page, "../../../docs/operations/logs.md")
 }
@@ -90,11 +90,11 @@
 	assert.NilError(t, err)
 	declared := regexp.MustCompile(`Kind = "([^"]+)"`).FindAllStringSubmatch(string(source), -1)
 	described := map[Kind]bool{}
-	for _, one := range Descriptions() {
-		described[one.Kind] = true
+	for _, description := range Descriptions() {
+		described[description.Kind] = true
 	}
 	assert.Equal(t, len(declared), len(described))
-	for _, one := range declared {
-		assert.Assert(t, described[Kind(one[1])], one[1])
+	for _, match := range declared {
+		assert.Assert(t, described[Kind(match[1])], match[1])
 	}
 }
--- a/internal/explain/quota.go
+++ b/internal/explain/quota.go
@@ -6,14 +6,14 @@
 	"github.com/shalefork/shalefork/internal/decision"
 )
 
-// quotaCauses returns the leader's last word before a request on the limits of the tenants that
-// the lines of the request name.
-func quotaCauses(lines, named []Line) []Line {
+// latestQuotaLines returns, for each tenant in the lines that was refused because of its quota,
+// the leader's last line about the tenant's limit before the refusal.
+func latestQuotaLines(lines, named []Line) []Line {
 	var found []Line
-	for tenant, at := range overQuota(named) {
+	for tenant, refusedAt := range lastRefusals(named) {
 		var last *Line
 		for index, line := range lines {
-			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(at) {
+			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(refusedAt) {
 				continue
 			}
 			if last == nil || last.Time.Before(line.Time) {
@@ -27,8 +27,9 @@
 	return found
 }
 
-// overQuota returns which tenants' requests were refused by quota, and when last.
-func overQuota(named []Line) map[string]time.Time {
+// lastRefusals returns the tenants whose requests were refused because of their quota, with the
+// time of the last refusal.
+func lastRefusals(named []Line) map[string]time.Time {
 	found := map[string]time.Time{}
 	for _, line := range named {
 		tenant := asText(line.Fields["tenant"])
@@ -39,5 +40,5 @@
 	return found
 }
 
-// reasonQuota is that of requests beyond their tenant's limit.
+// reasonQuota is the reason of requests refused because of their tenant's limit.
 const reasonQuota = "over-quota"
