--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const responseBody = "a response that is longer than the forwarded part of one that is truncated"
+const responseBody = "an answer that is longer than what is passed of one that is truncated"
 
 func newLink(t *testing.T) (*Link, *http.Client) {
 	t.Helper()
@@ -48,14 +48,14 @@
 		// when the fault is set, and on a new one.
 		openWorks, newWorks bool
 	}{
-		"none":                {fault: NoFault, openWorks: true, newWorks: true},
-		"delays":              {fault: Delays, openWorks: true, newWorks: true},
-		"blocks traffic":      {fault: BlocksTraffic},
-		"blocks responses":    {fault: BlocksResponses},
-		"blocks requests":     {fault: BlocksRequests},
-		"blocks existing":     {fault: BlocksExisting, newWorks: true},
-		"resets connections":  {fault: ResetsConnections},
-		"truncates responses": {fault: TruncatesResponses},
+		"none":      {fault: NoFault, openWorks: true, newWorks: true},
+		"delays":    {fault: Delays, openWorks: true, newWorks: true},
+		"silences":  {fault: BlocksTraffic},
+		"deafens":   {fault: BlocksResponses},
+		"mutes":     {fault: BlocksRequests},
+		"strands":   {fault: BlocksExisting, newWorks: true},
+		"resets":    {fault: ResetsConnections},
+		"truncates": {fault: TruncatesResponses},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -94,17 +94,17 @@
 		fault           Fault
 		affected, other bool
 	}{
-		"none":             {fault: NoFault, affected: true, other: true},
-		"blocks traffic":   {fault: BlocksTraffic, other: true},
-		"blocks responses": {fault: BlocksResponses, other: true},
-		"blocks requests":  {fault: BlocksRequests, other: true},
+		"none":     {fault: NoFault, affected: true, other: true},
+		"silences": {fault: BlocksTraffic, other: true},
+		"deafens":  {fault: BlocksResponses, other: true},
+		"mutes":    {fault: BlocksRequests, other: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			link, affected := newLink(t)
 			other := &http.Client{Timeout: time.Second, Transport: &http.Transport{}}
 			origins := make(chan string, 2)
-			origins <- "affected"
+			origins <- "struck"
 			origins <- "other"
 			link.SetOriginLookup(func(_, _ netip.AddrPort) string { return <-origins })
 			link.SetOriginFault("third", BlocksTraffic) // makes new connections wait for their origin
@@ -113,7 +113,7 @@
 			began := time.Now()
 			assert.NilError(t, get(link, other))
 			assert.Assert(t, time.Since(began) >= time.Duration(len(responseBody))*time.Millisecond/10)
-			link.SetOriginFault("affected", c.fault)
+			link.SetOriginFault("struck", c.fault)
 			assert.Equal(t, get(link, other) == nil, c.other)
 			assert.Equal(t, get(link, affected) == nil, c.affected)
 		})
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -13,9 +13,9 @@
 		pid  int
 		want string
 	}{
-		"small":   {pid: 1, want: "127.64.0.1"},
-		"typical": {pid: 70000, want: "127.65.17.112"},
-		"largest": {pid: 1<<22 - 1, want: "127.127.255.255"},
+		"small":    {pid: 1, want: "127.64.0.1"},
+		"usual":    {pid: 70000, want: "127.65.17.112"},
+		"greatest": {pid: 1<<22 - 1, want: "127.127.255.255"},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, hostAddress(c.pid), netip.MustParseAddr(c.want)) })
 	}
--- a/internal/lab/losses/losses_test.go
+++ b/internal/lab/losses/losses_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestOtherTextIsRejected(t *testing.T) {
-	for name, text := range map[string]string{"empty": "", "a log": "1.2 r1 {\"kind\":\"start\"}\n"} {
+	for name, text := range map[string]string{"nothing": "", "a log": "1.2 r1 {\"kind\":\"start\"}\n"} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Read(strings.NewReader(text))
 			assert.ErrorContains(t, err, "no report")
--- a/ownership/holder_test.go
+++ b/ownership/holder_test.go
@@ -22,11 +22,11 @@
 		want    Outcome
 		holdsAt map[time.Duration]bool
 	}{
-		"first grant": {
+		"first": {
 			grant: Grant{Keys: all, Fence: 1, Hold: hold}, want: Taken,
 			holdsAt: map[time.Duration]bool{0: true, hold - 1: true, hold: false},
 		},
-		"renewal": {
+		"again renews": {
 			before: []Grant{{Keys: all, Fence: 1, Hold: hold / 2}},
 			grant:  Grant{Keys: all, Fence: 1, Hold: hold}, want: Taken,
 			holdsAt: map[time.Duration]bool{hold - 1: true},
@@ -41,10 +41,10 @@
 			grant:  Grant{Keys: all, Fence: 4, Hold: hold}, want: Fenced,
 			holdsAt: map[time.Duration]bool{0: true},
 		},
-		"empty range":               {grant: Grant{Keys: Keys{From: 7, To: 6}, Fence: 1, Hold: hold}, want: Invalid},
-		"range beyond the last key": {grant: Grant{Keys: Keys{From: 7, To: KeyCount}, Fence: 1, Hold: hold}, want: Invalid},
-		"no duration":               {grant: Grant{Keys: all, Fence: 1}, want: Invalid},
-		"range without key 7":       {grant: Grant{Keys: Keys{From: 8, To: 9}, Fence: 1, Hold: hold}, want: Taken, holdsAt: map[time.Duration]bool{0: false}},
+		"empty range":         {grant: Grant{Keys: Keys{From: 7, To: 6}, Fence: 1, Hold: hold}, want: Invalid},
+		"beyond":              {grant: Grant{Keys: Keys{From: 7, To: KeyCount}, Fence: 1, Hold: hold}, want: Invalid},
+		"no duration":         {grant: Grant{Keys: all, Fence: 1}, want: Invalid},
+		"range without key 7": {grant: Grant{Keys: Keys{From: 8, To: 9}, Fence: 1, Hold: hold}, want: Taken, holdsAt: map[time.Duration]bool{0: false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			holder := NewHolder()
