--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -25,7 +25,7 @@
 func TestTraceRequest(t *testing.T) {
 	var written bytes.Buffer
 	assert.NilError(t, Write(&written, TraceRequest(readSession(t), "f1c46b03ca431df2")))
-	golden.Assert(t, written.String(), "trace.golden")
+	golden.Assert(t, written.String(), "course.golden")
 }
 
 func TestStateAt(t *testing.T) {
@@ -33,7 +33,7 @@
 	assert.NilError(t, err)
 	var written bytes.Buffer
 	assert.NilError(t, Write(&written, StateAt(readSession(t), at)))
-	golden.Assert(t, written.String(), "state-at.golden")
+	golden.Assert(t, written.String(), "around.golden")
 }
 
 func TestTraceOfUnknownRequestIsEmpty(t *testing.T) {
