--- a/internal/lab/mutate/mutations_lives.go
+++ b/internal/lab/mutate/mutations_incarnations.go
@@ -1,12 +1,12 @@
 package main
 
-// lifeMutations take what a life of a worker left behind for what the next one has.
-var lifeMutations = []mutation{
+// incarnationMutations take what a life of a worker left behind for what the next one has.
+var incarnationMutations = []mutation{
 	{
 		name: "drain-outlives-its-life",
 		file: "internal/workers/workers.go",
-		old:  "\t\tdelete(d.drainingSince, worker.ID)\n\t\td.before",
-		new:  "\t\td.before",
+		old:  "\t\tdelete(d.drainingSince, worker.ID)\n\t\td.previous",
+		new:  "\t\td.previous",
 		pkg:  "./internal/router", test: "TestWorkerViewIsCorrectInAnyEventOrder",
 	},
 	{
@@ -28,11 +28,11 @@
 		file: "internal/quarantine/record.go",
 		old:  "workers.Incarnation{ID: c.Worker, StartTime: c.Born}",
 		new:  "workers.Incarnation{ID: c.Worker}",
-		pkg:  "./internal/quarantine", test: "TestEachLifeThatCrashesCounts",
+		pkg:  "./internal/quarantine", test: "TestCrashOfEachIncarnationCounts",
 	},
 	{
 		name: "overwritten-entry-waited-for",
-		file: "internal/workers/kept.go",
+		file: "internal/workers/settling.go",
 		old:  "StateReady || d.unreadable[id] {",
 		new:  "StateReady {",
 		pkg:  "./internal/router", test: "TestWorkerWithOverwrittenEntryIsNotUsed",
--- a/internal/lab/mutate/mutations_harm.go
+++ b/internal/lab/mutate/mutations_quarantine.go
@@ -1,55 +1,55 @@
 package main
 
-// harmMutations let requests that crash workers through, or take others for them.
-var harmMutations = []mutation{
+// quarantineMutations let requests that crash workers through, or take others for them.
+var quarantineMutations = []mutation{
 	{
 		name: "harmful-request-never-quarantined",
 		file: "internal/quarantine/record.go",
-		old:  "	if !r.crashedOften() {",
+		old:  "	if !r.reachedCrashThreshold() {",
 		new:  "	if true {",
-		pkg:  "./internal/quarantine", test: "TestBookTellsTheGuiltyFromTheRest",
+		pkg:  "./internal/quarantine", test: "TestHarmfulRequestIsDistinguished",
 	},
 	{
 		name: "good-run-clears-nothing",
-		file: "internal/quarantine/book.go",
-		old:  "	if b.Standing(run) == Unsuspected {",
-		new:  "	if b.Standing(run) >= Unsuspected {",
-		pkg:  "./internal/quarantine", test: "TestErrorsOfTheBook",
+		file: "internal/quarantine/tracker.go",
+		old:  "	if t.Standing(request) == Unsuspected {",
+		new:  "	if t.Standing(request) >= Unsuspected {",
+		pkg:  "./internal/quarantine", test: "TestNoFalsePositivesOrLateSends",
 	},
 	{
 		name: "rack-counts-as-many-crashes",
 		file: "internal/quarantine/record.go",
-		old:  "r.moments() > 1 ||",
-		new:  "r.moments() > 0 ||",
-		pkg:  "./internal/quarantine", test: "TestBookTellsTheGuiltyFromTheRest",
+		old:  "r.crashClusters() > 1 ||",
+		new:  "r.crashClusters() > 0 ||",
+		pkg:  "./internal/quarantine", test: "TestHarmfulRequestIsDistinguished",
 	},
 	{
 		name: "moment-lasts-as-long-as-crashes-go-on",
 		file: "internal/quarantine/record.go",
-		old:  "			count++\n			began = end\n		}",
-		new:  "			count++\n		}\n		began = end",
-		pkg:  "./internal/quarantine", test: "TestBookTellsTheGuiltyFromTheRest",
+		old:  "			count++\n			clusterStart = crashedAt\n		}",
+		new:  "			count++\n		}\n		clusterStart = crashedAt",
+		pkg:  "./internal/quarantine", test: "TestHarmfulRequestIsDistinguished",
 	},
 	{
 		name: "callers-crashes-do-not-add-up",
-		file: "internal/quarantine/book.go",
-		old:  "	if b.blame(now, attempt, netip.Addr{}, crash) {",
-		new:  "	if b.blame(now, attempt.own(), attempt.Caller, crash) {",
-		pkg:  "./internal/quarantine", test: "TestBookAddsUpCallersUntilARunOfAnotherEndsWell",
+		file: "internal/quarantine/tracker.go",
+		old:  "	if t.countCrash(now, attempt, netip.Addr{}, crash) {",
+		new:  "	if t.countCrash(now, attempt.perCaller(), attempt.Caller, crash) {",
+		pkg:  "./internal/quarantine", test: "TestCrashesOfCallersAddUpUntilAnotherSucceeds",
 	},
 	{
 		name: "leader-is-not-told-what-it-lacks",
 		file: "internal/quarantine/view.go",
-		old:  "		if !known.says(listed[request]) {",
-		new:  "		if true || !known.says(listed[request]) {",
-		pkg:  "./internal/quarantine", test: "TestALeaderThatDoesNotKnowAQuarantineTakesItFromNobody",
+		old:  "		if !known.mustReport(leaderRecords[request]) {",
+		new:  "		if true || !known.mustReport(leaderRecords[request]) {",
+		pkg:  "./internal/quarantine", test: "TestLeaderWithoutQuarantineDoesNotRevokeIt",
 	},
 	{
 		name: "oldest-suspect-makes-room",
-		file: "internal/quarantine/room.go",
-		old:  "cmp.Or(cmp.Compare(a.ends, c.ends), cmp.Compare(c.crowd, a.crowd), a.last.Compare(c.last))",
-		new:  "cmp.Or(a.last.Compare(c.last))",
-		pkg:  "./internal/quarantine", test: "TestManySuspectsDoNotHideAHarmfulRequest",
+		file: "internal/quarantine/evict.go",
+		old:  "cmp.Or(cmp.Compare(a.crashes, c.crashes), cmp.Compare(c.concurrent, a.concurrent), a.lastCrashAt.Compare(c.lastCrashAt))",
+		new:  "cmp.Or(a.lastCrashAt.Compare(c.lastCrashAt))",
+		pkg:  "./internal/quarantine", test: "TestManySuspectsDoNotEvictHarmfulRequest",
 	},
 	{
 		name: "suspect-sent-to-several",
@@ -75,8 +75,8 @@
 	{
 		name: "starting-router-serves-without-the-list",
 		file: "internal/proxy/handler.go",
-		old:  "	if used == nil || p.Starting.Load() {",
-		new:  "	if used == nil {",
+		old:  "	if active == nil || p.Starting.Load() {",
+		new:  "	if active == nil {",
 		pkg:  "./internal/proxy", test: "TestStartingRouterSendsNothingBeforeQuarantineIsKnown",
 	},
 }
@@ -85,7 +85,7 @@
 var clockMutations = []mutation{
 	{
 		name: "lease-on-the-steady-clock",
-		file: "internal/clock/steady.go",
+		file: "internal/clock/suspension.go",
 		old:  "func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }",
 		new:  "func Now() time.Time { return time.Now() }",
 		pkg:  "./internal/election", test: "TestSuspensionEndsAuthority",
--- a/internal/lab/mutate/mutations_requests.go
+++ b/internal/lab/mutate/mutations_requests.go
@@ -33,14 +33,14 @@
 	{
 		name: "cold-worker-gets-any-number",
 		file: "internal/proxy/coldlimiter.go",
-		old:  "\treturn g.tokens >= 1",
+		old:  "\treturn l.tokens >= 1",
 		new:  "\treturn true",
 		pkg:  "./internal/proxy", test: "TestColdWorkerRateHoldsOverAllProcesses",
 	},
 	{
 		name: "written-to-a-connection-that-is-reset",
 		file: "internal/upstream/exchange.go",
-		old:  "\tif message.Once && !connection.used &&",
+		old:  "\tif message.AtMostOnce && !connection.used &&",
 		new:  "\tif false &&",
 		pkg:  "./internal/proxy", test: "TestConnectionResetBeforeWriteMeansNotRun",
 	},
@@ -81,9 +81,9 @@
 	},
 	{
 		name: "quarantined-request-waits-its-turn",
-		file: "internal/quarantine/ledger.go",
+		file: "internal/quarantine/changelog.go",
 		old:  "entry.version > upTo && entry.record.Standing() != Quarantined",
 		new:  "entry.version > upTo",
-		pkg:  "./internal/quarantine", test: "TestWhatALedgerTells",
+		pkg:  "./internal/quarantine", test: "TestChangeLogSince",
 	},
 }
--- a/internal/routing/regions.go
+++ b/internal/routing/regions.go
@@ -6,11 +6,12 @@
 	"github.com/shalefork/shalefork/internal/topology"
 )
 
-// RegionsOf returns the only regions in which a service can be asked for: those that any route
-// to it allows. bound is false if some route to it may be served anywhere, or none leads there.
-func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, bound bool) {
+// AllowedRegions returns the regions that requests to a service are restricted to: those that any
+// route to it allows. restricted is false if some route to it allows any region, or no route sends
+// requests to it.
+func (c *Config) AllowedRegions(service ServiceName) (regions []topology.Region, restricted bool) {
 	for _, route := range c.routes {
-		if !route.leadsTo(service) {
+		if !route.sendsTo(service) {
 			continue
 		}
 		if len(route.Regions) == 0 {
@@ -25,7 +26,7 @@
 	return regions, len(regions) > 0
 }
 
-// leadsTo reports whether any of the route's requests go to a service.
-func (r *Route) leadsTo(service ServiceName) bool {
+// sendsTo reports whether any of the route's requests go to a service.
+func (r *Route) sendsTo(service ServiceName) bool {
 	return slices.ContainsFunc(r.Services, func(one WeightedService) bool { return one.Service == service && one.Weight > 0 })
 }
--- a/internal/workers/evacuation_test.go
+++ b/internal/workers/evacuation_test.go
@@ -14,35 +14,35 @@
 	return one
 }
 
-func TestEvacuatedZonesGetNoNewWork(t *testing.T) {
+func TestWorkersInEvacuatedZoneAreNotUsable(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones  []string
 		usable int
 	}{
-		"none":                 {usable: 3},
-		"one":                  {zones: []string{"a"}, usable: 1},
-		"all":                  {zones: []string{"a", "b"}},
-		"one without a worker": {zones: []string{"c"}, usable: 3},
+		"none":                {usable: 3},
+		"one":                 {zones: []string{"a"}, usable: 1},
+		"all":                 {zones: []string{"a", "b"}},
+		"one without workers": {zones: []string{"c"}, usable: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			directory := NewDirectory()
 			directory.Replace([]Worker{inZone("1", "a"), inZone("2", "b")}, nil, time.Now())
 			directory.SetEvacuated(c.zones, time.Now())
-			directory.Update([]Worker{inZone("3", "a")}, nil, nil) // joins meanwhile
+			directory.Update([]Worker{inZone("3", "a")}, nil, nil) // added during the evacuation
 			usable, _ := directory.Usable("s")
 			assert.Equal(t, len(usable), c.usable)
 			list, _ := directory.ByService("s")
-			assert.Equal(t, len(list), 3, "they are announced still")
+			assert.Equal(t, len(list), 3, "they are still announced")
 		})
 	}
 }
 
-func TestAnEvacuationCountsFromWhenItMayHaveBegun(t *testing.T) {
+func TestEvacuationTimeCountsFromEarliestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		assert.Assert(t, directory.SetEvacuated([]string{"a"}, time.Now()))
 		time.Sleep(time.Second)
-		assert.Assert(t, !directory.SetEvacuated([]string{"a"}, time.Time{}), "it is known")
+		assert.Assert(t, !directory.SetEvacuated([]string{"a"}, time.Time{}), "already known")
 		assert.Equal(t, directory.EvacuatedFor("a"), time.Second)
 		assert.Assert(t, directory.SetEvacuated([]string{"a", "b"}, time.Time{}))
 		assert.Assert(t, directory.EvacuatedFor("b") > time.Hour, "found in a list")
@@ -52,9 +52,9 @@
 	})
 }
 
-// The workers of a zone may have turned cold before it is taken back, and say so only with
-// their next entries.
-func TestWorkersOfAZoneThatIsTakenBackCountAsCold(t *testing.T) {
+// The workers of a zone may have turned cold before it is restored, and report that only with their
+// next entries.
+func TestWorkersOfRestoredZoneCountAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		directory := NewDirectory()
 		longCold := inZone("2", "a")
@@ -63,7 +63,7 @@
 		directory.SetEvacuated([]string{"a"}, time.Now())
 		time.Sleep(time.Second)
 		directory.SetEvacuated(nil, time.Now())
-		for id, cold := range map[ID]time.Duration{"1": assumedCold, "2": time.Minute - time.Second} {
+		for id, cold := range map[ID]time.Duration{"1": assumedColdTime, "2": time.Minute - time.Second} {
 			known, _ := directory.Get(id)
 			assert.Equal(t, time.Until(known.WarmAt), cold, id)
 		}
