--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -20,7 +20,7 @@
 // age grows by the latency of the path on which it was received.
 const sinceTolerance = 250 * time.Millisecond
 
-// Key implements facts.Fact: each incarnation has a fact of its own.
+// Key implements facts.Fact: there is one fact per incarnation.
 func (f Fact) Key() workers.Incarnation { return f.Worker }
 
 // Replaces reports whether a fact has been known for longer than another one about the same
--- a/internal/estimate/backoffs.go
+++ b/internal/estimate/backoffs.go
@@ -10,7 +10,7 @@
 	// backoffs take.
 	backoffResolution = 100 * time.Millisecond
 	// recentBackoffTime is how long after the end of its last backoff a worker still counts as
-	// short of capacity: most workers that ask for a backoff ask for another.
+	// lacking capacity: most workers that ask for a backoff ask for another.
 	recentBackoffTime = 5 * time.Second
 )
 
--- a/internal/estimate/work_test.go
+++ b/internal/estimate/work_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// A sudden load must not be taken for a slower worker: an average over an interval in which it
+// A sudden load must not be mistaken for a slower worker: an average over an interval in which it
 // began shows long waits at a low rate.
 func TestLoadSpikeIsNotSlowness(t *testing.T) {
 	for seed := range uint64(20) {
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -105,7 +105,7 @@
 }
 
 // Owners that arrive in pieces replace all owners before. Until the last piece has arrived, the
-// table has the previous version, so that it is not taken for complete.
+// table has the previous version, so that it does not count as complete.
 func TestOwnersArriveInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawOwners(t, "before"), drawOwners(t, "after")
--- a/internal/lab/mutate/mutations_owners.go
+++ b/internal/lab/mutate/mutations_owners.go
@@ -75,7 +75,7 @@
 	{
 		name: "grant-in-doubt-forgotten-as-keys-return",
 		file: "internal/owner/ledger.go",
-		old:  "\tmoved.delayedGrantUntil = held.delayedGrantUntil",
+		old:  "\tmoved.delayedGrantUntil = earlier.delayedGrantUntil",
 		new:  "\tmoved.delayedGrantUntil = time.Time{}",
 		pkg:  "./internal/owner", test: "TestUnconfirmedGrantIsKeptWhenKeysReturn",
 	},
--- a/internal/owner/balance.go
+++ b/internal/owner/balance.go
@@ -43,7 +43,7 @@
 // loadToMove returns how much load to move from one worker to another, given the difference of
 // their utilizations. Moving a load of w from a worker of capacity cf to one of capacity ct makes
 // them equal if w/cf + w/ct = gap. The excess load of a limited worker must not leave the other one
-// short of capacity.
+// with too little capacity.
 func (p *planner) loadToMove(from, to workers.ID, gap float64) float64 {
 	capacityFrom, capacityTo := p.candidates[from].Capacity, p.candidates[to].Capacity
 	want := gap / (1/max(capacityFrom, 1) + 1/max(capacityTo, 1))
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -109,13 +109,13 @@
 		moved.previous = append(moved.previous, l.previousOwnerOf(moved))
 	}
 	// The new owner may still hold the keys from before, or accept a delayed grant from then.
-	held := previousOwner{delayedGrantUntil: l.dropUnconfirmed(to, moved.keys)}
+	earlier := previousOwner{delayedGrantUntil: l.dropUnconfirmed(to, moved.keys)}
 	moved.previous = slices.DeleteFunc(moved.previous, func(old previousOwner) bool {
 		if old.worker == to {
-			held.heldUntil = later(held.heldUntil, old.heldUntil)
-			held.delayedGrantUntil = later(held.delayedGrantUntil, old.delayedGrantUntil)
-			held.restartGrantUntil = later(held.restartGrantUntil, old.restartGrantUntil)
-			held.holdsVersion = max(held.holdsVersion, old.holdsVersion)
+			earlier.heldUntil = later(earlier.heldUntil, old.heldUntil)
+			earlier.delayedGrantUntil = later(earlier.delayedGrantUntil, old.delayedGrantUntil)
+			earlier.restartGrantUntil = later(earlier.restartGrantUntil, old.restartGrantUntil)
+			earlier.holdsVersion = max(earlier.holdsVersion, old.holdsVersion)
 		}
 		return old.worker == to
 	})
@@ -129,12 +129,12 @@
 	moved.pending = nil
 	moved.granted = false
 	moved.unconfirmed = false
-	moved.heldUntil = held.heldUntil
+	moved.heldUntil = earlier.heldUntil
 	moved.delayedHeldUntil = time.Time{}
-	moved.delayedGrantUntil = held.delayedGrantUntil
-	moved.restartGrantUntil = held.restartGrantUntil
+	moved.delayedGrantUntil = earlier.delayedGrantUntil
+	moved.restartGrantUntil = earlier.restartGrantUntil
 	moved.maybeRestarted, moved.acceptedFence = false, 0
-	moved.sentToStandbys = held.holdsVersion > 0
+	moved.sentToStandbys = earlier.holdsVersion > 0
 	moved.guaranteedUntil = time.Time{}
 	moved.nextOrderAt = now
 }
--- a/internal/owner/planner.go
+++ b/internal/owner/planner.go
@@ -16,8 +16,8 @@
 	// Limited means that the worker itself has set that capacity as a limit, and that requests
 	// beyond it are not sent to the worker.
 	Limited bool
-	// Cold means that the worker is warming up or short of capacity for the time being. It is not
-	// given keys if other workers can take them.
+	// Cold means that the worker is warming up or temporarily lacks capacity. It is not given keys
+	// if other workers can take them.
 	Cold bool
 }
 
--- a/internal/peerlink/settled_test.go
+++ b/internal/peerlink/settled_test.go
@@ -17,11 +17,11 @@
 		state   ReadState
 		settled bool
 	}{
-		"leading for SettleTime":       {hub: &Hub{openedAt: long}, settled: true},
-		"just elected":                 {hub: &Hub{openedAt: now}},
-		"store unreachable":            {hub: &Hub{openedAt: long, storeUnreachable: true}},
-		"leadership uncertain":         {hub: &Hub{openedAt: long, leadershipUncertain: true}},
-		"entries may only have lapsed": {hub: &Hub{openedAt: long}, state: ReadState{SettleMillis: 100}},
+		"leading for SettleTime":        {hub: &Hub{openedAt: long}, settled: true},
+		"just elected":                  {hub: &Hub{openedAt: now}},
+		"store unreachable":             {hub: &Hub{openedAt: long, storeUnreachable: true}},
+		"leadership uncertain":          {hub: &Hub{openedAt: long, leadershipUncertain: true}},
+		"entries may only have expired": {hub: &Hub{openedAt: long}, state: ReadState{SettleMillis: 100}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.hub.settled(c.state, now), c.settled) })
 	}
--- a/internal/peerlink/update.go
+++ b/internal/peerlink/update.go
@@ -57,7 +57,7 @@
 }
 
 // settled reports whether this process, which must lead, has reached the key-value service for long
-// enough to know which workers are gone. The caller holds mu.
+// enough to know which workers have left. The caller holds mu.
 func (h *Hub) settled(state ReadState, now time.Time) bool {
 	return !h.storeUnreachable && !h.leadershipUncertain && state.SettleMillis == 0 && now.Sub(h.openedAt) >= workers.SettleTime
 }
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -52,7 +52,7 @@
 	ID       workers.ID     `json:"i"`
 	Gone     bool           `json:"g,omitempty"`
 	// Unreadable is why the entry, which still exists, no longer names a worker: it was overwritten
-	// by something other than a worker. Gone is set, too.
+	// by something other than a worker. Gone is set as well.
 	Unreadable *workers.EntryError `json:"u,omitempty"`
 	Service    routing.ServiceName `json:"s,omitempty"`
 	Address    string              `json:"a,omitempty"`
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -76,9 +76,9 @@
 	return err
 }
 
-// abortConnection aborts the connection to the caller, so that a truncated answer is not taken for a
-// complete one. For HTTP/1.0 the connection is reset, since there a regular close marks the end of
-// the answer.
+// abortConnection aborts the connection to the caller, so that a truncated answer does not count as
+// complete. For HTTP/1.0 the connection is reset, since there a regular close marks the end of the
+// answer.
 func (c *call) abortConnection() {
 	if !c.request.ProtoAtLeast(1, 1) {
 		if connection, _, err := http.NewResponseController(c.writer).Hijack(); err == nil {
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -19,7 +19,7 @@
 	// minCooldown and maxCooldown bound for how long a failing worker is not picked.
 	minCooldown = 300 * time.Millisecond
 	maxCooldown = 3 * time.Second
-	// fullCooldown is for how long a worker is not picked after it refused a request.
+	// fullCooldown is for how long a worker is not picked after it rejected a request.
 	fullCooldown = 30 * time.Millisecond
 	// unreachableCooldown is for how long no request is sent to an owner of keys after a connection
 	// attempt failed.
@@ -51,7 +51,7 @@
 	shares   fair.Ledger
 	failures int
 	// cooldownUntil is the time before which a failing worker is not picked, and fullUntil that for a
-	// worker that refused a request.
+	// worker that rejected a request.
 	cooldownUntil time.Time
 	fullUntil     time.Time
 	// limitUntil is the time before which the worker's own rate limit admits no more requests, in
--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -15,7 +15,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// requestsBackoff returns a script that refuses each request and requests a backoff of the given
+// requestsBackoff returns a script that rejects each request and requests a backoff of the given
 // seconds.
 func requestsBackoff(seconds string) script {
 	return func(connection net.Conn, request *http.Request) bool {
@@ -74,11 +74,11 @@
 		t.Run(reason+"/a retry", func(t *testing.T) {
 			var f *testProxy
 			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
-			refusing := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			rejecting := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				keepAway(f, other.entry("pool"))
-				return refuse(connection, request)
+				return reject(connection, request)
 			})
-			f = newTestProxy(t, refusing.entry("pool"), other.entry("pool"))
+			f = newTestProxy(t, rejecting.entry("pool"), other.entry("pool"))
 			f.proxy.fleet.get(other.entry("pool")).fullUntil = clock.Now().Add(100 * time.Millisecond)
 			response, _ := f.get(t, "POST", "/unsafe/", "b")
 			assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -176,8 +176,8 @@
 	return body
 }
 
-// limitedReader returns an error beyond its limit, so that a truncated body is never taken for a
-// complete one.
+// limitedReader returns an error beyond its limit, so that a truncated body never counts as
+// complete.
 type limitedReader struct {
 	reader io.Reader
 	// left is the number of bytes that may still be read.
--- a/internal/proxy/body_test.go
+++ b/internal/proxy/body_test.go
@@ -60,11 +60,11 @@
 	return response, string(content)
 }
 
-// A body that is too long to be buffered can't be sent again after a worker has refused the
+// A body that is too long to be buffered can't be sent again after a worker has rejected the
 // request. A second worker would get the beginning of the body and the part that the first worker
 // has not read, framed as a complete chunked body.
 func TestPartlyStreamedBodyIsNotResent(t *testing.T) {
-	once := refuseOnce()
+	once := rejectOnce()
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, _ := f.upload(t, "/up/", unsized{strings.NewReader(strings.Repeat("b", maxBufferedBody*3/2))}, -1)
@@ -75,7 +75,7 @@
 
 // A buffered body can be sent again.
 func TestRejectedBufferedBodyIsResentToAnotherWorker(t *testing.T) {
-	once := refuseOnce()
+	once := rejectOnce()
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	const length = 360_000
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -227,7 +227,7 @@
 // minRetryAfter is the shortest Retry-After delay that is sent to clients.
 const minRetryAfter = 50 * time.Millisecond
 
-// retryAfterRejection returns the Retry-After delay after the last worker refused the request:
+// retryAfterRejection returns the Retry-After delay after the last worker rejected the request:
 // minRetryAfter if that worker reported free slots, since it may well accept the next request and a
 // longer wait would make the caller miss its target needlessly; otherwise whenFull.
 func (c *call) retryAfterRejection(whenFull time.Duration) time.Duration {
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -134,8 +134,8 @@
 }
 
 // probe tests whether a worker has ended after it closed a connection with a request in progress:
-// overloaded workers reset connections too, and an answer may be interrupted. served tells whether
-// the worker was announced and not draining when it closed the connection.
+// overloaded workers reset connections too, and an answer may be interrupted. served reports
+// whether the worker was announced and not draining when it closed the connection.
 func (p *Proxy) probe(to *backend, served bool) {
 	bounded, cancel := context.WithTimeout(p.ending, probeTimeout)
 	defer cancel()
@@ -150,8 +150,9 @@
 }
 
 // workerEnded records that a worker has ended. Unless it was draining, it has crashed, and the
-// requests that were in progress there become suspects. The entry of a crashed worker may be gone
-// by the time of the probe; served tells what its state was before.
+// requests that were in progress there become suspects. The entry of a crashed worker may have been
+// removed by the time of the probe; served reports whether it was announced and not draining
+// before.
 func (p *Proxy) workerEnded(to *backend, served bool) {
 	if _, announced := p.fleet.directory.Get(to.id()); announced || !served {
 		served = p.wasServing(to)
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -55,7 +55,7 @@
 	}{
 		"crash":                        {run: crashWorker, state: workers.StateReady, crashed: 1},
 		"answer lost":                  {run: func(**fakeWorker) script { return reset }, state: workers.StateReady},
-		"refused for lack of capacity": {run: func(**fakeWorker) script { return refuse }, state: workers.StateReady},
+		"refused for lack of capacity": {run: func(**fakeWorker) script { return reject }, state: workers.StateReady},
 		"end of a draining worker":     {run: crashWorker, state: workers.StateDraining},
 	}
 	for name, test := range tests {
@@ -90,7 +90,7 @@
 }
 
 // The probe of a worker's address may happen after the worker's entry has been removed: probes are
-// rate-limited, and delayed further on a machine that is short of processor time. If the crash is
+// rate-limited, and delayed further on a machine with too little processor time. If the crash is
 // missed then, one more worker is sent the request that crashes workers.
 func TestCrashIsDetectedAfterEntryRemoval(t *testing.T) {
 	var w *fakeWorker
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// prune closes expired idle connections and removes the state of workers that are gone.
+// prune closes expired idle connections and removes the state of workers that have been removed.
 func (f *fleet) prune(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -9,7 +9,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// Limits enforces the rate limits that workers report, over all routers together. It is safe for
+// Limits enforces the rate limits that workers announce, over all routers together. It is safe for
 // concurrent use.
 type Limits interface {
 	// LimitedCount returns the number of workers with a rate limit, and IsLimited reports whether a
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -150,7 +150,7 @@
 	}{
 		"pool":                         {service: "pool", path: "/safe/", run: alwaysAnswer("x"), permits: 1},
 		"keyed":                        {service: "keyed", path: "/keyed/", run: alwaysAnswer("x"), permits: 1},
-		"resent to another worker":     {service: "pool", path: "/unsafe/", run: refuseOnce(), permits: 2},
+		"resent to another worker":     {service: "pool", path: "/unsafe/", run: rejectOnce(), permits: 2},
 		"resent after it may have run": {service: "pool", path: "/safe/", run: breakOnce(), permits: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// rejects returns a script that refuses requests and reports a load, but runs every runEvery-th request.
+// rejects returns a script that rejects requests and reports a load, but runs every runEvery-th
+// request.
 func rejects(load string, runEvery int32) script {
 	var count atomic.Int32
 	return func(connection net.Conn, request *http.Request) bool {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestUnsafeRequestThatDidNotRunIsRetried(t *testing.T) {
-	once := refuseOnce()
+	once := rejectOnce()
 	one, two := newFakeWorker(t, "w1", once), newFakeWorker(t, "w2", once)
 	f := newTestProxy(t, one.entry("pool"), two.entry("pool"))
 	response, body := f.get(t, "POST", "/unsafe/", "x")
@@ -66,7 +66,7 @@
 }
 
 func TestRefusedByAllWorkersReturns503WithRetryAfter(t *testing.T) {
-	w := newFakeWorker(t, "w1", refuse)
+	w := newFakeWorker(t, "w1", reject)
 	f := newTestProxy(t, w.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
@@ -248,7 +248,7 @@
 // Guards against overloading the owner of a hot key: one reset 5,000 connections that exceeded its
 // limit, and 850 requests that reached no worker were answered with status 502.
 func TestRejectingOwnerIsThrottled(t *testing.T) {
-	for name, script := range map[string]script{"resets": reset, "refuses all requests": refuse} {
+	for name, script := range map[string]script{"resets": reset, "refuses all requests": reject} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", script)
 			entry := w.entry("keyed")
--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -98,7 +98,7 @@
 		returned int
 	}{
 		"ran":             {alwaysAnswer("x"), 0},
-		"workers refused": {refuse, 1},
+		"workers refused": {reject, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _, quota := newQuotaProxy(t, 1, test.run)
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// A request is sent again to a refusing worker in the allowed region, and never to one in another
-// region.
-func TestRefusedRequestStaysInAllowedRegion(t *testing.T) {
-	inside, outside := newFakeWorker(t, "w1", refuse), newFakeWorker(t, "w2", alwaysAnswer("x"))
+// A request is sent again to a worker that rejected it, if it is in the allowed region, and never
+// to one in another region.
+func TestRejectedRequestStaysInAllowedRegion(t *testing.T) {
+	inside, outside := newFakeWorker(t, "w1", reject), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	abroad := outside.entry("pool")
 	abroad.Zone = "far"
 	f := newTestProxy(t, inside.entry("pool"), abroad)
--- a/internal/proxy/sendtracker.go
+++ b/internal/proxy/sendtracker.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxSends is the maximum number of sends of one request, including those that workers refused to
-	// run.
+	// maxSends is the maximum number of sends of one request, including those that workers rejected
+	// without running the request.
 	maxSends = 4
 	// maxUnsent is the maximum number of attempts in which nothing was sent.
 	maxUnsent = 5
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -262,7 +262,7 @@
 		if first.CompareAndSwap(false, true) {
 			close(received)
 			<-proceed
-			return refuse(connection, request)
+			return reject(connection, request)
 		}
 		answer(connection, request, http.StatusOK, "done")
 		return true
@@ -283,7 +283,7 @@
 	assert.Equal(t, w.received[1].Header.Get("X-Tenant"), "a")
 }
 
-// A process without a configuration can't tell whether a key is unknown.
+// A process without a configuration can't determine whether a key is unknown.
 func TestMissingConfigurationRejectsNoKey(t *testing.T) {
 	w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 	f := newTestProxy(t, w.entry("pool"))
--- a/internal/proxy/worker_test.go
+++ b/internal/proxy/worker_test.go
@@ -149,19 +149,19 @@
 	return false
 }
 
-// refuse is a script that answers that it did not run the request.
-func refuse(connection net.Conn, request *http.Request) bool {
+// reject is a script that answers that it did not run the request.
+func reject(connection net.Conn, request *http.Request) bool {
 	answer(connection, request, http.StatusServiceUnavailable, "", "X-Not-Run: 1")
 	return true
 }
 
-// refuseOnce returns a script that refuses the first request over all workers that share it, and
+// rejectOnce returns a script that rejects the first request over all workers that share it, and
 // answers the others.
-func refuseOnce() script {
+func rejectOnce() script {
 	var first atomic.Bool
 	return func(connection net.Conn, request *http.Request) bool {
 		if first.CompareAndSwap(false, true) {
-			return refuse(connection, request)
+			return reject(connection, request)
 		}
 		answer(connection, request, http.StatusOK, "done")
 		return true
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -14,7 +14,7 @@
 	node        string
 	incarnation int64
 	bound       Bound
-	// epoch is the origin of all durations that stand for times here.
+	// epoch is the origin of all times that are kept as durations here.
 	epoch time.Time
 	// reportTrigger receives a value when a report should be sent soon.
 	reportTrigger chan struct{}
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -94,7 +94,7 @@
 }
 
 // Guards against trust that never expires: while a relay was redirected to itself without end,
-// nothing invalidated its trust in earlier updates. Trust must expire by itself.
+// nothing invalidated its trust in earlier updates. Trust must also expire with time.
 func TestUpdateSourceExpires(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -72,7 +72,7 @@
 				continue
 			}
 			backoff.SleepAfter(ctx, clock.Since(began))
-		case found && r.hasEnded(ctx, leader):
+		case found && r.leaderHasEnded(ctx, leader):
 			r.proceedWithoutLeader(ctx)
 			paused = r.campaign(ctx, leader.Revision, paused)
 			continue
@@ -145,9 +145,9 @@
 	}
 }
 
-// hasEnded reports whether another process, or a later incarnation of the same, answers at the
-// leader's address: that proves that the leader's process has ended.
-func (r *Router) hasEnded(ctx context.Context, leader election.Leader) bool {
+// leaderHasEnded reports whether another process, or a later incarnation of the same, answers at
+// the leader's address: that proves that the leader's process has ended.
+func (r *Router) leaderHasEnded(ctx context.Context, leader election.Leader) bool {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	answer, ok := peerlink.QueryLeadership(bounded, leader.Address, 0)
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// A claim tells the next leader the shares that the previous one did not know to be held, for as
-// long as they may be in use. A lowered limit blocks the reserve.
+// A claim passes on to the next leader the shares that the previous one did not know to be held,
+// for as long as they may be in use. A lowered limit blocks the reserve.
 func TestReserveClaimsBuildOnThePreviousOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, store := newCutOffRouter(t)
--- a/internal/router/quotamembers.go
+++ b/internal/router/quotamembers.go
@@ -20,8 +20,8 @@
 	revision coord.Revision
 }
 
-// awaitMembers tells the coordinator which routers may have units from previous leaders; false if
-// ctx ended first.
+// awaitMembers reads which routers may have units from previous leaders, and passes them to the
+// coordinator; false if ctx ended first.
 func (q *quotas) awaitMembers(ctx context.Context, coordinator *quota.Coordinator) (storedMembers, bool) {
 	for ctx.Err() == nil {
 		item, found, err := q.getMembers(ctx)
--- a/internal/router/suspension.go
+++ b/internal/router/suspension.go
@@ -9,7 +9,7 @@
 )
 
 // watchSuspension detects when the machine was suspended, until ctx ends. State that expires by
-// time does so by itself, since clock.Now advances during a suspension; other state is invalidated
+// time needs no action, since clock.Now advances during a suspension; other state is invalidated
 // here.
 func (r *Router) watchSuspension(ctx context.Context) {
 	if !clock.CountsSuspension() {
--- a/internal/router/unknownzones.go
+++ b/internal/router/unknownzones.go
@@ -9,7 +9,7 @@
 )
 
 // unknownZones tracks zones of workers for which the settings name no region. Each counts as a
-// region by itself, and is logged once. It is safe for concurrent use.
+// separate region, and is logged once. It is safe for concurrent use.
 type unknownZones struct {
 	mu     sync.Mutex
 	logged map[topology.Zone]bool
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -45,7 +45,7 @@
 	seenByPeer = "told"
 )
 
-// workerLimits enforces the rate limits that workers declare. Before a request is sent to such a
+// workerLimits enforces the rate limits that workers announce. Before a request is sent to such a
 // worker, it asks the leader for a permit; while this process leads, it grants permits to others.
 // It implements proxy.Limits.
 type workerLimits struct {
@@ -217,7 +217,7 @@
 	}
 }
 
-// forget drops the limits of workers that are gone.
+// forget drops the limits of workers that have had no entry for limitRetention.
 func (l *workerLimits) forget() {
 	l.limiter.Forget(clock.Now(), func(id workers.ID) bool {
 		_, announced := l.r.workers.Get(id)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -71,7 +71,7 @@
 }
 
 // Service describes how requests are sent to a service's workers. A limit of zero means that the
-// service sets none of its own.
+// service sets none.
 type Service struct {
 	Name ServiceName
 	// Connections is the maximum number that one worker accepts from all callers.
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -57,7 +57,7 @@
 	return m
 }
 
-// Region returns a zone's region. An unknown zone is a region of its own: if it were assumed to be
+// Region returns a zone's region. An unknown zone is a separate region: if it were assumed to be
 // near, it would be sent more than the link between regions can carry. A map without zones has a
 // single region, which has no name.
 func (m Map) Region(zone Zone) Region {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// classify distinguishes a worker's answer from its refusal.
+// classify distinguishes a worker's answer from a rejection.
 func (e *exchange) classify(response *http.Response) Outcome {
 	answeredBy := response.Header.Get(e.headers.Worker)
 	switch {
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -29,7 +29,7 @@
 	// the worker's normal one.
 	Load string
 	// Limit is the maximum number of requests per second that the worker accepts from all routers
-	// together, as a decimal number. It is sent by workers that are short of capacity.
+	// together, as a decimal number. It is sent by workers that lack capacity.
 	Limit string
 	// Leaving is present in all answers of a worker that is leaving.
 	Leaving string
--- a/internal/upstream/notice.go
+++ b/internal/upstream/notice.go
@@ -17,7 +17,7 @@
 	Limit Limit
 	// Leaving is set if the worker is leaving. It applies to the rest of the worker's incarnation.
 	Leaving bool
-	// Backoff is the backoff that the worker requests from this process when it refuses a request.
+	// Backoff is the backoff that the worker requests from this process when it rejects a request.
 	Backoff Backoff
 }
 
@@ -46,7 +46,7 @@
 }
 
 // HasFreeSlot reports whether the load was reported and the worker has a free slot. If such a
-// worker still refuses a request, the reason is not a lack of slots, and it may accept the next
+// worker still rejects a request, the reason is not a lack of slots, and it may accept the next
 // one.
 func (l Load) HasFreeSlot(reported bool) bool {
 	return reported && l.Waiting == 0 && l.Running < l.Slots
@@ -92,7 +92,7 @@
 	PerSecond float64
 }
 
-// LimitStatus tells whether an answer contains a limit.
+// LimitStatus is whether an answer contains a limit.
 type LimitStatus int
 
 const (
@@ -143,7 +143,7 @@
 	Duration time.Duration
 }
 
-// BackoffStatus tells whether a worker requests a backoff.
+// BackoffStatus is whether a worker requests a backoff.
 type BackoffStatus int
 
 const (
--- a/internal/upstream/notice_test.go
+++ b/internal/upstream/notice_test.go
@@ -75,14 +75,14 @@
 		answeredBy string
 		want       Notice
 	}{
-		"answer of the target":        {status: http.StatusOK, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"refusal of the target":       {status: http.StatusServiceUnavailable, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
-		"refusal without a worker ID": {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
-		"too many requests":           {status: http.StatusTooManyRequests, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"misdirected, by the target":  {status: http.StatusMisdirectedRequest, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
-		"misdirected, by another":     {status: http.StatusMisdirectedRequest, answeredBy: "x"},
-		"refusal of another worker":   {status: http.StatusServiceUnavailable, answeredBy: "x"},
-		"answer of another worker":    {status: http.StatusOK, answeredBy: "x"},
+		"answer of the target":          {status: http.StatusOK, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"rejection by the target":       {status: http.StatusServiceUnavailable, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"rejection without a worker ID": {status: http.StatusServiceUnavailable, want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true, Backoff: Backoff{Status: BackoffRequested, Duration: 3 * time.Second}}},
+		"too many requests":             {status: http.StatusTooManyRequests, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"misdirected, by the target":    {status: http.StatusMisdirectedRequest, answeredBy: "w", want: Notice{Limit: Limit{Status: Limited, PerSecond: 2}, Leaving: true}},
+		"misdirected, by another":       {status: http.StatusMisdirectedRequest, answeredBy: "x"},
+		"rejection by another worker":   {status: http.StatusServiceUnavailable, answeredBy: "x"},
+		"answer of another worker":      {status: http.StatusOK, answeredBy: "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			response := &http.Response{StatusCode: test.status, Header: http.Header{"Limit": {"2"}, "Leaving": {"1"}, "Retry-After": {"3"}}}
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -50,7 +50,7 @@
 	streamEnd <-chan error
 	released  <-chan struct{}
 	cancel    context.CancelFunc
-	// Notice is the information about the worker in its answer or refusal.
+	// Notice is the information about the worker in its answer or rejection.
 	Notice
 	// SentAt is when the send began.
 	SentAt time.Time
--- a/internal/workerlimit/limiter.go
+++ b/internal/workerlimit/limiter.go
@@ -69,8 +69,8 @@
 	return Permit{Granted: granted, Wait: wait, Updated: updated}, true
 }
 
-// Forget removes the facts about workers that are gone, and limits that ended more than
-// endedRetention ago, and the pacing state of workers that have no limit.
+// Forget removes the facts about workers for which gone returns true, and limits that ended more
+// than endedRetention ago, and the pacing state of workers that have no limit.
 func (l *Limiter) Forget(now time.Time, gone func(workers.ID) bool) {
 	l.table.Forget(now, gone)
 	l.mu.Lock()
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -89,13 +89,13 @@
 	perSecond   float64
 	limited     bool
 	// limits are those that it has announced.
-	limits   []namedLimit
+	limits   []announcedLimit
 	arrivals []arrival
 }
 
-// namedLimit is a limit announced between from and to; since is when the uninterrupted series of
-// limits began that it is part of.
-type namedLimit struct {
+// announcedLimit is a limit announced between from and to; since is when the uninterrupted series
+// of limits began that it is part of.
+type announcedLimit struct {
 	perSecond       float64
 	since, from, to time.Time
 }
@@ -286,7 +286,7 @@
 	}
 	s.worker.perSecond, s.worker.limited = perSecond, limited
 	if limited {
-		s.worker.limits = append(s.worker.limits, namedLimit{perSecond: perSecond, since: since, from: s.now})
+		s.worker.limits = append(s.worker.limits, announcedLimit{perSecond: perSecond, since: since, from: s.now})
 	}
 }
 
--- a/internal/workerlimit/table.go
+++ b/internal/workerlimit/table.go
@@ -39,8 +39,8 @@
 	return fact.Rate, true
 }
 
-// Forget removes the facts about workers that are gone, and limits that ended more than
-// endedRetention ago.
+// Forget removes the facts about workers for which gone returns true, and limits that ended more
+// than endedRetention ago.
 func (t Table) Forget(now time.Time, gone func(workers.ID) bool) {
 	t.Table.Forget(func(fact Fact) bool {
 		return gone(fact.Worker.ID) || (fact.Ended && now.Sub(fact.At) > endedRetention)
--- a/internal/workerlimit/table_test.go
+++ b/internal/workerlimit/table_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// nameLimit merges a limit that a response announced at a time.
-func nameLimit(t Table, now time.Time, worker workers.Incarnation, perSecond float64) bool {
+// mergeLimit merges a limit that a response announced at a time.
+func mergeLimit(t Table, now time.Time, worker workers.Incarnation, perSecond float64) bool {
 	return t.Merge(Fact{Worker: worker, Rate: perSecond, At: now})
 }
 
@@ -39,13 +39,13 @@
 		"not a response to an earlier request":           {update: func(t Table) { endLimit(t, at(9), first) }, of: first, limited: true},
 		"another incarnation of the worker":              {update: func(Table) {}, of: second},
 		"not an incarnation whose start is unknown":      {update: func(Table) {}, of: workers.Incarnation{ID: "w"}, limited: true},
-		"not an earlier announcement that arrives later": {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(10.5), first, 3) }, of: first},
-		"announced again":                                {update: func(t Table) { endLimit(t, at(11), first); nameLimit(t, at(12), first, 3) }, of: first, limited: true},
+		"not an earlier announcement that arrives later": {update: func(t Table) { endLimit(t, at(11), first); mergeLimit(t, at(10.5), first, 3) }, of: first},
+		"announced again":                                {update: func(t Table) { endLimit(t, at(11), first); mergeLimit(t, at(12), first, 3) }, of: first, limited: true},
 		"not a response of another worker":               {update: func(t Table) { endLimit(t, at(11), workers.Incarnation{ID: "x"}) }, of: first, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
-			assert.Assert(t, nameLimit(table, at(10), first, 2.5))
+			assert.Assert(t, mergeLimit(table, at(10), first, 2.5))
 			test.update(table)
 			_, limited := table.Rate(test.of)
 			assert.Equal(t, limited, test.limited)
@@ -55,13 +55,13 @@
 
 func TestLatestLimitHolds(t *testing.T) {
 	table, worker := NewTable(), workers.Incarnation{ID: "w"}
-	assert.Assert(t, nameLimit(table, at(1), worker, 5))
-	assert.Assert(t, !nameLimit(table, at(2), worker, 4.9)) // equivalent to the published rate
+	assert.Assert(t, mergeLimit(table, at(1), worker, 5))
+	assert.Assert(t, !mergeLimit(table, at(2), worker, 4.9)) // equivalent to the published rate
 	rate, _ := table.Rate(worker)
 	assert.Equal(t, rate, 4.9)
-	assert.Assert(t, !nameLimit(table, at(3), worker, 4.6))
-	assert.Assert(t, nameLimit(table, at(4), worker, 4.4)) // small steps add up
-	assert.Assert(t, !nameLimit(table, at(2), worker, 1))  // arrives late
+	assert.Assert(t, !mergeLimit(table, at(3), worker, 4.6))
+	assert.Assert(t, mergeLimit(table, at(4), worker, 4.4)) // small steps add up
+	assert.Assert(t, !mergeLimit(table, at(2), worker, 1))  // arrives late
 	rate, _ = table.Rate(worker)
 	assert.Equal(t, rate, 4.4)
 }
@@ -69,7 +69,7 @@
 func TestForget(t *testing.T) {
 	table := NewTable()
 	for _, id := range []workers.ID{"gone", "ended", "stays"} {
-		nameLimit(table, at(0), workers.Incarnation{ID: id}, 1)
+		mergeLimit(table, at(0), workers.Incarnation{ID: id}, 1)
 	}
 	endLimit(table, at(1), workers.Incarnation{ID: "ended"})
 	table.Forget(at(2).Add(endedRetention), func(id workers.ID) bool { return id == "gone" })
--- a/internal/workers/entry.go
+++ b/internal/workers/entry.go
@@ -65,7 +65,7 @@
 }
 
 // Unreadable reports whether a worker's entry exists but does not describe a usable worker. Such a
-// worker counts as gone, and the next entry that it writes itself restores it.
+// worker counts as removed, and the next entry that it writes itself restores it.
 func (d *Directory) Unreadable(id ID) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/workers/leaving.go
+++ b/internal/workers/leaving.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// pruneLeaving forgets the reports of workers that have been gone for a long time. The caller holds
-// mu.
+// pruneLeaving forgets the reports of workers that have had no entry for a long time. The caller
+// holds mu.
 func (d *Directory) pruneLeaving() {
 	for incarnation, since := range d.leaving {
 		_, announced := d.byID[incarnation.ID]
--- a/internal/workers/settling.go
+++ b/internal/workers/settling.go
@@ -53,7 +53,7 @@
 }
 
 // EndSettling records that other processes could reach the service: workers whose entries vanished
-// are gone.
+// are removed.
 func (d *Directory) EndSettling() {
 	d.mu.Lock()
 	d.own, d.peer = settling{}, settling{}
@@ -126,8 +126,9 @@
 	}
 }
 
-// removeExpired removes the kept workers whose time is over, and returns them. They count as gone
-// since their entries vanished: the time for which requests may still reach them counts from then.
+// removeExpired removes the kept workers whose time is over, and returns them. They count as
+// removed since their entries vanished: the time for which requests may still reach them counts
+// from then.
 func (d *Directory) removeExpired() []ID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -47,7 +47,7 @@
 	// usable are those workers that are ready and not in an evacuated zone.
 	usable  map[routing.ServiceName][]Worker
 	version uint64
-	// goneAt is when a worker's entry was seen to be gone.
+	// goneAt is when a worker's entry was found to have vanished.
 	goneAt map[ID]time.Time
 	// listed is set once a list has been read. firstLookup is when a worker that was in no list was
 	// looked up first.
@@ -75,9 +75,9 @@
 
 // Vanished are the workers whose entries vanished with a change of the list.
 type Vanished struct {
-	// Gone are removed.
+	// Gone are the workers that were removed.
 	Gone []ID
-	// Kept stay for now, since their entries may merely have expired.
+	// Kept are the workers that stay for now, since their entries may merely have expired.
 	Kept []ID
 }
 
@@ -247,7 +247,7 @@
 	return worker, known
 }
 
-// GoneAt returns when a worker's entry was seen to be gone; false if that is not known.
+// GoneAt returns when a worker's entry was found to have vanished; false if that is not known.
 func (d *Directory) GoneAt(id ID) (time.Time, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -255,10 +255,10 @@
 	return at, known
 }
 
-// GoneFor returns for how long a worker has had no entry: since the entry was seen to be gone or,
-// if it was never seen, since the worker was looked up here first. It is zero until a list has been
-// read. Without counting from the first lookup, an owner of keys that left before this process
-// started got requests without end.
+// GoneFor returns for how long a worker has had no entry: since the entry was found to have
+// vanished or, if it was never known, since the worker was looked up here first. It is zero until a
+// list has been read. Without counting from the first lookup, an owner of keys that left before
+// this process started got requests without end.
 func (d *Directory) GoneFor(id ID) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
