--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -13,7 +13,7 @@
 	h := NewHolder(now, "node", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
 	h.SetTenants(tenants(tenant))
 	units := h.bound.Allowed(tenant)
-	h.ApplyGrant(now, Grant{Node: "node", Incarnation: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{tenant.Name: {units, units, 0}}})
+	h.ApplyGrant(now, Grant{Node: "node", StartTime: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{tenant.Name: {units, units, 0}}})
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Acquire(now, tenant)
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -86,8 +86,8 @@
 
 // member is a router that has reported what it holds.
 type member struct {
-	node        string
-	incarnation int64
+	node      string
+	startTime int64
 	// leaseEnd and floorLeaseEnd are when the router's leases end at the latest.
 	leaseEnd, floorLeaseEnd time.Time
 	// stamp is the newest one received, at stampReceivedAt; echoedStamp is the newest one that was
@@ -120,9 +120,9 @@
 
 // fullReportRequest is the state of a request for a full report. due is true if it must be sent.
 type fullReportRequest struct {
-	incarnation int64
-	sentAt      time.Time
-	due         bool
+	startTime int64
+	sentAt    time.Time
+	due       bool
 }
 
 // expiringUnits are units that are outstanding until a time; floorUnits of them are floors.
@@ -194,7 +194,7 @@
 		}
 		c.pools[name] = p
 		for _, m := range c.members { // they may hold credits of a previous leader, or of this one before the limit was removed
-			c.requestFullReport(m.node, m.incarnation)
+			c.requestFullReport(m.node, m.startTime)
 		}
 		return
 	}
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -19,7 +19,7 @@
 		}
 		if request.due {
 			request.due, request.sentAt = false, now
-			grants = append(grants, Grant{Node: node, Incarnation: request.incarnation, Term: c.term, FullReport: true})
+			grants = append(grants, Grant{Node: node, StartTime: request.startTime, Term: c.term, FullReport: true})
 		}
 	}
 	return grants
@@ -59,7 +59,7 @@
 		m.echoedStamp = m.stamp
 		m.leaseEnd, m.floorLeaseEnd = m.stampReceivedAt.Add(Lease), m.stampReceivedAt.Add(FloorLease)
 	}
-	grant := Grant{Node: m.node, Incarnation: m.incarnation, Term: c.term, Stamp: m.stamp}
+	grant := Grant{Node: m.node, StartTime: m.startTime, Term: c.term, Stamp: m.stamp}
 	if left := c.withheldUntil().Sub(now); left > 0 && !c.firstLeader {
 		grant.WithheldMillis = left.Milliseconds()
 	}
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -11,9 +11,9 @@
 // Holder is the router's side: it holds credits and spends their units. It is safe for concurrent
 // use.
 type Holder struct {
-	node        string
-	incarnation int64
-	bound       Bound
+	node      string
+	startTime int64
+	bound     Bound
 	// epoch is the origin of all times that are kept as durations here.
 	epoch time.Time
 	// reportTrigger receives a value when a report should be sent soon.
@@ -61,9 +61,9 @@
 }
 
 // NewHolder returns the holder of a router that holds nothing yet.
-func NewHolder(now time.Time, node string, incarnation int64, bound Bound) *Holder {
+func NewHolder(now time.Time, node string, startTime int64, bound Bound) *Holder {
 	h := &Holder{
-		node: node, incarnation: incarnation, bound: bound, epoch: now, reportTrigger: make(chan struct{}, 1),
+		node: node, startTime: startTime, bound: bound, epoch: now, reportTrigger: make(chan struct{}, 1),
 		accounts: map[routing.TenantName]*account{}, fullReportDue: true,
 	}
 	h.Linked()
@@ -241,7 +241,7 @@
 func (h *Holder) ApplyGrant(now time.Time, grant Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if grant.Term < h.term || grant.Node != h.node || grant.Incarnation != h.incarnation {
+	if grant.Term < h.term || grant.Node != h.node || grant.StartTime != h.startTime {
 		return
 	}
 	if grant.Term > h.term {
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -15,7 +15,7 @@
 	began := time.Unix(1000, 0)
 	h := NewHolder(began, "n", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
 	h.SetTenants(tenants(tenant))
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
+	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 1, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{
 		tenant.Name: {50, h.bound.Allowed(tenant), 5},
 	}})
 	return h, began
@@ -51,12 +51,12 @@
 func TestRenewedLeaseRestoresNoExpiredCredit(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, FullReport: true})
+	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 2, FullReport: true})
 	at := began.Add(2 * Lease)
 	report := h.Report(at)
 	assert.Assert(t, report.Full)
 	assert.Equal(t, report.Tenants["t"].credit(), 5)
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Stamp: report.Stamp})
+	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 2, Stamp: report.Stamp})
 	assert.Equal(t, takeAll(h, at, tenant), 5)
 }
 
@@ -69,7 +69,7 @@
 	h.RecordSent(began, began.Add(3*time.Second), tenant)
 	h.Release(began, tenant)
 	assert.Equal(t, takeAll(h, began.Add(3*time.Second), tenant), 1)
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 1, Stamp: 5000})
+	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 1, Stamp: 5000})
 	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
 }
 
@@ -96,7 +96,7 @@
 func TestLaterLeaderReplacesEarlierCredits(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
-	h.ApplyGrant(began, Grant{Node: "n", Incarnation: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
+	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
 	assert.Equal(t, takeAll(h, began, tenant), 0)
 }
 
@@ -128,7 +128,7 @@
 	bound := Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 	c := NewCoordinator(now, 1, true, bound)
 	c.SetTenants(now, tenants(tenant))
-	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Stamp: 1, Full: true})
+	c.HandleReport(now, Report{Node: "n", StartTime: 1, Sequence: 1, Stamp: 1, Full: true})
 	first := c.Tick(now, true, 1)
 	assert.Equal(t, len(first), 1)
 	now = now.Add(resendAfter)
@@ -136,6 +136,6 @@
 	assert.Equal(t, len(again), 1)
 	given := again[0].Credits["t"].units()
 	assert.Assert(t, given > 0)
-	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
+	c.HandleReport(now, Report{Node: "n", StartTime: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
 	assert.Assert(t, c.pools["t"].outstanding >= given)
 }
--- a/internal/quota/members.go
+++ b/internal/quota/members.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Members are the routers that leaders may have granted units, with their incarnations. A router is
-// stored before it is granted any units, so that the next leader knows which reports to expect:
-// once each member has reported what it holds, or has started a later incarnation, no other router
-// holds units, and only units that were spent in ended incarnations stay in use, for the reuse
-// delay.
+// Members are the routers that leaders may have granted units, with the start times of their
+// incarnations. A router is stored before it is granted any units, so that the next leader knows
+// which reports to expect: once each member has reported what it holds, or has started a later
+// incarnation, no other router holds units, and only units that were spent in ended incarnations
+// stay in use, for the reuse delay.
 type Members map[string]int64
 
 // membershipState is the state of a leader's view of the stored members.
@@ -30,8 +30,9 @@
 	state membershipState
 	// previous are the members that previous leaders stored, and stored the current ones.
 	previous, stored Members
-	// joined are the routers that have reported to this leader, with their newest incarnations, and
-	// heldUntil is when the units of those that are lost end at the latest.
+	// joined are the routers that have reported to this leader, with the start times of their
+	// newest incarnations, and heldUntil is when the units of those that are lost end at the
+	// latest.
 	joined    Members
 	heldUntil map[string]time.Time
 	// startedBy is when the newest incarnations of joined routers had started at the latest.
@@ -80,8 +81,8 @@
 		return nil
 	}
 	missing := false
-	for node, incarnation := range c.membership.joined {
-		missing = missing || c.membership.stored[node] != incarnation
+	for node, startTime := range c.membership.joined {
+		missing = missing || c.membership.stored[node] != startTime
 	}
 	if !missing {
 		return nil
@@ -111,14 +112,14 @@
 
 // mayGrant reports whether a router may be granted units.
 func (c *Coordinator) mayGrant(m *member) bool {
-	return c.membership.state == membersUnrecorded || c.membership.state == membersRecorded && c.membership.stored[m.node] == m.incarnation
+	return c.membership.state == membersUnrecorded || c.membership.state == membersRecorded && c.membership.stored[m.node] == m.startTime
 }
 
 // recordJoined records that a router has reported what it holds.
 func (c *Coordinator) recordJoined(now time.Time, report Report) {
 	k := &c.membership
-	if report.Incarnation >= k.joined[report.Node] {
-		k.joined[report.Node], k.startedBy[report.Node] = report.Incarnation, report.startedBy(now)
+	if report.StartTime >= k.joined[report.Node] {
+		k.joined[report.Node], k.startedBy[report.Node] = report.StartTime, report.startedBy(now)
 	}
 	delete(k.heldUntil, report.Node)
 	c.updateAllReported()
@@ -137,8 +138,8 @@
 		return
 	}
 	lastEnded := time.Time{}
-	for node, incarnation := range k.previous {
-		if k.joined[node] < incarnation {
+	for node, startTime := range k.previous {
+		if k.joined[node] < startTime {
 			return
 		}
 		// An earlier incarnation may have ended when this one started, even if this one is the
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -7,10 +7,10 @@
 
 // Report is a router's report to the leader.
 type Report struct {
-	// Node names the router. Incarnation is when its process started, in milliseconds: a later
-	// incarnation proves that the earlier one has ended.
-	Node        string `json:"n"`
-	Incarnation int64  `json:"l"`
+	// Node names the router. StartTime is when its process started, in milliseconds, and identifies
+	// the incarnation: a later one proves that the earlier one has ended.
+	Node      string `json:"n"`
+	StartTime int64  `json:"l"`
 	// Term is that of the leader whose credits the router holds.
 	Term owner.Term `json:"t,omitempty"`
 	// Sequence numbers the router's reports, so that the leader detects lost ones.
@@ -53,9 +53,9 @@
 
 // Grant is the leader's message to one router.
 type Grant struct {
-	Node        string     `json:"n"`
-	Incarnation int64      `json:"l"`
-	Term        owner.Term `json:"t"`
+	Node      string     `json:"n"`
+	StartTime int64      `json:"l"`
+	Term      owner.Term `json:"t"`
 	// Sequence numbers the grants to this router. Each includes all credits that the router has not
 	// acknowledged.
 	Sequence uint64 `json:"q,omitempty"`
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -26,7 +26,7 @@
 	at := now.Sub(h.epoch)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	report := Report{Node: h.node, Incarnation: h.incarnation, Term: h.term, Ack: h.applied, Stamp: max(1, at.Milliseconds()), Full: h.fullReportDue}
+	report := Report{Node: h.node, StartTime: h.startTime, Term: h.term, Ack: h.applied, Stamp: max(1, at.Milliseconds()), Full: h.fullReportDue}
 	for name, a := range h.accounts {
 		a.window.advance(at)
 		if use := h.tenantReport(a, at); use != nil {
--- a/internal/quota/reports.go
+++ b/internal/quota/reports.go
@@ -12,8 +12,8 @@
 		return
 	}
 	m := c.members[report.Node]
-	if m != nil && m.incarnation != report.Incarnation {
-		if report.Incarnation < m.incarnation {
+	if m != nil && m.startTime != report.StartTime {
+		if report.StartTime < m.startTime {
 			return
 		}
 		c.memberRestarted(report.startedBy(now), m)
@@ -22,14 +22,14 @@
 	neverGranted := report.Term == 0 && report.Full // no leader has granted it anything in this incarnation
 	switch {
 	case report.Term < c.term && !neverGranted, m == nil && !report.Full:
-		c.requestFullReport(report.Node, report.Incarnation)
+		c.requestFullReport(report.Node, report.StartTime)
 		return
 	case m == nil:
 		m = c.join(now, report)
 	case report.Sequence <= m.lastReport:
 		return
 	case report.Sequence != m.lastReport+1 && !report.Full:
-		c.requestFullReport(report.Node, report.Incarnation)
+		c.requestFullReport(report.Node, report.StartTime)
 		return
 	}
 	if report.Full {
@@ -41,17 +41,17 @@
 }
 
 // requestFullReport asks a router for a full report with the next grants.
-func (c *Coordinator) requestFullReport(node string, incarnation int64) {
-	if request := c.fullReportRequests[node]; request != nil && request.incarnation >= incarnation {
+func (c *Coordinator) requestFullReport(node string, startTime int64) {
+	if request := c.fullReportRequests[node]; request != nil && request.startTime >= startTime {
 		return
 	}
-	c.fullReportRequests[node] = &fullReportRequest{incarnation: incarnation, due: true}
+	c.fullReportRequests[node] = &fullReportRequest{startTime: startTime, due: true}
 }
 
 // join adds a router as a member. What it holds was granted by a previous leader.
 func (c *Coordinator) join(now time.Time, report Report) *member {
 	m := &member{
-		node: report.Node, incarnation: report.Incarnation, leaseEnd: now.Add(Lease), floorLeaseEnd: now.Add(FloorLease),
+		node: report.Node, startTime: report.StartTime, leaseEnd: now.Add(Lease), floorLeaseEnd: now.Add(FloorLease),
 		holdings: map[routing.TenantName]*holding{},
 	}
 	c.members[m.node] = m
--- a/internal/quota/reserve_test.go
+++ b/internal/quota/reserve_test.go
@@ -72,7 +72,7 @@
 				c.MarkBusy(tenant.Name)
 			}
 			credit := int(test.reported * float64(bound.Allocatable(tenant, false)))
-			c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 0, credit}}})
+			c.HandleReport(now, Report{Node: "n", StartTime: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 0, credit}}})
 			assert.Assert(t, !c.ReserveClaimDue(now))
 			assert.Assert(t, c.ReserveClaimDue(now.Add(reportGracePeriod)))
 			got := c.Unreported(UnreportedShares{Tenants: map[routing.TenantName]float64{tenant.Name: test.prior}}).share(tenant.Name)
@@ -91,7 +91,7 @@
 	c := NewCoordinator(now, 2, false, bound)
 	c.SetTenants(now, tenants(tenant))
 	c.MarkBusy(tenant.Name)
-	c.HandleReport(now, Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
+	c.HandleReport(now, Report{Node: "n", StartTime: 1, Sequence: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
 	later := now.Add(bound.TakeoverDelay() + time.Second)
 	p := c.pools[tenant.Name]
 	p.floorUnits = 100
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -96,8 +96,8 @@
 	c := NewCoordinator(now, 1, true, bound)
 	c.SetTenants(now, tenants(tenant))
 	c.AwaitMembers()
-	reportFrom := func(node string, incarnation int64) {
-		c.HandleReport(now, Report{Node: node, Incarnation: incarnation, Sequence: 1, Stamp: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
+	reportFrom := func(node string, startTime int64) {
+		c.HandleReport(now, Report{Node: node, StartTime: startTime, Sequence: 1, Stamp: 1, Full: true, Tenants: map[routing.TenantName]TenantReport{tenant.Name: {0, 9, 0}}})
 	}
 	outstanding := func() int {
 		c.Tick(now, true, 2)
@@ -121,8 +121,8 @@
 	next.SetTenants(now, tenants(tenant))
 	next.AwaitMembers()
 	next.MembersLoaded(Members{"a": 2, "b": 1})
-	reportToNext := func(node string, incarnation int64) {
-		next.HandleReport(now, Report{Node: node, Incarnation: incarnation, Sequence: 1, Stamp: 9000, Full: true})
+	reportToNext := func(node string, startTime int64) {
+		next.HandleReport(now, Report{Node: node, StartTime: startTime, Sequence: 1, Stamp: 9000, Full: true})
 	}
 	reportToNext("a", 1)
 	reportToNext("b", 7)
@@ -157,7 +157,7 @@
 			c.AwaitMembers()
 			c.MembersLoaded(stored)
 			for node, stamp := range map[string]int64{"a": 4000, "b": 1000} { // b started a second ago
-				c.HandleReport(now, Report{Node: node, Incarnation: 2, Sequence: 1, Stamp: stamp, Full: true})
+				c.HandleReport(now, Report{Node: node, StartTime: 2, Sequence: 1, Stamp: stamp, Full: true})
 			}
 			p, restarted := c.pools[tenant.Name], now.Add(-time.Second)
 			assert.Equal(t, c.maxOutstanding(restarted.Add(bound.reuseDelay()-time.Millisecond), p), 0)
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -53,7 +53,7 @@
 	node        string
 	holder      *Holder
 	tenant      *routing.Tenant
-	incarnation int64
+	startTime   int64
 	leader      int
 	partitioned bool
 	// frozenUntil is the time until which the router does nothing, as if its machine were suspended.
@@ -109,8 +109,8 @@
 
 // startRouter starts a new incarnation of a router.
 func (s *simulation) startRouter(r *testRouter) {
-	r.incarnation++
-	r.holder = NewHolder(s.now, r.node, r.incarnation, s.bound)
+	r.startTime++
+	r.holder = NewHolder(s.now, r.node, r.startTime, s.bound)
 	r.tenant, r.leader = s.tenant, len(s.leaders)-1
 	r.frozenUntil = time.Time{}
 	r.holder.SetTenants(tenants(r.tenant))
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -26,11 +26,11 @@
 // quotas enforces tenants' request limits: it manages this router's units and, while it leads,
 // coordinates those of all routers. It implements proxy.Quota.
 type quotas struct {
-	r           *Router
-	holder      *quota.Holder
-	node        string
-	incarnation int64
-	bound       quota.Bound
+	r         *Router
+	holder    *quota.Holder
+	node      string
+	startTime int64
+	bound     quota.Bound
 	// wake receives a token when routers have sent reports.
 	wake chan struct{}
 
@@ -46,10 +46,10 @@
 func newQuotas(r *Router) *quotas {
 	limits := r.settings.Quota
 	q := &quotas{
-		r: r, node: r.settings.Node, incarnation: clock.Now().UnixMilli(), wake: make(chan struct{}, 1),
+		r: r, node: r.settings.Node, startTime: clock.Now().UnixMilli(), wake: make(chan struct{}, 1),
 		bound: quota.Bound{Window: limits.Window.Std(), Overshoot: limits.Overshoot, Slack: limits.Slack},
 	}
-	q.holder = quota.NewHolder(clock.Now(), q.node, q.incarnation, q.bound)
+	q.holder = quota.NewHolder(clock.Now(), q.node, q.startTime, q.bound)
 	return q
 }
 
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -71,7 +71,7 @@
 	q := &quotas{holder: quota.NewHolder(now, "n", 1, quota.Bound{Window: 5 * time.Second})}
 	q.holder.SetTenants(map[routing.TenantName]*routing.Tenant{"a": tenant})
 	q.holder.ApplyGrant(now, quota.Grant{
-		Node: "n", Incarnation: 1, Term: 1, Sequence: 1, Stamp: int64(time.Hour / time.Millisecond),
+		Node: "n", StartTime: 1, Term: 1, Sequence: 1, Stamp: int64(time.Hour / time.Millisecond),
 		Credits: map[routing.TenantName]quota.Credit{"a": {5_000_000_001, 5_000_000_001, 0}},
 	})
 	b.ReportAllocs()
--- a/internal/router/quotamarks_test.go
+++ b/internal/router/quotamarks_test.go
@@ -78,6 +78,6 @@
 	r.quotas.mu.Lock()
 	defer r.quotas.mu.Unlock()
 	now := clock.Now()
-	coordinator.HandleReport(now, quota.Report{Node: "n", Incarnation: 1, Sequence: 1, Full: true, Stamp: 1, Tenants: map[routing.TenantName]quota.TenantReport{"a": {44, 0, 45}}})
+	coordinator.HandleReport(now, quota.Report{Node: "n", StartTime: 1, Sequence: 1, Full: true, Stamp: 1, Tenants: map[routing.TenantName]quota.TenantReport{"a": {44, 0, 45}}})
 	coordinator.Tick(now, true, 1)
 }
