--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,6 +1,6 @@
-// Package decision writes one log line for each decision that touches a request
-// or changes what the process believes, within a budget a second for each kind.
-// Writing never blocks: lines that find no room are dropped and counted.
+// Package decision writes one log line for each decision that affects a request or changes
+// the state of the process, with a rate limit for each kind of line. Writing never blocks:
+// lines that exceed the queue are dropped and counted.
 package decision
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/phuslu/log"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// linesPerSecond is the budget of each kind.
+	// linesPerSecond is the sustained rate of each kind.
 	linesPerSecond = 10
-	// burstLines may be written at once.
+	// burstLines is how many lines of a kind may be written at once.
 	burstLines = 40
-	// queuedLines wait for the writer.
-	queuedLines = 512
-	// leftOutEvery is the pause between lines that count what was left out.
-	leftOutEvery = 5 * time.Second
+	// maxQueuedLines is how many lines may wait for the writer.
+	maxQueuedLines = 512
+	// summaryInterval is the minimum interval between summaries of the lines left out.
+	summaryInterval = 5 * time.Second
 )
 
 // Log writes the lines of one process. It is safe for concurrent use.
@@ -31,23 +31,25 @@
 	writer  *queue
 	mu      sync.Mutex
 	budgets map[Kind]*budget
-	leftOut map[Kind]int
-	told    time.Time
+	// leftOut counts the lines left out since lastSummary.
+	leftOut     map[Kind]int
+	lastSummary time.Time
 }
 
+// budget is the token bucket of one kind.
 type budget struct {
-	left float64
-	at   time.Time
+	remaining  float64
+	refilledAt time.Time
 }
 
-// New returns a log to standard output whose lines name the process.
+// New returns a log to standard output. Each line names the node and the process id.
 func New(node string) *Log {
 	return NewTo(os.Stdout, node)
 }
 
 // NewTo returns a log to a writer.
 func NewTo(writer io.Writer, node string) *Log {
-	lines := &queue{lines: make(chan []byte, queuedLines), stop: make(chan struct{}), writer: writer}
+	lines := &queue{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), writer: writer}
 	go lines.run()
 	return &Log{
 		logger: &log.Logger{
@@ -61,51 +63,51 @@
 	}
 }
 
-// Line begins a line; nil, on which all methods do nothing, if the kind has no
-// budget left. Finish it with Msg.
+// Line begins a line, which Msg finishes. It returns nil, on which all methods do nothing, if
+// the kind has exceeded its rate limit.
 func (l *Log) Line(kind Kind) *log.Entry {
-	if !l.admit(kind, time.Now()) {
+	if !l.allow(kind, time.Now()) {
 		return nil
 	}
 	return l.logger.Info().Str("kind", string(kind))
 }
 
-func (l *Log) admit(kind Kind, now time.Time) bool {
+func (l *Log) allow(kind Kind, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tellLeftOut(now)
-	of := l.budgets[kind]
-	if of == nil {
-		of = &budget{left: burstLines, at: now}
-		l.budgets[kind] = of
+	l.logLinesLeftOut(now)
+	b := l.budgets[kind]
+	if b == nil {
+		b = &budget{remaining: burstLines, refilledAt: now}
+		l.budgets[kind] = b
 	}
-	of.left = min(burstLines, of.left+now.Sub(of.at).Seconds()*linesPerSecond)
-	of.at = now
-	if of.left < 1 {
+	b.remaining = min(burstLines, b.remaining+now.Sub(b.refilledAt).Seconds()*linesPerSecond)
+	b.refilledAt = now
+	if b.remaining < 1 {
 		l.leftOut[kind]++
 		return false
 	}
-	of.left--
+	b.remaining--
 	return true
 }
 
-// tellLeftOut writes what was left out since the last time.
-func (l *Log) tellLeftOut(now time.Time) {
-	if now.Sub(l.told) < leftOutEvery || len(l.leftOut) == 0 {
+// logLinesLeftOut logs how many lines were left out since the last summary.
+func (l *Log) logLinesLeftOut(now time.Time) {
+	if now.Sub(l.lastSummary) < summaryInterval || len(l.leftOut) == 0 {
 		return
 	}
-	l.told = now
+	l.lastSummary = now
 	for kind, count := range l.leftOut {
-		l.logger.Info().Str("kind", string(KindLeftOut)).Str("of", string(kind)).Int("lines", count).
+		l.logger.Info().Str("kind", string(KindLinesLeftOut)).Str("of", string(kind)).Int("lines", count).
 			Int64("dropped", l.writer.dropped.Load()).Msg("over the budget")
 	}
 	l.leftOut = map[Kind]int{}
 }
 
-// Dropped returns how many lines found the writer busy.
+// Dropped returns how many lines were dropped because the queue to the writer was full.
 func (l *Log) Dropped() int64 { return l.writer.dropped.Load() }
 
-// Flush waits, for a short time, until the lines so far are written.
+// Flush waits up to 100 ms until the queue to the writer is empty.
 func (l *Log) Flush() {
 	for range 20 {
 		if len(l.writer.lines) == 0 {
@@ -115,10 +117,10 @@
 	}
 }
 
-// Close ends the writer; lines that still wait are dropped.
+// Close stops the writer; lines that are still queued are dropped.
 func (l *Log) Close() { close(l.writer.stop) }
 
-// queue writes lines from a goroutine of its own.
+// queue writes lines from a separate goroutine.
 type queue struct {
 	lines   chan []byte
 	stop    chan struct{}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,37 +11,38 @@
 	"gotest.tools/v3/golden"
 )
 
-func read(t *testing.T) []Line {
+func readSession(t *testing.T) []Line {
 	t.Helper()
 	file, err := os.Open("testdata/session.log")
 	assert.NilError(t, err)
 	defer func() { _ = file.Close() }()
-	lines, passed, err := Read(file)
+	lines, skipped, err := Read(file)
 	assert.NilError(t, err)
-	assert.Equal(t, passed, 1, "one line of the file is no log line")
+	assert.Equal(t, skipped, 1, "one line of the file is not a log line")
 	return lines
 }
 
-func TestCourseOfARequest(t *testing.T) {
-	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, Course(read(t), "f1c46b03ca431df2")))
-	golden.Assert(t, shown.String(), "course.golden")
+func TestTraceRequest(t *testing.T) {
+	var written bytes.Buffer
+	assert.NilError(t, Write(&written, TraceRequest(readSession(t), "f1c46b03ca431df2")))
+	golden.Assert(t, written.String(), "course.golden")
 }
 
-func TestBeliefsAroundATime(t *testing.T) {
+func TestStateAt(t *testing.T) {
 	at, err := time.Parse(time.RFC3339, "2026-07-02T04:30:20Z")
 	assert.NilError(t, err)
-	var shown bytes.Buffer
-	assert.NilError(t, Write(&shown, Around(read(t), at)))
-	golden.Assert(t, shown.String(), "around.golden")
+	var written bytes.Buffer
+	assert.NilError(t, Write(&written, StateAt(readSession(t), at)))
+	golden.Assert(t, written.String(), "around.golden")
 }
 
-func TestUnknownRequestHasNoCourse(t *testing.T) {
-	assert.Equal(t, len(Course(read(t), "none")), 0)
+func TestTraceOfUnknownRequestIsEmpty(t *testing.T) {
+	assert.Equal(t, len(TraceRequest(readSession(t), "none")), 0)
 }
 
-// A request that crashes workers comes under a new id each time: its course shows the others too.
-func TestCourseShowsTheSameRequestInOtherAttempts(t *testing.T) {
+// Each attempt of a request that crashes workers has a new id: the trace includes the other
+// attempts.
+func TestTraceIncludesOtherAttemptsOfTheRequest(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"request-suspected","id":"one","fingerprint":"aa","worker":"w1"}
 {"time":"2026-07-02T04:30:02Z","node":"r2","kind":"request-suspected","id":"other","fingerprint":"bb","worker":"w1"}
 {"time":"2026-07-02T04:30:04Z","node":"r2","kind":"request-suspected","id":"two","fingerprint":"aa","worker":"w2"}
@@ -49,15 +50,15 @@
 `
 	lines, _, err := Read(strings.NewReader(log))
 	assert.NilError(t, err)
-	course := Course(lines, "three")
-	assert.Equal(t, len(course), 3)
-	assert.Equal(t, course[0].ID, "one")
-	assert.Equal(t, course[1].ID, "two")
+	trace := TraceRequest(lines, "three")
+	assert.Equal(t, len(trace), 3)
+	assert.Equal(t, trace[0].ID, "one")
+	assert.Equal(t, trace[1].ID, "two")
 }
 
-// A key that was taken away: its course shows which configuration took it, and when the router
-// that refused had it.
-func TestCourseOfAKeyThatWasTakenAway(t *testing.T) {
+// The trace of a request with a revoked API key includes the configuration that revoked the key,
+// as logged by the router that refused the request.
+func TestTraceIncludesConfigThatRevokedTheKey(t *testing.T) {
 	const log = `{"time":"2026-07-02T04:30:01Z","node":"r1","kind":"config","version":7}
 {"time":"2026-07-02T04:30:02Z","node":"r1","kind":"config","version":9}
 {"time":"2026-07-02T04:30:02Z","node":"r2","kind":"config","version":9}
@@ -69,7 +70,7 @@
 	lines, _, err := Read(strings.NewReader(log))
 	assert.NilError(t, err)
 	versions := func(id string) (found []float64) {
-		for _, line := range Course(lines, id) {
+		for _, line := range TraceRequest(lines, id) {
 			if line.Kind == "config" {
 				assert.Equal(t, line.Node, "r1")
 				found = append(found, line.Fields["version"].(float64))
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -1,5 +1,6 @@
-// Package losses reads the text report of a played day and tells where its worth was
-// lost, so that the parts add up to what is missing to 1. It is for the lab only.
+// Package losses reads the text report of a simulated day and lists where the day lost worth,
+// which is 1 at most. The losses add up to the difference between 1 and the day's worth. It is for
+// the lab only.
 package losses
 
 import (
@@ -17,64 +18,65 @@
 // Error is the class of errors of this package.
 var Error = errs.Class("losses")
 
-// Part is one reason for lost worth, as a share of the day's worth.
-type Part struct {
-	Name string
-	Lost float64
+// Loss is the worth that was lost for one reason, as a share of the full worth of 1.
+type Loss struct {
+	Name   string
+	Amount float64
 }
 
-// Ending is how many requests ended unserved in one way.
-type Ending struct {
+// Failure is the number of requests that failed for one reason.
+type Failure struct {
 	Name  string
 	Count int
 }
 
-// Window is a time of the day and the share of its credit that was earned.
+// Window is a time window of the day and the share of its credit that was earned.
 type Window struct {
-	From   int
-	Earned float64
+	StartSecond int
+	Earned      float64
 }
 
-// Day is what a report tells of one day.
+// Day is the content of a report.
 type Day struct {
 	Name  string
 	Worth float64
-	// Parts of what is missing to 1, the largest first.
-	Parts []Part
-	// Endings of requests that were not served, and Worst windows.
-	Endings []Ending
-	Worst   []Window
+	// Losses are sorted by amount, largest first.
+	Losses []Loss
+	// Failures are the requests that were not served, by their last error.
+	Failures []Failure
+	// WorstWindows are the windows that earned the least, worst first.
+	WorstWindows []Window
 }
 
 var (
-	dayLine    = regexp.MustCompile(`^(\S.*?)\s+\d+/\d+\s+\d+\.\d+\s+(\d+\.\d+)\s`)
-	worthLine  = regexp.MustCompile(`^worth \d+\.\d+ = (.*) less prices`)
-	partText   = regexp.MustCompile(`(.+?) (\d+\.\d+) \(weight (\d+\.\d+)\)`)
-	priceLine  = regexp.MustCompile(`^\s+-(\d+\.\d+)\s+-?\d+(?:\.\d+)?\s+(.+)$`)
-	endingLine = regexp.MustCompile(`^not served, last try '(.+)': (\d+)`)
-	windowLine = regexp.MustCompile(`^(\d+)\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+(\d+\.\d+)\s`)
+	dayLine     = regexp.MustCompile(`^(\S.*?)\s+\d+/\d+\s+\d+\.\d+\s+(\d+\.\d+)\s`)
+	worthLine   = regexp.MustCompile(`^worth \d+\.\d+ = (.*) less prices`)
+	partText    = regexp.MustCompile(`(.+?) (\d+\.\d+) \(weight (\d+\.\d+)\)`)
+	priceLine   = regexp.MustCompile(`^\s+-(\d+\.\d+)\s+-?\d+(?:\.\d+)?\s+(.+)$`)
+	failureLine = regexp.MustCompile(`^not served, last try '(.+)': (\d+)`)
+	windowLine  = regexp.MustCompile(`^(\d+)\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+\d+\s+(\d+\.\d+)\s`)
 )
 
-// worstWindows is how many windows are told.
-const worstWindows = 5
+// maxWorstWindows is the number of windows that a Day lists.
+const maxWorstWindows = 5
 
-// Read reads a report.
+// Read parses a report.
 func Read(report io.Reader) (Day, error) {
 	var day Day
 	scanner := bufio.NewScanner(report)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		day.read(scanner.Text())
+		day.parseLine(scanner.Text())
 	}
 	if err := scanner.Err(); err != nil {
 		return Day{}, Error.Wrap(err)
 	}
-	if day.Name == "" || len(day.Parts) == 0 {
+	if day.Name == "" || len(day.Losses) == 0 {
 		return Day{}, Error.New("the text is no report of a day")
 	}
-	slices.SortStableFunc(day.Parts, func(a, b Part) int { return compare(b.Lost, a.Lost) })
-	slices.SortStableFunc(day.Worst, func(a, b Window) int { return compare(a.Earned, b.Earned) })
-	day.Worst = day.Worst[:min(worstWindows, len(day.Worst))]
+	slices.SortStableFunc(day.Losses, func(a, b Loss) int { return compare(b.Amount, a.Amount) })
+	slices.SortStableFunc(day.WorstWindows, func(a, b Window) int { return compare(a.Earned, b.Earned) })
+	day.WorstWindows = day.WorstWindows[:min(maxWorstWindows, len(day.WorstWindows))]
 	return day, nil
 }
 
@@ -88,72 +90,72 @@
 	return 0
 }
 
-// read takes one line.
-func (d *Day) read(line string) {
+// parseLine parses one line. Lines of other kinds are ignored.
+func (d *Day) parseLine(line string) {
 	switch {
 	case worthLine.MatchString(line):
-		d.readWorth(worthLine.FindStringSubmatch(line)[1])
+		d.parseWorth(worthLine.FindStringSubmatch(line)[1])
 	case priceLine.MatchString(line):
 		found := priceLine.FindStringSubmatch(line)
-		d.lose("price: "+found[2], number(found[1]))
-	case endingLine.MatchString(line):
-		found := endingLine.FindStringSubmatch(line)
-		d.Endings = append(d.Endings, Ending{Name: found[1], Count: int(number(found[2]))})
+		d.addLoss("price: "+found[2], parseNumber(found[1]))
+	case failureLine.MatchString(line):
+		found := failureLine.FindStringSubmatch(line)
+		d.Failures = append(d.Failures, Failure{Name: found[1], Count: int(parseNumber(found[2]))})
 	case windowLine.MatchString(line):
 		found := windowLine.FindStringSubmatch(line)
-		d.Worst = append(d.Worst, Window{From: int(number(found[1])), Earned: number(found[2])})
+		d.WorstWindows = append(d.WorstWindows, Window{StartSecond: int(parseNumber(found[1])), Earned: parseNumber(found[2])})
 	case d.Name == "" && dayLine.MatchString(line):
 		found := dayLine.FindStringSubmatch(line)
-		d.Name, d.Worth = found[1], number(found[2])
+		d.Name, d.Worth = found[1], parseNumber(found[2])
 	}
 }
 
-// readWorth takes the weighed parts of the credit.
-func (d *Day) readWorth(text string) {
-	for _, one := range strings.Split(text, ", ") {
-		if found := partText.FindStringSubmatch(one); found != nil {
-			d.lose(found[1], number(found[3])*(1-number(found[2])))
+// parseWorth parses the weighted parts of the day's worth and adds what each of them lost.
+func (d *Day) parseWorth(text string) {
+	for _, part := range strings.Split(text, ", ") {
+		if found := partText.FindStringSubmatch(part); found != nil {
+			d.addLoss(found[1], parseNumber(found[3])*(1-parseNumber(found[2])))
 		}
 	}
 }
 
-func (d *Day) lose(name string, lost float64) {
-	if lost > 0 {
-		d.Parts = append(d.Parts, Part{Name: name, Lost: lost})
+func (d *Day) addLoss(name string, amount float64) {
+	if amount > 0 {
+		d.Losses = append(d.Losses, Loss{Name: name, Amount: amount})
 	}
 }
 
-// number reads digits that a pattern has found.
-func number(text string) float64 {
+// parseNumber parses a number that a pattern has matched.
+func parseNumber(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic(err) // the pattern takes numbers only
+		panic(err) // the patterns match only numbers
 	}
 	return value
 }
 
-// leastTold is the least part that is told apart.
-const leastTold = 0.002
+// minListedLoss is the smallest loss that is listed separately.
+const minListedLoss = 0.002
 
-// Write writes the day as a table of Markdown.
+// Write writes the day as Markdown: a table of the losses, then the failures and the worst windows.
 func (d Day) Write(to io.Writer) error {
 	text := fmt.Sprintf("| %s: worth %.3f | lost |\n|---|---|\n", d.Name, d.Worth)
-	rest := 0.0
+	smaller := 0.0
 	total := 0.0
-	for _, part := range d.Parts {
-		total += part.Lost
-		if part.Lost < leastTold {
-			rest += part.Lost
+	for _, loss := range d.Losses {
+		total += loss.Amount
+		if loss.Amount < minListedLoss {
+			smaller += loss.Amount
 			continue
 		}
-		text += fmt.Sprintf("| %s | %.4f |\n", part.Name, part.Lost)
+		text += fmt.Sprintf("| %s | %.4f |\n", loss.Name, loss.Amount)
 	}
-	text += fmt.Sprintf("| all smaller | %.4f |\n| sum | %.4f |\n\n", rest, total)
-	for _, one := range d.Endings {
-		text += fmt.Sprintf("- not served, %s: %d\n", one.Name, one.Count)
+	text += fmt.Sprintf("| all smaller | %.4f |\n| sum | %.4f |\n\n", smaller, total)
+	for _, failure := range d.Failures {
+		text += fmt.Sprintf("- not served, %s: %d\n", failure.Name, failure.Count)
 	}
-	for _, one := range d.Worst {
-		text += fmt.Sprintf("- from second %d: %.3f of the credit\n", one.From, one.Earned)
+	for _, window := range d.WorstWindows {
+		text += fmt.Sprintf("- from second %d: %.3f of the credit\n", window.StartSecond, window.Earned)
 	}
 	_, err := io.WriteString(to, text)
 	return Error.Wrap(err)
--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -1,6 +1,6 @@
 package main
 
-// tenantMutations let callers pass for tenants that they are not, or API keys out.
+// tenantMutations let callers act as other tenants, or leak API keys.
 var tenantMutations = []mutation{
 	{
 		name: "caller-names-its-tenant",
@@ -91,7 +91,7 @@
 		file: "internal/bundle/tenant.go",
 		old:  `64 hexadecimal digits in lower case, and never the key")`,
 		new:  `64 hexadecimal digits in lower case, found %q", digest)`,
-		pkg:  "./internal/bundle", test: "TestMistakesOfTenantsRepeatNoKey",
+		pkg:  "./internal/bundle", test: "TestTenantProblemsContainNoAPIKey",
 	},
 	{
 		name: "strict-forgets-the-age-of-news",
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -230,7 +230,7 @@
 		until = caughtUp
 	}
 	v.r.workers.BeginSettling(until)
-	v.r.log.Line(decision.KindStoreBack).Str("for", "workers").Float64("away", now.Sub(v.unreachableSince).Seconds()).
+	v.r.log.Line(decision.KindStoreRegained).Str("for", "workers").Float64("away", now.Sub(v.unreachableSince).Seconds()).
 		Float64("waits", max(0, until.Sub(now)).Seconds()).Msg("")
 }
 
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -16,7 +16,7 @@
 	Hidden string  `yaml:"-"`
 }
 
-// Common is exported, as an inlined struct must be.
+// Common is exported, since an inlined struct must be.
 type Common struct {
 	Zone string `yaml:"zone" validate:"required"`
 	Name string `yaml:"name" validate:"required,min=3"`
@@ -44,7 +44,7 @@
 	assert.Equal(t, got.Limits[0].Rate, 0.5)
 }
 
-func TestProblemsAreInTheOrderOfTheFile(t *testing.T) {
+func TestProblemsAreInFileOrder(t *testing.T) {
 	_, problems := read("hidden: x\nlimits:\n  - rate: 3\n  - {rate: \"1\"}\nname: ab\nzone: casa-a\ncount: 0\n")
 	assert.Equal(t, problems, `s.yaml:1:1: hidden: unknown field; expected one of count, limit, limits, name, zone
 s.yaml:3:11: limits[0].rate: expected at most 1
