--- a/internal/lab/mutate/mutations_tenants.go
+++ b/internal/lab/mutate/mutations_tenants.go
@@ -110,8 +110,8 @@
 	{
 		name: "refused-routers-ask-nobody",
 		file: "internal/router/lead.go",
-		old:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found {",
-		new:  "			if peerLeader, found := r.askPeersForLeader(ctx, \"\"); found && false {",
+		old:  "			if peerLeader, found := r.queryPeersForLeader(ctx, \"\"); found {",
+		new:  "			if peerLeader, found := r.queryPeersForLeader(ctx, \"\"); found && false {",
 		pkg:  "./platform/session", test: "TestRoutersWithoutStoreFindNextLeader",
 	},
 	{
--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -112,19 +112,19 @@
 }
 
 func TestOtherWorkersServeRequestsDuringBackoff(t *testing.T) {
-	asking, other := newFakeWorker(t, "w1", requestsBackoff("3")), newFakeWorker(t, "w2", alwaysAnswer("x"))
-	f := newTestProxy(t, asking.entry("pool"), other.entry("pool"))
+	inBackoff, other := newFakeWorker(t, "w1", requestsBackoff("3")), newFakeWorker(t, "w2", alwaysAnswer("x"))
+	f := newTestProxy(t, inBackoff.entry("pool"), other.entry("pool"))
 	for range 20 {
 		response, _ := f.get(t, "POST", "/unsafe/", "")
 		assert.Equal(t, response.StatusCode, http.StatusOK)
 	}
-	assert.Assert(t, asking.receivedCount() <= 1)
+	assert.Assert(t, inBackoff.receivedCount() <= 1)
 }
 
 func TestPoolSkipsWorkersInBackoff(t *testing.T) {
-	asking, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
-	f := newTestProxy(t, asking.entry("pool"), other.entry("pool"))
-	f.proxy.fleet.get(asking.entry("pool")).startBackoff(clock.Now(), 3*time.Second)
+	inBackoff, other := newFakeWorker(t, "w1", alwaysAnswer("x")), newFakeWorker(t, "w2", alwaysAnswer("x"))
+	f := newTestProxy(t, inBackoff.entry("pool"), other.entry("pool"))
+	f.proxy.fleet.get(inBackoff.entry("pool")).startBackoff(clock.Now(), 3*time.Second)
 	service := f.proxy.Config().Services["pool"]
 	for range 50 {
 		picked := f.proxy.fleet.pick(clock.Now(), f.proxy.fleet.service(service), service, requirements{target: time.Second}, nil, 1)
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -36,8 +36,9 @@
 	// a distant one.
 	distanceFactor   = 10
 	maxDistanceDelay = 500 * time.Millisecond
-	// askTimeout bounds the query whether the previous leader has stopped.
-	askTimeout = 400 * time.Millisecond
+	// queryTimeout bounds queries of other processes: for the leader, and whether the previous leader
+	// or a standby has stopped.
+	queryTimeout = 400 * time.Millisecond
 	// selfReportInterval is how often a leader reports to itself.
 	selfReportInterval = 200 * time.Millisecond
 	// maxOrderDuration is how long an order may be in flight.
@@ -66,7 +67,7 @@
 		switch {
 		case err != nil:
 			r.noLeader.close()
-			if peerLeader, found := r.askPeersForLeader(ctx, ""); found {
+			if peerLeader, found := r.queryPeersForLeader(ctx, ""); found {
 				r.followLeader(ctx, peerLeader)
 				backoff.Reset()
 				continue
@@ -148,7 +149,7 @@
 // leaderHasEnded reports whether another process, or a later incarnation of the same, answers at
 // the leader's address: that proves that the leader's process has ended.
 func (r *Router) leaderHasEnded(ctx context.Context, leader election.Leader) bool {
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	answer, ok := peerlink.QueryLeadership(bounded, leader.Address, 0)
 	return ok && answer.Process != leader.Process
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -8,21 +8,21 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// maxPeersAsked is how many processes are queried for the leader at once. If the service refuses a
+// maxPeersQueried is how many processes are queried for the leader at once. If the service refuses a
 // third of the processes, it refuses all of four drawn at random in one case of 81.
-const maxPeersAsked = 4
+const maxPeersQueried = 4
 
-// askPeersForLeader queries other processes for the leader, since the service does not name it;
+// queryPeersForLeader queries other processes for the leader, since the service does not name it;
 // false if none of them knows one. excluded is an address that is known not to lead.
-func (r *Router) askPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+func (r *Router) queryPeersForLeader(ctx context.Context, excluded string) (election.Leader, bool) {
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	asked := r.peers.Sample(maxPeersAsked, r.settings.PeerListen)
-	found := make(chan string, maxPeersAsked)
-	for _, address := range asked {
-		go func() { found <- r.askPeerForLeader(bounded, address, excluded) }()
+	addresses := r.peers.Sample(maxPeersQueried, r.settings.PeerListen)
+	found := make(chan string, maxPeersQueried)
+	for _, address := range addresses {
+		go func() { found <- r.queryPeerForLeader(bounded, address, excluded) }()
 	}
-	for range asked {
+	for range addresses {
 		if leader := <-found; leader != "" {
 			return election.Leader{Address: leader}, true
 		}
@@ -30,9 +30,9 @@
 	return election.Leader{}, false
 }
 
-// askPeerForLeader returns the leader's address if the process at the given address leads or
+// queryPeerForLeader returns the leader's address if the process at the given address leads or
 // follows a leader; empty otherwise.
-func (r *Router) askPeerForLeader(ctx context.Context, address, excluded string) string {
+func (r *Router) queryPeerForLeader(ctx context.Context, address, excluded string) string {
 	answer, ok := peerlink.QueryLeadership(ctx, address, 0)
 	switch {
 	case !ok:
@@ -58,7 +58,7 @@
 		if !r.config.storeUnreachable(clock.Now()) {
 			continue
 		}
-		if _, found := r.askPeersForLeader(ctx, lost.Address); found {
+		if _, found := r.queryPeersForLeader(ctx, lost.Address); found {
 			return
 		}
 	}
--- a/internal/router/peerdiscovery_test.go
+++ b/internal/router/peerdiscovery_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
 			r.peers.Add(test.known...)
-			found, ok := r.askPeersForLeader(t.Context(), test.excluded)
+			found, ok := r.queryPeersForLeader(t.Context(), test.excluded)
 			assert.Equal(t, ok, test.want != "")
 			assert.Equal(t, found.Address, test.want)
 		})
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -26,7 +26,7 @@
 // stopRenewers asks all processes that may renew holds to stop, and returns those that may not have
 // stopped.
 func (r *Router) stopRenewers(ctx context.Context, list []election.Renewer, term owner.Term) []election.Renewer {
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	bounded, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	unresolved := make(chan election.Renewer, len(list))
 	var requests sync.WaitGroup
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -25,8 +25,8 @@
 	// permitTimeout bounds the wait for the leader's answer. It covers a round trip between regions
 	// and a busy leader.
 	permitTimeout = 250 * time.Millisecond
-	// permitRetryDelay is the delay, for all workers, until a leader that did not answer is asked
-	// again. Without it, each request would wait for the leader.
+	// permitRetryDelay is the delay, for all workers, until another permit is requested from a
+	// leader that did not answer. Without it, each request would wait for the leader.
 	permitRetryDelay = 100 * time.Millisecond
 	// maxLimitsPerReport is how many limits one report contains.
 	maxLimitsPerReport = 64
@@ -55,8 +55,8 @@
 	link    peerlink.PermitClient
 	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
-	// noAskUntil is the time, in clock.Nanos, until which no leader is asked.
-	noAskUntil atomic.Int64
+	// noRequestUntil is the time, in clock.Nanos, until which no permit is requested from a leader.
+	noRequestUntil atomic.Int64
 	// unreadable counts the responses with a limit that can't be parsed.
 	unreadable atomic.Int64
 	permits    *prometheus.CounterVec
@@ -87,18 +87,18 @@
 func (l *workerLimits) RecordAnswer(worker workers.Incarnation, answer *upstream.Result) {
 	switch {
 	case answer.Limit.Status == upstream.Limited:
-		l.learn(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
+		l.addFact(workerlimit.Fact{Worker: worker, Rate: answer.Limit.PerSecond, At: clock.Now()}, seenBySelf)
 	case answer.Limit.Status == upstream.UnreadableLimit:
 		l.unreadable.Add(1)
 		l.r.log.Line(decision.KindWorkerLimit).Str("worker", string(worker.ID)).
 			Strs("unreadable", answer.Header.Values(l.r.adapter.Headers.Limit)).Msg("invalid limit in a response; the previous limit stays in effect")
 	case answer.Outcome == upstream.Answered && answer.Header.Get(l.r.adapter.Headers.Signature) != "" && l.IsLimited(worker):
-		l.learn(workerlimit.Fact{Worker: worker, Ended: true, At: answer.SentAt}, seenBySelf)
+		l.addFact(workerlimit.Fact{Worker: worker, Ended: true, At: answer.SentAt}, seenBySelf)
 	}
 }
 
-// learn records a fact that was observed here or reported by a follower.
-func (l *workerLimits) learn(fact workerlimit.Fact, seenBy string) {
+// addFact records a fact that was observed here or reported by a follower.
+func (l *workerLimits) addFact(fact workerlimit.Fact, seenBy string) {
 	if l.limiter.Add(fact) {
 		l.log(fact, seenBy)
 	}
@@ -108,7 +108,7 @@
 func (l *workerLimits) handleReports(reports []workerlimit.Message) {
 	now := clock.Now()
 	for _, one := range reports {
-		l.learn(one.Fact(now), seenByPeer)
+		l.addFact(one.Fact(now), seenByPeer)
 	}
 }
 
@@ -138,7 +138,7 @@
 	if !known || fact.Ended {
 		return 0, true
 	}
-	permit, answered := l.ask(fact, maxWait, min(timeout, permitTimeout))
+	permit, answered := l.requestPermit(fact, maxWait, min(timeout, permitTimeout))
 	outcome := permitRefused
 	switch {
 	case !answered:
@@ -154,14 +154,14 @@
 	return permit.Wait(), permit.Granted
 }
 
-// ask requests a permit from the leader; false if no leader answers in time.
-func (l *workerLimits) ask(fact workerlimit.Fact, maxWait, timeout time.Duration) (peerlink.Permit, bool) {
+// requestPermit requests a permit from the leader; false if no leader answers in time.
+func (l *workerLimits) requestPermit(fact workerlimit.Fact, maxWait, timeout time.Duration) (peerlink.Permit, bool) {
 	now := clock.Now()
 	if permit, leading := l.issue(now, fact, maxWait); leading {
 		return permit, true
 	}
 	leader := l.r.hub.FollowedLeader()
-	if leader == "" || clock.Nanos(now) < l.noAskUntil.Load() {
+	if leader == "" || clock.Nanos(now) < l.noRequestUntil.Load() {
 		return peerlink.Permit{}, false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -170,16 +170,16 @@
 		Limit: workerlimit.NewMessage(now, fact), MaxWaitMillis: maxWait.Milliseconds(),
 	})
 	if err != nil {
-		l.noAskUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
+		l.noRequestUntil.Store(clock.Nanos(clock.Now().Add(permitRetryDelay)))
 	}
 	return permit, err == nil
 }
 
 // handlePermitRequest answers a permit request from another process.
-func (l *workerLimits) handlePermitRequest(ask peerlink.PermitRequest) (peerlink.Permit, bool) {
+func (l *workerLimits) handlePermitRequest(request peerlink.PermitRequest) (peerlink.Permit, bool) {
 	now := refreshedNow()
-	permit, leading := l.issue(now, ask.Limit.Fact(now), time.Duration(max(0, ask.MaxWaitMillis))*time.Millisecond)
-	permit.Number = ask.Number
+	permit, leading := l.issue(now, request.Limit.Fact(now), time.Duration(max(0, request.MaxWaitMillis))*time.Millisecond)
+	permit.Number = request.Number
 	return permit, leading
 }
 
