--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -92,7 +92,7 @@
 	assert.Equal(t, quota.counts(), [3]int{})
 }
 
-func TestQuotaIsReturnedForRequestThatDidNotRun(t *testing.T) {
+func TestQuotaIsReleasedForRequestThatDidNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		run      script
 		returned int
--- a/internal/workers/settling.go
+++ b/internal/workers/settling.go
@@ -26,8 +26,8 @@
 	return s.until
 }
 
-// kept is a worker whose entry vanished.
-type kept struct {
+// keptWorker is a worker whose entry vanished.
+type keptWorker struct {
 	// since is when the entry vanished, and until when the worker is kept. That is decided once: if
 	// each settling period began the wait anew, a worker that left would be kept for as long as the
 	// service alternates between reachable and unreachable.
@@ -97,7 +97,7 @@
 		vanished.Gone = append(vanished.Gone, id)
 		return false
 	}
-	d.kept[id] = kept{since: learnedAt, until: until}
+	d.kept[id] = keptWorker{since: learnedAt, until: until}
 	vanished.Kept = append(vanished.Kept, id)
 	time.AfterFunc(until.Sub(now), d.Expire)
 	return true
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -65,7 +65,7 @@
 	// own and peer are the settling periods after this process, and after others, could not reach
 	// the service. kept are the workers that are kept although their entries vanished.
 	own, peer   settling
-	kept        map[ID]kept
+	kept        map[ID]keptWorker
 	evacuations evacuations
 	changed     chan struct{}
 	// onExpired is called with the workers that are removed because their entries did not come
@@ -91,7 +91,7 @@
 		leaving:       map[Incarnation]time.Time{},
 		previous:      map[ID]Worker{},
 		unreadable:    map[ID]bool{},
-		kept:          map[ID]kept{},
+		kept:          map[ID]keptWorker{},
 		firstLookup:   map[ID]time.Time{},
 		evacuations:   evacuations{},
 		changed:       make(chan struct{}),
