--- a/internal/proxy/quota_test.go
+++ b/internal/proxy/quota_test.go
@@ -92,13 +92,13 @@
 	assert.Equal(t, quota.counts(), [3]int{})
 }
 
-func TestQuotaIsReturnedForRequestThatDidNotRun(t *testing.T) {
+func TestQuotaIsReleasedForRequestThatDidNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		run      script
 		returned int
 	}{
 		"ran":             {alwaysAnswer("x"), 0},
-		"workers refused": {refuse, 1},
+		"workers refused": {reject, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _, quota := newQuotaProxy(t, 1, test.run)
