--- a/internal/proxy/backoff_test.go
+++ b/internal/proxy/backoff_test.go
@@ -24,21 +24,21 @@
 	}
 }
 
-// sendPaths are requests that together cover all code paths on which a request is sent to a worker.
+// requestKinds are requests that together cover all code paths that send a request to a worker.
 // service is the one that the worker must belong to.
-var sendPaths = map[string]struct{ service, method, path, body string }{
-	"to a pool":                {"pool", "GET", "/safe/", ""},
-	"to a pool, once":          {"pool", "POST", "/unsafe/", "b"},
-	"to a pool, to one only":   {"pool", "GET", "/single/", ""},
-	"for a key":                {"keyed", "GET", "/keyed/", ""},
-	"for a key, once":          {"keyed", "POST", "/keyed-once/", "b"},
-	"a large upload":           {"pool", "POST", "/up/", strings.Repeat("b", 300<<10)},
-	"a download":               {"pool", "GET", "/down/", ""},
-	"a large upload for a key": {"keyed", "POST", "/keyed/", strings.Repeat("b", 300<<10)},
+var requestKinds = map[string]struct{ service, method, path, body string }{
+	"to a pool":                 {"pool", "GET", "/safe/", ""},
+	"to a pool, not repeatable": {"pool", "POST", "/unsafe/", "b"},
+	"to a pool, one attempt":    {"pool", "GET", "/single/", ""},
+	"for a key":                 {"keyed", "GET", "/keyed/", ""},
+	"for a key, not repeatable": {"keyed", "POST", "/keyed-once/", "b"},
+	"a large upload":            {"pool", "POST", "/up/", strings.Repeat("b", 300<<10)},
+	"a download":                {"pool", "GET", "/down/", ""},
+	"a large upload for a key":  {"keyed", "POST", "/keyed/", strings.Repeat("b", 300<<10)},
 }
 
 func TestBlockedWorkerReceivesNoRequests(t *testing.T) {
-	for reason, keepAway := range map[string]func(*testProxy, workers.Worker){
+	for reason, block := range map[string]func(*testProxy, workers.Worker){
 		"in a backoff": func(f *testProxy, w workers.Worker) {
 			f.proxy.fleet.get(w).startBackoff(clock.Now(), 3*time.Second)
 		},
@@ -46,27 +46,27 @@
 			f.directory.MarkLeaving(w.Incarnation(), clock.Now().Add(-testDrain))
 		},
 	} {
-		for name, way := range sendPaths {
+		for name, test := range requestKinds {
 			t.Run(reason+"/"+name, func(t *testing.T) {
 				w := newFakeWorker(t, "w1", alwaysAnswer("x"))
-				f := newTestProxy(t, w.entry(way.service))
-				f.assignAllKeys(w.entry(way.service))
-				keepAway(f, w.entry(way.service))
-				response, _ := f.get(t, way.method, way.path, way.body, "X-Key", "7")
+				f := newTestProxy(t, w.entry(test.service))
+				f.assignAllKeys(w.entry(test.service))
+				block(f, w.entry(test.service))
+				response, _ := f.get(t, test.method, test.path, test.body, "X-Key", "7")
 				assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 				assert.Equal(t, w.receivedCount(), 0)
 			})
 		}
 		t.Run(reason+"/hedged copy", func(t *testing.T) {
 			var f *testProxy
-			silent := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
+			slow := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 				time.Sleep(time.Second)
 				answer(connection, request, http.StatusOK, "slow")
 				return true
 			})
 			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
-			f = newTestProxy(t, silent.entry("pool"), other.entry("pool"))
-			keepAway(f, other.entry("pool"))
+			f = newTestProxy(t, slow.entry("pool"), other.entry("pool"))
+			block(f, other.entry("pool"))
 			_, body := f.get(t, "GET", "/safe/", "")
 			assert.Equal(t, body, "slow")
 			assert.Equal(t, other.receivedCount(), 0)
@@ -75,7 +75,7 @@
 			var f *testProxy
 			other := newFakeWorker(t, "w2", alwaysAnswer("x"))
 			rejecting := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
-				keepAway(f, other.entry("pool"))
+				block(f, other.entry("pool"))
 				return reject(connection, request)
 			})
 			f = newTestProxy(t, rejecting.entry("pool"), other.entry("pool"))
@@ -89,8 +89,8 @@
 
 func TestWorkerInBackoffIsNotSentTo(t *testing.T) {
 	for name, test := range map[string]struct{ service, method, path string }{
-		"pool": {"pool", "GET", "/safe/"}, "pool, runs once": {"pool", "POST", "/unsafe/"},
-		"keyed": {"keyed", "GET", "/keyed/"}, "keyed, runs once": {"keyed", "POST", "/keyed-once/"},
+		"pool": {"pool", "GET", "/safe/"}, "pool, not repeatable": {"pool", "POST", "/unsafe/"},
+		"keyed": {"keyed", "GET", "/keyed/"}, "keyed, not repeatable": {"keyed", "POST", "/keyed-once/"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", requestsBackoff("3"))
@@ -176,18 +176,18 @@
 // Guards against waiting for a key to move while the leader can't store the move.
 func TestRequestForUnassignableKeyIsRefusedImmediately(t *testing.T) {
 	for name, test := range map[string]struct {
-		stay   bool
-		waited time.Duration
-		after  string
+		blocked bool
+		waited  time.Duration
+		after   string
 	}{
-		"store is unreachable": {stay: true, after: "1.000"},
+		"store is unreachable": {blocked: true, after: "1.000"},
 		"key may still move":   {waited: 80 * time.Millisecond, after: "0.200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", alwaysAnswer("x"))
 			f := newTestProxy(t, w.entry("keyed"))
 			f.assignAllKeys(w.entry("keyed"))
-			f.proxy.KeyMovesBlocked = func() bool { return test.stay }
+			f.proxy.KeyMovesBlocked = func() bool { return test.blocked }
 			f.directory.MarkLeaving(w.entry("keyed").Incarnation(), clock.Now().Add(-testDrain))
 			began := time.Now()
 			response, body := f.get(t, "GET", "/keyed/", "", "X-Key", "7")
@@ -200,6 +200,9 @@
 	}
 }
 
+// After any sequence of requested backoffs the remaining time is that until the latest requested
+// end, and the reported extensions add up to the whole backoff. Meter counts them, so that an
+// overlap must not be reported twice.
 func TestBackoffEndsAtLatestTimeForAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now, end, reported := &backend{}, clock.Now(), clock.Now(), time.Duration(0)
@@ -216,11 +219,11 @@
 				end = until
 			}
 			if left := b.backoffLeft(now); (left - max(0, end.Sub(now))).Abs() > time.Microsecond {
-				t.Fatalf("%s are left of %s", left, end.Sub(now))
+				t.Fatalf("remaining backoff is %s, want %s", left, end.Sub(now))
 			}
 		}
 		if covered := max(0, end.Sub(begun)); (reported - covered).Abs() > time.Microsecond {
-			t.Fatalf("%s are reported of one backoff of %s", reported, covered)
+			t.Fatalf("reported extensions add up to %s, want %s", reported, covered)
 		}
 	})
 }
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -33,8 +33,8 @@
 // If the slack suffices for at least one resend by each process, tokens are refilled over the window
 // such that all processes' full buckets and refills together stay within the slack. If it does not,
 // a process gets no part of the slack: it earns tokens by its requests only, and earned tokens expire
-// after a window. If each process could save up one token regardless of its share, 60 processes with
-// 5 requests per second in total would exceed a slack of 20 by 69 resends.
+// after a window. When each process could save up one token regardless of its share, 60 processes
+// with 5 requests per second in total exceeded the limit by 69 resends, with a slack of 20.
 type budget struct {
 	mu         sync.Mutex
 	limits     BudgetLimits
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -206,14 +206,15 @@
 }
 
 // giveUp refuses a request that no worker answered. The status is 503 with a Retry-After header of
-// at least minRetryAfter if the request did not run or is repeatable, and 502 otherwise.
+// at least minRetryAfter if the request did not run or is repeatable, and 502 otherwise. A request
+// refused for lack of capacity is counted as unserved.
 func (c *call) giveUp(reason string, retryAfter time.Duration) {
 	c.recordUnserved(reason)
 	c.giveUpWith(reason, max(retryAfter, minRetryAfter))
 }
 
-// giveUpWithoutRetry is like giveUp, but sends no Retry-After header and does not count the request
-// as lost.
+// giveUpWithoutRetry is like giveUp, but sends no Retry-After header and never counts the request as
+// unserved.
 func (c *call) giveUpWithoutRetry(reason string) { c.giveUpWith(reason, 0) }
 
 func (c *call) giveUpWith(reason string, retryAfter time.Duration) {
--- a/internal/proxy/coldlimiter.go
+++ b/internal/proxy/coldlimiter.go
@@ -50,7 +50,8 @@
 	return true
 }
 
-// refill adds the tokens accrued since the last call, up to one request.
+// refill adds the tokens accrued since the last call, up to one request. A new warm-up period
+// starts with a random fraction of a token.
 func (l *coldLimiter) refill(now, until time.Time, rate float64) {
 	if now.After(l.periodEnd) {
 		l.tokens, l.refilledAt = rand.Float64(), now
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, w.receivedCount(), 3)
 }
 
-func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 x\r\nX-Id: "+request.Header.Get("X-Id")+"\r\nX-Signature: s\r\n\r\nbody")
--- a/internal/proxy/crash.go
+++ b/internal/proxy/crash.go
@@ -234,9 +234,9 @@
 	}
 }
 
-// maxClosedConnections is the number of workers that may close the connection while they run one
-// attempt. One is often the worker's own fault, and another worker may well answer; a second one is
-// evidence against the request.
+// maxClosedConnections is how many connections workers may close while they run one attempt before
+// it is no longer sent to another worker. One is often the worker's own fault, and another worker
+// may well answer; a second one is evidence against the request.
 const maxClosedConnections = 2
 
 // mayRunOnSeveralWorkers reports whether the request may be sent to a second worker while it may
--- a/internal/proxy/crash_test.go
+++ b/internal/proxy/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// logCounter stores a proxy's log. It is safe for concurrent use.
+// logCounter stores a proxy's log and counts its lines by kind. It is safe for concurrent use.
 type logCounter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/proxy/fairness.go
+++ b/internal/proxy/fairness.go
@@ -29,12 +29,12 @@
 }
 
 // meanTenantRate returns the mean limit of the tenants that have one, which is the weight of the
-// others.
+// others. It returns 1 if no tenant has a limit.
 func meanTenantRate(config *routing.Config) float64 {
 	total, count := 0.0, 0
-	for _, one := range config.Tenants {
-		if one.Limited() {
-			total += one.Rate
+	for _, tenant := range config.Tenants {
+		if tenant.Limited() {
+			total += tenant.Rate
 			count++
 		}
 	}
--- a/internal/proxy/fairness_test.go
+++ b/internal/proxy/fairness_test.go
@@ -55,7 +55,9 @@
 	return f
 }
 
-func TestRejectingOwnerIsSparedTenantBeyondItsShare(t *testing.T) {
+// While the owner of a key rejects requests, those of the tenant that exceeds its share are refused
+// without being sent to it, and those of the other tenant are not.
+func TestRequestsForRejectingOwnerAreRefusedByTenantShare(t *testing.T) {
 	f := newFloodedProxy(t, "keyed")
 	now := clock.Now().Add(sharesUpdateDelay)
 	reasons := map[routing.TenantName]map[string]int{"a": {}, "b": {}}
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -49,54 +49,54 @@
 // get returns the backend of a worker. Another incarnation of the worker gets a new backend, since
 // it is cold and idle, has no connections, and has not failed yet.
 func (f *fleet) get(worker workers.Worker) *backend {
-	known, previous := f.getOrReplace(worker)
+	current, previous := f.getOrReplace(worker)
 	if previous != nil {
 		previous.pool.DropIdle()
 		if f.onIncarnationEnd != nil {
 			f.onIncarnationEnd(previous)
 		}
 	}
-	return known
+	return current
 }
 
 // getOrReplace returns the backend of a worker, and that of its previous incarnation if that has
 // just ended.
-func (f *fleet) getOrReplace(worker workers.Worker) (known, previous *backend) {
+func (f *fleet) getOrReplace(worker workers.Worker) (current, previous *backend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known = f.byID[worker.ID]
-	if known != nil && known.isOtherIncarnation(worker) {
-		known, previous = nil, known
+	current = f.byID[worker.ID]
+	if current != nil && current.isOtherIncarnation(worker) {
+		current, previous = nil, current
 	}
-	if known == nil {
-		known = newBackend(worker, f.meansOf(worker.Service))
-		f.byID[worker.ID] = known
+	if current == nil {
+		current = newBackend(worker, f.meansOf(worker.Service))
+		f.byID[worker.ID] = current
 	}
-	known.update(worker)
-	return known, previous
+	current.update(worker)
+	return current, previous
 }
 
 // meansOf returns the averages of the loads that a service's workers report. The caller holds mu.
 func (f *fleet) meansOf(service routing.ServiceName) *reportedMeans {
-	known := f.loadMeans[service]
-	if known == nil {
-		known = &reportedMeans{}
-		f.loadMeans[service] = known
+	means := f.loadMeans[service]
+	if means == nil {
+		means = &reportedMeans{}
+		f.loadMeans[service] = means
 	}
-	return known
+	return means
 }
 
 // service returns this process's state of a service, which is kept across configurations.
 func (f *fleet) service(service *routing.Service) *serviceState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.services[service.Name]
-	if known == nil {
-		known = &serviceState{budget: newBudget(f.limits)}
-		f.services[service.Name] = known
+	state := f.services[service.Name]
+	if state == nil {
+		state = &serviceState{budget: newBudget(f.limits)}
+		f.services[service.Name] = state
 	}
-	known.budget.setLimits(f.limitsOf(service))
-	return known
+	state.budget.setLimits(f.limitsOf(service))
+	return state
 }
 
 // limitsOf returns the limits of a service's retry budget.
@@ -119,8 +119,8 @@
 func (f *fleet) dropIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, known := range f.byID {
-		known.pool.DropIdle()
+	for _, b := range f.byID {
+		b.pool.DropIdle()
 	}
 }
 
@@ -128,16 +128,16 @@
 func (f *fleet) prune(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, known := range f.byID {
-		known.pool.Prune(now)
+	for id, b := range f.byID {
+		b.pool.Prune(now)
 		if _, announced := f.directory.Get(id); announced {
 			continue
 		}
-		known.mu.Lock()
-		idle := known.inFlight == 0
-		known.mu.Unlock()
+		b.mu.Lock()
+		idle := b.inFlight == 0
+		b.mu.Unlock()
 		if idle {
-			known.pool.Prune(now.Add(time.Hour))
+			b.pool.Prune(now.Add(time.Hour))
 			delete(f.byID, id)
 		}
 	}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -111,7 +111,8 @@
 	return &finished.result
 }
 
-// hedgeAfter returns the delay before the second copy is sent.
+// hedgeAfter returns the delay before the second copy is sent: the service's configured one, or one
+// derived from the estimated latency and the target.
 func (c *call) hedgeAfter(estimated time.Duration) time.Duration {
 	if c.service.HedgeAfter > 0 {
 		return c.service.HedgeAfter
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -126,7 +126,7 @@
 }
 
 // ownerRetryAfter returns the Retry-After delay of a request whose key has no usable owner. While
-// the key can't be moved every router refuses the request, so that the longer delay is better.
+// the key can't be moved every router refuses the request, so the delay is longer.
 func (c *call) ownerRetryAfter(reason string) time.Duration {
 	if c.cannotReassignKey(reason) {
 		return stuckKeyRetryAfter
--- a/internal/proxy/malformed_test.go
+++ b/internal/proxy/malformed_test.go
@@ -27,9 +27,9 @@
 		"two body lengths":           {path: "/unsafe/", headers: []string{"Content-Length", "7"}},
 		"worker headers from caller": {path: "/safe/", headers: []string{"X-Load", "1,2,0", "X-Not-Run", "1", "X-Target", "other"}},
 	}
-	odd := []string{"X-Load: -1,99999999999,0", "Keep-Alive: timeout=99999999999999999", "Retry-After: -1"}
+	malformedHeaders := []string{"X-Load: -1,99999999999,0", "Keep-Alive: timeout=99999999999999999", "Retry-After: -1"}
 	w := newFakeWorker(t, "w1", func(connection net.Conn, request *http.Request) bool {
-		answer(connection, request, http.StatusOK, "x", odd...)
+		answer(connection, request, http.StatusOK, "x", malformedHeaders...)
 		return true
 	})
 	entry := w.entry("pool")
--- a/internal/proxy/overload_test.go
+++ b/internal/proxy/overload_test.go
@@ -12,7 +12,7 @@
 
 // rejects returns a script that rejects requests and reports a load, but runs every runEvery-th
 // request.
-func rejects(load string, runEvery int32) script {
+func rejectWithLoad(load string, runEvery int32) script {
 	var count atomic.Int32
 	return func(connection net.Conn, request *http.Request) bool {
 		if runEvery > 0 && count.Add(1)%runEvery == 0 {
@@ -35,8 +35,8 @@
 		maxThrottled, minServed int
 		minThrottled            int
 	}{
-		"idle, takes a third": {run: rejects("0,0,4", 3), minServed: requests / 3},
-		"full, takes none":    {run: rejects("4,8,4", 0), maxThrottled: requests, minThrottled: requests / 2},
+		"idle, takes a third": {run: rejectWithLoad("0,0,4", 3), minServed: requests / 3},
+		"full, takes none":    {run: rejectWithLoad("4,8,4", 0), maxThrottled: requests, minThrottled: requests / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", test.run)
@@ -68,8 +68,8 @@
 		// minTotal and maxTotal bound the sum of one caller's Retry-After delays.
 		minTotal, maxTotal time.Duration
 	}{
-		"idle, takes a third": {run: rejects("0,0,4", 3), served: callers, maxTotal: 2 * minRetryAfter},
-		"full, takes none":    {run: rejects("4,8,4", 0), minTotal: tries * 100 * time.Millisecond, maxTotal: time.Hour},
+		"idle, takes a third": {run: rejectWithLoad("0,0,4", 3), served: callers, maxTotal: 2 * minRetryAfter},
+		"full, takes none":    {run: rejectWithLoad("4,8,4", 0), minTotal: tries * 100 * time.Millisecond, maxTotal: time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", test.run)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -50,7 +50,7 @@
 	other := newFakeWorker(t, "w2", reset)
 	f := newTestProxy(t, w.entry("pool"), other.entry("pool"))
 	response, _ := f.get(t, "POST", "/unsafe/", "x")
-	assert.Equal(t, response.StatusCode, http.StatusBadGateway, "503 would promise that it did not run")
+	assert.Equal(t, response.StatusCode, http.StatusBadGateway, "503 would mean that it did not run")
 	assert.Equal(t, w.receivedCount()+other.receivedCount(), 1)
 }
 
@@ -150,7 +150,7 @@
 }
 
 // Guards against sending requests repeatedly to the address of a worker that no longer exists, after
-// a worker of another service has taken over the address (found by hunt-82f6-35).
+// a worker of another service has taken over the address (seen in run hunt-82f6-35).
 func TestMisdirectedAddressIsTriedOnce(t *testing.T) {
 	w := newFakeWorker(t, "other", func(connection net.Conn, request *http.Request) bool {
 		answer(connection, request, http.StatusMisdirectedRequest, "", "X-Worker: other", "X-Not-Run: 1")
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -71,9 +71,9 @@
 		path    string
 		want    int
 	}{
-		"nothing known":   {path: "/safe/x", want: 2},
-		"crashed one":     {path: "/safe/x", crashes: []workers.ID{"a"}, want: 1},
-		"crashed another": {path: "/safe/y", crashes: []workers.ID{"a"}, want: 1},
+		"no crashes":              {path: "/safe/x", want: 2},
+		"one crash":               {path: "/safe/x", crashes: []workers.ID{"a"}, want: 1},
+		"one crash, another path": {path: "/safe/y", crashes: []workers.ID{"a"}, want: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -19,7 +19,7 @@
 	// RecordSent records that a request of a tenant, admitted at an earlier time, is sent to a
 	// worker only now. It returns the time from which the request counts.
 	RecordSent(granted time.Time, tenant *routing.Tenant) time.Time
-	// Return gives back the unit that was granted at the given time for a request that no worker
+	// Release gives back the unit that was granted at the given time for a request that no worker
 	// has run or will run.
 	Release(granted time.Time, tenant *routing.Tenant)
 }
@@ -43,8 +43,9 @@
 	return true
 }
 
-// recordQuotaSend makes a request that is sent to a worker count from now on. Resends and hedges
-// belong to the same request, which counts once.
+// recordQuotaSend makes the request count from now on if it is sent to a worker more than
+// quotaTimeTolerance after the time from which it counts. Resends and hedged copies belong to the
+// same request, which counts once.
 func (c *call) recordQuotaSend() {
 	if !c.quotaCountedAt.IsZero() && clock.Since(c.quotaCountedAt) > quotaTimeTolerance {
 		c.quotaCountedAt = c.proxy.Quota.RecordSent(c.quotaCountedAt, c.tenant)
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A request is sent again to a worker that rejected it, if it is in the allowed region, and never
-// to one in another region.
+// A rejected request is sent again to the worker in the allowed region that rejected it, and never
+// to a worker in another region.
 func TestRejectedRequestStaysInAllowedRegion(t *testing.T) {
 	inside, outside := newFakeWorker(t, "w1", reject), newFakeWorker(t, "w2", alwaysAnswer("x"))
 	abroad := outside.entry("pool")
@@ -161,7 +161,7 @@
 			route := config.Match("app.example", "/safe/")
 			route.Regions, route.Class = test.regions, test.class
 			assert.Assert(t, f.proxy.Use(config))
-			f.proxy.fleet.bulkLimiter.next = time.Now() // the link has room
+			f.proxy.fleet.bulkLimiter.next = time.Now() // the link has capacity
 			f.get(t, "GET", "/safe/", "", "X-Deadline", "900")
 			assert.Equal(t, silent.receivedCount(), 1)
 			assert.Equal(t, outside.receivedCount(), test.copies)
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -68,16 +68,16 @@
 // other workers.
 func TestImmediateRestartCountsAsCrash(t *testing.T) {
 	for name, test := range map[string]struct {
-		state       workers.State
-		incarnation workers.StartTime
-		removed     bool
-		crashed     int
+		state     workers.State
+		startTime workers.StartTime
+		removed   bool
+		crashed   int
 	}{
-		"new incarnation":                   {state: workers.StateReady, incarnation: 2, crashed: 1},
-		"same incarnation":                  {state: workers.StateReady, incarnation: 1},
+		"new incarnation":                   {state: workers.StateReady, startTime: 2, crashed: 1},
+		"same incarnation":                  {state: workers.StateReady, startTime: 1},
 		"no incarnation announced":          {state: workers.StateReady},
-		"previous incarnation was draining": {state: workers.StateDraining, incarnation: 2},
-		"previous incarnation's entry went": {state: workers.StateReady, incarnation: 2, removed: true},
+		"previous incarnation was draining": {state: workers.StateDraining, startTime: 2},
+		"previous entry was removed":        {state: workers.StateReady, startTime: 2, removed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newFakeWorker(t, "w1", func(net.Conn, *http.Request) bool { return false })
@@ -93,7 +93,7 @@
 			if test.removed {
 				f.directory.Update(nil, []workers.ID{entry.ID}, nil)
 			}
-			entry.State, entry.StartTime = workers.StateReady, test.incarnation
+			entry.State, entry.StartTime = workers.StateReady, test.startTime
 			f.directory.Update([]workers.Worker{entry}, nil, nil)
 			f.get(t, "GET", "/keyed/", "", "X-Key", "7")
 			f.proxy.Log.Close()
--- a/internal/proxy/sendtracker_test.go
+++ b/internal/proxy/sendtracker_test.go
@@ -16,35 +16,35 @@
 // In any order of sends and results, no more sends may run than the route permits, and no more than
 // maxSends may be sent.
 func TestSendLimitsHoldForAnyOrderOfResults(t *testing.T) {
-	ends := []upstream.Outcome{
+	outcomes := []upstream.Outcome{
 		upstream.Answered, upstream.NotSent, upstream.NotRun, upstream.Misdirected, upstream.Broken, upstream.TimedOut, upstream.ClientGone,
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		attempts := rapid.IntRange(1, 4).Draw(t, "attempts")
-		a := sendTracker{maxRuns: attempts}
-		underWay, mayHaveRun, left := 0, 0, 0
+		maxRuns := rapid.IntRange(1, 4).Draw(t, "attempts")
+		tracker := sendTracker{maxRuns: maxRuns}
+		inFlight, mayHaveRun, sent := 0, 0, 0
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			if underWay == 0 || rapid.Bool().Draw(t, "send") {
-				if a.begin() {
-					underWay++
-					left++
+			if inFlight == 0 || rapid.Bool().Draw(t, "send") {
+				if tracker.begin() {
+					inFlight++
+					sent++
 				}
 			} else {
-				end := rapid.SampledFrom(ends).Draw(t, "end")
-				a.finish(end)
-				underWay--
-				switch end {
+				outcome := rapid.SampledFrom(outcomes).Draw(t, "end")
+				tracker.finish(outcome)
+				inFlight--
+				switch outcome {
 				case upstream.NotRun, upstream.Misdirected:
 				case upstream.NotSent:
-					left--
+					sent--
 				default:
 					mayHaveRun++
 				}
 			}
-			assert.Assert(t, underWay+mayHaveRun <= attempts)
-			assert.Assert(t, left <= maxSends)
-			assert.Equal(t, a.mayHaveRun(), underWay+mayHaveRun)
-			assert.Equal(t, a.mayHaveArrived(), left)
+			assert.Assert(t, inFlight+mayHaveRun <= maxRuns)
+			assert.Assert(t, sent <= maxSends)
+			assert.Equal(t, tracker.mayHaveRun(), inFlight+mayHaveRun)
+			assert.Equal(t, tracker.mayHaveArrived(), sent)
 		}
 	})
 }
--- a/internal/proxy/slow_test.go
+++ b/internal/proxy/slow_test.go
@@ -10,8 +10,8 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// A router that was suspended measured its workers as slow, and then refused all requests for them
-// permanently.
+// Guards against refusing all requests permanently after the router was suspended: it then measures
+// its workers as slow, and gets no new measurements while it sends them no requests.
 func TestFormerlySlowWorkerIsTriedAgain(t *testing.T) {
 	for service, path := range map[string]string{"keyed": "/keyed/", "pool": "/safe/"} {
 		for name, test := range map[string]struct {
--- a/internal/proxy/swaps_test.go
+++ b/internal/proxy/swaps_test.go
@@ -33,13 +33,13 @@
 			const requests = 4000
 			for index := range requests {
 				far := index*7%13%2 == 1 // owners alternate with a period different from that of the weights
-				where := func(name routing.ServiceName) serviceLocation {
+				locate := func(name routing.ServiceName) serviceLocation {
 					if isKeyed(name) && far {
 						return inOtherRegion
 					}
 					return inSameRegion
 				}
-				if s.pick(route, splitter.Pick(route), isKeyed, where) == "keyed" {
+				if s.pick(route, splitter.Pick(route), isKeyed, locate) == "keyed" {
 					toKeyed++
 					if far {
 						crossed++
@@ -88,7 +88,7 @@
 	isKeyed := func(name routing.ServiceName) bool { return name == "keyed" }
 	route := &routing.Route{Services: []routing.WeightedService{{Service: "keyed", Weight: 1}, {Service: "pool", Weight: 1}}}
 	for name, test := range map[string]struct {
-		dealt       routing.ServiceName
+		picked      routing.ServiceName
 		keyed, pool serviceLocation
 		want        routing.ServiceName
 	}{
@@ -105,13 +105,13 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSwaps()
 			s.owed[partPair{route, "keyed", "pool"}] = 1
-			where := func(name routing.ServiceName) serviceLocation {
+			locate := func(name routing.ServiceName) serviceLocation {
 				if isKeyed(name) {
 					return test.keyed
 				}
 				return test.pool
 			}
-			assert.Equal(t, s.pick(route, test.dealt, isKeyed, where), test.want)
+			assert.Equal(t, s.pick(route, test.picked, isKeyed, locate), test.want)
 		})
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -97,8 +97,9 @@
 	return answer
 }
 
-// releaseAfterStream releases the connection once a streamed answer was read, however slowly the
-// caller reads it. The connection is dropped if the stream ended early.
+// releaseAfterStream releases the connection once the worker has sent all of a streamed answer,
+// however slowly the client reads it. The connection is dropped if the stream failed or was
+// canceled.
 func (e *exchange) releaseAfterStream(answer *Result) {
 	released := make(chan struct{})
 	answer.released = released
@@ -161,7 +162,7 @@
 
 var errConnectionRejected = errors.New("the worker closed the new connection")
 
-var errWrongAnswer = errors.New("received no answer to this request, but to another one")
+var errWrongAnswer = errors.New("received an answer to another request")
 
 // delimitedByClose reports whether the end of the connection marks the end of the body.
 func delimitedByClose(response *http.Response) bool {
--- a/internal/upstream/large_test.go
+++ b/internal/upstream/large_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// truncatedReader is a body that ends early.
+// truncatedReader is a body that ends early: it fails with io.ErrUnexpectedEOF in place of io.EOF.
 type truncatedReader struct{ from io.Reader }
 
 func (c truncatedReader) Read(into []byte) (int, error) {
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -35,8 +35,8 @@
 	// Budget limits the memory, and Shaper the bandwidth, of large bodies.
 	Budget *bodies.MemoryBudget
 	Shaper *bodies.LinkShaper
-	// AnswerBufferSize is the maximum number of bytes of an answer to buffer, at least
-	// bodies.MaxSmall. AnswerBufferTime is how long to wait for the complete answer before it is
+	// AnswerBufferSize is the maximum number of bytes of an answer to buffer; smaller values than
+	// bodies.MaxSmall count as bodies.MaxSmall. AnswerBufferTime is how long to wait for the complete answer before it is
 	// streamed; zero means until the send's deadline.
 	AnswerBufferSize int64
 	AnswerBufferTime time.Duration
--- a/internal/upstream/result.go
+++ b/internal/upstream/result.go
@@ -52,11 +52,12 @@
 	cancel    context.CancelFunc
 	// Notice is the information about the worker in its answer or rejection.
 	Notice
-	// SentAt is when the send began.
+	// SentAt is when the request began to be written, after a connection had been obtained. It is
+	// zero if no answer to the request was received.
 	SentAt time.Time
 	// closesConn is set if the connection can't be reused after this answer.
 	closesConn bool
-	// Took is the time between the start of the send and the answer.
+	// Took is the time from the start of writing to the answer, or to the failure to receive one.
 	Took time.Duration
 	// Written is set if bytes of the request have been written.
 	Written bool
