--- a/internal/peerlink/bulk_test.go
+++ b/internal/peerlink/bulk_test.go
@@ -19,8 +19,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// testFleet returns workers, and owners of equal runs of keys, with names that compress no better
-// than real ones.
+// testFleet returns workers, and owners of key ranges of equal size, with names that compress no
+// better than real ones.
 func testFleet(workerCount, ownerCount int) ([]WorkerChange, []owner.Owner) {
 	source := rand.New(rand.NewSource(1))
 	var changes []WorkerChange
@@ -126,12 +126,12 @@
 		all[index] = newCollector()
 		go all[index].follow(ctx, slow.Address())
 	}
-	ends := int32(0)
+	brokenLinks := int32(0)
 	for _, collector := range all {
 		eventually(t, "all followers to be complete", func() bool { return collector.complete(workerCount) })
-		ends += collector.brokenLinks.Load()
+		brokenLinks += collector.brokenLinks.Load()
 	}
-	assert.Equal(t, ends, int32(0), "no link breaks")
+	assert.Equal(t, brokenLinks, int32(0), "no link breaks")
 	for _, want := range owners {
 		held, _ := all[0].table.Lookup("s", want.Keys.From)
 		assert.Equal(t, held.Worker, want.Worker)
@@ -278,11 +278,11 @@
 	hub := newTestHub()
 	hub.Open(1)
 	hub.SetEntries(list, 10_000, time.Time{})
-	item := newLink(Hello{Entries: 10_000})
+	l := newLink(Hello{Entries: 10_000})
 	reread := append([]WorkerChange(nil), list[5:]...) // five workers left
 	reread = append(reread, readyChange("i-new", 10_007), drainingChange("i-leaves", 10_006))
 	hub.SetEntries(reread, 10_020, time.Time{})
-	update := nextUpdate(hub, item)
+	update := nextUpdate(hub, l)
 	assert.Assert(t, update.Page == nil)
 	assert.Equal(t, update.Entries.From, coord.Revision(10_000))
 	assert.Equal(t, update.Entries.To, coord.Revision(10_020))
@@ -290,18 +290,18 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(changes), 7)
 	gone := 0
-	for _, item := range changes {
-		if item.Gone {
+	for _, change := range changes {
+		if change.Gone {
 			gone++
-			assert.Equal(t, item.Revision, coord.Revision(10_020))
+			assert.Equal(t, change.Revision, coord.Revision(10_020))
 		}
 	}
 	assert.Equal(t, gone, 5)
 	assert.Assert(t, changes[0].Draining && changes[0].ID == "i-leaves", "changes are in the order of revisions")
 	// A process that knows nothing receives the current list.
 	c := newCollector()
-	for link := newLink(Hello{}); c.entriesRevision == 0; {
-		c.onUpdate(nextUpdate(hub, link))
+	for newcomer := newLink(Hello{}); c.entriesRevision == 0; {
+		c.onUpdate(nextUpdate(hub, newcomer))
 	}
 	assert.Equal(t, len(c.known), len(reread))
 }
--- a/internal/peerlink/hub.go
+++ b/internal/peerlink/hub.go
@@ -197,10 +197,11 @@
 	return h.leading
 }
 
-// SetLeadershipUncertain notifies the links whether another process may lead.
+// SetLeadershipUncertain sets whether another process may lead, and notifies the links.
 func (h *Hub) SetLeadershipUncertain(uncertain bool) { h.setFlag(&h.leadershipUncertain, uncertain) }
 
-// SetStoreUnreachable notifies the links whether this process fails to reach the key-value service.
+// SetStoreUnreachable sets whether this process fails to reach the key-value service, and notifies
+// the links.
 func (h *Hub) SetStoreUnreachable(unreachable bool) { h.setFlag(&h.storeUnreachable, unreachable) }
 
 // StoreUnreachable reports whether this process leads and does not reach the key-value service.
--- a/internal/peerlink/messages.go
+++ b/internal/peerlink/messages.go
@@ -44,8 +44,8 @@
 	Address string `json:"address,omitempty"`
 	Zone    string `json:"zone,omitempty"`
 	Process string `json:"process,omitempty"`
-	// Avoid is the address of a relay that the process has lost, and Followers is how many
-	// processes follow it.
+	// Avoid is the address of a relay that the dialing process has lost, and Followers is how many
+	// processes follow the dialing process.
 	Avoid     string `json:"avoid,omitempty"`
 	Followers int    `json:"followers,omitempty"`
 	// SuspectChanges is set if the process accepts changes of suspected requests instead of whole
--- a/internal/peerlink/notices_test.go
+++ b/internal/peerlink/notices_test.go
@@ -96,7 +96,7 @@
 	requests.Wait()
 }
 
-func TestPermitRequestTimesOutWithoutResponse(t *testing.T) {
+func TestPermitRequestFailsWithoutAnswer(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -149,7 +149,7 @@
 	assert.ErrorIs(t, <-f.result, ErrNotLeading)
 }
 
-// A leader that was cut off from the store kept its followers, so that no process led them.
+// A leader that was cut off from the store kept its followers, and no other process led them.
 func TestLaterLeaderSupersedesEarlierOne(t *testing.T) {
 	hub, _, address := newLeadingHub(t, 3)
 	answer, ok := QueryLeadership(t.Context(), address, 3)
--- a/internal/peerlink/peers.go
+++ b/internal/peerlink/peers.go
@@ -16,8 +16,8 @@
 	// rejects a third of all processes and the leader is lost, one process in 81 knows none that is
 	// not rejected.
 	sentPeers = 4
-	// sentPeersInterval is the pause between messages with addresses. A process that has ended is
-	// queried in vain once.
+	// sentPeersInterval is the pause between messages with addresses. An address of a process that
+	// has ended costs one unanswered query.
 	sentPeersInterval = 10 * time.Second
 	// maxPeers is how many addresses a process keeps.
 	maxPeers = 16
--- a/internal/peerlink/permits.go
+++ b/internal/peerlink/permits.go
@@ -67,7 +67,7 @@
 	return h.followedLeader
 }
 
-// ErrNoPermit is returned if the leader did not answer in time.
+// ErrNoPermit is returned if the context or the connection ended before the leader answered.
 var ErrNoPermit = errs.New("no answer from the leader")
 
 // PermitClient requests permits from the leader over one connection, which is opened by the first
--- a/internal/peerlink/relay.go
+++ b/internal/peerlink/relay.go
@@ -27,7 +27,7 @@
 	// lostReportsToReplaceRelay is how many processes must have lost a relay for it to be replaced
 	// while it is linked itself.
 	lostReportsToReplaceRelay = 3
-	// nodeCountHold is for how long processes are still counted that are changing their link.
+	// nodeCountHold is how long processes are still counted while they change their link.
 	nodeCountHold = 3 * time.Second
 )
 
@@ -128,9 +128,10 @@
 	}
 }
 
-// acceptsFollowers reports whether this process is a relay that has not redirected its followers.
-// One that has may be about to lead, and would redirect new followers to the process that it
-// followed itself. The caller holds mu.
+// acceptsFollowers reports whether this process is a relay that has not redirected its followers,
+// and whose state was forwarded by at most maxHops processes. A relay that has redirected its
+// followers may be about to lead, and would redirect new ones to the process that it followed
+// itself. The caller holds mu.
 func (h *Hub) acceptsFollowers() bool {
 	return h.upstream != nil && h.upstream.redirectTo == "" && h.upstream.hops() <= maxHops
 }
@@ -219,8 +220,8 @@
 }
 
 // chooseRelay returns the link that becomes the next relay of a zone: one that others follow
-// already, otherwise the one on the strongest machine. It returns nil if it is too early to choose.
-// The caller holds mu.
+// already, otherwise the one on the strongest machine. It returns nil if there is no candidate, or
+// if it is too early to choose. The caller holds mu.
 func (h *Hub) chooseRelay(zone string, excluded *link, now time.Time) *link {
 	var best *link
 	earliest := now
--- a/internal/peerlink/relay_test.go
+++ b/internal/peerlink/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// newRelayHub returns a hub that can forward a leader's updates, and its address.
+// newRelayHub returns a hub that serves links but has received no update yet, and its address.
 func newRelayHub(t *testing.T) (*Hub, string) {
 	t.Helper()
 	hub := NewHub("relay", nil, func() ReadState { return ReadState{Config: 7} })
--- a/internal/peerlink/standbys.go
+++ b/internal/peerlink/standbys.go
@@ -52,8 +52,8 @@
 const standbySilenceLimit = SilenceLimit - 2*heartbeatInterval
 
 // mayRenewAlone reports whether the standby may renew without the leader now.
-func (m *standbyDelegation) mayRenewAlone(now time.Time) bool {
-	return m.linkLost || now.Sub(m.lastReportAt) > standbySilenceLimit
+func (d *standbyDelegation) mayRenewAlone(now time.Time) bool {
+	return d.linkLost || now.Sub(d.lastReportAt) > standbySilenceLimit
 }
 
 // holdsInterval is the pause between messages that contain all holds. Fences change with each order
--- a/internal/peerlink/subrelay_test.go
+++ b/internal/peerlink/subrelay_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestSubRelay(t *testing.T) {
+func TestSubRelayAssignment(t *testing.T) {
 	start := time.Unix(1000, 0)
 	hub, links := newZoneRelay(4, 8, 20, start)
 	late := start.Add(time.Second)
--- a/internal/peerlink/workerchange.go
+++ b/internal/peerlink/workerchange.go
@@ -59,7 +59,7 @@
 	Zone       string              `json:"z,omitempty"`
 	Slots      int                 `json:"n,omitempty"`
 	Draining   bool                `json:"d,omitempty"`
-	// WarmMillis is how much longer the worker is slow.
+	// WarmMillis is how much longer the worker is slow because it warms up.
 	WarmMillis int64 `json:"w,omitempty"`
 	// StartTime is when this incarnation of the worker began, as announced by the worker.
 	StartTime workers.StartTime `json:"b,omitempty"`
@@ -67,7 +67,7 @@
 	// at the time of the message.
 	LearnedAt time.Time `json:"-"`
 	AgeMillis int64     `json:"o,omitempty"`
-	// warmAt is when the worker is no longer slow, by this process's clock.
+	// warmAt is when the warm-up period ends, by this process's clock.
 	warmAt time.Time
 }
 
