--- a/internal/lab/mutate/mutations_quota.go
+++ b/internal/lab/mutate/mutations_quota.go
@@ -103,8 +103,8 @@
 	{
 		name: "more-dealt-before-the-mark-is-stored",
 		file: "internal/router/quotamarks.go",
-		old:  "		if len(wanted)+len(cooled) > 0 && q.storeMarks(ctx, tenure, &marks, wanted, cooled) {",
-		new:  "		if q.storeMarks(ctx, tenure, &marks, wanted, cooled); len(wanted) > 0 {",
+		old:  "		if len(toMark)+len(toUnmark) > 0 && q.storeMarks(ctx, tenure, &marks, toMark, toUnmark) {",
+		new:  "		if q.storeMarks(ctx, tenure, &marks, toMark, toUnmark); len(toMark) > 0 {",
 		pkg:  "./internal/router", test: "TestBusyTenantsAreMarkedBeforeMoreIsAllocated",
 	},
 	{
--- a/internal/router/bodies.go
+++ b/internal/router/bodies.go
@@ -13,8 +13,8 @@
 	bytesInMegabyte = 1 << 20
 )
 
-// newRoom returns the memory budget for bodies in flight. It logs when the budget is exhausted and
-// when it is available again.
+// newMemoryBudget returns the memory budget for bodies in flight. It logs when the budget is
+// exhausted and when it is available again.
 func (r *Router) newMemoryBudget() *bodies.MemoryBudget {
 	budget := bodies.NewMemoryBudget(int64(bodiesShare * float64(r.settings.Machine.MemoryMB) * bytesInMegabyte))
 	budget.OnChange = func(full bool, used int64) {
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -29,12 +29,12 @@
 // signers returns the operators of the settings, which are already validated.
 func signers(operators []settings.Operator) registry.Signers {
 	trusted := registry.Signers{}
-	for _, one := range operators {
-		key, err := one.Key()
+	for _, operator := range operators {
+		key, err := operator.Key()
 		if err != nil {
 			continue
 		}
-		trusted[lifecycle.OperatorName(one.Name)] = registry.Signer{Key: key, Teams: one.Teams}
+		trusted[lifecycle.OperatorName(operator.Name)] = registry.Signer{Key: key, Teams: operator.Teams}
 	}
 	return trusted
 }
--- a/internal/router/campaigndelay_test.go
+++ b/internal/router/campaigndelay_test.go
@@ -12,16 +12,16 @@
 // Two processes at 1 and 9 ms from a store that takes 4 ms per call: regardless of the random part
 // of their delays, the near one campaigns first.
 func TestProcessesNearTheStoreCampaignFirst(t *testing.T) {
-	places := topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
+	zoneMap := topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
 	for name, test := range map[string]struct {
 		places    topology.Map
 		calls     []time.Duration
 		least, to time.Duration
 	}{
-		"near":            {places, []time.Duration{40 * time.Millisecond, 6 * time.Millisecond, 500 * time.Millisecond}, 60 * time.Millisecond, 60*time.Millisecond + campaignJitter},
-		"far":             {places, []time.Duration{22 * time.Millisecond}, 220 * time.Millisecond, 220*time.Millisecond + campaignJitter},
-		"not measured":    {places, nil, 0, campaignJitter},
-		"a slow store":    {places, []time.Duration{3 * time.Second}, maxDistanceDelay, maxDistanceDelay + campaignJitter},
+		"near":            {zoneMap, []time.Duration{40 * time.Millisecond, 6 * time.Millisecond, 500 * time.Millisecond}, 60 * time.Millisecond, 60*time.Millisecond + campaignJitter},
+		"far":             {zoneMap, []time.Duration{22 * time.Millisecond}, 220 * time.Millisecond, 220*time.Millisecond + campaignJitter},
+		"not measured":    {zoneMap, nil, 0, campaignJitter},
+		"a slow store":    {zoneMap, []time.Duration{3 * time.Second}, maxDistanceDelay, maxDistanceDelay + campaignJitter},
 		"one region only": {topology.Map{}, []time.Duration{22 * time.Millisecond}, 0, campaignJitter},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -40,7 +40,7 @@
 		newest = max(newest, item.Revision)
 		v.items[item.Key] = item
 	}
-	// A list does not show since when a zone is evacuated.
+	// A list does not show since when a zone has been evacuated.
 	v.apply(items, at, time.Time{})
 	v.r.config.noteRead(newest)
 }
@@ -89,7 +89,8 @@
 	return hashed
 }
 
-// applyRelayed applies configuration changes from the leader; false if items are missing here.
+// applyRelayed applies configuration changes from the leader. It returns false if they are invalid,
+// or if unchanged items are missing here.
 func (v *configView) applyRelayed(changes peerlink.ConfigChanges) bool {
 	items, err := changes.Items()
 	if err != nil {
@@ -132,7 +133,8 @@
 
 // apply puts the items as of a revision into force, and relays them if this process is the leader
 // or a relay. fresh holds the items that may be new. since is the earliest time at which they may
-// have been written, such as zones that were not known to be evacuated. The caller holds mu.
+// have been written, or zero if that is unknown; newly evacuated zones count as evacuated since
+// then. The caller holds mu.
 func (v *configView) apply(fresh []coord.Item, at coord.Revision, since time.Time) {
 	v.at = max(v.at, at)
 	v.r.config.noteCovered(v.at)
--- a/internal/router/follow.go
+++ b/internal/router/follow.go
@@ -19,8 +19,9 @@
 	// relayWatchTimeout is the same for a process that has followers. It is shorter than the age at
 	// which the followers read the service themselves.
 	relayWatchTimeout = 700 * time.Millisecond
-	// leaderBatchDelay and followerBatchDelay are the pauses after a batch of worker changes, at
-	// the leader and at other processes. A worker that leaves may get requests for 2 s.
+	// leaderBatchDelay and followerBatchDelay are the pauses after changes, in which further ones
+	// accumulate, at the leader and at other processes. A worker that leaves may get requests for
+	// 2 s.
 	leaderBatchDelay   = 150 * time.Millisecond
 	followerBatchDelay = 700 * time.Millisecond
 	// maxLag is how long a process may miss a revision that the leader has read.
@@ -171,9 +172,9 @@
 	pollInterval  = 10 * time.Millisecond
 )
 
-// awaitUpdate waits until the data is received; false if there is no leader, or it does not send
-// the data in time. While updates from a leader arrive, the wait goes on: when many processes start
-// at once, it serves one after the other.
+// awaitUpdate waits until the data is received. It returns false if there is no leader, or if it
+// does not send the data in time. While updates from a leader arrive, the wait goes on: when many
+// processes start at once, the leader serves one after the other.
 func (r *Router) awaitUpdate(ctx context.Context, received func() bool) bool {
 	timeout := startTimeout
 	if r.settings.FirstStart {
@@ -182,8 +183,8 @@
 	return r.awaitReceived(ctx, timeout, received, r.noLeader.closed)
 }
 
-// awaitRelayedList waits for the leader to send a list that has several pages; false if this
-// process must read the pages from the service. A leader reads them at once. If each of many
+// awaitRelayedList waits for the leader to send a list that has several pages. It returns false if
+// this process must read the pages from the service. A leader reads them at once. If each of many
 // processes that start together did so, the list would cross the service's link once per process.
 func (r *Router) awaitRelayedList(ctx context.Context, state *prefixState, at coord.Revision) bool {
 	received := func() bool { return state.coveredRevision() >= at }
@@ -290,7 +291,8 @@
 	return clock.Now().Add(-r.batchDelay())
 }
 
-// batchDelay is shorter at the leader, which moves keys.
+// batchDelay returns how long changes are collected before the next watch. It is shorter at the
+// leader, which moves keys.
 func (r *Router) batchDelay() time.Duration {
 	if r.hub.Leading() {
 		return leaderBatchDelay
@@ -321,8 +323,8 @@
 	if update.Config != nil {
 		r.handleConfigChanges(*update.Config)
 	}
-	// An update is relayed after it is applied here. Followers would otherwise miss the changes that it
-	// announces.
+	// An update is relayed after it is applied here. Followers would otherwise miss the changes
+	// that it announces.
 	if update.Leading || update.Relayed {
 		r.hub.RelayUpdate(update)
 	}
--- a/internal/router/followleader.go
+++ b/internal/router/followleader.go
@@ -19,13 +19,14 @@
 	// long.
 	leaderlessTimeout = 4 * time.Second
 	// maxOwnSyncAge is how recently a process must have read everything from the service to count
-	// as reaching it. The process leaves the relay after reaching the service for aheadTimeout
-	// while the relay does not: after an outage, some processes reconnect sooner than others.
+	// as reaching it.
 	maxOwnSyncAge = time.Second
 	// maxRedirects is how many consecutive redirects without an update are followed: from the
 	// leader to a relay and on to a sub-relay, from a stopping process to the leader, and on to the
 	// next relay and its sub-relay.
 	maxRedirects = 5
+	// aheadTimeout is how long a process reaches the service, while its relay does not, before it
+	// leaves the relay: after an outage, some processes reconnect sooner than others.
 	aheadTimeout = 1500 * time.Millisecond
 )
 
@@ -75,8 +76,8 @@
 	r.awaitLeaderChange(ctx, leader)
 }
 
-// run follows the leader, or the relay to which it redirects, until the leader is lost, or
-// redirects lead nowhere.
+// run follows the leader, or the relay to which it redirects. It returns when the leader is lost,
+// when redirects exceed maxRedirects, or when one leads back to this process.
 func (f *followSession) run(ctx context.Context) error {
 	for {
 		f.updated = false
--- a/internal/router/followleader_test.go
+++ b/internal/router/followleader_test.go
@@ -70,14 +70,14 @@
 			assert.NilError(t, err)
 			defer func() { _ = listener.Close() }()
 			address := listener.Addr().String()
-			var asked atomic.Int32
+			var connections atomic.Int32
 			go func() {
 				for {
 					conn, err := listener.Accept()
 					if err != nil {
 						return
 					}
-					asked.Add(1)
+					connections.Add(1)
 					_, _ = fmt.Fprintf(conn, `{"r":true,"v":%q}`+"\n", address)
 					_ = conn.Close()
 				}
@@ -88,7 +88,7 @@
 			}
 			f := &followSession{r: r, leader: election.Leader{Address: address}, address: address, stop: func() {}}
 			assert.ErrorContains(t, f.run(t.Context()), "instead")
-			assert.Assert(t, asked.Load() <= maxRedirects+1, "%d", asked.Load())
+			assert.Assert(t, connections.Load() <= maxRedirects+1, "%d", connections.Load())
 		})
 	}
 }
--- a/internal/router/lag_test.go
+++ b/internal/router/lag_test.go
@@ -28,15 +28,15 @@
 		"no updates at all":   {late: time.Hour, reads: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newPrefixState()
+			state := newPrefixState()
 			start := time.Unix(1000, 0)
-			f.noteCovered(1)
+			state.noteCovered(1)
 			const step = 50 * time.Millisecond
 			for at := time.Duration(0); at < 5*time.Second; at += step {
-				f.noteCovered(coord.Revision(1 + (at-test.late)/step))
-				f.resyncIfLagging(start.Add(at), coord.Revision(1+at/step))
+				state.noteCovered(coord.Revision(1 + (at-test.late)/step))
+				state.resyncIfLagging(start.Add(at), coord.Revision(1+at/step))
 			}
-			assert.Equal(t, len(f.resync) > 0, test.reads)
+			assert.Equal(t, len(state.resync) > 0, test.reads)
 		})
 	}
 }
--- a/internal/router/lead.go
+++ b/internal/router/lead.go
@@ -36,8 +36,8 @@
 	// a distant one.
 	distanceFactor   = 10
 	maxDistanceDelay = 500 * time.Millisecond
-	// queryTimeout bounds queries of other processes: for the leader, and whether the previous leader
-	// or a standby has stopped.
+	// queryTimeout bounds queries to other processes: who leads, and whether the previous leader or
+	// a standby has stopped.
 	queryTimeout = 400 * time.Millisecond
 	// selfReportInterval is how often a leader reports to itself.
 	selfReportInterval = 200 * time.Millisecond
@@ -266,8 +266,9 @@
 }
 
 // distanceDelay lets processes in the store's region campaign first. From another region, each
-// lease renewal and all reads and writes of the leader would cross regions, and a region that loses
-// the store would lose the leader with it. The latency of the fastest call indicates the region.
+// lease renewal and all reads and writes of the leader would cross regions, and the leader would be
+// lost if that region were cut off from the store. The latency of the fastest call indicates the
+// region.
 func (r *Router) distanceDelay() time.Duration {
 	if r.zoneMap.RegionCount() <= 1 {
 		return 0
--- a/internal/router/leaving.go
+++ b/internal/router/leaving.go
@@ -42,14 +42,14 @@
 func (l *leavingWorkers) handleReports(reports []departure.Message) { l.addAll(reports, l.replica.Add) }
 
 // handleUpdate applies facts received from the leader or a relay.
-func (l *leavingWorkers) handleUpdate(reports []departure.Message) {
-	l.addAll(reports, l.replica.ApplyUpdate)
+func (l *leavingWorkers) handleUpdate(updates []departure.Message) {
+	l.addAll(updates, l.replica.ApplyUpdate)
 }
 
-func (l *leavingWorkers) addAll(reports []departure.Message, record func(departure.Fact) bool) {
+func (l *leavingWorkers) addAll(messages []departure.Message, record func(departure.Fact) bool) {
 	now := clock.Now()
-	for _, one := range reports {
-		l.add(one.Fact(now), record, seenByPeer)
+	for _, message := range messages {
+		l.add(message.Fact(now), record, seenByPeer)
 	}
 }
 
--- a/internal/router/peerdiscovery.go
+++ b/internal/router/peerdiscovery.go
@@ -8,8 +8,8 @@
 	"github.com/shalefork/shalefork/internal/peerlink"
 )
 
-// maxPeersQueried is how many processes are queried for the leader at once. If the service refuses a
-// third of the processes, it refuses all of four drawn at random in one case of 81.
+// maxPeersQueried is how many processes are queried for the leader at once. If the service refuses
+// a third of the processes, it refuses all of four drawn at random in one case of 81.
 const maxPeersQueried = 4
 
 // queryPeersForLeader queries other processes for the leader, since the service does not name it;
--- a/internal/router/peerdiscovery_test.go
+++ b/internal/router/peerdiscovery_test.go
@@ -30,21 +30,21 @@
 	follows, follower := servePeer(t)
 	follows.SetFollowedLeader(leader)
 	stale, astray := servePeer(t)
-	stale.SetFollowedLeader(follower) // it led earlier
+	stale.SetFollowedLeader(follower) // the follower led earlier
 	_, alone := servePeer(t)
 	for name, test := range map[string]struct {
 		known    []string
 		excluded string
 		want     string
 	}{
-		"no process is known":                     {},
-		"the leader is known":                     {known: []string{alone, leader}, want: leader},
-		"a follower of the leader is known":       {known: []string{alone, follower}, want: leader},
-		"a follower of a follower is known":       {known: []string{alone, astray}},
-		"a process excluded a leader is known":    {known: []string{alone}},
-		"no process answers":                      {known: []string{"127.0.0.1:1"}},
-		"the leader is excluded":                  {known: []string{leader, follower}, excluded: leader},
-		"a process that names no leader is known": {known: []string{astray}, want: ""},
+		"no process is known":                    {},
+		"the leader is known":                    {known: []string{alone, leader}, want: leader},
+		"a follower of the leader is known":      {known: []string{alone, follower}, want: leader},
+		"a follower of a follower is known":      {known: []string{alone, astray}},
+		"a process without a leader is known":    {known: []string{alone}},
+		"no process answers":                     {known: []string{"127.0.0.1:1"}},
+		"the leader is excluded":                 {known: []string{leader, follower}, excluded: leader},
+		"only a follower of a follower is known": {known: []string{astray}, want: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestRouter(t)
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -81,7 +81,8 @@
 	return time.Time{}, wait
 }
 
-// await waits for a unit.
+// await waits for a unit, at most for unitTimeout. It returns the time at which the unit was
+// granted.
 func (q *quotas) await(ctx context.Context, now time.Time, tenant *routing.Tenant) (time.Time, bool) {
 	timer := time.NewTimer(unitTimeout)
 	defer timer.Stop()
@@ -111,7 +112,7 @@
 	return now
 }
 
-// Return implements proxy.Quota.
+// Release implements proxy.Quota.
 func (q *quotas) Release(granted time.Time, tenant *routing.Tenant) {
 	q.holder.Release(granted, tenant)
 }
@@ -152,8 +153,8 @@
 		return
 	}
 	now := refreshedNow()
-	for _, one := range reports {
-		q.coordinator.HandleReport(now, one)
+	for _, report := range reports {
+		q.coordinator.HandleReport(now, report)
 	}
 	select {
 	case q.wake <- struct{}{}:
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -16,8 +16,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-// A leader manages the units of its own router and of the routers that report to it, and answers
-// each over the link of its report. A relay forwards reports.
+// A leader also grants units to the router of its own process, which reports to it without a link.
 func TestLeaderGrantsItsOwnRouter(t *testing.T) {
 	r := newTestRouter(t)
 	config, err := new(routing.Config).WithTenants(map[routing.TenantName]*routing.Tenant{"a": {Name: "a", Rate: 10, Burst: 5}})
@@ -44,6 +43,7 @@
 	assert.Equal(t, r.quotas.holder.Usages(clock.Now())[0].Used, 0)
 }
 
+// A process that does not lead forwards the reports that it receives, each of them once.
 func TestRelayForwardsQuotaReports(t *testing.T) {
 	r := newTestRouter(t)
 	r.quotas.handleReports([]quota.Report{{Node: "other", Sequence: 7}})
@@ -64,7 +64,7 @@
 	assert.Equal(t, list[maxTenantSeries].Refused, uint64(20))
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	clock.CountsSuspension()
 	now := clock.Now()
 	tenant := &routing.Tenant{Name: "a", Rate: 1e9, Burst: 1}
--- a/internal/router/quotamarks.go
+++ b/internal/router/quotamarks.go
@@ -50,12 +50,12 @@
 	for clock.Sleep(ctx, marksInterval) {
 		q.keepMembers(ctx, tenure, coordinator, &members)
 		q.mu.Lock()
-		wanted, cooled := coordinator.TenantsToMark(), coordinator.TenantsToUnmark()
+		toMark, toUnmark := coordinator.TenantsToMark(), coordinator.TenantsToUnmark()
 		q.mu.Unlock()
-		if len(wanted)+len(cooled) > 0 && q.storeMarks(ctx, tenure, &marks, wanted, cooled) {
-			q.mark(coordinator, wanted)
-			q.unmark(coordinator, cooled)
-			q.r.log.Line(decision.KindTenantsBusy).Int("tenants", len(wanted)).Int("cooled", len(cooled)).
+		if len(toMark)+len(toUnmark) > 0 && q.storeMarks(ctx, tenure, &marks, toMark, toUnmark) {
+			q.mark(coordinator, toMark)
+			q.unmark(coordinator, toUnmark)
+			q.r.log.Line(decision.KindTenantsBusy).Int("tenants", len(toMark)).Int("cooled", len(toUnmark)).
 				Int64("revision", int64(marks.revision)).Msg("")
 		}
 	}
@@ -73,7 +73,8 @@
 	coordinator.MarkBusy(names...)
 }
 
-// awaitMarks reads the stored marks; false if ctx ended first.
+// awaitMarks reads the stored marks. It retries until it succeeds, and returns false if ctx ended
+// first.
 func (q *quotas) awaitMarks(ctx context.Context) (busyMarks, bool) {
 	for ctx.Err() == nil {
 		if q.hasTenants() {
@@ -104,10 +105,10 @@
 
 // storeMarks adds tenants to the stored marks and removes those that are no longer busy; false if
 // the write is not known to have succeeded. Tenants that no longer exist are dropped.
-func (q *quotas) storeMarks(ctx context.Context, tenure *election.Tenure, marks *busyMarks, wanted, cooled []routing.TenantName) bool {
+func (q *quotas) storeMarks(ctx context.Context, tenure *election.Tenure, marks *busyMarks, toMark, toUnmark []routing.TenantName) bool {
 	known := q.r.proxy.Config().Tenants
-	tenants := slices.DeleteFunc(slices.Concat(marks.Tenants, wanted), func(name routing.TenantName) bool {
-		return known[name] == nil || slices.Contains(cooled, name)
+	tenants := slices.DeleteFunc(slices.Concat(marks.Tenants, toMark), func(name routing.TenantName) bool {
+		return known[name] == nil || slices.Contains(toUnmark, name)
 	})
 	slices.Sort(tenants)
 	fresh := busyMarks{Tenants: slices.Compact(tenants)}
--- a/internal/router/quotametrics.go
+++ b/internal/router/quotametrics.go
@@ -30,40 +30,40 @@
 
 // Describe implements prometheus.Collector.
 func (q *quotas) Describe(to chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{quotaLimit, quotaCredit, quotaUsed, quotaGranted, quotaRefused} {
-		to <- one
+	for _, desc := range []*prometheus.Desc{quotaLimit, quotaCredit, quotaUsed, quotaGranted, quotaRefused} {
+		to <- desc
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (q *quotas) Collect(to chan<- prometheus.Metric) {
-	for _, one := range capSeries(q.holder.Usages(clock.Now())) {
+	for _, usage := range capSeries(q.holder.Usages(clock.Now())) {
 		gauge := func(desc *prometheus.Desc, value int) {
-			to <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), string(one.Tenant))
+			to <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(value), string(usage.Tenant))
 		}
 		counter := func(desc *prometheus.Desc, value uint64) {
-			to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), string(one.Tenant))
+			to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), string(usage.Tenant))
 		}
-		gauge(quotaLimit, one.Limit)
-		gauge(quotaCredit, one.Credit)
-		gauge(quotaUsed, one.Used)
-		counter(quotaGranted, one.Granted)
-		counter(quotaRefused, one.Refused)
+		gauge(quotaLimit, usage.Limit)
+		gauge(quotaCredit, usage.Credit)
+		gauge(quotaUsed, usage.Used)
+		counter(quotaGranted, usage.Granted)
+		counter(quotaRefused, usage.Refused)
 	}
 }
 
-// capSeries sums the tenants that get no series of their own.
+// capSeries replaces the usages after the first maxTenantSeries by their sum.
 func capSeries(usages []quota.Usage) []quota.Usage {
 	if len(usages) <= maxTenantSeries {
 		return usages
 	}
 	rest := quota.Usage{Tenant: routing.TenantName(otherTenants)}
-	for _, one := range usages[maxTenantSeries:] {
-		rest.Limit += one.Limit
-		rest.Credit += one.Credit
-		rest.Used += one.Used
-		rest.Granted += one.Granted
-		rest.Refused += one.Refused
+	for _, usage := range usages[maxTenantSeries:] {
+		rest.Limit += usage.Limit
+		rest.Credit += usage.Credit
+		rest.Used += usage.Used
+		rest.Granted += usage.Granted
+		rest.Refused += usage.Refused
 	}
 	return append(usages[:maxTenantSeries:maxTenantSeries], rest)
 }
--- a/internal/router/quotareserve.go
+++ b/internal/router/quotareserve.go
@@ -82,41 +82,41 @@
 	if err != nil {
 		return reservation{}
 	}
-	var one reservation
+	var written reservation
 	if found {
-		one.before = unreportedOf(item)
+		written.before = unreportedOf(item)
 	}
-	one.unreported = q.unreportedShares(coordinator, one.before)
-	one.revision, one.claimed = q.writeClaim(bounded, tenure, item.Revision, one.unreported, q.bound.TakeoverDelay())
-	if one.claimed {
+	written.unreported = q.unreportedShares(coordinator, written.before)
+	written.revision, written.claimed = q.writeClaim(bounded, tenure, item.Revision, written.unreported, q.bound.TakeoverDelay())
+	if written.claimed {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		coordinator.ReserveClaimed(one.before)
+		coordinator.ReserveClaimed(written.before)
 	}
-	return one
+	return written
 }
 
 // refreshClaim rewrites the claim if the unreported shares have shrunk, for the rest of the time
 // for which it is needed.
 func (q *quotas) refreshClaim(ctx context.Context, tenure *election.Tenure, coordinator *quota.Coordinator, written *reservation, end time.Time) {
-	leftover := q.unreportedShares(coordinator, written.before)
-	if leftover.Sum() > (1-claimRefreshStep)*written.unreported.Sum() {
+	unreported := q.unreportedShares(coordinator, written.before)
+	if unreported.Sum() > (1-claimRefreshStep)*written.unreported.Sum() {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	if revision, done := q.writeClaim(bounded, tenure, written.revision, leftover, clock.Until(end)); done {
-		written.revision, written.unreported = revision, leftover
+	if revision, done := q.writeClaim(bounded, tenure, written.revision, unreported, clock.Until(end)); done {
+		written.revision, written.unreported = revision, unreported
 	}
 }
 
 // unreportedOf decodes a claim; if it is invalid, everything counts as unreported.
 func unreportedOf(item coord.Item) quota.UnreportedShares {
-	var left quota.UnreportedShares
-	if err := json.Unmarshal(item.Value, &left); err != nil || left.All < 0 || left.All > 1 {
+	var shares quota.UnreportedShares
+	if err := json.Unmarshal(item.Value, &shares); err != nil || shares.All < 0 || shares.All > 1 {
 		return quota.UnreportedShares{All: 1}
 	}
-	return left
+	return shares
 }
 
 // hasTenants reports whether any tenant is configured.
@@ -146,8 +146,8 @@
 
 // writeClaim replaces the claim at a revision, zero if there is none, by one that exists for at
 // least as long as needed; false if the write is not known to have succeeded.
-func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, leftover quota.UnreportedShares, needed time.Duration) (coord.Revision, bool) {
-	value, err := json.Marshal(leftover)
+func (q *quotas) writeClaim(ctx context.Context, tenure *election.Tenure, revision coord.Revision, unreported quota.UnreportedShares, needed time.Duration) (coord.Revision, bool) {
+	value, err := json.Marshal(unreported)
 	if err != nil {
 		panic(err) // can't fail on plain data
 	}
--- a/internal/router/renewers.go
+++ b/internal/router/renewers.go
@@ -12,8 +12,8 @@
 )
 
 // holdsEndAt returns when all holds that earlier leaders granted have certainly ended. Processes
-// that report to have stopped, or that are another incarnation, renew no holds beyond the orders in
-// flight. Those that do not answer are kept as unresolved.
+// that report that they have stopped, or that are another incarnation, renew no holds beyond the
+// orders in flight. Those that do not answer are kept as unresolved.
 func (r *Router) holdsEndAt(ctx context.Context, tenure *election.Tenure) time.Time {
 	times := r.keeper.Times
 	r.keeper.Unresolved = r.stopRenewers(ctx, tenure.PreviousRenewers, tenure.Leader.Term)
@@ -30,22 +30,22 @@
 	defer cancel()
 	unresolved := make(chan election.Renewer, len(list))
 	var requests sync.WaitGroup
-	for _, one := range list {
-		if one.Process == r.process {
+	for _, renewer := range list {
+		if renewer.Process == r.process {
 			continue // it has stopped renewing, and leads now
 		}
 		requests.Go(func() {
-			answer, ok := peerlink.QueryLeadership(bounded, one.Address, term)
-			if !ok || (answer.Leading && answer.Process == one.Process) {
-				unresolved <- one
+			answer, ok := peerlink.QueryLeadership(bounded, renewer.Address, term)
+			if !ok || (answer.Leading && answer.Process == renewer.Process) {
+				unresolved <- renewer
 			}
 		})
 	}
 	requests.Wait()
 	close(unresolved)
-	var left []election.Renewer
-	for one := range unresolved {
-		left = append(left, one)
+	var mayRenew []election.Renewer
+	for renewer := range unresolved {
+		mayRenew = append(mayRenew, renewer)
 	}
-	return left
+	return mayRenew
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -56,12 +56,13 @@
 	// ConfigPrefix is the key prefix of the operators' configuration.
 	ConfigPrefix string
 	// HashAPIKeys replaces the API keys in an operator's item by their digests. If it can't find
-	// the keys in an item, it returns the item empty, with an error. Nil: there are no keys.
+	// the keys in an item, it returns the item empty, with an error. It may be nil if there are
+	// no keys.
 	HashAPIKeys func(item coord.Item) (coord.Item, error)
 	// ParseConfig returns the configuration among items; nil if there is none.
 	ParseConfig func(items []coord.Item) (*routing.Config, error)
 	// ParseEvacuationKey returns the zone whose workers get no work while the key exists under
-	// ConfigPrefix; false if the key is unrelated. Nil: zones are never evacuated.
+	// ConfigPrefix; false if the key is unrelated. It may be nil if zones are never evacuated.
 	ParseEvacuationKey func(key string) (zone string, evacuates bool)
 	// WorkersPrefix is the key prefix of worker entries.
 	WorkersPrefix string
@@ -256,7 +257,8 @@
 	go r.followPrefix(ctx, r.adapter.WorkersPrefix, r.entriesView, r.entries)
 }
 
-// known returns the revisions that this process has read.
+// readState returns the revisions that this process has read, and for how much longer vanished
+// entries may merely have expired.
 func (r *Router) readState() peerlink.ReadState {
 	return peerlink.ReadState{
 		Config: r.config.newestRevision(), Workers: r.entries.newestRevision(), SettleMillis: r.workers.SettlingLeft().Milliseconds(),
@@ -269,28 +271,28 @@
 
 // close closes all open listeners.
 func (l listeners) close() {
-	for _, one := range []net.Listener{l.clients, l.ready, l.peers, l.metrics} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.clients, l.ready, l.peers, l.metrics} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
 
 func (r *Router) openListeners() (listeners, error) {
 	var opened listeners
-	for _, one := range []struct {
+	for _, target := range []struct {
 		into    *net.Listener
 		address string
 	}{
 		{&opened.clients, r.settings.Listen}, {&opened.ready, r.settings.ReadyListen},
 		{&opened.peers, r.settings.PeerListen},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", target.address)
 		if err != nil {
 			opened.close()
 			return opened, Error.Wrap(err)
 		}
-		*one.into = listener
+		*target.into = listener
 	}
 	opened.metrics = r.openMetrics()
 	return opened, nil
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// load merges the list that earlier leaders have stored; false if ctx ended first.
+// load merges the list that earlier leaders have stored. It retries until it succeeds, and returns
+// false if ctx ended first.
 func (k *suspectsKeeper) load(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		item, found, err := k.r.getSuspects(ctx)
@@ -112,7 +113,7 @@
 	return snapshot, err == nil
 }
 
-// settle applies time-dependent changes.
+// settle does the time-dependent work on the list, and logs the requests that it quarantines.
 func (k *suspectsKeeper) settle(now time.Time) {
 	for _, record := range k.r.proxy.Suspects.Evaluate(now) {
 		proxy.LogQuarantined(k.r.log, record.Attempt)
--- a/internal/router/unknownzones_test.go
+++ b/internal/router/unknownzones_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestUnknownZonesAreReportedOnce(t *testing.T) {
-	places := topology.New(map[topology.Zone]topology.Region{"a1": "a"})
+	zoneMap := topology.New(map[topology.Zone]topology.Region{"a1": "a"})
 	var zones unknownZones
 	var reported []topology.Zone
 	for _, zone := range []topology.Zone{"a1", "c1", "c1", "", "c2", "c1"} {
-		if zones.firstSeenUnknown(places, zone) {
+		if zones.firstSeenUnknown(zoneMap, zone) {
 			reported = append(reported, zone)
 		}
 	}
--- a/internal/router/unreadable.go
+++ b/internal/router/unreadable.go
@@ -99,8 +99,8 @@
 // count sets the numbers by reason.
 func (m unreadableMetric) count(entries map[workers.ID]unreadableEntry) {
 	counts := map[workers.Reason]int{}
-	for _, one := range entries {
-		counts[one.fault.Reason]++
+	for _, entry := range entries {
+		counts[entry.fault.Reason]++
 	}
 	for _, reason := range workers.Reasons() {
 		m.entries.WithLabelValues(string(reason)).Set(float64(counts[reason]))
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -27,9 +27,10 @@
 	modelLength = 24 * time.Second
 	// modelStep does not divide any duration in the code, so that no two events coincide.
 	modelStep = 47*time.Millisecond + 3*time.Microsecond
-	// entryLapse is when entries expire that can't be renewed.
-	entryLapse = 3900 * time.Millisecond
-	// entryReturn is within what time expired entries come back that must be waited for.
+	// entryLifetime is how long after the last renewal entries expire.
+	entryLifetime = 3900 * time.Millisecond
+	// entryReturn is how long after an outage expired entries come back. The router must wait for
+	// them.
 	entryReturn = 1700 * time.Millisecond
 )
 
@@ -69,30 +70,30 @@
 }
 
 func newViewModel(t *testing.T) *viewModel {
-	b := &viewModel{t: t, leads: true, leaderLinked: true, ledSince: time.Now()}
-	b.router, b.routerStore = newCutOffRouter(t)
-	b.leader = newTestRouter(t)
-	b.leaderStore = &cutStore{Store: b.routerStore.Store}
-	b.leader.adapter.Store, b.leader.adapter.WorkersPrefix = b.leaderStore, "w/"
-	go b.leader.followPrefix(t.Context(), "w/", b.leader.entriesView, b.leader.entries)
-	b.store = &cutStore{Store: b.routerStore.Store}
-	b.startTime = 100
-	b.announce(workers.StateReady)
-	return b
+	m := &viewModel{t: t, leads: true, leaderLinked: true, ledSince: time.Now()}
+	m.router, m.routerStore = newCutOffRouter(t)
+	m.leader = newTestRouter(t)
+	m.leaderStore = &cutStore{Store: m.routerStore.Store}
+	m.leader.adapter.Store, m.leader.adapter.WorkersPrefix = m.leaderStore, "w/"
+	go m.leader.followPrefix(t.Context(), "w/", m.leader.entriesView, m.leader.entries)
+	m.store = &cutStore{Store: m.routerStore.Store}
+	m.startTime = 100
+	m.announce(workers.StateReady)
+	return m
 }
 
 // announce writes the worker's entry.
-func (b *viewModel) announce(state workers.State) {
-	at, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, b.startTime)}}})
-	assert.NilError(b.t, err)
-	worker := workers.Worker{ID: "a", Service: "s", State: state, StartTime: b.startTime}
-	b.changes = append(b.changes, peerlink.NewWorkerChange(at, worker))
+func (m *viewModel) announce(state workers.State) {
+	at, err := m.store.Commit(m.t.Context(), coord.Txn{Puts: []coord.Put{{Key: "w/a", Value: fmt.Appendf(nil, "%s %d", state, m.startTime)}}})
+	assert.NilError(m.t, err)
+	worker := workers.Worker{ID: "a", Service: "s", State: state, StartTime: m.startTime}
+	m.changes = append(m.changes, peerlink.NewWorkerChange(at, worker))
 }
 
 // remove removes the worker's entry.
-func (b *viewModel) remove() {
-	at := remove(b.t, b.store, "w/a")
-	b.changes = append(b.changes, peerlink.WorkerChange{Revision: at, ID: "a", Gone: true})
+func (m *viewModel) remove() {
+	at := remove(m.t, m.store, "w/a")
+	m.changes = append(m.changes, peerlink.WorkerChange{Revision: at, ID: "a", Gone: true})
 }
 
 // After these times without an answer, a leader reports that the service is unreachable. The
@@ -103,27 +104,27 @@
 )
 
 // sendUpdate delivers an update from the leader, as its hub would.
-func (b *viewModel) sendUpdate() {
-	if !b.storeDown && !b.leaderIsCut {
-		b.leaderReached = time.Now()
+func (m *viewModel) sendUpdate() {
+	if !m.storeDown && !m.leaderIsCut {
+		m.leaderReached = time.Now()
 	}
-	if !b.leads || !b.leaderLinked {
+	if !m.leads || !m.leaderLinked {
 		return
 	}
-	readState := b.leader.readState()
-	unreachable := time.Since(clock.FromNanos(b.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(b.leaderReached) > leaseSilenceLimit
-	readState.Settled = !unreachable && readState.SettleMillis == 0 && time.Since(b.ledSince) >= workers.SettleTime
+	readState := m.leader.readState()
+	unreachable := time.Since(clock.FromNanos(m.leader.entries.syncedAt.Load())) > readSilenceLimit || time.Since(m.leaderReached) > leaseSilenceLimit
+	readState.Settled = !unreachable && readState.SettleMillis == 0 && time.Since(m.ledSince) >= workers.SettleTime
 	update := peerlink.Update{Leading: true, StoreUnreachable: unreachable, ReadState: readState}
-	from, to := b.router.entriesView.revision(), b.leader.entriesView.revision()
+	from, to := m.router.entriesView.revision(), m.leader.entriesView.revision()
 	if from < to {
 		update.Entries = &peerlink.EntryChanges{From: from, To: to}
-		for _, change := range b.changes {
+		for _, change := range m.changes {
 			if change.Revision > from && change.Revision <= to {
 				update.Entries.Changes = append(update.Entries.Changes, change)
 			}
 		}
 	}
-	b.router.handleUpdate(update)
+	m.router.handleUpdate(update)
 }
 
 // event is an action at a time.
@@ -135,119 +136,119 @@
 // drawSteps draws an order of events. The first router is disconnected for a while; meanwhile the
 // leader is disconnected too, is lost, is unreachable from the first router, or keeps leading. The
 // worker may leave around that time, and the service may have an outage.
-func (b *viewModel) drawSteps(random *rand.Rand) []event {
+func (m *viewModel) drawSteps(random *rand.Rand) []event {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(random.Int64N(int64(most-least)))
 	}
 	from, length := between(time.Second, 6*time.Second), between(time.Second, 11*time.Second)
 	end := from + length
-	steps := []event{{from, func() { b.setCut(true) }}, {end, func() { b.setCut(false) }}}
-	disturb := []func(is bool){b.setLeaderLost, b.setUnlinked, b.setLeaderCut, func(bool) {}}[random.IntN(4)]
+	steps := []event{{from, func() { m.setCut(true) }}, {end, func() { m.setCut(false) }}}
+	disturb := []func(is bool){m.setLeaderLost, m.setUnlinked, m.setLeaderCut, func(bool) {}}[random.IntN(4)]
 	steps = append(steps, event{from + between(-time.Second, time.Second), func() { disturb(true) }},
 		event{end + between(-time.Second, 4*time.Second), func() { disturb(false) }})
 	if random.IntN(4) > 0 {
 		announced := random.IntN(3) == 0
-		steps = append(steps, event{between(from-time.Second, end+3*time.Second), func() { b.leave(announced) }})
+		steps = append(steps, event{between(from-time.Second, end+3*time.Second), func() { m.leave(announced) }})
 	}
 	if random.IntN(3) == 0 {
 		start := between(0, 12*time.Second)
-		steps = append(steps, event{start, func() { b.setStoreDown(true) }}, event{start + between(time.Second, 7*time.Second), func() { b.setStoreDown(false) }})
+		steps = append(steps, event{start, func() { m.setStoreDown(true) }}, event{start + between(time.Second, 7*time.Second), func() { m.setStoreDown(false) }})
 	}
-	return append(steps, b.drawRestarts(random)...)
+	return append(steps, m.drawRestarts(random)...)
 }
 
 // drawRestarts draws when the worker restarts under its ID, whether or not it has left.
-func (b *viewModel) drawRestarts(random *rand.Rand) []event {
+func (m *viewModel) drawRestarts(random *rand.Rand) []event {
 	var steps []event
 	for range random.IntN(3) {
 		at := time.Duration(random.Int64N(int64(18 * time.Second)))
-		steps = append(steps, event{at, b.restart})
+		steps = append(steps, event{at, m.restart})
 	}
 	return steps
 }
 
 // restart starts another incarnation of the worker, whose clock may have stepped back. A notice of
 // leaving belongs to the previous incarnation.
-func (b *viewModel) restart() {
-	if b.expired || b.storeDown || time.Since(b.lastDown) < catchUpTime {
+func (m *viewModel) restart() {
+	if m.expired || m.storeDown || time.Since(m.lastDown) < catchUpTime {
 		return
 	}
-	b.startTime -= 7
-	b.announce(workers.StateReady)
-	if !b.leftAt.IsZero() {
-		b.leftAt = time.Time{}
-		b.lastUninformed = time.Now() // its return takes as long to arrive
+	m.startTime -= 7
+	m.announce(workers.StateReady)
+	if !m.leftAt.IsZero() {
+		m.leftAt = time.Time{}
+		m.lastUninformed = time.Now() // its return takes as long to arrive
 	}
 }
 
 // setLeaderLost ends or restores the leader's leadership.
-func (b *viewModel) setLeaderLost(is bool) {
-	b.leads = !is
-	b.ledSince = time.Now()
+func (m *viewModel) setLeaderLost(is bool) {
+	m.leads = !is
+	m.ledSince = time.Now()
 }
 
 // setUnlinked cuts the leader off from the first router, and setLeaderCut from the service.
-func (b *viewModel) setUnlinked(is bool) { b.leaderLinked = !is }
+func (m *viewModel) setUnlinked(is bool) { m.leaderLinked = !is }
 
-func (b *viewModel) setLeaderCut(is bool) {
-	b.leaderIsCut = is
-	b.leaderStore.setRouterCut(is || b.storeDown)
+func (m *viewModel) setLeaderCut(is bool) {
+	m.leaderIsCut = is
+	m.leaderStore.setRouterCut(is || m.storeDown)
 }
 
-func (b *viewModel) setCut(cut bool) {
-	b.cut, b.lastCut = cut, time.Now()
-	b.routerStore.setRouterCut(cut || b.storeDown)
+func (m *viewModel) setCut(cut bool) {
+	m.cut, m.lastCut = cut, time.Now()
+	m.routerStore.setRouterCut(cut || m.storeDown)
 }
 
 // setStoreDown starts or ends an outage of the service. In a long one the worker's entry expires;
 // it comes back soon after.
-func (b *viewModel) setStoreDown(down bool) {
-	b.storeDown = down
-	wasLong := !down && time.Since(b.lastDown) > entryLapse
-	b.lastDown = time.Now()
-	b.routerStore.setRouterCut(down || b.cut)
-	b.leaderStore.setRouterCut(down || b.leaderIsCut)
-	if !wasLong || !b.leftAt.IsZero() {
+func (m *viewModel) setStoreDown(down bool) {
+	m.storeDown = down
+	wasLong := !down && time.Since(m.lastDown) > entryLifetime
+	m.lastDown = time.Now()
+	m.routerStore.setRouterCut(down || m.cut)
+	m.leaderStore.setRouterCut(down || m.leaderIsCut)
+	if !wasLong || !m.leftAt.IsZero() {
 		return
 	}
-	b.remove()
-	b.expired = true
+	m.remove()
+	m.expired = true
 	time.AfterFunc(entryReturn, func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.announce(workers.StateReady)
-		b.expired = false
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.announce(workers.StateReady)
+		m.expired = false
 	})
 }
 
 // leave lets the worker leave, unless the service is or recently was disturbed: the time from which
 // the departure counts would then be unknown.
-func (b *viewModel) leave(announced bool) {
-	if !b.leftAt.IsZero() || b.expired || b.storeDown || time.Since(b.lastDown) < catchUpTime {
+func (m *viewModel) leave(announced bool) {
+	if !m.leftAt.IsZero() || m.expired || m.storeDown || time.Since(m.lastDown) < catchUpTime {
 		return
 	}
 	if announced {
-		b.announce(workers.StateDraining)
+		m.announce(workers.StateDraining)
 	} else {
-		b.remove()
+		m.remove()
 	}
-	b.leftAt = time.Now()
+	m.leftAt = time.Now()
 }
 
 // check returns an error if the first router's current view is wrong.
-func (b *viewModel) check() error {
-	believed := usable(b.router) > 0
-	downMeanwhile := b.storeDown && (b.expired || b.router.workers.KeptCount() > 0 || !believed)
-	if downMeanwhile || b.cut && !(b.leads && b.leaderLinked && !b.leaderIsCut) {
-		b.lastUninformed = time.Now()
+func (m *viewModel) check() error {
+	isUsed := usable(m.router) > 0
+	downMeanwhile := m.storeDown && (m.expired || m.router.workers.KeptCount() > 0 || !isUsed)
+	if downMeanwhile || m.cut && !(m.leads && m.leaderLinked && !m.leaderIsCut) {
+		m.lastUninformed = time.Now()
 	}
-	inTouch := !b.cut && !b.storeDown && time.Since(b.lastCut) >= catchUpTime && time.Since(b.lastDown) >= catchUpTime
+	inTouch := !m.cut && !m.storeDown && time.Since(m.lastCut) >= catchUpTime && time.Since(m.lastDown) >= catchUpTime
 	switch {
-	case believed && inTouch && !b.leftAt.IsZero() && time.Since(b.leftAt) >= drainTime:
-		return fmt.Errorf("requests go to a worker that left %v ago", time.Since(b.leftAt))
-	case inTouch && b.router.workers.DrainingFor("a") > 0 && b.leftAt.IsZero() && time.Since(b.lastUninformed) >= catchUpTime:
+	case isUsed && inTouch && !m.leftAt.IsZero() && time.Since(m.leftAt) >= drainTime:
+		return fmt.Errorf("requests go to a worker that left %v ago", time.Since(m.leftAt))
+	case inTouch && m.router.workers.DrainingFor("a") > 0 && m.leftAt.IsZero() && time.Since(m.lastUninformed) >= catchUpTime:
 		return fmt.Errorf("another incarnation of the worker counts as leaving")
-	case !believed && b.leftAt.IsZero() && time.Since(b.lastUninformed) >= catchUpTime:
+	case !isUsed && m.leftAt.IsZero() && time.Since(m.lastUninformed) >= catchUpTime:
 		return fmt.Errorf("no requests go to a live worker")
 	}
 	return nil
@@ -275,24 +276,24 @@
 // playSeed plays the order of events of one seed.
 func playSeed(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
-	b := newViewModel(t)
+	m := newViewModel(t)
 	elapse(5 * time.Second)
-	steps := b.drawSteps(random)
+	steps := m.drawSteps(random)
 	began := time.Now()
 	for time.Since(began) < modelLength+5*time.Second {
-		b.mu.Lock()
-		for index, one := range steps {
-			if one.do != nil && time.Since(began) >= one.at {
-				one.do()
+		m.mu.Lock()
+		for index, step := range steps {
+			if step.do != nil && time.Since(began) >= step.at {
+				step.do()
 				steps[index].do = nil
 			}
 		}
-		b.sendUpdate()
-		b.mu.Unlock()
+		m.sendUpdate()
+		m.mu.Unlock()
 		elapse(modelStep)
-		b.mu.Lock()
-		err := b.check()
-		b.mu.Unlock()
+		m.mu.Lock()
+		err := m.check()
+		m.mu.Unlock()
 		assert.NilError(t, err, "%v after the start", time.Since(began))
 	}
 }
--- a/internal/router/workerlimits.go
+++ b/internal/router/workerlimits.go
@@ -49,10 +49,10 @@
 // worker, it asks the leader for a permit; while this process leads, it grants permits to others.
 // It implements proxy.Limits.
 type workerLimits struct {
-	r       *Router
-	limiter *workerlimit.Limiter
-	table   workerlimit.Table
-	link    peerlink.PermitClient
+	r            *Router
+	limiter      *workerlimit.Limiter
+	table        workerlimit.Table
+	permitClient peerlink.PermitClient
 	// tenure is the current or last tenure of this process as leader.
 	tenure atomic.Pointer[election.Tenure]
 	// noRequestUntil is the time, in clock.Nanos, until which no permit is requested from a leader.
@@ -66,7 +66,7 @@
 	limiter := workerlimit.NewLimiter()
 	return &workerLimits{
 		r: r, limiter: limiter, table: limiter.Table(),
-		link: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
+		permitClient: peerlink.PermitClient{Node: r.settings.Node, Zone: r.settings.Zone},
 		permits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "shalefork_router_limit_permits_total",
 			Help: "Requests for workers that name limits, by what the leader said: granted, refused or unanswered.",
@@ -74,10 +74,10 @@
 	}
 }
 
-// Count implements proxy.Limits.
+// LimitedCount implements proxy.Limits.
 func (l *workerLimits) LimitedCount() int { return l.table.ActiveCount() }
 
-// Limited implements proxy.Limits.
+// IsLimited implements proxy.Limits.
 func (l *workerLimits) IsLimited(worker workers.Incarnation) bool {
 	_, limited := l.table.Rate(worker)
 	return limited
@@ -107,16 +107,16 @@
 // handleReports records facts reported by followers of this process.
 func (l *workerLimits) handleReports(reports []workerlimit.Message) {
 	now := clock.Now()
-	for _, one := range reports {
-		l.addFact(one.Fact(now), seenByPeer)
+	for _, report := range reports {
+		l.addFact(report.Fact(now), seenByPeer)
 	}
 }
 
 // handleUpdate applies facts received from the leader or a relay.
-func (l *workerLimits) handleUpdate(reports []workerlimit.Message) {
+func (l *workerLimits) handleUpdate(updates []workerlimit.Message) {
 	now := clock.Now()
-	for _, one := range reports {
-		if fact := one.Fact(now); l.limiter.ApplyUpdate(fact) {
+	for _, update := range updates {
+		if fact := update.Fact(now); l.limiter.ApplyUpdate(fact) {
 			l.log(fact, seenByPeer)
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	permit, err := l.link.Request(ctx, leader, peerlink.PermitRequest{
+	permit, err := l.permitClient.Request(ctx, leader, peerlink.PermitRequest{
 		Limit: workerlimit.NewMessage(now, fact), MaxWaitMillis: maxWait.Milliseconds(),
 	})
 	if err != nil {
--- a/internal/router/workersview.go
+++ b/internal/router/workersview.go
@@ -154,7 +154,7 @@
 
 // apply applies the changes that are new. The caller holds mu.
 func (v *workersView) apply(changes []peerlink.WorkerChange, at coord.Revision) {
-	changes = slices.DeleteFunc(changes, func(one peerlink.WorkerChange) bool { return one.Revision <= v.at })
+	changes = slices.DeleteFunc(changes, func(change peerlink.WorkerChange) bool { return change.Revision <= v.at })
 	v.at = max(v.at, at)
 	v.r.entries.noteCovered(at)
 	v.r.hub.AddEntryChanges(changes, at)
@@ -216,12 +216,12 @@
 // that are already sent take a moment to reach their worker.
 const catchUpMargin = 200 * time.Millisecond
 
-// OnReachable implements coord.View. Workers whose entries may have expired during the outage are kept
-// for a while; a worker that left must get no requests once the router has to have caught up. That
-// deadline counts from the end of the outage or disconnection, but this process's first answer may
-// come a second later, because of the pause between attempts. The wait therefore counts from the
-// last failed attempt. Counted from the first answer, requests went to a worker that had left for
-// up to 3.9 s after the end of a disconnection, where 3 s are allowed (18 of 40 ends of a
+// OnReachable implements coord.View. Workers whose entries may have expired during the outage are
+// kept for a while; a worker that left must get no requests once the router has to have caught up.
+// That deadline counts from the end of the outage or disconnection, but this process's first answer
+// may come a second later, because of the pause between attempts. The wait therefore counts from
+// the last failed attempt. Counted from the first answer, requests went to a worker that had left
+// for up to 3.9 s after the end of a disconnection, where 3 s are allowed (18 of 40 ends of a
 // disconnection between two attempts, in virtual time).
 func (v *workersView) OnReachable(since time.Time) {
 	now := clock.Now()
--- a/internal/router/workersview_test.go
+++ b/internal/router/workersview_test.go
@@ -89,6 +89,8 @@
 	assert.Equal(t, worker.State, workers.StateDraining, "already known events change nothing either")
 }
 
+// A revision of the leader that is missing here is read from the store at once, and again only
+// after maxLag. An immediate read at each update would repeat the same call.
 func TestLeaderRevisionIsReadOnce(t *testing.T) {
 	resyncRequested := func(of *prefixState) bool {
 		select {
