--- a/internal/peerlink/suspects_test.go
+++ b/internal/peerlink/suspects_test.go
@@ -31,7 +31,7 @@
 // it took 0.3 MB/s on each link while 512 requests became suspects.
 func TestSuspectUpdatesStayWithinBandwidth(t *testing.T) {
 	// A link may carry at most 20 KB/s of control traffic.
-	const mostBytes = 20 << 10
+	const maxBytes = 20 << 10
 	for name, acceptsChanges := range map[string]bool{"changes": true, "whole lists": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 					}
 				}
 				if acceptsChanges {
-					assert.Assert(t, sent < mostBytes, "%d bytes in a second", sent)
+					assert.Assert(t, sent < maxBytes, "%d bytes in a second", sent)
 				}
 				time.Sleep(5 * time.Second)
 				for range 10 {
--- a/internal/router/configview_test.go
+++ b/internal/router/configview_test.go
@@ -91,25 +91,25 @@
 		items   []coord.Item
 		at      coord.Revision
 		changes peerlink.ConfigChanges
-		taken   bool
+		ok      bool
 		zones   []string
 	}{
 		"everything is new": {
-			changes: leader.hub.ConfigSince(0), taken: true, zones: []string{"a"},
+			changes: leader.hub.ConfigSince(0), ok: true, zones: []string{"a"},
 		},
 		"the evacuation is new": {
-			items: []coord.Item{written("config", 5)}, at: 6, changes: leader.hub.ConfigSince(6), taken: true, zones: []string{"a"},
+			items: []coord.Item{written("config", 5)}, at: 6, changes: leader.hub.ConfigSince(6), ok: true, zones: []string{"a"},
 		},
 		"the configuration is missing": {
 			changes: leader.hub.ConfigSince(6),
 		},
 		"an evacuation was withdrawn": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7, changes: leader.hub.ConfigSince(7),
-			taken: true, zones: []string{"a"},
+			ok: true, zones: []string{"a"},
 		},
 		"newer state is known here": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 10)}, at: 10, changes: leader.hub.ConfigSince(6),
-			taken: true, zones: []string{"b"},
+			ok: true, zones: []string{"b"},
 		},
 		"invalid update": {
 			items: []coord.Item{written("config", 5), written("evacuate/b", 7)}, at: 7,
@@ -121,7 +121,7 @@
 			if c.at > 0 {
 				r.configView.Snapshot(c.items, c.at)
 			}
-			assert.Equal(t, r.configView.applyRelayed(c.changes), c.taken)
+			assert.Equal(t, r.configView.applyRelayed(c.changes), c.ok)
 			assert.DeepEqual(t, r.workers.EvacuatedZones(), append([]string{}, c.zones...))
 		})
 	}
--- a/internal/router/cutoff_test.go
+++ b/internal/router/cutoff_test.go
@@ -118,8 +118,8 @@
 // after the connection timeout; a pending one is never answered.
 type cutStore struct {
 	*memory.Store
-	mu   sync.Mutex
-	down bool
+	mu  sync.Mutex
+	cut bool
 	// lost is closed when pending calls are lost; nil while none is pending.
 	lost chan struct{}
 }
@@ -135,17 +135,17 @@
 // connectTime is how long a router tries to connect to the service.
 const connectTime = 700 * time.Millisecond
 
-func (s *cutStore) setCut(is bool) {
+func (s *cutStore) setCut(cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = is
-	s.SetWatchesSilent(is) // pending watches
+	s.cut = cut
+	s.SetWatchesSilent(cut) // pending watches
 }
 
 // connect fails like a connection attempt to an unreachable service.
 func (s *cutStore) connect(ctx context.Context) error {
 	s.mu.Lock()
-	isCut := s.down
+	isCut := s.cut
 	s.mu.Unlock()
 	if !isCut {
 		return nil
--- a/internal/router/viewmodel_test.go
+++ b/internal/router/viewmodel_test.go
@@ -143,7 +143,7 @@
 	from, length := between(time.Second, 6*time.Second), between(time.Second, 11*time.Second)
 	end := from + length
 	steps := []event{{from, func() { m.setCut(true) }}, {end, func() { m.setCut(false) }}}
-	disturb := []func(is bool){m.setLeaderLost, m.setUnlinked, m.setLeaderCut, func(bool) {}}[random.IntN(4)]
+	disturb := []func(active bool){m.setLeaderLost, m.setUnlinked, m.setLeaderCut, func(bool) {}}[random.IntN(4)]
 	steps = append(steps, event{from + between(-time.Second, time.Second), func() { disturb(true) }},
 		event{end + between(-time.Second, 4*time.Second), func() { disturb(false) }})
 	if random.IntN(4) > 0 {
@@ -182,17 +182,17 @@
 }
 
 // setLeaderLost ends or restores the leader's leadership.
-func (m *viewModel) setLeaderLost(is bool) {
-	m.leads = !is
+func (m *viewModel) setLeaderLost(lost bool) {
+	m.leads = !lost
 	m.ledSince = time.Now()
 }
 
 // setUnlinked cuts the leader off from the first router, and setLeaderCut from the service.
-func (m *viewModel) setUnlinked(is bool) { m.leaderLinked = !is }
+func (m *viewModel) setUnlinked(unlinked bool) { m.leaderLinked = !unlinked }
 
-func (m *viewModel) setLeaderCut(is bool) {
-	m.leaderIsCut = is
-	m.leaderStore.setRouterCut(is || m.storeDown)
+func (m *viewModel) setLeaderCut(cut bool) {
+	m.leaderIsCut = cut
+	m.leaderStore.setRouterCut(cut || m.storeDown)
 }
 
 func (m *viewModel) setCut(cut bool) {
@@ -238,8 +238,8 @@
 // check returns an error if the first router's current view is wrong.
 func (m *viewModel) check() error {
 	isUsed := usable(m.router) > 0
-	downMeanwhile := m.storeDown && (m.expired || m.router.workers.KeptCount() > 0 || !isUsed)
-	if downMeanwhile || m.cut && !(m.leads && m.leaderLinked && !m.leaderIsCut) {
+	uninformedByOutage := m.storeDown && (m.expired || m.router.workers.KeptCount() > 0 || !isUsed)
+	if uninformedByOutage || m.cut && !(m.leads && m.leaderLinked && !m.leaderIsCut) {
 		m.lastUninformed = time.Now()
 	}
 	inTouch := !m.cut && !m.storeDown && time.Since(m.lastCut) >= catchUpTime && time.Since(m.lastDown) >= catchUpTime
@@ -255,11 +255,11 @@
 }
 
 // setRouterCut cuts one router off from a service that others reach. Pending watches are lost.
-func (s *cutStore) setRouterCut(is bool) {
+func (s *cutStore) setRouterCut(cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = is
-	if is {
+	s.cut = cut
+	if cut {
 		close(s.lostCalls())
 		s.lost = nil
 	}
