--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -94,7 +94,7 @@
 
 func describeSuspects(snapshot quarantine.Snapshot) []SuspectedRequest {
 	list := []SuspectedRequest{}
-	for _, record := range snapshot.Received(time.UnixMilli(snapshot.WrittenMillis).UTC()) {
+	for _, record := range snapshot.ReceivedRecords(time.UnixMilli(snapshot.WrittenMillis).UTC()) {
 		if record.Standing() == quarantine.Unsuspected {
 			continue
 		}
--- a/internal/quarantine/changelog.go
+++ b/internal/quarantine/changelog.go
@@ -72,10 +72,10 @@
 // Apply applies changes that were received at now.
 func (l *ChangeLog) Apply(now time.Time, changes Changes) {
 	if changes.Full || l.version == 0 {
-		l.Set(changes.Updated.Received(now))
+		l.Set(changes.Updated.ReceivedRecords(now))
 		return
 	}
-	for _, record := range changes.Updated.Received(now) {
+	for _, record := range changes.Updated.ReceivedRecords(now) {
 		l.put(record)
 	}
 	for _, request := range changes.Removed {
--- a/internal/quarantine/leaders_test.go
+++ b/internal/quarantine/leaders_test.go
@@ -13,7 +13,7 @@
 // sendUpdate sends a leader's records to a follower.
 func sendUpdate(now time.Time, leader, follower *View) []Attempt {
 	snapshot, _ := leader.Snapshot(now)
-	return follower.HandleUpdate(now, snapshot.Received(now))
+	return follower.HandleUpdate(now, snapshot.ReceivedRecords(now))
 }
 
 // sendReport sends a follower's evidence to a leader.
@@ -93,7 +93,7 @@
 func liftAt(v *View, seconds float64) {
 	snapshot, _ := v.Snapshot(at(seconds - 1))
 	lifted, _ := snapshot.Lift(at(seconds), attempt(1).Request)
-	v.Merge(at(seconds), lifted.Stored(at(seconds)))
+	v.Merge(at(seconds), lifted.StoredRecords(at(seconds)))
 }
 
 func TestLiftedOrClearedQuarantineDoesNotReturn(t *testing.T) {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		panic(err)
 	}
-	view.Merge(m.now, snapshot.Stored(m.now))
+	view.Merge(m.now, snapshot.StoredRecords(m.now))
 }
 
 // restart restarts a router with the stored snapshot.
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -208,7 +208,7 @@
 	s.sentVersion = version
 	for _, router := range s.routers {
 		// Links deliver messages in order.
-		s.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
+		s.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.ReceivedRecords(now)) })
 	}
 }
 
--- a/internal/quarantine/snapshot.go
+++ b/internal/quarantine/snapshot.go
@@ -149,11 +149,11 @@
 	return age
 }
 
-// Received returns the records of a snapshot that another process has just written.
-func (s Snapshot) Received(now time.Time) []Record { return s.records(now) }
+// ReceivedRecords returns the records of a snapshot that another process has just written.
+func (s Snapshot) ReceivedRecords(now time.Time) []Record { return s.records(now) }
 
-// Stored returns the records of a snapshot that was written some time ago.
-func (s Snapshot) Stored(now time.Time) []Record {
+// StoredRecords returns the records of a snapshot that was written some time ago.
+func (s Snapshot) StoredRecords(now time.Time) []Record {
 	old := time.Duration(max(0, now.UnixMilli()-s.WrittenMillis)) * time.Millisecond
 	return s.records(now.Add(-old))
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -196,7 +196,7 @@
 				tracker.RecordCrash(at(one.at), request, Crash{Worker: one.worker, At: at(one.at)})
 			}
 			received := NewTracker()
-			received.Merge(at(8), NewSnapshot(at(8), tracker.Records()).Received(at(8)))
+			received.Merge(at(8), NewSnapshot(at(8), tracker.Records()).ReceivedRecords(at(8)))
 			for caller, want := range test.want {
 				run := CallerRequest{Request: attempt(1).Request, Caller: callerAt(caller)}
 				assert.Equal(t, tracker.Standing(run), want, "caller %d", caller)
@@ -233,7 +233,7 @@
 			snapshot, err := DecodeSnapshot(stored)
 			assert.NilError(t, err)
 			later := NewTracker()
-			later.Merge(at(now), snapshot.Stored(at(now)))
+			later.Merge(at(now), snapshot.StoredRecords(at(now)))
 			later.Evaluate(at(now))
 			assert.Equal(t, later.Standing(attempt(1).callerRequest()), Quarantined)
 			assert.Equal(t, later.Standing(attempt(2).callerRequest()), Suspect)
@@ -257,14 +257,14 @@
 	assert.Equal(t, len(follower.CollectEvidence(at(1.3)).Crashes), 1, "not confirmed, so reported again")
 
 	other, _ := leader.Snapshot(at(1.4))
-	follower.HandleUpdate(at(1.4), other.Received(at(1.4)))
+	follower.HandleUpdate(at(1.4), other.ReceivedRecords(at(1.4)))
 	assert.Equal(t, follower.Standing(attempt(1).callerRequest()), Suspect, "an update without it does not remove it")
 	leader.HandleEvidence(at(1.5), *first)
 	leader.HandleEvidence(at(1.6), *first)
 	snapshot, _ := leader.Snapshot(at(1.6))
 	assert.Equal(t, len(snapshot.Records), 1)
 	assert.Equal(t, len(snapshot.Records[0].Crashes), 1)
-	follower.HandleUpdate(at(1.6), snapshot.Received(at(1.6)))
+	follower.HandleUpdate(at(1.6), snapshot.ReceivedRecords(at(1.6)))
 	assert.Assert(t, follower.CollectEvidence(at(5)) == nil, "confirmed by the leader")
 
 	follower.RecordSuccess(at(6), attempt(1).callerRequest())
@@ -289,8 +289,8 @@
 		quarantined := leader.HandleEvidence(at(seconds), Evidence{Crashes: []CrashReport{{Attempt: attempt(1), Crash: SnapshotCrash{Worker: worker}}}})
 		assert.Equal(t, len(quarantined), index/2, "the third crash quarantines it")
 		snapshot, _ := leader.Snapshot(at(seconds))
-		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), index/2)
-		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.Received(at(seconds)))), 0, "received before")
+		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.ReceivedRecords(at(seconds)))), index/2)
+		assert.Equal(t, len(follower.HandleUpdate(at(seconds), snapshot.ReceivedRecords(at(seconds)))), 0, "received before")
 	}
 	suspects, quarantined := follower.Count()
 	assert.Equal(t, suspects, 0)
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -153,7 +153,7 @@
 		v.RecordSuccess(now, request)
 	}
 	if evidence.MissingRecords != nil {
-		quarantined = append(quarantined, v.Merge(now, evidence.MissingRecords.Received(now))...)
+		quarantined = append(quarantined, v.Merge(now, evidence.MissingRecords.ReceivedRecords(now))...)
 	}
 	return quarantined
 }
--- a/internal/router/bundles.go
+++ b/internal/router/bundles.go
@@ -93,7 +93,7 @@
 	}
 	v.r.workers.Replace(compiled.Workers, nil, clock.Now())
 	v.r.log.Line(decision.KindConfig).Uint64("version", uint64(compiled.Config.Version)).
-		Int("routes", compiled.Config.Routes()).Msg("in force")
+		Int("routes", compiled.Config.RouteCount()).Msg("in force")
 }
 
 // OnUnreachable implements coord.View.
--- a/internal/router/configview.go
+++ b/internal/router/configview.go
@@ -155,7 +155,7 @@
 	if config == nil || !v.r.proxy.Use(config) {
 		return
 	}
-	line := v.r.log.Line(decision.KindConfig).Uint64("version", uint64(config.Version)).Int("routes", config.Routes()).
+	line := v.r.log.Line(decision.KindConfig).Uint64("version", uint64(config.Version)).Int("routes", config.RouteCount()).
 		Int64("revision", int64(v.at))
 	if len(config.Warnings) > 0 {
 		line = line.Strs("remarks", config.Warnings)
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -200,7 +200,7 @@
 		return nil
 	}
 	now := clock.Now()
-	records := snapshot.Stored(now)
+	records := snapshot.StoredRecords(now)
 	lifted := r.proxy.Suspects.NewlyLifted(records)
 	r.logQuarantined(r.proxy.Suspects.Merge(now, records))
 	return lifted
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -193,8 +193,8 @@
 	return best
 }
 
-// Routes returns the number of routes.
-func (c *Config) Routes() int { return len(c.routes) }
+// RouteCount returns the number of routes.
+func (c *Config) RouteCount() int { return len(c.routes) }
 
 // HasRoute reports whether there is a route with that name.
 func (c *Config) HasRoute(name string) bool {
