--- a/internal/bodies/linkshaper_test.go
+++ b/internal/bodies/linkshaper_test.go
@@ -58,9 +58,9 @@
 				group.Go(func() {
 					time.Sleep(time.Duration(round) * 3 * time.Second)
 					conn := &linkConn{link: link}
-					paced := shaper.NewWriter(t.Context(), conn)
+					writer := shaper.NewWriter(t.Context(), conn)
 					for range 540_000 / MaxSmall {
-						_, _ = paced.Write(make([]byte, MaxSmall))
+						_, _ = writer.Write(make([]byte, MaxSmall))
 					}
 					time.Sleep(time.Until(conn.end))
 				})
@@ -105,8 +105,8 @@
 		var group sync.WaitGroup
 		for range 3 {
 			group.Go(func() {
-				paced := shaper.NewWriter(t.Context(), io.Discard)
-				_, _ = paced.Write(make([]byte, 30*sliceSize))
+				writer := shaper.NewWriter(t.Context(), io.Discard)
+				_, _ = writer.Write(make([]byte, 30*sliceSize))
 				mu.Lock()
 				defer mu.Unlock()
 				ends = append(ends, time.Since(began))
--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -126,13 +126,13 @@
 }
 
 // Add appends the next page.
-func (r *PartialList) Add(page Page) {
-	if r.After == "" {
-		r.At = page.At
+func (l *PartialList) Add(page Page) {
+	if l.After == "" {
+		l.At = page.At
 	}
-	r.Items = append(r.Items, page.Items...)
+	l.Items = append(l.Items, page.Items...)
 	if len(page.Items) > 0 {
-		r.After = page.Items[len(page.Items)-1].Key
+		l.After = page.Items[len(page.Items)-1].Key
 	}
-	r.Done = !page.More || len(page.Items) == 0
+	l.Done = !page.More || len(page.Items) == 0
 }
--- a/internal/coord/follow_test.go
+++ b/internal/coord/follow_test.go
@@ -62,19 +62,19 @@
 }
 
 // runFollow runs a test in virtual time while the prefix "a/" is followed.
-func runFollow(t *testing.T, wait time.Duration, play func(t *testing.T, store *memory.Store, view *recordingView, renew chan struct{})) {
+func runFollow(t *testing.T, wait time.Duration, play func(t *testing.T, store *memory.Store, view *recordingView, resync chan struct{})) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		view := &recordingView{}
-		renew := make(chan struct{}, 1)
+		resync := make(chan struct{}, 1)
 		ctx, stop := context.WithCancel(t.Context())
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
 			WatchTimeout: func() time.Duration { return wait },
 			BatchDelay:   func() time.Duration { return 100 * time.Millisecond },
-			Resync:       renew,
+			Resync:       resync,
 		})
 		synctest.Wait()
-		play(t, store, view, renew)
+		play(t, store, view, resync)
 		stop()
 		synctest.Wait()
 	})
@@ -116,16 +116,16 @@
 		store, view := memory.New(), &recordingView{}
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		var reached time.Time
-		longest := time.Duration(0)
+		var lastSyncAt time.Time
+		longestGap := time.Duration(0)
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
 			WatchTimeout: func() time.Duration { return 1500 * time.Millisecond },
 			BatchDelay:   func() time.Duration { return 0 },
 			OnSynced: func(at time.Time) {
-				if !reached.IsZero() {
-					longest = max(longest, at.Sub(reached))
+				if !lastSyncAt.IsZero() {
+					longestGap = max(longestGap, at.Sub(lastSyncAt))
 				}
-				reached = at
+				lastSyncAt = at
 			},
 		})
 		advance(time.Second)
@@ -139,7 +139,7 @@
 			assert.Equal(t, view.values["a/1"], fmt.Sprint(round))
 		}
 		assert.Equal(t, store.Calls["list"], 1)
-		assert.Assert(t, longest <= 2200*time.Millisecond, "nothing was read for %v", longest)
+		assert.Assert(t, longestGap <= 2200*time.Millisecond, "nothing was read for %v", longestGap)
 	})
 }
 
@@ -157,12 +157,12 @@
 }
 
 func TestResyncCancelsPendingWatch(t *testing.T) {
-	runFollow(t, time.Hour, func(t *testing.T, store *memory.Store, view *recordingView, renew chan struct{}) {
+	runFollow(t, time.Hour, func(t *testing.T, store *memory.Store, view *recordingView, resync chan struct{}) {
 		store.SetWatchesSilent(true)
 		put(t, store, "a/1", "new")
 		synctest.Wait()
 		store.SetWatchesSilent(false)
-		renew <- struct{}{}
+		resync <- struct{}{}
 		advance(time.Second)
 		assert.Equal(t, view.values["a/1"], "new")
 	})
@@ -172,14 +172,14 @@
 // pause, watching continues from the last known revision.
 func TestPausedFollowReadsOnlyOnResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, view, renew := memory.New(), &recordingView{}, make(chan struct{}, 1)
+		store, view, resync := memory.New(), &recordingView{}, make(chan struct{}, 1)
 		var paused atomic.Bool
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go coord.Follow(ctx, store, "a/", view, coord.Options{
 			WatchTimeout: func() time.Duration { return time.Second },
 			BatchDelay:   func() time.Duration { return 0 },
-			Resync:       renew, Paused: paused.Load,
+			Resync:       resync, Paused: paused.Load,
 		})
 		advance(100 * time.Millisecond)
 		paused.Store(true)
@@ -189,7 +189,7 @@
 		advance(time.Minute)
 		assert.Equal(t, store.Calls["watch"]+store.Calls["list"], calls)
 		assert.Equal(t, view.values["a/1"], "")
-		renew <- struct{}{}
+		resync <- struct{}{}
 		advance(time.Second)
 		assert.Equal(t, view.values["a/1"], "x", "Resync must read the changes")
 		assert.Equal(t, store.Calls["watch"]+store.Calls["list"], calls+1)
@@ -208,7 +208,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
 				var paused atomic.Bool
-				var reached atomic.Int32
+				var syncs atomic.Int32
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				go coord.Follow(ctx, store, "a/", &recordingView{}, coord.Options{
@@ -216,15 +216,15 @@
 					BatchDelay:     func() time.Duration { return 0 },
 					Paused:         paused.Load,
 					PollAfterPause: func() bool { return followers },
-					OnSynced:       func(time.Time) { reached.Add(1) },
+					OnSynced:       func(time.Time) { syncs.Add(1) },
 				})
 				advance(100 * time.Millisecond)
 				paused.Store(true)
 				advance(5 * time.Second)
-				before := reached.Load()
+				before := syncs.Load()
 				paused.Store(false)
 				advance(100 * time.Millisecond)
-				assert.Equal(t, reached.Load() > before, followers)
+				assert.Equal(t, syncs.Load() > before, followers)
 			})
 		})
 	}
@@ -269,9 +269,9 @@
 // the service was certainly unreachable. That time must not be after its return, nor further before
 // the first answer than one attempt.
 func TestOnReachableReportsLastFailure(t *testing.T) {
-	for name, setUnreachable := range map[string]func(store *refusingStore, is bool){
-		"silent":  func(store *refusingStore, is bool) { store.SetDown(is) },
-		"refuses": func(store *refusingStore, is bool) { store.refuses.Store(is) },
+	for name, setUnreachable := range map[string]func(store *refusingStore, unreachable bool){
+		"silent":  func(store *refusingStore, unreachable bool) { store.SetDown(unreachable) },
+		"refuses": func(store *refusingStore, unreachable bool) { store.refuses.Store(unreachable) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for phase := time.Duration(0); phase < 3*time.Second; phase += 70 * time.Millisecond {
--- a/internal/coord/memory/timeoutstore.go
+++ b/internal/coord/memory/timeoutstore.go
@@ -14,8 +14,8 @@
 }
 
 // Commit implements coord.Store.
-func (b TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, b.CommitTimeout)
+func (s TimeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
+	bounded, cancel := context.WithTimeout(ctx, s.CommitTimeout)
 	defer cancel()
-	return b.Store.Commit(bounded, txn)
+	return s.Store.Commit(bounded, txn)
 }
--- a/internal/departure/departure.go
+++ b/internal/departure/departure.go
@@ -1,6 +1,6 @@
 // Package departure records which workers have announced in their responses that they are leaving,
-// regardless of their registry entries. Such an announcement is final for an incarnation of a
-// worker.
+// regardless of the state in their store entries. Such an announcement is final for an incarnation
+// of a worker.
 package departure
 
 import (
--- a/internal/estimate/work.go
+++ b/internal/estimate/work.go
@@ -26,7 +26,8 @@
 	// changeDeviations is by how many standard deviations the recent bins must differ from all bins
 	// to show that a worker has changed.
 	changeDeviations = 3.0
-	// minChange is a difference of the logarithms that is ignored in addition.
+	// minChange is added to the threshold given by changeDeviations. Both apply to the difference
+	// between the logarithms of the two means.
 	minChange = 0.3
 	// priorAnswers is the weight of the prior, in answers.
 	priorAnswers = 6.0
@@ -97,13 +98,13 @@
 // answers.
 func (w *Work) estimates(newest, count int64, slots int) []workEstimate {
 	var list []workEstimate
-	for _, one := range w.steadyPeriods(newest, count) {
-		if one.answers < minAnswers {
+	for _, period := range w.steadyPeriods(newest, count) {
+		if period.answers < minAnswers {
 			continue
 		}
-		answers := float64(one.answers)
-		rate := answers / (float64(one.bins) * binLength.Seconds())
-		list = append(list, workEstimate{work: workFromResponseTime(one.took.Seconds()/answers, rate, slots), weight: answers, bins: one.bins})
+		answers := float64(period.answers)
+		rate := answers / (float64(period.bins) * binLength.Seconds())
+		list = append(list, workEstimate{work: workFromResponseTime(period.took.Seconds()/answers, rate, slots), weight: answers, bins: period.bins})
 	}
 	return list
 }
@@ -125,18 +126,18 @@
 func (w *Work) steadyPeriods(newest, count int64) []steadyPeriod {
 	var list []steadyPeriod
 	for number := max(0, newest-count); number < newest; number++ {
-		one := w.bins[number%keptBins]
-		if one.number != number {
-			one = bin{}
+		current := w.bins[number%keptBins]
+		if current.number != number {
+			current = bin{}
 		}
 		last := len(list) - 1
-		if last < 0 || !list[last].hasRateOf(one) {
+		if last < 0 || !list[last].hasRateOf(current) {
 			list = append(list, steadyPeriod{})
 			last++
 		}
 		list[last].bins++
-		list[last].answers += one.answers
-		list[last].took += one.took
+		list[last].answers += current.answers
+		list[last].took += current.took
 	}
 	return list
 }
--- a/internal/facts/table.go
+++ b/internal/facts/table.go
@@ -38,8 +38,8 @@
 func (t *Table[F]) Fact(key workers.Incarnation) (F, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if one := t.entries[key]; one != nil {
-		return one.fact, true
+	if entry := t.entries[key]; entry != nil {
+		return entry.fact, true
 	}
 	var none F
 	return none, false
@@ -52,15 +52,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := fact.Key()
-	one := t.entries[key]
-	if one != nil && !fact.Replaces(one.fact) {
+	entry := t.entries[key]
+	if entry != nil && !fact.Replaces(entry.fact) {
 		return false
 	}
-	if one != nil && fact.EquivalentTo(one.published) {
-		one.fact = fact
+	if entry != nil && fact.EquivalentTo(entry.published) {
+		entry.fact = fact
 		return false
 	}
-	changed := one != nil || fact.Active()
+	changed := entry != nil || fact.Active()
 	t.version++
 	t.entries[key] = &tableEntry[F]{fact: fact, published: fact, version: t.version}
 	t.updateActiveCount()
@@ -70,16 +70,16 @@
 // updateActiveCount recounts the active facts. The caller holds mu.
 func (t *Table[F]) updateActiveCount() {
 	count := 0
-	for _, one := range t.entries {
-		if one.fact.Active() {
+	for _, entry := range t.entries {
+		if entry.fact.Active() {
 			count++
 		}
 	}
 	t.activeCount.Store(int32(count))
 }
 
-// Since returns the facts that were published after a version, in the order of publication and at
-// most limit of them, and the version that they lead up to.
+// Since returns the current facts for the keys whose published fact has changed after a version, in
+// the order of publication and at most limit of them, and the version that they lead up to.
 func (t *Table[F]) Since(version uint64, limit int) ([]F, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,20 +87,20 @@
 		return nil, version
 	}
 	var changed []*tableEntry[F]
-	for _, one := range t.entries {
-		if one.version > version {
-			changed = append(changed, one)
+	for _, entry := range t.entries {
+		if entry.version > version {
+			changed = append(changed, entry)
 		}
 	}
-	slices.SortFunc(changed, func(a, t *tableEntry[F]) int { return cmp.Compare(a.version, t.version) })
+	slices.SortFunc(changed, func(a, b *tableEntry[F]) int { return cmp.Compare(a.version, b.version) })
 	upTo := t.version
 	if len(changed) > limit {
 		changed = changed[:limit]
 		upTo = changed[limit-1].version
 	}
 	facts := make([]F, 0, len(changed))
-	for _, one := range changed {
-		facts = append(facts, one.fact)
+	for _, entry := range changed {
+		facts = append(facts, entry.fact)
 	}
 	return facts, upTo
 }
@@ -109,19 +109,19 @@
 func (t *Table[F]) Forget(drop func(F) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.entries, func(_ workers.Incarnation, one *tableEntry[F]) bool { return drop(one.fact) })
+	maps.DeleteFunc(t.entries, func(_ workers.Incarnation, entry *tableEntry[F]) bool { return drop(entry.fact) })
 	t.updateActiveCount()
 }
 
 // Published returns the published facts of the keys whose current fact is active, sorted by key.
 // Their times are those of publication: later equivalent facts do not change them.
 func (t *Table[F]) Published() []F {
-	return t.list(func(one *tableEntry[F]) (F, bool) { return one.published, one.fact.Active() })
+	return t.list(func(entry *tableEntry[F]) (F, bool) { return entry.published, entry.fact.Active() })
 }
 
 // Facts returns all current facts, also inactive ones, sorted by key.
 func (t *Table[F]) Facts() []F {
-	return t.list(func(one *tableEntry[F]) (F, bool) { return one.fact, true })
+	return t.list(func(entry *tableEntry[F]) (F, bool) { return entry.fact, true })
 }
 
 // list returns what choose returns for each entry for which it returns true, sorted by key.
@@ -129,12 +129,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	facts := make([]F, 0, len(t.entries))
-	for _, one := range t.entries {
-		if fact, chosen := choose(one); chosen {
+	for _, entry := range t.entries {
+		if fact, chosen := choose(entry); chosen {
 			facts = append(facts, fact)
 		}
 	}
-	slices.SortFunc(facts, func(a, t F) int { return compareKeys(a.Key(), t.Key()) })
+	slices.SortFunc(facts, func(a, b F) int { return compareKeys(a.Key(), b.Key()) })
 	return facts
 }
 
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -104,11 +104,11 @@
 
 // keyRanges returns the key ranges of owners.
 func keyRanges(owners []owner.Owner) []owner.KeyRange {
-	runs := make([]owner.KeyRange, 0, len(owners))
+	ranges := make([]owner.KeyRange, 0, len(owners))
 	for _, one := range owners {
-		runs = append(runs, one.Keys)
+		ranges = append(ranges, one.Keys)
 	}
-	return runs
+	return ranges
 }
 
 // overlay returns the owners with some key ranges removed, and with changes inserted. All are
@@ -206,23 +206,23 @@
 func Difference(before, after []owner.Owner) []owner.Owner {
 	var changes []owner.Owner
 	index := 0
-	for _, now := range after {
-		from := now.Keys.From
-		for from <= now.Keys.To {
+	for _, current := range after {
+		from := current.Keys.From
+		for from <= current.Keys.To {
 			for index < len(before) && before[index].Keys.To < from {
 				index++
 			}
 			if index == len(before) {
-				changes = appendChange(changes, now, owner.KeyRange{From: from, To: now.Keys.To})
+				changes = appendChange(changes, current, owner.KeyRange{From: from, To: current.Keys.To})
 				break
 			}
-			to := min(now.Keys.To, before[index].Keys.To)
+			to := min(current.Keys.To, before[index].Keys.To)
 			old := before[index]
-			if old.Keys.From > from || old.Worker != now.Worker || old.Moving != now.Moving || old.Address != now.Address {
+			if old.Keys.From > from || old.Worker != current.Worker || old.Moving != current.Moving || old.Address != current.Address {
 				if old.Keys.From > from {
 					to = min(to, old.Keys.From-1)
 				}
-				changes = appendChange(changes, now, owner.KeyRange{From: from, To: to})
+				changes = appendChange(changes, current, owner.KeyRange{From: from, To: to})
 			}
 			from = to + 1
 		}
@@ -230,12 +230,12 @@
 	return changes
 }
 
-func appendChange(changes []owner.Owner, now owner.Owner, keys owner.KeyRange) []owner.Owner {
+func appendChange(changes []owner.Owner, current owner.Owner, keys owner.KeyRange) []owner.Owner {
 	if last := len(changes) - 1; last >= 0 && changes[last].Keys.To+1 == keys.From &&
-		changes[last].Worker == now.Worker && changes[last].Moving == now.Moving {
+		changes[last].Worker == current.Worker && changes[last].Moving == current.Moving {
 		changes[last].Keys.To = keys.To
 		return changes
 	}
-	now.Keys = keys
-	return append(changes, now)
+	current.Keys = keys
+	return append(changes, current)
 }
--- a/internal/keytable/keytable_test.go
+++ b/internal/keytable/keytable_test.go
@@ -79,23 +79,23 @@
 // A process that changes from one relay to another may receive changes there that it already has,
 // or older ones.
 func TestOutdatedChangesAreIgnored(t *testing.T) {
-	run := func(from, to int, worker workers.ID) []owner.Owner {
+	oneRange := func(from, to int, worker workers.ID) []owner.Owner {
 		return []owner.Owner{{Keys: owner.KeyRange{From: from, To: to}, Worker: worker}}
 	}
 	for name, test := range map[string]struct {
 		change Change
 		want   workers.ID
 	}{
-		"older, full":               {change: Change{Term: 3, Version: 4, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
-		"older, of some keys":       {change: Change{Term: 3, Version: 4, Owners: run(7, 7, "b")}, want: "a"},
-		"a repeated change":         {change: Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")}, want: "a"},
-		"newer, of some keys":       {change: Change{Term: 3, Version: 6, Owners: run(7, 7, "b")}, want: "b"},
-		"of a later leader, full":   {change: Change{Term: 4, Version: 1, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "b"},
-		"newer, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: run(0, owner.KeyCount-1, "b")}, want: "a"},
+		"older, full":               {change: Change{Term: 3, Version: 4, Full: true, Owners: oneRange(0, owner.KeyCount-1, "b")}, want: "a"},
+		"older, of some keys":       {change: Change{Term: 3, Version: 4, Owners: oneRange(7, 7, "b")}, want: "a"},
+		"a repeated change":         {change: Change{Term: 3, Version: 5, Full: true, Owners: oneRange(0, owner.KeyCount-1, "a")}, want: "a"},
+		"newer, of some keys":       {change: Change{Term: 3, Version: 6, Owners: oneRange(7, 7, "b")}, want: "b"},
+		"of a later leader, full":   {change: Change{Term: 4, Version: 1, Full: true, Owners: oneRange(0, owner.KeyCount-1, "b")}, want: "b"},
+		"newer, of an older leader": {change: Change{Term: 2, Version: 9, Full: true, Owners: oneRange(0, owner.KeyCount-1, "b")}, want: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New()
-			table.Apply("s", Change{Term: 3, Version: 5, Full: true, Owners: run(0, owner.KeyCount-1, "a")})
+			table.Apply("s", Change{Term: 3, Version: 5, Full: true, Owners: oneRange(0, owner.KeyCount-1, "a")})
 			table.Apply("s", test.change)
 			held, known := table.Lookup("s", 7)
 			assert.Assert(t, known)
--- a/internal/lab/mutate/mutations_quarantine.go
+++ b/internal/lab/mutate/mutations_quarantine.go
@@ -40,15 +40,15 @@
 	{
 		name: "leader-is-not-told-what-it-lacks",
 		file: "internal/quarantine/view.go",
-		old:  "		if !known.mustReport(leaderRecords[request]) {",
-		new:  "		if true || !known.mustReport(leaderRecords[request]) {",
+		old:  "		if !record.mustReport(leaderRecords[request]) {",
+		new:  "		if true || !record.mustReport(leaderRecords[request]) {",
 		pkg:  "./internal/quarantine", test: "TestLeaderWithoutQuarantineDoesNotRevokeIt",
 	},
 	{
 		name: "oldest-suspect-makes-room",
 		file: "internal/quarantine/evict.go",
-		old:  "cmp.Or(cmp.Compare(a.crashes, c.crashes), cmp.Compare(c.concurrent, a.concurrent), a.lastCrashAt.Compare(c.lastCrashAt))",
-		new:  "cmp.Or(a.lastCrashAt.Compare(c.lastCrashAt))",
+		old:  "cmp.Or(cmp.Compare(a.crashes, b.crashes), cmp.Compare(b.concurrent, a.concurrent), a.lastCrashAt.Compare(b.lastCrashAt))",
+		new:  "cmp.Or(a.lastCrashAt.Compare(b.lastCrashAt))",
 		pkg:  "./internal/quarantine", test: "TestManySuspectsDoNotEvictHarmfulRequest",
 	},
 	{
--- a/internal/quarantine/changelog.go
+++ b/internal/quarantine/changelog.go
@@ -133,8 +133,9 @@
 }
 
 // Since returns the changes after a version, at most limit of them and the oldest first, and the
-// version that they lead up to. It returns all records if the version is zero or too old.
-// Quarantined requests are always included: they must not be sent to any worker.
+// version that they lead up to. It returns all records if the version is zero or too old. Changed
+// records of quarantined requests are included beyond the limit as well, since these requests must
+// not be sent to any worker.
 func (l *ChangeLog) Since(now time.Time, version uint64, limit int) (Changes, uint64) {
 	if version == 0 || version < l.prunedVersion {
 		return Changes{Full: true, Updated: NewSnapshot(now, l.Records())}, l.version
@@ -149,7 +150,8 @@
 	return l.changes(now, changed, limit)
 }
 
-// changes encodes changed entries, which are sorted by version.
+// changes encodes at most limit changed entries, which are sorted by version, and all records of
+// quarantined requests among them. It also returns the version that the changes lead up to.
 func (l *ChangeLog) changes(now time.Time, changed []logEntry, limit int) (Changes, uint64) {
 	var changes Changes
 	var records []Record
--- a/internal/quarantine/evict.go
+++ b/internal/quarantine/evict.go
@@ -22,15 +22,15 @@
 		return
 	}
 	candidates := make([]evictionRank, 0, len(t.records))
-	for _, known := range t.records {
-		if known.QuarantinedAt.IsZero() {
-			candidates = append(candidates, t.rank(known))
+	for _, record := range t.records {
+		if record.QuarantinedAt.IsZero() {
+			candidates = append(candidates, t.rank(record))
 		}
 	}
 	slices.SortFunc(candidates, compareRanks)
-	for _, one := range candidates[:min(len(candidates), len(t.records)-maxRecords+evictionBatch)] {
-		delete(t.records, one.request)
-		if one.crashes > 0 {
+	for _, candidate := range candidates[:min(len(candidates), len(t.records)-maxRecords+evictionBatch)] {
+		delete(t.records, candidate.request)
+		if candidate.crashes > 0 {
 			t.evicted++
 		}
 	}
@@ -47,12 +47,12 @@
 }
 
 // rank returns the eviction rank of a record.
-func (t *Tracker) rank(known *Record) evictionRank {
-	if len(known.Crashes) == 0 {
-		return evictionRank{request: known.Attempt.Request, lastCrashAt: known.clearedOrLiftedAt()}
+func (t *Tracker) rank(record *Record) evictionRank {
+	if len(record.Crashes) == 0 {
+		return evictionRank{request: record.Attempt.Request, lastCrashAt: record.clearedOrLiftedAt()}
 	}
 	return evictionRank{
-		request: known.Attempt.Request, crashes: len(known.crashTimes()), concurrent: t.crashCounts.near(known.lastCrashAt()), lastCrashAt: known.lastCrashAt(),
+		request: record.Attempt.Request, crashes: len(record.crashTimes()), concurrent: t.crashCounts.near(record.lastCrashAt()), lastCrashAt: record.lastCrashAt(),
 	}
 }
 
@@ -82,6 +82,6 @@
 }
 
 // compareRanks orders requests by the strength of the evidence, the weakest first.
-func compareRanks(a, c evictionRank) int {
-	return cmp.Or(cmp.Compare(a.crashes, c.crashes), cmp.Compare(c.concurrent, a.concurrent), a.lastCrashAt.Compare(c.lastCrashAt))
+func compareRanks(a, b evictionRank) int {
+	return cmp.Or(cmp.Compare(a.crashes, b.crashes), cmp.Compare(b.concurrent, a.concurrent), a.lastCrashAt.Compare(b.lastCrashAt))
 }
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -189,11 +189,11 @@
 
 // crashesKnown returns how many crashes of the harmful request a view knows.
 func crashesKnown(v *View) int {
-	known := v.tracker.records[harmfulRequest.Request]
-	if known == nil {
+	record := v.tracker.records[harmfulRequest.Request]
+	if record == nil {
 		return 0
 	}
-	return len(known.crashTimes())
+	return len(record.crashTimes())
 }
 
 // maxCrashesKnown returns the largest number of crashes that a router knows.
--- a/internal/quarantine/observer_test.go
+++ b/internal/quarantine/observer_test.go
@@ -30,9 +30,9 @@
 			for request, millis := range test.interrupted {
 				assert.Assert(t, !o.RecordInterrupted(at(millis), attempt(request)))
 			}
-			requests, first := o.RecordEnd(at(test.ended))
+			attempts, first := o.RecordEnd(at(test.ended))
 			assert.Assert(t, first)
-			assert.Assert(t, slices.Equal(requests, test.want), "%v", requests)
+			assert.Assert(t, slices.Equal(attempts, test.want), "%v", attempts)
 			_, first = o.RecordEnd(at(test.ended + 1))
 			assert.Assert(t, !first, "already recorded")
 			assert.Assert(t, o.RecordInterrupted(at(test.ended+5), attempt(9)), "interrupted by the end, and detected later")
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -69,7 +69,7 @@
 // Record is what is known about a request. Records can be merged in any order. Crashes from before
 // the request was cleared or lifted no longer count.
 type Record struct {
-	// Attempt was in progress at a crash: usually the latest attempt that is known to have been.
+	// Attempt is one of the attempts that were in progress at a crash, usually the latest known.
 	Attempt Attempt
 	// OnlyCaller is the caller whose requests the record is about; zero: those of all callers.
 	OnlyCaller netip.Addr
@@ -143,7 +143,7 @@
 		return false
 	}
 	r.Crashes = append(r.Crashes, crash)
-	slices.SortStableFunc(r.Crashes, func(a, c Crash) int { return a.At.Compare(c.At) })
+	slices.SortStableFunc(r.Crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
 	return true
 }
 
@@ -200,9 +200,10 @@
 }
 
 // mustReport reports whether this record must be reported to a leader that has published the other
-// one: it contains a later decision, clears a request that the leader suspects, or has crashes that
-// the leader does not know. A record with a single crash need not be reported: if a leader has lost
-// it, that costs no more than one worker.
+// one: it was quarantined and contains a later decision, it clears a request that the leader
+// suspects, or it has more crashes than the leader knows, which has not quarantined the request. A
+// record with a single crash need not be reported: if a leader has lost it, that costs no more than
+// one worker.
 func (r Record) mustReport(leader Record) bool {
 	switch {
 	case !r.QuarantinedAt.IsZero() && leader.missesDecision(r):
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -53,7 +53,8 @@
 	harmful     map[Fingerprint]bool
 	crashed     map[Fingerprint]int
 	thresholdAt map[Fingerprint]time.Time
-	// lateSends counts the sends of a harmful request after propagationBound.
+	// lateSends counts the sends of each harmful request later than propagationBound after
+	// thresholdAt.
 	lateSends          map[Fingerprint]int
 	requests, rejected int
 	otherCrashes       int
@@ -125,7 +126,8 @@
 	s.restart(worker)
 }
 
-// send sends a request through a router to a worker, unless it is quarantined or the worker is down.
+// send sends a request through a router to a worker, unless the worker is down. It reports whether
+// the router rejects the request because it is quarantined.
 func (s *simulation) send(now time.Time, router *View, request Fingerprint) (rejected bool) {
 	if router.Standing(CallerRequest{Request: request}) == Quarantined {
 		return true
@@ -166,12 +168,12 @@
 		one.deliver(now)
 	}
 	for _, worker := range s.workers {
-		s.run(now, worker)
+		s.finishRuns(now, worker)
 	}
 }
 
-// run ends the runs that are due: a harmful one crashes its worker.
-func (s *simulation) run(now time.Time, worker *simWorker) {
+// finishRuns ends the runs that are due: a harmful one crashes its worker.
+func (s *simulation) finishRuns(now time.Time, worker *simWorker) {
 	for _, one := range worker.runs {
 		if s.harmful[one.request] && now.Sub(one.startedAt) >= runTime/2 {
 			s.crashed[one.request]++
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -41,8 +41,8 @@
 
 // Count returns how many requests are suspects and how many are quarantined.
 func (t *Tracker) Count() (suspects, quarantined int) {
-	for _, known := range t.records {
-		switch known.Standing() {
+	for _, record := range t.records {
+		switch record.Standing() {
 		case Suspect:
 			suspects++
 		case Quarantined:
@@ -58,8 +58,8 @@
 }
 
 func (t *Tracker) standing(request Fingerprint) Standing {
-	if known := t.records[request]; known != nil {
-		return known.Standing()
+	if record := t.records[request]; record != nil {
+		return record.Standing()
 	}
 	return Unsuspected
 }
@@ -87,36 +87,36 @@
 // countsAgainstCaller reports whether a crash counts against its caller's request too, which it does
 // once the requests of other callers have succeeded.
 func (t *Tracker) countsAgainstCaller(attempt Attempt, crash Crash) bool {
-	known := t.records[attempt.Request]
-	if known != nil && known.isLifted(crash.At) {
+	record := t.records[attempt.Request]
+	if record != nil && record.isLifted(crash.At) {
 		return false
 	}
-	return t.records[attempt.perCaller().Request] != nil || (known != nil && known.isCleared(crash.At))
+	return t.records[attempt.perCaller().Request] != nil || (record != nil && record.isCleared(crash.At))
 }
 
 // countCrash counts a crash against a request, of one caller or of all if caller is zero. It reports
 // whether the request becomes quarantined as a result.
 func (t *Tracker) countCrash(now time.Time, attempt Attempt, caller netip.Addr, crash Crash) bool {
-	known := t.record(attempt, caller)
-	if !known.add(crash) {
+	record := t.record(attempt, caller)
+	if !record.add(crash) {
 		return false
 	}
 	t.version++
-	if known.QuarantinedAt.IsZero() {
-		known.Attempt = attempt
+	if record.QuarantinedAt.IsZero() {
+		record.Attempt = attempt
 	}
-	return known.markQuarantined(now)
+	return record.markQuarantined(now)
 }
 
 // record returns the record of a request, of one caller or of all if caller is zero. It adds an
 // empty one if there is none.
 func (t *Tracker) record(attempt Attempt, caller netip.Addr) *Record {
-	known := t.records[attempt.Request]
-	if known == nil {
-		known = &Record{Attempt: attempt, OnlyCaller: caller}
-		t.records[attempt.Request] = known
+	record := t.records[attempt.Request]
+	if record == nil {
+		record = &Record{Attempt: attempt, OnlyCaller: caller}
+		t.records[attempt.Request] = record
 	}
-	return known
+	return record
 }
 
 // RecordSuccess records that a request of a caller succeeded, so that it does not crash workers as
@@ -128,12 +128,12 @@
 	if perCaller := t.records[request.Request.ForCaller(request.Caller)]; perCaller != nil {
 		perCaller.clear(now)
 	}
-	if known := t.records[request.Request]; known != nil {
-		cleared := known.clear(now)
+	if record := t.records[request.Request]; record != nil {
+		cleared := record.clear(now)
 		if slices.ContainsFunc(cleared, func(crash Crash) bool { return crash.Caller == request.Caller }) {
 			t.record(Attempt{Request: request.Request, Caller: request.Caller}.perCaller(), request.Caller).clear(now)
 		}
-		t.countAgainstCallers(known.Attempt, cleared)
+		t.countAgainstCallers(record.Attempt, cleared)
 	}
 	t.version++
 	t.evict()
@@ -156,11 +156,11 @@
 func (t *Tracker) Evaluate(now time.Time) []Record {
 	t.Expire(now)
 	var quarantined []Record
-	for _, known := range t.records {
-		if known.Standing() == Suspect && known.reachedCrashThreshold() && now.Sub(known.lastCrashAt()) >= clusterWindow && t.isIsolated(known) {
-			known.IsolatedAt, known.QuarantinedAt = now, now
+	for _, record := range t.records {
+		if record.Standing() == Suspect && record.reachedCrashThreshold() && now.Sub(record.lastCrashAt()) >= clusterWindow && t.isIsolated(record) {
+			record.IsolatedAt, record.QuarantinedAt = now, now
 			t.version++
-			quarantined = append(quarantined, known.clone())
+			quarantined = append(quarantined, record.clone())
 		}
 	}
 	return quarantined
@@ -168,12 +168,12 @@
 
 // Expire removes expired records and crashes.
 func (t *Tracker) Expire(now time.Time) {
-	maps.DeleteFunc(t.records, func(_ Fingerprint, known *Record) bool {
-		old := !now.Before(known.ExpiresAt())
-		if old {
+	maps.DeleteFunc(t.records, func(_ Fingerprint, record *Record) bool {
+		expired := !now.Before(record.ExpiresAt())
+		if expired {
 			t.version++
 		}
-		return old
+		return expired
 	})
 	maps.DeleteFunc(t.crashedAt, func(_ workers.Incarnation, at time.Time) bool { return now.Sub(at) >= suspectRetention })
 	t.crashCounts.forget(now.Add(-suspectRetention))
@@ -187,7 +187,7 @@
 		if at.Before(first) || at.After(last) {
 			continue
 		}
-		if !slices.ContainsFunc(record.Crashes, func(one Crash) bool { return one.incarnation() == incarnation }) {
+		if !slices.ContainsFunc(record.Crashes, func(crash Crash) bool { return crash.incarnation() == incarnation }) {
 			return false
 		}
 	}
@@ -197,14 +197,14 @@
 // Records returns all records, sorted by the time of their first crash.
 func (t *Tracker) Records() []Record {
 	list := make([]Record, 0, len(t.records))
-	for _, known := range t.records {
-		list = append(list, known.clone())
+	for _, record := range t.records {
+		list = append(list, record.clone())
 	}
-	slices.SortFunc(list, func(a, c Record) int {
-		if order := a.firstCrashAt().Compare(c.firstCrashAt()); order != 0 {
+	slices.SortFunc(list, func(a, b Record) int {
+		if order := a.firstCrashAt().Compare(b.firstCrashAt()); order != 0 {
 			return order
 		}
-		return slices.Compare(a.Attempt.Request[:], c.Attempt.Request[:])
+		return slices.Compare(a.Attempt.Request[:], b.Attempt.Request[:])
 	})
 	return list
 }
@@ -226,14 +226,14 @@
 		if other.Standing() == Unsuspected && other.clearedOrLiftedAt().IsZero() {
 			continue
 		}
-		known := t.record(other.Attempt, other.OnlyCaller)
-		before := known.Standing()
-		if known.merge(other) {
+		record := t.record(other.Attempt, other.OnlyCaller)
+		before := record.Standing()
+		if record.merge(other) {
 			t.version++
 		}
-		known.markQuarantined(now)
-		if before != Quarantined && known.Standing() == Quarantined {
-			quarantined = append(quarantined, known.Attempt)
+		record.markQuarantined(now)
+		if before != Quarantined && record.Standing() == Quarantined {
+			quarantined = append(quarantined, record.Attempt)
 		}
 	}
 	t.evict()
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -174,8 +174,8 @@
 			Crash:   one.crash.toSnapshot(now),
 		})
 	}
-	if known := v.collectMissing(now); len(known.Records) > 0 {
-		evidence.MissingRecords = &known
+	if missing := v.collectMissing(now); len(missing.Records) > 0 {
+		evidence.MissingRecords = &missing
 	}
 	if len(evidence.Crashes) == 0 && len(evidence.Succeeded) == 0 && evidence.MissingRecords == nil {
 		return nil
@@ -187,9 +187,9 @@
 // caller holds mu.
 func (v *View) collectMissing(now time.Time) Snapshot {
 	var records []Record
-	for request, one := range v.missing {
-		if known := v.tracker.records[request]; known != nil && one.due(now) {
-			records = append(records, known.clone())
+	for request, state := range v.missing {
+		if record := v.tracker.records[request]; record != nil && state.due(now) {
+			records = append(records, record.clone())
 		}
 	}
 	return NewSnapshot(now, records)
@@ -212,8 +212,8 @@
 // isCleared reports whether the request was lifted, or has succeeded for the same caller, since the
 // crash. The caller holds mu.
 func (v *View) isCleared(one *ownCrash) bool {
-	known, perCaller := v.tracker.records[one.attempt.Request], v.tracker.records[one.perCaller.Request]
-	return (known != nil && known.isLifted(one.crash.At)) || (perCaller != nil && perCaller.isCleared(one.crash.At))
+	record, perCaller := v.tracker.records[one.attempt.Request], v.tracker.records[one.perCaller.Request]
+	return (record != nil && record.isLifted(one.crash.At)) || (perCaller != nil && perCaller.isCleared(one.crash.At))
 }
 
 // HandleUpdate merges a leader's records. A leader may lack evidence: what this process knows is
@@ -244,8 +244,8 @@
 func (v *View) updateMissing(now time.Time, leaderRecords map[Fingerprint]Record) {
 	before := v.missing
 	v.missing = map[Fingerprint]*delivery{}
-	for request, known := range v.tracker.records {
-		if !known.mustReport(leaderRecords[request]) {
+	for request, record := range v.tracker.records {
+		if !record.mustReport(leaderRecords[request]) {
 			continue
 		}
 		v.missing[request] = before[request]
@@ -284,10 +284,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var lifted []Fingerprint
-	for _, one := range records {
-		known := v.tracker.records[one.Attempt.Request]
-		if known != nil && known.Standing() != Unsuspected && isLater(one.LiftedAt, known.LiftedAt) {
-			lifted = append(lifted, one.Attempt.Request)
+	for _, given := range records {
+		record := v.tracker.records[given.Attempt.Request]
+		if record != nil && record.Standing() != Unsuspected && isLater(given.LiftedAt, record.LiftedAt) {
+			lifted = append(lifted, given.Attempt.Request)
 		}
 	}
 	return lifted
--- a/internal/registry/compile_test.go
+++ b/internal/registry/compile_test.go
@@ -56,9 +56,9 @@
 	} {
 		got, found := keyNumber(service, key)
 		assert.Assert(t, found)
-		for _, place := range list {
-			if place.From <= got && got <= place.To {
-				assert.DeepEqual(t, place.Zones, zones)
+		for _, rule := range list {
+			if rule.From <= got && got <= rule.To {
+				assert.DeepEqual(t, rule.Zones, zones)
 			}
 		}
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -222,10 +222,10 @@
 	coord.Store
 }
 
-func (b timeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
+func (s timeoutStore) Commit(ctx context.Context, txn coord.Txn) (coord.Revision, error) {
 	short, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return b.Store.Commit(short, txn)
+	return s.Store.Commit(short, txn)
 }
 
 func TestOutageReturnsErrUnavailable(t *testing.T) {
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -69,7 +69,7 @@
 // the secret, so that the time they take reveals nothing about keys.
 type tag [sha256.Size]byte
 
-// holding is a key's digest and the tenant that holds it.
+// keyHolder is a key's digest and the tenant that holds the key.
 type keyHolder struct {
 	digest routing.KeyDigest
 	tenant *routing.Tenant
@@ -192,7 +192,7 @@
 	return key, Authenticated
 }
 
-// Valid reports whether a text can be an API key.
+// IsValidKey reports whether a text can be an API key.
 func IsValidKey(key string) bool { return key != "" && !strings.ContainsFunc(key, isInvalidKeyRune) }
 
 // isInvalidKeyRune reports whether a character can't be part of a key: a space, a control
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -112,8 +112,8 @@
 		s.routers = append(s.routers, &simRouter{limiter: NewLimiter()})
 	}
 	s.elect()
-	for _, one := range s.routers {
-		s.every(reportInterval, func() { s.report(one) })
+	for _, router := range s.routers {
+		s.every(reportInterval, func() { s.report(router) })
 	}
 	s.every(updateInterval, s.sendUpdates)
 	s.nextRequest()
@@ -154,9 +154,9 @@
 // elect gives the lease to a router that reaches the store, once the previous lease has ended.
 func (s *simulation) elect() {
 	var candidates []*simRouter
-	for _, one := range s.routers {
-		if one.partition == 0 {
-			candidates = append(candidates, one)
+	for _, router := range s.routers {
+		if router.partition == 0 {
+			candidates = append(candidates, router)
 		}
 	}
 	if s.leader != nil || len(candidates) == 0 {
@@ -165,41 +165,41 @@
 	s.leader = candidates[s.random.IntN(len(candidates))]
 	s.leader.leading, s.leader.authorityUntil = true, start.Add(simulationLength)
 	s.leader.limiter.SetLeading(true)
-	for _, one := range candidates {
-		s.follow(one, s.leader)
+	for _, router := range candidates {
+		s.follow(router, s.leader)
 	}
 }
 
 // follow makes a router follow another one.
-func (s *simulation) follow(one, leader *simRouter) {
-	one.following, one.version = leader, 0
-	one.limiter.QueueAll()
+func (s *simulation) follow(router, leader *simRouter) {
+	router.following, router.version = leader, 0
+	router.limiter.QueueAll()
 }
 
 // sendUpdates sends the leaders' new facts to their followers.
 func (s *simulation) sendUpdates() {
-	for _, one := range s.routers {
-		leader := one.following
-		if leader == nil || leader == one || !leader.leading || !s.reaches(one, leader) {
+	for _, follower := range s.routers {
+		leader := follower.following
+		if leader == nil || leader == follower || !leader.leading || !s.reaches(follower, leader) {
 			continue
 		}
-		facts, upTo := leader.limiter.Table().Since(one.version, 8)
-		one.version = upTo
+		facts, upTo := leader.limiter.Table().Since(follower.version, 8)
+		follower.version = upTo
 		s.after(s.latency(), func() {
 			for _, fact := range facts {
-				one.limiter.ApplyUpdate(fact)
+				follower.limiter.ApplyUpdate(fact)
 			}
 		})
 	}
 }
 
 // report sends a router's new facts to its leader.
-func (s *simulation) report(one *simRouter) {
-	leader := one.following
-	if leader == nil || leader == one || !s.reaches(one, leader) {
+func (s *simulation) report(router *simRouter) {
+	leader := router.following
+	if leader == nil || leader == router || !s.reaches(router, leader) {
 		return
 	}
-	facts := one.limiter.TakeReport(8)
+	facts := router.limiter.TakeReport(8)
 	s.after(s.latency(), func() {
 		for _, fact := range facts {
 			leader.limiter.Add(fact)
@@ -217,61 +217,61 @@
 
 // request handles a caller's request at a router: it is sent at once while no limit is known, else
 // once the leader grants a permit.
-func (s *simulation) request(at *simRouter) {
+func (s *simulation) request(router *simRouter) {
 	s.requested++
-	fact, known := at.limiter.Table().Fact(s.worker.incarnation)
+	fact, known := router.limiter.Table().Fact(s.worker.incarnation)
 	if !known || fact.Ended {
-		s.send(at)
+		s.send(router)
 		return
 	}
-	if s.now.Before(at.pacedUntil) {
+	if s.now.Before(router.pacedUntil) {
 		return
 	}
-	leader := at.following
-	if leader == nil || !s.reaches(at, leader) {
-		at.pacedUntil = s.now.Add(100 * time.Millisecond)
+	leader := router.following
+	if leader == nil || !s.reaches(router, leader) {
+		router.pacedUntil = s.now.Add(100 * time.Millisecond)
 		return
 	}
 	sent := s.now
 	requestLatency, answerLatency := s.latency(), s.latency()
-	if leader == at {
+	if leader == router {
 		requestLatency, answerLatency = 0, 0
 	}
 	s.after(requestLatency, func() {
 		permit, leading := leader.limiter.Issue(s.now, fact, 0, !s.now.Before(leader.authorityUntil))
-		s.after(answerLatency, func() { s.handlePermit(at, permit, leading && s.now.Sub(sent) < permitTimeout) })
+		s.after(answerLatency, func() { s.handlePermit(router, permit, leading && s.now.Sub(sent) < permitTimeout) })
 	})
 }
 
 // handlePermit handles a leader's answer.
-func (s *simulation) handlePermit(at *simRouter, permit Permit, answered bool) {
+func (s *simulation) handlePermit(router *simRouter, permit Permit, answered bool) {
 	switch {
 	case !answered:
-		at.pacedUntil = s.now.Add(100 * time.Millisecond)
+		router.pacedUntil = s.now.Add(100 * time.Millisecond)
 	case !permit.Granted:
-		at.pacedUntil = s.now.Add(permit.Wait)
+		router.pacedUntil = s.now.Add(permit.Wait)
 	default:
 		if permit.LimitEnded != nil {
-			at.limiter.ApplyUpdate(*permit.LimitEnded)
+			router.limiter.ApplyUpdate(*permit.LimitEnded)
 		}
 		s.granted++
-		s.send(at)
+		s.send(router)
 	}
 }
 
 // send sends a request to the worker and handles its response.
-func (s *simulation) send(at *simRouter) {
+func (s *simulation) send(router *simRouter) {
 	sent := s.now
 	s.after(s.latency(), func() {
-		s.worker.arrivals = append(s.worker.arrivals, arrival{at: s.now, exempt: s.now.Before(at.exemptUntil)})
+		s.worker.arrivals = append(s.worker.arrivals, arrival{at: s.now, exempt: s.now.Before(router.exemptUntil)})
 		incarnation := s.worker.incarnation
 		s.after(workTime, func() {
 			limited, perSecond := s.worker.limited, s.worker.perSecond
 			s.after(s.latency(), func() {
 				if limited {
-					at.limiter.Add(Fact{Worker: incarnation, Rate: perSecond, At: s.now})
-				} else if _, known := at.limiter.Table().Rate(incarnation); known {
-					at.limiter.Add(Fact{Worker: incarnation, Ended: true, At: sent})
+					router.limiter.Add(Fact{Worker: incarnation, Rate: perSecond, At: s.now})
+				} else if _, known := router.limiter.Table().Rate(incarnation); known {
+					router.limiter.Add(Fact{Worker: incarnation, Ended: true, At: sent})
 				}
 			})
 		})
@@ -298,16 +298,16 @@
 }
 
 // restart restarts a router, which knows nothing until it follows a leader.
-func (s *simulation) restart(one *simRouter) {
-	if one == s.leader {
+func (s *simulation) restart(router *simRouter) {
+	if router == s.leader {
 		s.leader = nil
 		s.after(time.Duration(300+s.random.IntN(2000))*time.Millisecond, s.elect)
 	}
-	*one = simRouter{limiter: NewLimiter(), partition: one.partition, exemptUntil: s.now.Add(propagationTime)}
-	if s.leader != nil && s.leader != one && s.reaches(one, s.leader) {
-		s.follow(one, s.leader)
+	*router = simRouter{limiter: NewLimiter(), partition: router.partition, exemptUntil: s.now.Add(propagationTime)}
+	if s.leader != nil && s.leader != router && s.reaches(router, s.leader) {
+		s.follow(router, s.leader)
 		for _, fact := range s.leader.limiter.Table().Facts() { // received before the router is ready
-			one.limiter.ApplyUpdate(fact)
+			router.limiter.ApplyUpdate(fact)
 		}
 	}
 }
@@ -317,10 +317,10 @@
 func (s *simulation) isolate(count int, length time.Duration) {
 	var isolated []*simRouter
 	for _, index := range s.random.Perm(len(s.routers))[:count] {
-		one := s.routers[index]
-		if one.partition == 0 {
-			one.partition = 1
-			isolated = append(isolated, one)
+		router := s.routers[index]
+		if router.partition == 0 {
+			router.partition = 1
+			isolated = append(isolated, router)
 		}
 	}
 	if leader := s.leader; leader != nil && leader.partition == 1 {
@@ -331,19 +331,19 @@
 		})
 	}
 	s.after(length, func() {
-		for _, one := range isolated {
-			one.partition, one.exemptUntil = 0, s.now.Add(propagationTime)
-			if one.leading && one != s.leader {
-				one.leading = false
-				one.limiter.SetLeading(false)
+		for _, router := range isolated {
+			router.partition, router.exemptUntil = 0, s.now.Add(propagationTime)
+			if router.leading && router != s.leader {
+				router.leading = false
+				router.limiter.SetLeading(false)
 			}
 			if s.leader != nil {
-				s.follow(one, s.leader)
+				s.follow(router, s.leader)
 			}
 		}
 	})
-	for _, one := range isolated {
-		one.exemptUntil = s.now.Add(length + propagationTime)
+	for _, router := range isolated {
+		router.exemptUntil = s.now.Add(length + propagationTime)
 	}
 }
 
--- a/internal/workers/leaving.go
+++ b/internal/workers/leaving.go
@@ -6,8 +6,8 @@
 	"github.com/shalefork/shalefork/internal/clock"
 )
 
-// MarkLeaving records that an incarnation of a worker reports in its answers that it is leaving,
-// which is known since a time. From then on it counts as draining, whatever its entry says.
+// MarkLeaving records that an incarnation of a worker reports in its responses that it is leaving,
+// which is known since a time. From then on it counts as draining, regardless of its entry.
 func (d *Directory) MarkLeaving(incarnation Incarnation, since time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -50,13 +50,13 @@
 	// goneAt is when a worker's entry was found to have vanished.
 	goneAt map[ID]time.Time
 	// listed is set once a list has been read. firstLookup is when a worker that was in no list was
-	// looked up first.
+	// first looked up.
 	listed      bool
 	firstLookup map[ID]time.Time
 	// drainingSince is when the first process learned that a worker is draining.
 	drainingSince map[ID]time.Time
-	// leaving are the incarnations that report in their answers that they are leaving, and since
-	// when that is known.
+	// leaving are the incarnations that have reported in their responses that they are leaving, and
+	// since when that is known.
 	leaving map[Incarnation]time.Time
 	// unreadable are the workers whose entries exist but do not describe a usable worker.
 	unreadable map[ID]bool
@@ -167,9 +167,9 @@
 	return vanished
 }
 
-// resetRestarted discards the drain of the previous incarnation if a worker has restarted: it ended
-// with that incarnation, and a drain of the new one counts from its own beginning. The caller holds
-// mu.
+// resetRestarted remembers the previous incarnation if a worker has restarted, and discards its
+// drain: that ended with the incarnation, and a drain of the new one counts from its own start. The
+// caller holds mu.
 func (d *Directory) resetRestarted(worker Worker) {
 	if before, known := d.byID[worker.ID]; known && before.StartTime != worker.StartTime {
 		delete(d.drainingSince, worker.ID)
@@ -256,7 +256,7 @@
 }
 
 // GoneFor returns for how long a worker has had no entry: since the entry was found to have
-// vanished or, if it was never known, since the worker was looked up here first. It is zero until a
+// vanished or, if it was never known, since the worker was first looked up here. It is zero until a
 // list has been read. Without counting from the first lookup, an owner of keys that left before
 // this process started got requests without end.
 func (d *Directory) GoneFor(id ID) time.Duration {
@@ -318,7 +318,7 @@
 }
 
 // DrainingFor returns for how long a worker has been known to be draining, by its entry or by its
-// answers. It counts from when the first process learned of it.
+// responses. It counts from when the first process learned of it.
 func (d *Directory) DrainingFor(id ID) time.Duration {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
