--- a/internal/estimate/work.go
+++ b/internal/estimate/work.go
@@ -143,22 +143,22 @@
 }
 
 // hasRateOf reports whether a bin has about the rate of the period.
-func (s steadyPeriod) hasRateOf(one bin) bool {
+func (s steadyPeriod) hasRateOf(b bin) bool {
 	expected := float64(s.answers) / float64(s.bins)
-	return math.Abs(float64(one.answers)-expected) <= minSteadyDifference+steadyDeviations*math.Sqrt(expected)
+	return math.Abs(float64(b.answers)-expected) <= minSteadyDifference+steadyDeviations*math.Sqrt(expected)
 }
 
 // weightedMean returns the weighted mean of some estimates, with their total weight. Estimates from
 // a single bin are left out of list if there are longer ones: the load changed within them.
 func weightedMean(list []workEstimate, more ...workEstimate) workEstimate {
-	long := slices.DeleteFunc(slices.Clone(list), func(one workEstimate) bool { return one.bins < 2 })
+	long := slices.DeleteFunc(slices.Clone(list), func(estimate workEstimate) bool { return estimate.bins < 2 })
 	if len(long) > 0 {
 		list = long
 	}
 	sum, total := 0.0, 0.0
-	for _, one := range append(list, more...) {
-		sum += one.weight * one.work
-		total += one.weight
+	for _, estimate := range append(list, more...) {
+		sum += estimate.weight * estimate.work
+		total += estimate.weight
 	}
 	return workEstimate{work: sum / total, weight: total}
 }
--- a/internal/facts/replica.go
+++ b/internal/facts/replica.go
@@ -26,8 +26,9 @@
 // Table returns the facts of the replica.
 func (r *Replica[F]) Table() *Table[F] { return r.table }
 
-// Add adds a fact that this process has observed, or that a follower has reported. It returns
-// whether the published facts have changed; the fact is then queued for the followed process.
+// Add adds a fact that this process has observed, or that a follower has reported. It reports
+// whether the published facts have changed; if so, and unless this process leads, the fact is queued
+// for the followed process.
 func (r *Replica[F]) Add(fact F) bool {
 	if !r.table.Merge(fact) {
 		return false
--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -105,8 +105,8 @@
 // keyRanges returns the key ranges of owners.
 func keyRanges(owners []owner.Owner) []owner.KeyRange {
 	ranges := make([]owner.KeyRange, 0, len(owners))
-	for _, one := range owners {
-		ranges = append(ranges, one.Keys)
+	for _, o := range owners {
+		ranges = append(ranges, o.Keys)
 	}
 	return ranges
 }
@@ -116,45 +116,45 @@
 func overlay(owners []owner.Owner, replaced []owner.KeyRange, changes []owner.Owner) []owner.Owner {
 	merged := make([]owner.Owner, 0, len(owners)+2*len(changes))
 	next := 0
-	add := func(one owner.Owner) {
-		for next < len(changes) && changes[next].Keys.From < one.Keys.From {
+	add := func(o owner.Owner) {
+		for next < len(changes) && changes[next].Keys.From < o.Keys.From {
 			merged = append(merged, changes[next])
 			next++
 		}
-		merged = append(merged, one)
+		merged = append(merged, o)
 	}
 	index := 0
-	for _, one := range owners {
-		for index < len(replaced) && replaced[index].To < one.Keys.From {
+	for _, o := range owners {
+		for index < len(replaced) && replaced[index].To < o.Keys.From {
 			index++
 		}
-		from := one.Keys.From
-		for at := index; at < len(replaced) && replaced[at].From <= one.Keys.To; at++ {
+		from := o.Keys.From
+		for at := index; at < len(replaced) && replaced[at].From <= o.Keys.To; at++ {
 			if left := replaced[at].From - 1; left >= from {
-				add(withKeys(one, from, left))
+				add(withKeys(o, from, left))
 			}
 			from = max(from, replaced[at].To+1)
 		}
-		if from <= one.Keys.To {
-			add(withKeys(one, from, one.Keys.To))
+		if from <= o.Keys.To {
+			add(withKeys(o, from, o.Keys.To))
 		}
 	}
 	return append(merged, changes[next:]...)
 }
 
 // withKeys returns a copy of an owner with other keys.
-func withKeys(of owner.Owner, from, to int) owner.Owner {
-	of.Keys = owner.KeyRange{From: from, To: to}
-	return of
+func withKeys(o owner.Owner, from, to int) owner.Owner {
+	o.Keys = owner.KeyRange{From: from, To: to}
+	return o
 }
 
 // Clip returns the owners of some keys, their ranges cut at the ends of those keys.
 func Clip(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
 	var clipped []owner.Owner
-	for _, one := range owners {
-		from, to := max(one.Keys.From, keys.From), min(one.Keys.To, keys.To)
+	for _, o := range owners {
+		from, to := max(o.Keys.From, keys.From), min(o.Keys.To, keys.To)
 		if from <= to {
-			clipped = append(clipped, withKeys(one, from, to))
+			clipped = append(clipped, withKeys(o, from, to))
 		}
 	}
 	return clipped
--- a/internal/lab/mutate/mutations_limits.go
+++ b/internal/lab/mutate/mutations_limits.go
@@ -15,7 +15,7 @@
 		file: "internal/workerlimit/pacer.go",
 		old:  "	maxBurstTime = time.Second",
 		new:  "	maxBurstTime = 10 * time.Second",
-		pkg:  "./internal/workerlimit", test: "TestWindowLimit",
+		pkg:  "./internal/workerlimit", test: "TestGrantsKeepLimitInEveryWindow",
 	},
 	{
 		name: "leader-in-doubt-deals-out-all",
@@ -29,7 +29,7 @@
 		file: "internal/workerlimit/pacer.go",
 		old:  "	perSecond = max(perSecond, minRate)\n",
 		new:  "	perSecond = max(perSecond, minRate/1e6)\n",
-		pkg:  "./internal/workerlimit", test: "TestWindowLimit",
+		pkg:  "./internal/workerlimit", test: "TestGrantsKeepLimitInEveryWindow",
 	},
 	{
 		name: "leader-lets-all-through",
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -86,13 +86,13 @@
 
 // crash sends the harmful request through a router, unless the router rejects it.
 func (m *model) crash(through int, caller byte) {
-	one := attempt(1)
-	one.Caller = callerAt(caller)
-	if m.views[through].Standing(one.callerRequest()) == Quarantined {
+	sent := attempt(1)
+	sent.Caller = callerAt(caller)
+	if m.views[through].Standing(sent.callerRequest()) == Quarantined {
 		return
 	}
 	m.crashes++
-	m.views[through].RecordCrash(m.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", m.crashes)), At: m.now})
+	m.views[through].RecordCrash(m.now, sent, Crash{Worker: workers.ID(fmt.Sprint("w", m.crashes)), At: m.now})
 }
 
 // read merges the stored snapshot into a view.
--- a/internal/quarantine/observer.go
+++ b/internal/quarantine/observer.go
@@ -78,10 +78,10 @@
 	o.endedAt = now
 	o.forget(now)
 	seen := map[CallerRequest]bool{}
-	for _, one := range o.interrupted {
-		if !seen[one.attempt.callerRequest()] {
-			seen[one.attempt.callerRequest()] = true
-			attempts = append(attempts, one.attempt)
+	for _, interrupted := range o.interrupted {
+		if !seen[interrupted.attempt.callerRequest()] {
+			seen[interrupted.attempt.callerRequest()] = true
+			attempts = append(attempts, interrupted.attempt)
 		}
 	}
 	o.interrupted = nil
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -174,22 +174,22 @@
 
 // finishRuns ends the runs that are due: a harmful one crashes its worker.
 func (s *simulation) finishRuns(now time.Time, worker *simWorker) {
-	for _, one := range worker.runs {
-		if s.harmful[one.request] && now.Sub(one.startedAt) >= runTime/2 {
-			s.crashed[one.request]++
-			if s.crashed[one.request] == crashThreshold {
-				s.thresholdAt[one.request] = now
+	for _, run := range worker.runs {
+		if s.harmful[run.request] && now.Sub(run.startedAt) >= runTime/2 {
+			s.crashed[run.request]++
+			if s.crashed[run.request] == crashThreshold {
+				s.thresholdAt[run.request] = now
 			}
 			s.crash(now, worker)
 			return
 		}
 	}
-	worker.runs = slices.DeleteFunc(worker.runs, func(one simRun) bool {
-		if now.Sub(one.startedAt) < runTime {
+	worker.runs = slices.DeleteFunc(worker.runs, func(run simRun) bool {
+		if now.Sub(run.startedAt) < runTime {
 			return false
 		}
-		if one.router.Standing(CallerRequest{Request: one.request}) != Unsuspected {
-			one.router.RecordSuccess(now, CallerRequest{Request: one.request})
+		if run.router.Standing(CallerRequest{Request: run.request}) != Unsuspected {
+			run.router.RecordSuccess(now, CallerRequest{Request: run.request})
 		}
 		return true
 	})
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -121,8 +121,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	crash.Caller = attempt.Caller
-	if slices.ContainsFunc(v.ownCrashes, func(one *ownCrash) bool {
-		return one.attempt.Request == attempt.Request && one.crash.same(crash)
+	if slices.ContainsFunc(v.ownCrashes, func(own *ownCrash) bool {
+		return own.attempt.Request == attempt.Request && own.crash.same(crash)
 	}) {
 		return nil
 	}
@@ -135,7 +135,7 @@
 func (v *View) RecordSuccess(now time.Time, request CallerRequest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool { return one.attempt.callerRequest() == request })
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(own *ownCrash) bool { return own.attempt.callerRequest() == request })
 	if v.tracker.RecordSuccess(now, request) {
 		v.succeeded = append(v.succeeded, request)
 		v.notifyChanged()
@@ -146,8 +146,8 @@
 // quarantined as a result.
 func (v *View) HandleEvidence(now time.Time, evidence Evidence) []Attempt {
 	var quarantined []Attempt
-	for _, one := range evidence.Crashes {
-		quarantined = append(quarantined, v.RecordCrash(now, one.Attempt, one.Crash.crash(now))...)
+	for _, report := range evidence.Crashes {
+		quarantined = append(quarantined, v.RecordCrash(now, report.Attempt, report.Crash.crash(now))...)
 	}
 	for _, request := range evidence.Succeeded {
 		v.RecordSuccess(now, request)
@@ -165,13 +165,13 @@
 	v.forget(now)
 	evidence := &Evidence{Succeeded: v.succeeded}
 	v.succeeded = nil
-	for _, one := range v.ownCrashes {
-		if one.confirmed || !one.due(now) {
+	for _, own := range v.ownCrashes {
+		if own.confirmed || !own.due(now) {
 			continue
 		}
 		evidence.Crashes = append(evidence.Crashes, CrashReport{
-			Attempt: one.attempt,
-			Crash:   one.crash.toSnapshot(now),
+			Attempt: own.attempt,
+			Crash:   own.crash.toSnapshot(now),
 		})
 	}
 	if missing := v.collectMissing(now); len(missing.Records) > 0 {
@@ -198,10 +198,10 @@
 // forget drops crashes that are expired or cleared, and beyond maxOwnCrashes the oldest of those
 // that a leader knows. The caller holds mu.
 func (v *View) forget(now time.Time) {
-	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool { return now.Sub(one.crash.At) >= suspectRetention || v.isCleared(one) })
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(own *ownCrash) bool { return now.Sub(own.crash.At) >= suspectRetention || v.isCleared(own) })
 	surplus := len(v.ownCrashes) - maxOwnCrashes
-	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(one *ownCrash) bool {
-		if surplus <= 0 || !one.confirmed {
+	v.ownCrashes = slices.DeleteFunc(v.ownCrashes, func(own *ownCrash) bool {
+		if surplus <= 0 || !own.confirmed {
 			return false
 		}
 		surplus--
@@ -211,9 +211,9 @@
 
 // isCleared reports whether the request was lifted, or has succeeded for the same caller, since the
 // crash. The caller holds mu.
-func (v *View) isCleared(one *ownCrash) bool {
-	record, perCaller := v.tracker.records[one.attempt.Request], v.tracker.records[one.perCaller.Request]
-	return (record != nil && record.isLifted(one.crash.At)) || (perCaller != nil && perCaller.isCleared(one.crash.At))
+func (v *View) isCleared(own *ownCrash) bool {
+	record, perCaller := v.tracker.records[own.attempt.Request], v.tracker.records[own.perCaller.Request]
+	return (record != nil && record.isLifted(own.crash.At)) || (perCaller != nil && perCaller.isCleared(own.crash.At))
 }
 
 // HandleUpdate merges a leader's records. A leader may lack evidence: what this process knows is
@@ -224,16 +224,16 @@
 	v.tracker.Expire(now)
 	quarantined := v.tracker.Merge(now, records)
 	leaderRecords := make(map[Fingerprint]Record, len(records))
-	for _, one := range records {
-		leaderRecords[one.Attempt.Request] = one
+	for _, record := range records {
+		leaderRecords[record.Attempt.Request] = record
 	}
 	v.forget(now)
-	for _, one := range v.ownCrashes {
-		confirmed := confirms(leaderRecords, one)
-		if one.confirmed && !confirmed {
-			one.delivery = delivery{}
+	for _, own := range v.ownCrashes {
+		confirmed := confirms(leaderRecords, own)
+		if own.confirmed && !confirmed {
+			own.delivery = delivery{}
 		}
-		one.confirmed = confirmed
+		own.confirmed = confirmed
 	}
 	v.updateMissing(now, leaderRecords)
 	v.notifyChanged()
@@ -260,8 +260,8 @@
 // request is quarantined.
 func confirms(leaderRecords map[Fingerprint]Record, crash *ownCrash) bool {
 	for _, request := range []Fingerprint{crash.attempt.Request, crash.perCaller.Request} {
-		one, known := leaderRecords[request]
-		if known && (one.Standing() == Quarantined || slices.ContainsFunc(one.Crashes, crash.crash.same)) {
+		record, known := leaderRecords[request]
+		if known && (record.Standing() == Quarantined || slices.ContainsFunc(record.Crashes, crash.crash.same)) {
 			return true
 		}
 	}
--- a/internal/registry/compile.go
+++ b/internal/registry/compile.go
@@ -38,13 +38,13 @@
 	var routes []*routing.Route
 	services := map[routing.ServiceName]*routing.Service{}
 	var list []workers.Worker
-	for _, one := range bundles {
-		version += routing.Version(one.Version)
-		for _, service := range one.Services {
-			name := routing.ServiceName(one.ServiceName(service))
+	for _, teamBundle := range bundles {
+		version += routing.Version(teamBundle.Version)
+		for _, service := range teamBundle.Services {
+			name := routing.ServiceName(teamBundle.ServiceName(service))
 			services[name] = compileService(name, service)
-			routes = append(routes, compileRoute(one, service))
-			list = append(list, compileWorkers(one, name, service)...)
+			routes = append(routes, compileRoute(teamBundle, service))
+			list = append(list, compileWorkers(teamBundle, name, service)...)
 		}
 	}
 	config, err := routing.Build(version, routes, services, routing.Limits{})
@@ -83,8 +83,8 @@
 	return value
 }
 
-func compileRoute(one bundle.Bundle, service bundle.Service) *routing.Route {
-	name := routing.ServiceName(one.ServiceName(service))
+func compileRoute(teamBundle bundle.Bundle, service bundle.Service) *routing.Route {
+	name := routing.ServiceName(teamBundle.ServiceName(service))
 	deadline := service.Limits.Deadline.Std()
 	if deadline == 0 {
 		deadline = defaultDeadline
@@ -100,8 +100,8 @@
 		Repeatable: service.Repeatable,
 		Class:      bodyClasses[service.Bodies],
 		Public:     service.Public,
-		Open:       len(one.Tenants) == 0,
-		Scope:      routing.Scope(one.Team),
+		Open:       len(teamBundle.Tenants) == 0,
+		Scope:      routing.Scope(teamBundle.Team),
 		Regions:    compileRegions(service.Regions),
 		Timeout:    deadline,
 		Target:     min(deadline/targetDivisor, maxTarget),
@@ -110,7 +110,7 @@
 	}
 }
 
-func compileWorkers(one bundle.Bundle, name routing.ServiceName, service bundle.Service) []workers.Worker {
+func compileWorkers(teamBundle bundle.Bundle, name routing.ServiceName, service bundle.Service) []workers.Worker {
 	list := make([]workers.Worker, 0, len(service.Backends))
 	for _, backend := range service.Backends {
 		state := workers.StateReady
@@ -118,7 +118,7 @@
 			state = workers.StateDraining
 		}
 		list = append(list, workers.Worker{
-			ID:      workers.ID(one.ServerName(service, backend)),
+			ID:      workers.ID(teamBundle.ServerName(service, backend)),
 			Service: name,
 			Address: backend.Address,
 			Zone:    string(backend.Zone),
--- a/internal/registry/tenants.go
+++ b/internal/registry/tenants.go
@@ -17,19 +17,19 @@
 // compileTenants compiles the tenants of all teams, each in the scope of its team.
 func compileTenants(bundles []bundle.Bundle) map[routing.TenantName]*routing.Tenant {
 	tenants := map[routing.TenantName]*routing.Tenant{}
-	for _, one := range bundles {
-		for _, tenant := range one.Tenants {
-			compiled := compileTenant(one, tenant)
+	for _, teamBundle := range bundles {
+		for _, tenant := range teamBundle.Tenants {
+			compiled := compileTenant(teamBundle, tenant)
 			tenants[compiled.Name] = compiled
 		}
 	}
 	return tenants
 }
 
-func compileTenant(one bundle.Bundle, tenant bundle.Tenant) *routing.Tenant {
+func compileTenant(teamBundle bundle.Bundle, tenant bundle.Tenant) *routing.Tenant {
 	compiled := &routing.Tenant{
-		Name:     routing.TenantName(one.TenantName(tenant)),
-		Scope:    routing.Scope(one.Team),
+		Name:     routing.TenantName(teamBundle.TenantName(tenant)),
+		Scope:    routing.Scope(teamBundle.Team),
 		Priority: tenant.Priority,
 		Rate:     tenant.Rate,
 		Burst:    tenant.Burst,
--- a/internal/tenant/index.go
+++ b/internal/tenant/index.go
@@ -94,9 +94,9 @@
 	}
 	h := x.hashers.Get().(*hasher)
 	defer x.hashers.Put(h)
-	for _, one := range config.Tenants {
-		for _, digest := range one.Keys {
-			x.active[h.tag(digest)] = keyHolder{digest: digest, tenant: one}
+	for _, tenant := range config.Tenants {
+		for _, digest := range tenant.Keys {
+			x.active[h.tag(digest)] = keyHolder{digest: digest, tenant: tenant}
 		}
 	}
 	if previous != nil {
--- a/internal/tenant/index_test.go
+++ b/internal/tenant/index_test.go
@@ -156,19 +156,19 @@
 	f.Add("bearer  key-a1", "Bearer key-b")
 	f.Add("Basic \x00", "x")
 	x := NewIndex(Secret{3}, configOf(1, map[routing.TenantName][]string{"a": {"key-a1"}, "b": {"key-b"}}), nil)
-	f.Fuzz(func(t *testing.T, one, other string) {
-		header := http.Header{Header: {one}}
-		if other != "" {
-			header.Add(Header, other)
+	f.Fuzz(func(t *testing.T, first, second string) {
+		header := http.Header{Header: {first}}
+		if second != "" {
+			header.Add(Header, second)
 		}
 		caller := x.Identify(header, "")
 		if caller.Result != Authenticated {
 			assert.Assert(t, caller.Tenant == nil)
 			return
 		}
-		assert.Equal(t, other, "")
+		assert.Equal(t, second, "")
 		held := map[routing.TenantName]string{"a": "key-a1", "b": "key-b"}[caller.Tenant.Name]
-		scheme, key, _ := strings.Cut(one, " ")
+		scheme, key, _ := strings.Cut(first, " ")
 		assert.Assert(t, strings.EqualFold(scheme, "Bearer"))
 		assert.Equal(t, strings.TrimLeft(key, " "), held)
 	})
--- a/internal/workerlimit/pacer_test.go
+++ b/internal/workerlimit/pacer_test.go
@@ -28,7 +28,9 @@
 	return count
 }
 
-func TestWindowLimit(t *testing.T) {
+// No window may contain more grants than maxArrivals. Still, enough must be granted to use the limit,
+// and to find out that it has ended.
+func TestGrantsKeepLimitInEveryWindow(t *testing.T) {
 	for name, test := range map[string]struct {
 		perSecond, requested float64
 		// used is the least share of the requests, or of the limit, that is granted.
--- a/internal/workerlimit/simulation_test.go
+++ b/internal/workerlimit/simulation_test.go
@@ -352,11 +352,11 @@
 	var violations []string
 	for _, limit := range s.worker.limits {
 		var within []time.Time
-		for _, one := range s.worker.arrivals {
-			ended := !limit.to.IsZero() && one.at.After(limit.to)
-			applies := one.at.After(limit.since.Add(propagationTime)) && one.at.After(limit.from.Add(time.Second/2))
-			if applies && !ended && !one.exempt {
-				within = append(within, one.at)
+		for _, arrived := range s.worker.arrivals {
+			ended := !limit.to.IsZero() && arrived.at.After(limit.to)
+			applies := arrived.at.After(limit.since.Add(propagationTime)) && arrived.at.After(limit.from.Add(time.Second/2))
+			if applies && !ended && !arrived.exempt {
+				within = append(within, arrived.at)
 			}
 		}
 		if count := maxWithin(within); float64(count) > maxArrivals(limit.perSecond) {
--- a/internal/workers/settling.go
+++ b/internal/workers/settling.go
@@ -57,9 +57,9 @@
 func (d *Directory) EndSettling() {
 	d.mu.Lock()
 	d.own, d.peer = settling{}, settling{}
-	for id, one := range d.kept {
-		one.until = time.Time{}
-		d.kept[id] = one
+	for id, kept := range d.kept {
+		kept.until = time.Time{}
+		d.kept[id] = kept
 	}
 	d.mu.Unlock()
 	d.Expire()
@@ -133,14 +133,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var expired []ID
-	for id, one := range d.kept {
-		if clock.Now().Before(one.until) {
+	for id, kept := range d.kept {
+		if clock.Now().Before(kept.until) {
 			continue
 		}
 		delete(d.kept, id)
 		delete(d.byID, id)
 		delete(d.drainingSince, id)
-		d.goneAt[id] = one.since
+		d.goneAt[id] = kept.since
 		expired = append(expired, id)
 	}
 	if len(expired) > 0 {
