--- a/internal/keytable/keytable.go
+++ b/internal/keytable/keytable.go
@@ -104,11 +104,11 @@
 
 // keyRanges returns the key ranges of owners.
 func keyRanges(owners []owner.Owner) []owner.KeyRange {
-	runs := make([]owner.KeyRange, 0, len(owners))
-	for _, one := range owners {
-		runs = append(runs, one.Keys)
+	ranges := make([]owner.KeyRange, 0, len(owners))
+	for _, o := range owners {
+		ranges = append(ranges, o.Keys)
 	}
-	return runs
+	return ranges
 }
 
 // overlay returns the owners with some key ranges removed, and with changes inserted. All are
@@ -116,45 +116,45 @@
 func overlay(owners []owner.Owner, replaced []owner.KeyRange, changes []owner.Owner) []owner.Owner {
 	merged := make([]owner.Owner, 0, len(owners)+2*len(changes))
 	next := 0
-	add := func(one owner.Owner) {
-		for next < len(changes) && changes[next].Keys.From < one.Keys.From {
+	add := func(o owner.Owner) {
+		for next < len(changes) && changes[next].Keys.From < o.Keys.From {
 			merged = append(merged, changes[next])
 			next++
 		}
-		merged = append(merged, one)
+		merged = append(merged, o)
 	}
 	index := 0
-	for _, one := range owners {
-		for index < len(replaced) && replaced[index].To < one.Keys.From {
+	for _, o := range owners {
+		for index < len(replaced) && replaced[index].To < o.Keys.From {
 			index++
 		}
-		from := one.Keys.From
-		for at := index; at < len(replaced) && replaced[at].From <= one.Keys.To; at++ {
+		from := o.Keys.From
+		for at := index; at < len(replaced) && replaced[at].From <= o.Keys.To; at++ {
 			if left := replaced[at].From - 1; left >= from {
-				add(withKeys(one, from, left))
+				add(withKeys(o, from, left))
 			}
 			from = max(from, replaced[at].To+1)
 		}
-		if from <= one.Keys.To {
-			add(withKeys(one, from, one.Keys.To))
+		if from <= o.Keys.To {
+			add(withKeys(o, from, o.Keys.To))
 		}
 	}
 	return append(merged, changes[next:]...)
 }
 
 // withKeys returns a copy of an owner with other keys.
-func withKeys(of owner.Owner, from, to int) owner.Owner {
-	of.Keys = owner.KeyRange{From: from, To: to}
-	return of
+func withKeys(o owner.Owner, from, to int) owner.Owner {
+	o.Keys = owner.KeyRange{From: from, To: to}
+	return o
 }
 
 // Clip returns the owners of some keys, their ranges cut at the ends of those keys.
 func Clip(owners []owner.Owner, keys owner.KeyRange) []owner.Owner {
 	var clipped []owner.Owner
-	for _, one := range owners {
-		from, to := max(one.Keys.From, keys.From), min(one.Keys.To, keys.To)
+	for _, o := range owners {
+		from, to := max(o.Keys.From, keys.From), min(o.Keys.To, keys.To)
 		if from <= to {
-			clipped = append(clipped, withKeys(one, from, to))
+			clipped = append(clipped, withKeys(o, from, to))
 		}
 	}
 	return clipped
@@ -206,23 +206,23 @@
 func Difference(before, after []owner.Owner) []owner.Owner {
 	var changes []owner.Owner
 	index := 0
-	for _, now := range after {
-		from := now.Keys.From
-		for from <= now.Keys.To {
+	for _, current := range after {
+		from := current.Keys.From
+		for from <= current.Keys.To {
 			for index < len(before) && before[index].Keys.To < from {
 				index++
 			}
 			if index == len(before) {
-				changes = appendChange(changes, now, owner.KeyRange{From: from, To: now.Keys.To})
+				changes = appendChange(changes, current, owner.KeyRange{From: from, To: current.Keys.To})
 				break
 			}
-			to := min(now.Keys.To, before[index].Keys.To)
+			to := min(current.Keys.To, before[index].Keys.To)
 			old := before[index]
-			if old.Keys.From > from || old.Worker != now.Worker || old.Moving != now.Moving || old.Address != now.Address {
+			if old.Keys.From > from || old.Worker != current.Worker || old.Moving != current.Moving || old.Address != current.Address {
 				if old.Keys.From > from {
 					to = min(to, old.Keys.From-1)
 				}
-				changes = appendChange(changes, now, owner.KeyRange{From: from, To: to})
+				changes = appendChange(changes, current, owner.KeyRange{From: from, To: to})
 			}
 			from = to + 1
 		}
@@ -230,12 +230,12 @@
 	return changes
 }
 
-func appendChange(changes []owner.Owner, now owner.Owner, keys owner.KeyRange) []owner.Owner {
+func appendChange(changes []owner.Owner, current owner.Owner, keys owner.KeyRange) []owner.Owner {
 	if last := len(changes) - 1; last >= 0 && changes[last].Keys.To+1 == keys.From &&
-		changes[last].Worker == now.Worker && changes[last].Moving == now.Moving {
+		changes[last].Worker == current.Worker && changes[last].Moving == current.Moving {
 		changes[last].Keys.To = keys.To
 		return changes
 	}
-	now.Keys = keys
-	return append(changes, now)
+	current.Keys = keys
+	return append(changes, current)
 }
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -86,13 +86,13 @@
 
 // crash sends the harmful request through a router, unless the router rejects it.
 func (m *model) crash(through int, caller byte) {
-	one := attempt(1)
-	one.Caller = callerAt(caller)
-	if m.views[through].Standing(one.callerRequest()) == Quarantined {
+	sent := attempt(1)
+	sent.Caller = callerAt(caller)
+	if m.views[through].Standing(sent.callerRequest()) == Quarantined {
 		return
 	}
 	m.crashes++
-	m.views[through].RecordCrash(m.now, one, Crash{Worker: workers.ID(fmt.Sprint("w", m.crashes)), At: m.now})
+	m.views[through].RecordCrash(m.now, sent, Crash{Worker: workers.ID(fmt.Sprint("w", m.crashes)), At: m.now})
 }
 
 // read merges the stored snapshot into a view.
@@ -104,7 +104,7 @@
 	if err != nil {
 		panic(err)
 	}
-	view.Merge(m.now, snapshot.Stored(m.now))
+	view.Merge(m.now, snapshot.StoredRecords(m.now))
 }
 
 // restart restarts a router with the stored snapshot.
@@ -189,11 +189,11 @@
 
 // crashesKnown returns how many crashes of the harmful request a view knows.
 func crashesKnown(v *View) int {
-	known := v.tracker.records[harmfulRequest.Request]
-	if known == nil {
+	record := v.tracker.records[harmfulRequest.Request]
+	if record == nil {
 		return 0
 	}
-	return len(known.crashTimes())
+	return len(record.crashTimes())
 }
 
 // maxCrashesKnown returns the largest number of crashes that a router knows.
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -53,7 +53,8 @@
 	harmful     map[Fingerprint]bool
 	crashed     map[Fingerprint]int
 	thresholdAt map[Fingerprint]time.Time
-	// lateSends counts the sends of a harmful request after propagationBound.
+	// lateSends counts the sends of each harmful request later than propagationBound after
+	// thresholdAt.
 	lateSends          map[Fingerprint]int
 	requests, rejected int
 	otherCrashes       int
@@ -125,7 +126,8 @@
 	s.restart(worker)
 }
 
-// send sends a request through a router to a worker, unless it is quarantined or the worker is down.
+// send sends a request through a router to a worker, unless the worker is down. It reports whether
+// the router rejects the request because it is quarantined.
 func (s *simulation) send(now time.Time, router *View, request Fingerprint) (rejected bool) {
 	if router.Standing(CallerRequest{Request: request}) == Quarantined {
 		return true
@@ -166,28 +168,28 @@
 		one.deliver(now)
 	}
 	for _, worker := range s.workers {
-		s.run(now, worker)
+		s.finishRuns(now, worker)
 	}
 }
 
-// run ends the runs that are due: a harmful one crashes its worker.
-func (s *simulation) run(now time.Time, worker *simWorker) {
-	for _, one := range worker.runs {
-		if s.harmful[one.request] && now.Sub(one.startedAt) >= runTime/2 {
-			s.crashed[one.request]++
-			if s.crashed[one.request] == crashThreshold {
-				s.thresholdAt[one.request] = now
+// finishRuns ends the runs that are due: a harmful one crashes its worker.
+func (s *simulation) finishRuns(now time.Time, worker *simWorker) {
+	for _, run := range worker.runs {
+		if s.harmful[run.request] && now.Sub(run.startedAt) >= runTime/2 {
+			s.crashed[run.request]++
+			if s.crashed[run.request] == crashThreshold {
+				s.thresholdAt[run.request] = now
 			}
 			s.crash(now, worker)
 			return
 		}
 	}
-	worker.runs = slices.DeleteFunc(worker.runs, func(one simRun) bool {
-		if now.Sub(one.startedAt) < runTime {
+	worker.runs = slices.DeleteFunc(worker.runs, func(run simRun) bool {
+		if now.Sub(run.startedAt) < runTime {
 			return false
 		}
-		if one.router.Standing(CallerRequest{Request: one.request}) != Unsuspected {
-			one.router.RecordSuccess(now, CallerRequest{Request: one.request})
+		if run.router.Standing(CallerRequest{Request: run.request}) != Unsuspected {
+			run.router.RecordSuccess(now, CallerRequest{Request: run.request})
 		}
 		return true
 	})
@@ -208,7 +210,7 @@
 	s.sentVersion = version
 	for _, router := range s.routers {
 		// Links deliver messages in order.
-		s.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.Received(now)) })
+		s.deliverLater(now, 20*time.Millisecond, func(at time.Time) { router.HandleUpdate(at, snapshot.ReceivedRecords(now)) })
 	}
 }
 
