--- a/internal/owner/balance.go
+++ b/internal/owner/balance.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// overload returns the factor by which moving a number of keys off a worker counts as cheaper.
+// widthCostDivisor returns the number by which widthCost is divided for keys that leave a worker.
 // Requests beyond a limit that a worker has set are rejected for as long as its keys stay.
-func (p *planner) overload(from workers.ID) float64 {
+func (p *planner) widthCostDivisor(from workers.ID) float64 {
 	if !p.candidates[from].Limited {
 		return 1
 	}
@@ -200,7 +200,7 @@
 
 func (p *planner) cost(index int, source *span, keys KeyRange, to workers.ID, want float64) float64 {
 	cost := math.Abs(want-p.rate(keys)) / want
-	cost += widthCost * (1 + churnCostFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.overload(source.owner)
+	cost += widthCost * (1 + churnCostFactor*p.rules.ChurnWeight) * float64(keys.Width()) / KeyCount / p.widthCostDivisor(source.owner)
 	if keys.From > source.keys.From {
 		cost += splitCost
 	} else if index > 0 && p.ledger.spans[index-1].owner == to {
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -131,7 +131,7 @@
 	case OutcomeOtherWorker:
 		l.ended[worker] = true
 	default:
-		if failed, known := l.lastUnanswered[worker]; known && now.Sub(failed) < l.config.MaxOrderDelay {
+		if failedAt, known := l.lastUnanswered[worker]; known && now.Sub(failedAt) < l.config.MaxOrderDelay {
 			l.delaySuspectedAt = now
 		}
 		delete(l.lastUnanswered, worker)
@@ -149,12 +149,12 @@
 const failureExpiry = 3 * time.Second
 
 func (l *Ledger) recordFailure(now time.Time, worker workers.ID) {
-	run, failing := l.failing[worker]
-	if !failing || now.Sub(run.last) > failureExpiry {
-		run.since = now
+	series, failing := l.failing[worker]
+	if !failing || now.Sub(series.last) > failureExpiry {
+		series.since = now
 	}
-	run.last = now
-	l.failing[worker] = run
+	series.last = now
+	l.failing[worker] = series
 }
 
 // Bounds of the time after which an unanswered grant is attributed to its worker: a broken
@@ -252,6 +252,6 @@
 // Failing reports whether all orders to a worker have failed for longer than a duration, or the
 // worker is known to have ended.
 func (l *Ledger) Failing(now time.Time, worker workers.ID, after time.Duration) bool {
-	run, failing := l.failing[worker]
-	return l.ended[worker] || (failing && now.Sub(run.since) > after && now.Sub(run.last) < failureExpiry)
+	series, failing := l.failing[worker]
+	return l.ended[worker] || (failing && now.Sub(series.since) > after && now.Sub(series.last) < failureExpiry)
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -45,8 +45,9 @@
 
 // modelWorker is the state of a worker.
 type modelWorker struct {
-	id           workers.ID
-	length       time.Duration
+	id workers.ID
+	// holdDuration is how long a hold lasts by the worker's clock, which may run slow.
+	holdDuration time.Duration
 	fence        Fence
 	until        time.Time
 	highestFence Fence
@@ -118,7 +119,7 @@
 		if index == 0 {
 			length = time.Duration(float64(length) * (1 + modelConfig.ClockSlack))
 		}
-		worker := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), length: length}
+		worker := &modelWorker{id: workers.ID(fmt.Sprintf("w%d", index)), holdDuration: length}
 		if bounds.restarts > 0 {
 			worker.startTime = 1
 		}
@@ -312,7 +313,7 @@
 			m.violation = fmt.Sprintf("%s accepts keys under fence %d, %s holds them under fence %d", to.id, order.Fence, other.id, other.fence)
 		}
 	}
-	to.highestFence, to.fence, to.until, to.unpreventable = order.Fence, order.Fence, m.now.Add(to.length), unpreventable
+	to.highestFence, to.fence, to.until, to.unpreventable = order.Fence, order.Fence, m.now.Add(to.holdDuration), unpreventable
 	return Reply{Outcome: OutcomeDone}
 }
 
--- a/internal/owner/planner.go
+++ b/internal/owner/planner.go
@@ -13,8 +13,8 @@
 	Zone    string
 	// Capacity is the number of requests per second that it can process.
 	Capacity float64
-	// Limited means that the worker itself has set that capacity as a limit, and that requests
-	// beyond it are not sent to the worker.
+	// Limited means that requests beyond that capacity are not sent to the worker, since it has set
+	// a limit or requested backoffs.
 	Limited bool
 	// Cold means that the worker is warming up or temporarily lacks capacity. It is not given keys
 	// if other workers can take them.
@@ -33,7 +33,7 @@
 	maxTargetUtilization = 0.9
 	// minUtilizationGap is the smallest difference in utilization that justifies a move.
 	minUtilizationGap = 0.4
-	// widthCost is the cost of moving all keys; a move costs its share of them.
+	// widthCost is the cost of moving all keys. Moving a fraction of them costs that fraction of it.
 	widthCost = 6.0
 	// churnCostFactor is the relative increase of widthCost at a churn weight of 1.
 	churnCostFactor = 4.0
@@ -64,8 +64,7 @@
 )
 
 // InitialOwners divides all keys among the candidates in ranges of equal width, separately for each
-// placement rule. It returns nil if a rule has no candidate, since its keys may be held by no other
-// worker.
+// placement rule. It returns nil if a rule has no candidate, since no other worker may hold its keys.
 func InitialOwners(candidates []Candidate, rules []PlacementRule) []Owner {
 	var owners []Owner
 	for _, rule := range withGaps(rules) {
--- a/internal/owner/planner_test.go
+++ b/internal/owner/planner_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against a fault seen on a day without faults in both deployments: one key had more requests
-// than its worker could process, and was not moved.
+// Guards against a fault seen in both deployments on a test day without injected faults: one key had
+// more requests than its worker could process, and was not moved.
 func TestPlanPutsABusyKeyOnAFastWorker(t *testing.T) {
 	now := time.Now()
 	candidates := equalCandidates(14, 20)
--- a/internal/owner/restart.go
+++ b/internal/owner/restart.go
@@ -66,7 +66,7 @@
 // get a new ID when they restart.
 func (l *Ledger) reportsStartTime(id workers.ID) bool { return l.startTimes[id] != 0 }
 
-// target returns the address and start time that a worker's orders are sent to.
+// target returns the target of orders to a worker: its last known address and start time.
 func (l *Ledger) target(id workers.ID) Target {
 	return Target{ID: id, Address: l.addresses[id], StartTime: l.startTimes[id]}
 }
--- a/internal/owner/restart_test.go
+++ b/internal/owner/restart_test.go
@@ -27,8 +27,8 @@
 	return l.ObserveIncarnation(now, workers.Incarnation{ID: candidate.ID, StartTime: 2}, candidate.Address)
 }
 
-// Keys granted to the first incarnation must not count as held by the second: until the next
-// renewal they did, and the renewal was sent under the old fence.
+// Guards against a fault: keys granted to the first incarnation counted as held by the second until
+// the next renewal, which was sent under the old fence.
 func TestRestartedWorkerGetsHigherFence(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ledger, candidates := ledgerWithIncarnations(t, now)
--- a/internal/owner/simulation_faults_test.go
+++ b/internal/owner/simulation_faults_test.go
@@ -43,7 +43,7 @@
 func freezeLeader(s *simulation) {
 	for _, leader := range s.leaders {
 		if leader.term == s.term {
-			leader.frozen = s.now.Add(s.between(time.Second, 5*time.Second))
+			leader.frozenUntil = s.now.Add(s.between(time.Second, 5*time.Second))
 		}
 	}
 }
--- a/internal/owner/simulation_test.go
+++ b/internal/owner/simulation_test.go
@@ -21,9 +21,10 @@
 	term   Term
 	// authority is when the leader's authority ends. Renewals continue for RenewalGrace after it.
 	authority time.Time
-	frozen    time.Time
-	dead      bool
-	writing   bool
+	// frozenUntil is the time until which the leader does nothing.
+	frozenUntil time.Time
+	dead        bool
+	writing     bool
 }
 
 // simulation consists of workers with their own clocks, a network that loses and delays orders and
@@ -109,7 +110,7 @@
 
 // drive does what the keeper does, for one leader.
 func (s *simulation) drive(leader *simLeader) {
-	if leader.dead || s.now.Before(leader.frozen) || s.now.After(leader.authority.Add(s.config.RenewalGrace)) {
+	if leader.dead || s.now.Before(leader.frozenUntil) || s.now.After(leader.authority.Add(s.config.RenewalGrace)) {
 		return
 	}
 	leads := leader.term == s.term && s.now.Before(s.lease)
--- a/internal/owner/span.go
+++ b/internal/owner/span.go
@@ -15,7 +15,7 @@
 	// recordVersion is the ledger's record version in which the owner was chosen. No grant is sent
 	// before that version is stored.
 	recordVersion uint64
-	// granted means that the owner's current incarnation has accepted a grant of the keys.
+	// granted means that the owner's last known incarnation has accepted a grant of the keys.
 	granted  bool
 	handover Handover
 	// heldUntil is the latest time at which a grant to the owner may end.
@@ -78,9 +78,10 @@
 func (s *span) held() bool { return s.granted && len(s.previous) == 0 }
 
 // mayHaveGrant reports whether the owner may have accepted a grant or may still do so. If not, no
-// grant can have reached it, and a move need not wait for the owner's hold to end. When moves did
-// wait, the keys of a worker that had crashed before its first grant were unavailable for up to
-// 10.1 s after they were moved: the duration of a lost standby's delegation plus that of a hold.
+// connection was established for any grant to it, and a move need not wait for its hold to end. When
+// moves did wait, the keys of a worker that had crashed before its first grant were unavailable for
+// up to 10.1 s after they were moved: the duration of a lost standby's delegation plus that of a
+// hold.
 func (s *span) mayHaveGrant() bool {
 	return s.granted || s.unconfirmed || s.sentToStandbys || !s.heldUntil.IsZero() || !s.delayedGrantUntil.IsZero()
 }
--- a/internal/owner/unreachable_test.go
+++ b/internal/owner/unreachable_test.go
@@ -10,7 +10,7 @@
 // movedFromUnreached returns a ledger whose first owner has not been reached by any grant, and in
 // which all keys have since been moved to a second one.
 //
-// The tests with it guard against a fault seen in soak tests of real processes (seeds 436, 514,
+// The tests that use it guard against a fault seen in soak tests of real processes (seeds 436, 514,
 // 522, 561, 579): keys were granted to a worker that had crashed before any grant reached it, and
 // were then moved. They stayed unavailable until a lost standby could no longer renew a hold that
 // it had never been informed of, plus the duration of a hold; or, under a leader elected in
