--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -103,7 +103,7 @@
 }
 
 // lowerCredits reclaims units from routers that have more than the spare ones left, those with most
-// first. Units that they were asked to give up before count as on their way. It returns how many
+// first. Units that they have already been asked to give up count as reclaimed. It returns how many
 // units are still missing.
 func (c *Coordinator) lowerCredits(name routing.TenantName, list []*member, spare, missing int) (stillMissing int) {
 	for index := len(list) - 1; index >= 0 && missing > 0; index-- {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/shalefork/shalefork/internal/routing"
 )
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	tenant := &routing.Tenant{Name: "tenant-17", Rate: 1e6, Burst: 1e6}
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, "node", 1, Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20})
--- a/internal/quota/bound_test.go
+++ b/internal/quota/bound_test.go
@@ -51,17 +51,17 @@
 				s.storeDown = !s.storeDown
 			case "restart all":
 				s.leader().killed = true
-				for _, one := range s.routers {
-					s.startRouter(one)
+				for _, router := range s.routers {
+					s.startRouter(router)
 				}
 			case "limit":
 				s.tenant = &routing.Tenant{Name: "t", Rate: float64(rapid.IntRange(1, 30).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 40).Draw(t, "burst"))}
 				if s.leader().coordinator.SetTenants(s.now, tenants(s.tenant)) {
 					s.unreported, s.claimExpiry = UnreportedShares{All: 1}, s.now.Add(s.bound.TakeoverDelay())
 				}
-				for _, one := range s.routers {
-					one.tenant = s.tenant
-					one.holder.SetTenants(tenants(s.tenant))
+				for _, router := range s.routers {
+					router.tenant = s.tenant
+					router.holder.SetTenants(tenants(s.tenant))
 				}
 				if units := s.bound.Allowed(s.tenant); units >= limit {
 					limit = units
@@ -75,9 +75,9 @@
 					s.request(r)
 				}
 			case "flood all":
-				for _, one := range s.routers {
+				for _, router := range s.routers {
 					for range limit {
-						s.request(one)
+						s.request(router)
 					}
 				}
 			default: // "ask" and "calm" send one request
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -154,8 +154,8 @@
 			continue
 		}
 		previous := allowed
-		if known := c.pools[name]; known != nil {
-			previous = known.limit
+		if existing := c.pools[name]; existing != nil {
+			previous = existing.limit
 		}
 		lowered = lowered || allowed < previous
 		c.setAllocatable(now, name, c.bound.Allocatable(tenant, c.busy[name] && !c.isCooling(name)))
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -152,8 +152,8 @@
 	return a.raised
 }
 
-// Refused counts a refused request. Its tenant counts as over its limit for overLimitFor, during
-// which its callers don't wait for units.
+// RecordRefused counts a refused request. Its tenant counts as over its limit for overLimitFor,
+// during which its callers don't wait for units.
 func (h *Holder) RecordRefused(now time.Time, tenant *routing.Tenant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/quota/holder_test.go
+++ b/internal/quota/holder_test.go
@@ -21,8 +21,8 @@
 	return h, began
 }
 
-// takeAll counts how many requests a holder grants at one moment.
-func takeAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
+// acquireAll acquires units until none is left, all at one moment, and returns how many it got.
+func acquireAll(h *Holder, at time.Time, tenant *routing.Tenant) int {
 	count := 0
 	for granted, _ := h.Acquire(at, tenant); granted; granted, _ = h.Acquire(at, tenant) {
 		count++
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 			h, began := newTestHolder(tenant)
-			assert.Equal(t, takeAll(h, began.Add(test.after), tenant), test.granted)
+			assert.Equal(t, acquireAll(h, began.Add(test.after), tenant), test.granted)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	assert.Assert(t, report.Full)
 	assert.Equal(t, report.Tenants["t"].credit(), 5)
 	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 2, Stamp: report.Stamp})
-	assert.Equal(t, takeAll(h, at, tenant), 5)
+	assert.Equal(t, acquireAll(h, at, tenant), 5)
 }
 
 // A request that is sent to its worker late counts from then on, and one that did not run is not
@@ -65,12 +65,12 @@
 func TestUnitIsInUseFromSendTime(t *testing.T) {
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
-	assert.Equal(t, takeAll(h, began, tenant), 50)
+	assert.Equal(t, acquireAll(h, began, tenant), 50)
 	h.RecordSent(began, began.Add(3*time.Second), tenant)
 	h.Release(began, tenant)
-	assert.Equal(t, takeAll(h, began.Add(3*time.Second), tenant), 1)
+	assert.Equal(t, acquireAll(h, began.Add(3*time.Second), tenant), 1)
 	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 1, Stamp: 5000})
-	assert.Equal(t, takeAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
+	assert.Equal(t, acquireAll(h, began.Add(h.bound.reuseDelay()), tenant), 48)
 }
 
 // A router that starts gets units with one message each way, since it receives requests at once.
@@ -97,7 +97,7 @@
 	tenant := &routing.Tenant{Name: "t", Rate: 20, Burst: 20}
 	h, began := newTestHolder(tenant)
 	h.ApplyGrant(began, Grant{Node: "n", StartTime: 1, Term: 2, Sequence: 1, Stamp: 1, Credits: map[routing.TenantName]Credit{"u": {3, 50, 0}}})
-	assert.Equal(t, takeAll(h, began, tenant), 0)
+	assert.Equal(t, acquireAll(h, began, tenant), 0)
 }
 
 // While a new leader withholds units, callers are asked to retry after that, so that they are not
@@ -134,8 +134,8 @@
 	now = now.Add(resendAfter)
 	again := c.Tick(now, true, 1)
 	assert.Equal(t, len(again), 1)
-	given := again[0].Credits["t"].units()
-	assert.Assert(t, given > 0)
+	grantedUnits := again[0].Credits["t"].units()
+	assert.Assert(t, grantedUnits > 0)
 	c.HandleReport(now, Report{Node: "n", StartTime: 1, Term: 1, Sequence: 2, Ack: first[0].Sequence, Stamp: 2, Full: true, Tenants: map[routing.TenantName]TenantReport{"t": {0, 0, 1, 1}}})
-	assert.Assert(t, c.pools["t"].outstanding >= given)
+	assert.Assert(t, c.pools["t"].outstanding >= grantedUnits)
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -25,8 +25,8 @@
 	// router uses the credit for leaseMargin less. It is longer than it takes to find another
 	// leader, so that the loss of a leader has no effect on credits.
 	Lease = 6 * time.Second
-	// FloorLease is how long a router that is out of reach may use its floor. It bounds for how
-	// long the units of a lost router are unused.
+	// FloorLease is how long a router that is out of reach may use its floor. It bounds how long the
+	// units of a lost router stay unused.
 	FloorLease = 5 * time.Minute
 	// leaseMargin is subtracted from leases at the router: a process notices the suspension of its
 	// machine half a second after it resumes, and clocks drift.
@@ -79,8 +79,8 @@
 // marked as busy.
 func unmarkedAllocatable(limit int) int { return int(math.Ceil(unmarkedShare * float64(limit))) }
 
-// TakeoverDelay returns how long after a leader's end credits that it granted may still be used by
-// routers that no other leader knows of, and the units that they spent stay in use.
+// TakeoverDelay returns how long after a leader's end routers that no other leader knows of may use
+// the credits that it granted, and the units spent from these stay in use.
 func (b Bound) TakeoverDelay() time.Duration { return Lease + b.reuseDelay() }
 
 // Allowed returns how many requests of a tenant may arrive at workers within a window; zero if the
--- a/internal/quota/refusals_test.go
+++ b/internal/quota/refusals_test.go
@@ -79,13 +79,13 @@
 			static[router].add()
 			staticTaken = append(staticTaken, now)
 		}
-		waiting = slices.DeleteFunc(waiting, func(one waitingRequest) bool {
-			if one.router.holder.CreditRaised(s.now, tenant) == nil || !s.now.Before(one.until) {
-				one.router.holder.RecordRefused(s.now, tenant)
+		waiting = slices.DeleteFunc(waiting, func(w waitingRequest) bool {
+			if w.router.holder.CreditRaised(s.now, tenant) == nil || !s.now.Before(w.until) {
+				w.router.holder.RecordRefused(s.now, tenant)
 				stats.refused++
 				return true
 			}
-			return s.request(one.router)
+			return s.request(w.router)
 		})
 		stats.peak = max(stats.peak, float64(s.grantedInWindow())/float64(limit))
 		within := 0
@@ -110,7 +110,7 @@
 // Requests below the limit are refused when a router has run out of units while others have some
 // left. The test measures how many, compared with static shares, and the cost in messages.
 func TestRefusedBelowTheLimit(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		load
 		// maxRefused is the maximum share of requests that may be refused.
 		maxRefused float64
@@ -124,10 +124,10 @@
 		"81 routers, seven times as much": {load{81, 176, 4.65}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			stats := simulateLoad(t, one.load, 45)
+			stats := simulateLoad(t, test.load, 45)
 			t.Logf("refused %.2f %% of %d, static shares %.1f %%; within a window at most %.2f of the limit, static %.2f; %.0f messages and %.0f bytes per second",
 				100*float64(stats.refused)/float64(stats.requests), stats.requests, 100*float64(stats.staticRefused)/float64(stats.requests), stats.peak, stats.staticPeak, stats.messages, stats.bytes)
-			assert.Assert(t, float64(stats.refused) <= one.maxRefused*float64(stats.requests), "%d of %d refused", stats.refused, stats.requests)
+			assert.Assert(t, float64(stats.refused) <= test.maxRefused*float64(stats.requests), "%d of %d refused", stats.refused, stats.requests)
 			assert.Assert(t, stats.peak <= 1)
 		})
 	}
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -12,7 +12,7 @@
 const reportGracePeriod = 500 * time.Millisecond
 
 // ReserveClaimDue reports whether it is time to claim the reserve: running routers have reported by
-// now, so units that are not reported may not be held by any router.
+// now, so it is possible that no router holds the units that were not reported.
 func (c *Coordinator) ReserveClaimDue(now time.Time) bool {
 	return !c.firstLeader && !c.reserveClaimed && now.Sub(c.startedAt) >= reportGracePeriod
 }
--- a/internal/quota/restart_test.go
+++ b/internal/quota/restart_test.go
@@ -26,15 +26,15 @@
 		at := s.now.Sub(began)
 		if at >= warm && !restarted {
 			restarted, s.leader().killed = true, true
-			for _, one := range s.routers {
-				s.startRouter(one)
+			for _, router := range s.routers {
+				s.startRouter(router)
 			}
 		}
 		if at >= warm+election && !elected {
 			elected = true
 			s.elect()
-			for _, one := range s.routers {
-				one.leader = len(s.leaders) - 1
+			for _, router := range s.routers {
+				router.leader = len(s.leaders) - 1
 			}
 		}
 		for range poisson(random, l.rate*l.share*(slotTime/10).Seconds()) {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -311,8 +311,8 @@
 // grantedInWindow counts the requests that were granted within the window that ends now.
 func (s *simulation) grantedInWindow() int {
 	count := 0
-	for _, one := range s.granted {
-		if s.now.Sub(one.at) < testWindow {
+	for _, request := range s.granted {
+		if s.now.Sub(request.at) < testWindow {
 			count++
 		}
 	}
