--- a/internal/fair/flood_test.go
+++ b/internal/fair/flood_test.go
@@ -23,29 +23,29 @@
 	starvedRatio = 0.25
 )
 
-func calmRates(tenant int, _ time.Duration) float64 { return ratePerWeight * simWeights[tenant] }
+func normalRates(tenant int, _ time.Duration) float64 { return ratePerWeight * simWeights[tenant] }
 
 // floodRates returns arrival rates under which a tenant sends seven times its usual load from
 // simFloodStart on.
 func floodRates(flooder int) func(int, time.Duration) float64 {
 	return func(tenant int, now time.Duration) float64 {
 		if tenant == flooder && now >= simFloodStart {
-			return 7 * calmRates(tenant, now)
+			return 7 * normalRates(tenant, now)
 		}
-		return calmRates(tenant, now)
+		return normalRates(tenant, now)
 	}
 }
 
 // sumResults adds up the results of all tenants except one; -1 excludes none.
-func sumResults(list []tenantResult, but int) tenantResult {
+func sumResults(list []tenantResult, excluded int) tenantResult {
 	var sum tenantResult
-	for tenant, one := range list {
-		if tenant == but {
+	for tenant, result := range list {
+		if tenant == excluded {
 			continue
 		}
-		sum.requests += one.requests
-		sum.refused += one.refused
-		sum.totalLatency += one.totalLatency
+		sum.requests += result.requests
+		sum.refused += result.refused
+		sum.totalLatency += result.totalLatency
 	}
 	return sum
 }
@@ -56,7 +56,7 @@
 	for _, routers := range []int{1, 3, 11, 81} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			for name, policy := range simPolicies {
-				_, usual := runSimulation(7, routers, policy, calmRates)
+				_, usual := runSimulation(7, routers, policy, normalRates)
 				early, list := runSimulation(7, routers, policy, floodRates(0))
 				calm, first, flooded, all := sumResults(usual, 0), sumResults(early, 0), sumResults(list, 0), sumResults(list, -1)
 				t.Logf("%s: without flood %v; others initially %v; later %v; flooding tenant %v", name, calm, first, flooded, list[0])
@@ -78,20 +78,20 @@
 // Without a shortage, results are the same as under the policy without a ledger.
 func TestLedgerHasNoEffectWithoutShortage(t *testing.T) {
 	for _, routers := range []int{1, 81} {
-		_, without := runSimulation(9, routers, simPolicies["first come"], calmRates)
-		_, with := runSimulation(9, routers, simPolicies["ledger"], calmRates)
+		_, without := runSimulation(9, routers, simPolicies["first come"], normalRates)
+		_, with := runSimulation(9, routers, simPolicies["ledger"], normalRates)
 		assert.DeepEqual(t, fmt.Sprint(with), fmt.Sprint(without))
 	}
 }
 
 // Where all tenants send twice what can be served, no tenant is starved, small or large.
 func TestNoTenantStarvesUnderOverload(t *testing.T) {
-	double := func(tenant int, now time.Duration) float64 { return 3.2 * calmRates(tenant, now) }
+	double := func(tenant int, now time.Duration) float64 { return 3.2 * normalRates(tenant, now) }
 	_, list := runSimulation(5, 11, simPolicies["ledger"], double)
 	all := sumResults(list, -1)
 	assert.Assert(t, all.refusedShare() > 0.3, "no shortage: %v", all)
-	for tenant, one := range list {
-		served := (1 - one.refusedShare()) / (1 - all.refusedShare())
+	for tenant, result := range list {
+		served := (1 - result.refusedShare()) / (1 - all.refusedShare())
 		assert.Assert(t, served > 2*starvedRatio, "tenant %d: served at %.3f of the overall share", tenant, served)
 	}
 }
@@ -104,16 +104,16 @@
 		policy.priorities = priorities
 		return policy
 	}
-	more := func(tenant int, now time.Duration) float64 { return 2.4 * calmRates(tenant, now) }
+	more := func(tenant int, now time.Duration) float64 { return 2.4 * normalRates(tenant, now) }
 	_, list := runSimulation(3, 11, urgent, more)
 	var first, second tenantResult
-	for tenant, one := range list {
+	for tenant, result := range list {
 		into := &first
 		if priorities[tenant] > 0 {
 			into = &second
 		}
-		into.requests += one.requests
-		into.refused += one.refused
+		into.requests += result.requests
+		into.refused += result.refused
 	}
 	all := sumResults(list, -1)
 	t.Logf("urgent %v; others %v; all %v", first, second, all)
--- a/internal/fair/ledger_test.go
+++ b/internal/fair/ledger_test.go
@@ -154,10 +154,10 @@
 			shares := l.RefusalShares(began, caller)
 			granted += (1 - shares.Own) * float64(count)
 			assert.Assert(t, 1-shares.Own >= minServedRatio*(1-shares.All)-1e-6, "%v is starved: %+v", caller, shares)
-			for other, asks := range counts {
-				rank, otherRank := float64(count)/weights[caller], float64(asks)/weights[other]
+			for other, otherCount := range counts {
+				rank, otherRank := float64(count)/weights[caller], float64(otherCount)/weights[other]
 				own := l.RefusalShares(began, other).Own
-				protected := float64(asks)*(1-own) <= 1+1e-6 // a single request is no flood
+				protected := float64(otherCount)*(1-own) <= 1+1e-6 // a single request is no flood
 				if caller.Priority == other.Priority && rank <= otherRank && !protected {
 					assert.Assert(t, shares.Own <= own+1e-6 || own < 1e-6 && shares.Own < 1e-6, "%v is refused before %v", caller, other)
 				}
--- a/internal/fair/policies_test.go
+++ b/internal/fair/policies_test.go
@@ -22,9 +22,9 @@
 
 func (r *roundRobin) next(waiting []*simRequest) int {
 	first := map[int]int{}
-	for index, one := range waiting {
-		if _, known := first[one.tenant]; !known {
-			first[one.tenant] = index
+	for index, request := range waiting {
+		if _, known := first[request.tenant]; !known {
+			first[request.tenant] = index
 		}
 	}
 	for {
@@ -50,23 +50,23 @@
 	priorities []int
 }
 
-func (b *ledgerPolicy) caller(tenant int) Caller {
+func (p *ledgerPolicy) caller(tenant int) Caller {
 	priority := 0
-	if b.priorities != nil {
-		priority = b.priorities[tenant]
+	if p.priorities != nil {
+		priority = p.priorities[tenant]
 	}
 	return Caller{Name: fmt.Sprint(tenant), Priority: priority}
 }
 
-func (b *ledgerPolicy) arrived(now time.Time, tenant int) bool {
-	b.ledger.RecordRequest(now, b.caller(tenant), simWeights[tenant])
-	return b.random.Float64() < b.ledger.YieldShare(now, b.caller(tenant))
+func (p *ledgerPolicy) arrived(now time.Time, tenant int) bool {
+	p.ledger.RecordRequest(now, p.caller(tenant), simWeights[tenant])
+	return p.random.Float64() < p.ledger.YieldShare(now, p.caller(tenant))
 }
 
-func (b *ledgerPolicy) unserved(now time.Time, _ int) { b.ledger.RecordUnserved(now) }
+func (p *ledgerPolicy) unserved(now time.Time, _ int) { p.ledger.RecordUnserved(now) }
 
-// newLedgerPolicy uses a random source of its own, so that arrivals are the same as under other
-// policies.
+// newLedgerPolicy returns a policy with a separate random source, so that arrivals are the same as
+// under other policies.
 func newLedgerPolicy(*rand.Rand) *ledgerPolicy {
 	return &ledgerPolicy{random: rand.New(rand.NewPCG(11, 12))}
 }
--- a/internal/fair/simulation_test.go
+++ b/internal/fair/simulation_test.go
@@ -37,7 +37,7 @@
 	yields, done   bool
 }
 
-// simEvent is a call of do at a time.
+// simEvent is a scheduled call of do.
 type simEvent struct {
 	at time.Duration
 	do func()
@@ -48,7 +48,7 @@
 func (e simEvents) Len() int           { return len(e) }
 func (e simEvents) Less(i, j int) bool { return e[i].at < e[j].at }
 func (e simEvents) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *simEvents) Push(one any)      { *e = append(*e, one.(simEvent)) }
+func (e *simEvents) Push(event any)    { *e = append(*e, event.(simEvent)) }
 func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
@@ -88,74 +88,74 @@
 
 // runSimulation simulates a load at a number of routers.
 func runSimulation(seed uint64, routers int, fresh func(*rand.Rand) simPolicy, rates func(int, time.Duration) float64) (early, later []tenantResult) {
-	p := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), rates: rates,
 		early: make([]tenantResult, len(simWeights)), later: make([]tenantResult, len(simWeights)),
 	}
 	for range routers {
-		p.routers = append(p.routers, fresh(p.random))
-		p.waiting = append(p.waiting, nil)
+		s.routers = append(s.routers, fresh(s.random))
+		s.waiting = append(s.waiting, nil)
 	}
 	for tenant := range simWeights {
-		p.scheduleArrival(tenant)
+		s.scheduleArrival(tenant)
 	}
-	for len(p.events) > 0 && p.now < simDuration {
-		event := heap.Pop(&p.events).(simEvent)
-		p.now = event.at
+	for len(s.events) > 0 && s.now < simDuration {
+		event := heap.Pop(&s.events).(simEvent)
+		s.now = event.at
 		event.do()
 	}
-	return p.early, p.later
+	return s.early, s.later
 }
 
-func (p *simulation) after(wait time.Duration, do func()) {
-	heap.Push(&p.events, simEvent{at: p.now + wait, do: do})
+func (s *simulation) after(wait time.Duration, do func()) {
+	heap.Push(&s.events, simEvent{at: s.now + wait, do: do})
 }
 
-func (p *simulation) clock() time.Time { return time.Unix(1000, 0).Add(p.now) }
+func (s *simulation) clock() time.Time { return time.Unix(1000, 0).Add(s.now) }
 
-func (p *simulation) scheduleArrival(tenant int) {
-	pause := time.Duration(p.random.ExpFloat64() / p.rates(tenant, p.now) * float64(time.Second))
-	p.after(pause, func() {
-		p.arrive(&simRequest{tenant: tenant, router: p.random.IntN(len(p.routers)), arrivedAt: p.now})
-		p.scheduleArrival(tenant)
+func (s *simulation) scheduleArrival(tenant int) {
+	pause := time.Duration(s.random.ExpFloat64() / s.rates(tenant, s.now) * float64(time.Second))
+	s.after(pause, func() {
+		s.arrive(&simRequest{tenant: tenant, router: s.random.IntN(len(s.routers)), arrivedAt: s.now})
+		s.scheduleArrival(tenant)
 	})
 }
 
 // result returns the result that a request counts towards. Requests before the flood are discarded.
-func (p *simulation) result(r *simRequest) *tenantResult {
+func (s *simulation) result(r *simRequest) *tenantResult {
 	switch {
 	case r.arrivedAt < simFloodStart:
 		return &tenantResult{}
 	case r.arrivedAt < simFloodDetected:
-		return &p.early[r.tenant]
+		return &s.early[r.tenant]
 	}
-	return &p.later[r.tenant]
+	return &s.later[r.tenant]
 }
 
-func (p *simulation) arrive(r *simRequest) {
-	p.result(r).requests++
-	policy := p.routers[r.router]
-	r.yields = policy.arrived(p.clock(), r.tenant)
-	if len(p.waiting[r.router]) == 0 && p.tryStart(r) {
+func (s *simulation) arrive(r *simRequest) {
+	s.result(r).requests++
+	policy := s.routers[r.router]
+	r.yields = policy.arrived(s.clock(), r.tenant)
+	if len(s.waiting[r.router]) == 0 && s.tryStart(r) {
 		return
 	}
-	p.waiting[r.router] = append(p.waiting[r.router], r)
-	p.after(simMaxWait, func() {
+	s.waiting[r.router] = append(s.waiting[r.router], r)
+	s.after(simMaxWait, func() {
 		if !r.done {
-			p.drop(r)
-			p.refuse(r)
+			s.drop(r)
+			s.refuse(r)
 		}
 	})
-	p.serveWaiting()
+	s.serveWaiting()
 }
 
 // tryStart assigns a request to a worker; false if no worker can take it.
-func (p *simulation) tryStart(r *simRequest) bool {
+func (s *simulation) tryStart(r *simRequest) bool {
 	switch {
-	case p.busyWorkers < simWorkers:
-		p.serve(r)
-	case len(p.queue) < simQueueLength && !r.yields:
-		p.queue = append(p.queue, r)
+	case s.busyWorkers < simWorkers:
+		s.serve(r)
+	case len(s.queue) < simQueueLength && !r.yields:
+		s.queue = append(s.queue, r)
 	default:
 		return false
 	}
@@ -163,61 +163,61 @@
 	return true
 }
 
-func (p *simulation) serve(r *simRequest) {
-	p.busyWorkers++
-	took := time.Duration((0.5 + p.random.Float64()) * float64(simServiceTime))
-	p.after(took, func() {
-		p.busyWorkers--
-		p.result(r).totalLatency += p.now - r.arrivedAt
-		if len(p.queue) > 0 {
-			first := p.queue[0]
-			p.queue = p.queue[1:]
-			p.serve(first)
+func (s *simulation) serve(r *simRequest) {
+	s.busyWorkers++
+	took := time.Duration((0.5 + s.random.Float64()) * float64(simServiceTime))
+	s.after(took, func() {
+		s.busyWorkers--
+		s.result(r).totalLatency += s.now - r.arrivedAt
+		if len(s.queue) > 0 {
+			first := s.queue[0]
+			s.queue = s.queue[1:]
+			s.serve(first)
 		}
-		p.serveWaiting()
+		s.serveWaiting()
 	})
 }
 
 // serveWaiting starts requests that wait at routers while there is capacity.
-func (p *simulation) serveWaiting() {
-	for _, router := range p.random.Perm(len(p.routers)) {
-		for len(p.waiting[router]) > 0 {
-			list := p.waiting[router]
-			first := list[p.routers[router].next(list)]
-			if !p.tryStart(first) && !p.tryStartAny(list) {
+func (s *simulation) serveWaiting() {
+	for _, router := range s.random.Perm(len(s.routers)) {
+		for len(s.waiting[router]) > 0 {
+			list := s.waiting[router]
+			first := list[s.routers[router].next(list)]
+			if !s.tryStart(first) && !s.tryStartAny(list) {
 				break
 			}
-			p.removeDone(router)
+			s.removeDone(router)
 		}
 	}
 }
 
 // tryStartAny starts a request that waits behind one that may only use a free worker.
-func (p *simulation) tryStartAny(list []*simRequest) bool {
-	for _, one := range list {
-		if !one.yields && p.tryStart(one) {
+func (s *simulation) tryStartAny(list []*simRequest) bool {
+	for _, request := range list {
+		if !request.yields && s.tryStart(request) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *simulation) removeDone(router int) {
+func (s *simulation) removeDone(router int) {
 	var kept []*simRequest
-	for _, one := range p.waiting[router] {
-		if !one.done {
-			kept = append(kept, one)
+	for _, request := range s.waiting[router] {
+		if !request.done {
+			kept = append(kept, request)
 		}
 	}
-	p.waiting[router] = kept
+	s.waiting[router] = kept
 }
 
-func (p *simulation) drop(r *simRequest) {
+func (s *simulation) drop(r *simRequest) {
 	r.done = true
-	p.removeDone(r.router)
+	s.removeDone(r.router)
 }
 
-func (p *simulation) refuse(r *simRequest) {
-	p.routers[r.router].unserved(p.clock(), r.tenant)
-	p.result(r).refused++
+func (s *simulation) refuse(r *simRequest) {
+	s.routers[r.router].unserved(s.clock(), r.tenant)
+	s.result(r).refused++
 }
