--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -129,7 +129,7 @@
 	// The service no longer keeps the changes after that revision. The revision of the key shows
 	// whether it was changed.
 	items, at, err := coord.List(bounded, e.store, e.LeaderKey())
-	unchanged := slices.ContainsFunc(items, func(one coord.Item) bool { return one.Revision == leader.Revision })
+	unchanged := slices.ContainsFunc(items, func(item coord.Item) bool { return item.Revision == leader.Revision })
 	return !unchanged, at, err
 }
 
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -119,8 +119,9 @@
 	})
 }
 
-// When the leader was cut off from the service, the processes that waited for another leader did not
-// notice its end for 2.8 s: the service had dropped their one long watch without notice.
+// Guards against a fault seen on a test day of the deployment Tawila (trouble-1, seed 12): after the
+// leader was cut off from the service, the processes that waited for another leader did not notice
+// its end for 2.8 s, since the service had dropped their one long watch without notice.
 func TestLeaderChangeIsNoticedAfterDroppedWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
@@ -143,8 +144,9 @@
 	})
 }
 
-// When the service had discarded the history since the leader's election, each watch ended at once,
-// and 94 processes made 1,200 calls in two seconds.
+// Guards against a fault seen on a test day (trouble-1 of tlb-gateway-large): when the service had
+// discarded the history since the leader's election, each watch ended at once, and 94 processes made
+// 1,200 calls in two seconds.
 func TestAwaitLeaderChangeSurvivesDiscardedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
--- a/internal/election/renewers.go
+++ b/internal/election/renewers.go
@@ -28,7 +28,7 @@
 	var list []Renewer
 	if json.Unmarshal(item.Value, &list) != nil {
 		// A list that can't be decoded counts as empty, like a missing one: the next leader waits for
-		// all holds to expire and stores a list of its own.
+		// all holds to expire and stores a new list.
 		return nil, item.Revision, nil
 	}
 	return list, item.Revision, nil
@@ -38,10 +38,10 @@
 func encodeRenewers(list []Renewer) []byte {
 	seen := map[Renewer]bool{}
 	unique := make([]Renewer, 0, len(list))
-	for _, one := range list {
-		if !seen[one] {
-			seen[one] = true
-			unique = append(unique, one)
+	for _, renewer := range list {
+		if !seen[renewer] {
+			seen[renewer] = true
+			unique = append(unique, renewer)
 		}
 	}
 	value, err := json.Marshal(unique)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -63,11 +63,11 @@
 		assert.NilError(t, err)
 		store := memory.TimeoutStore{Store: b.store, CommitTimeout: time.Second}
 		b.election = election.New(store, "cell/", "a:1", "process", b.nonce)
-		known := func() peerlink.ReadState { return peerlink.ReadState{} }
+		readState := func() peerlink.ReadState { return peerlink.ReadState{} }
 		b.keeper = &Keeper{
 			Store: store, Prefix: "cell/", Orders: b.orders, Workers: workers.NewDirectory(),
 			Config: func() *routing.Config { return config },
-			Hub:    peerlink.NewHub("process", make(chan peerlink.Report), known), Table: keytable.New(),
+			Hub:    peerlink.NewHub("process", make(chan peerlink.Report), readState), Table: keytable.New(),
 			Reports: make(chan peerlink.Report), Log: decision.NewTo(io.Discard, "n"),
 			Metrics: NewMetrics(prometheus.NewRegistry()),
 			Times:   owner.DefaultConfig(10 * time.Second), Nonce: b.nonce,
@@ -223,9 +223,9 @@
 		"cold, cold rate above its capacity": {warmAt: now.Add(time.Second), coldRate: 40, want: 12.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			of := newService("s")
-			of.coldRate = c.coldRate
-			candidate := of.candidate(now, workers.Worker{ID: "w", Slots: 2, WarmAt: c.warmAt})
+			svc := newService("s")
+			svc.coldRate = c.coldRate
+			candidate := svc.candidate(now, workers.Worker{ID: "w", Slots: 2, WarmAt: c.warmAt})
 			assert.Equal(t, candidate.Capacity, c.want)
 		})
 	}
@@ -247,18 +247,18 @@
 func TestBackoffsReduceCapacity(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		t := &tenureKeeper{Keeper: b.keeper}
-		of, now := newService("s"), time.Now()
+		svc, now := newService("s"), time.Now()
 		worker, _ := b.keeper.Workers.Get("w1")
-		before := t.candidate(now, of, worker)
-		of.addBackoffs(now, "w1", 1, 3*time.Second) // the only router there is
-		during := t.candidate(now.Add(time.Second), of, worker)
+		before := t.candidate(now, svc, worker)
+		svc.addBackoffs(now, "w1", 1, 3*time.Second) // the only router there is
+		during := t.candidate(now.Add(time.Second), svc, worker)
 		assert.Equal(b.t, during.Capacity, minCapacityShare*before.Capacity)
 		assert.Assert(b.t, during.Limited && during.Cold)
-		later := t.candidate(now.Add(4*time.Second), of, worker)
+		later := t.candidate(now.Add(4*time.Second), svc, worker)
 		assert.Equal(b.t, later.Capacity, before.Capacity)
 		assert.Assert(b.t, !later.Limited && later.Cold, "most workers request another backoff, so it gets no more keys for now")
-		assert.Equal(b.t, t.candidate(now.Add(time.Minute), of, worker), before)
-		assert.Equal(b.t, len(of.backoffs), 0)
+		assert.Equal(b.t, t.candidate(now.Add(time.Minute), svc, worker), before)
+		assert.Equal(b.t, len(svc.backoffs), 0)
 	})
 }
 
@@ -303,8 +303,9 @@
 	}
 }
 
-// Guards against a leader that still renews its lease but no longer receives the changes that it
-// follows in the key-value service, while all other processes rely on it.
+// Guards against a fault suspected on a test day (trouble-3 of tawila-gw-large): the leader still
+// renewed its lease but no longer received the changes that it follows in the key-value service,
+// while all other processes relied on it.
 func TestStoreUnreachable(t *testing.T) {
 	for name, test := range map[string]struct {
 		readBefore, leaseBefore time.Duration
@@ -324,8 +325,8 @@
 					read := time.Now().Add(test.leaseBefore - test.readBefore)
 					b.keeper.SyncedAt = func() time.Time { return read }
 				}
-				one := &tenureKeeper{Keeper: b.keeper, tenure: tenure}
-				assert.Equal(t, one.storeUnreachable(time.Now().Add(test.leaseBefore)), test.unreachable)
+				keeper := &tenureKeeper{Keeper: b.keeper, tenure: tenure}
+				assert.Equal(t, keeper.storeUnreachable(time.Now().Add(test.leaseBefore)), test.unreachable)
 			})
 		})
 	}
--- a/internal/keeper/rebuild_test.go
+++ b/internal/keeper/rebuild_test.go
@@ -12,7 +12,8 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// A record that can't be decoded left the keys of its service without owners permanently.
+// Guards against a fault: a record that could not be decoded left the keys of its service without
+// owners permanently.
 func TestUnreadableRecordIsRebuiltAfterHoldsExpire(t *testing.T) {
 	runBench(t, func(b *testBench) {
 		_, err := b.store.Commit(b.t.Context(), coord.Txn{Puts: []coord.Put{{Key: RecordKey("cell/", "s"), Value: []byte("{")}}})
--- a/internal/keeper/regionpartition_test.go
+++ b/internal/keeper/regionpartition_test.go
@@ -14,42 +14,42 @@
 	"github.com/shalefork/shalefork/ownership"
 )
 
-// cut is the direction in which messages between the leader's region and the other one are lost.
-type cut int
+// linkFault states which messages between the leader's region and the other one are lost.
+type linkFault int
 
 const (
-	notCut cut = iota
-	cutBoth
-	// cutReplies delivers orders, but none of the replies to them.
-	cutReplies
+	noFault linkFault = iota
+	blocksTraffic
+	// blocksReplies delivers orders, but none of the replies to them.
+	blocksReplies
 )
 
 // orderTimeout is how long an order waits for a reply in this test.
 const orderTimeout = 600 * time.Millisecond
 
-// holdingWorkers simulates workers that hold the keys they are granted. Those in the other region can
-// be cut off.
+// holdingWorkers simulates workers that hold the keys they are granted. fault applies to those in the
+// other region.
 type holdingWorkers struct {
 	mu      sync.Mutex
 	holders map[workers.ID]*ownership.Holder
 	far     map[workers.ID]bool
-	cut     cut
+	fault   linkFault
 }
 
-func (h *holdingWorkers) setCut(cut cut) {
+func (h *holdingWorkers) setFault(fault linkFault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cut = cut
+	h.fault = fault
 }
 
 // lookUp returns a worker if orders reach it, and whether its replies are lost.
 func (h *holdingWorkers) lookUp(id workers.ID) (to *ownership.Holder, lost bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.far[id] && h.cut == cutBoth {
+	if h.far[id] && h.fault == blocksTraffic {
 		return nil, true
 	}
-	return h.holders[id], h.far[id] && h.cut == cutReplies
+	return h.holders[id], h.far[id] && h.fault == blocksReplies
 }
 
 func (h *holdingWorkers) reply(to *ownership.Holder, lost bool) owner.Reply {
@@ -84,8 +84,8 @@
 // count returns how many workers hold a key.
 func (h *holdingWorkers) count(key int) int {
 	count := 0
-	for _, one := range h.holders {
-		if one.Holds(ownership.Now(), key) {
+	for _, holder := range h.holders {
+		if holder.Holds(ownership.Now(), key) {
 			count++
 		}
 	}
@@ -97,31 +97,31 @@
 // the region is reachable again.
 func TestRegionCutOffFromLeader(t *testing.T) {
 	const (
-		settled = 6 * time.Second
-		backIn  = 2 * time.Second
-		look    = 20 * time.Millisecond
+		settlingTime = 6 * time.Second
+		recoveryTime = 2 * time.Second
+		pollInterval = 20 * time.Millisecond
 		// keyStep is the distance between the keys that are checked.
 		keyStep = 4096
 	)
 	for name, test := range map[string]struct {
-		cut   cut
-		lasts time.Duration
+		fault    linkFault
+		duration time.Duration
 	}{
-		"both ways, 2 s":     {cutBoth, 2 * time.Second},
-		"both ways, 10 s":    {cutBoth, 10 * time.Second},
-		"both ways, 60 s":    {cutBoth, 60 * time.Second},
-		"replies only, 2 s":  {cutReplies, 2 * time.Second},
-		"replies only, 10 s": {cutReplies, 10 * time.Second},
-		"replies only, 60 s": {cutReplies, 60 * time.Second},
+		"both ways, 2 s":     {blocksTraffic, 2 * time.Second},
+		"both ways, 10 s":    {blocksTraffic, 10 * time.Second},
+		"both ways, 60 s":    {blocksTraffic, 60 * time.Second},
+		"replies only, 2 s":  {blocksReplies, 2 * time.Second},
+		"replies only, 10 s": {blocksReplies, 10 * time.Second},
+		"replies only, 60 s": {blocksReplies, 60 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runBench(t, func(b *testBench) {
 				orders := &holdingWorkers{holders: map[workers.ID]*ownership.Holder{}, far: map[workers.ID]bool{}}
 				var list []workers.Worker
-				for _, one := range []workers.Worker{{ID: "w1", Zone: "a1"}, {ID: "w2", Zone: "a1"}, {ID: "w3", Zone: "b1"}} {
-					one.Service, one.Address, one.Slots, one.State = "s", string(one.ID), 2, workers.StateReady
-					list = append(list, one)
-					orders.holders[one.ID], orders.far[one.ID] = ownership.NewHolder(), one.Zone == "b1"
+				for _, worker := range []workers.Worker{{ID: "w1", Zone: "a1"}, {ID: "w2", Zone: "a1"}, {ID: "w3", Zone: "b1"}} {
+					worker.Service, worker.Address, worker.Slots, worker.State = "s", string(worker.ID), 2, workers.StateReady
+					list = append(list, worker)
+					orders.holders[worker.ID], orders.far[worker.ID] = ownership.NewHolder(), worker.Zone == "b1"
 				}
 				b.keeper.Orders, b.keeper.Zone = orders, "a1"
 				b.keeper.Regions = topology.New(map[topology.Zone]topology.Region{"a1": "a", "b1": "b"})
@@ -134,24 +134,24 @@
 					}
 					return least, most
 				}
-				b.lead(settled+test.lasts+backIn+time.Second, func() {
-					time.Sleep(settled)
+				b.lead(settlingTime+test.duration+recoveryTime+time.Second, func() {
+					time.Sleep(settlingTime)
 					least, _ := holders()
-					assert.Check(t, least == 1, "all keys must be held before the cut")
-					orders.setCut(test.cut)
-					for began := time.Now(); time.Since(began) < test.lasts; time.Sleep(look) {
+					assert.Check(t, least == 1, "all keys must be held before the partition")
+					orders.setFault(test.fault)
+					for began := time.Now(); time.Since(began) < test.duration; time.Sleep(pollInterval) {
 						_, most := holders()
-						assert.Check(t, most <= 1, "%s after the cut began", time.Since(began))
+						assert.Check(t, most <= 1, "%s after the partition began", time.Since(began))
 					}
 					least, _ = holders()
-					assert.Check(t, least == 1, "all keys must be held at the end of the cut")
-					orders.setCut(notCut)
-					for healed := time.Now(); time.Since(healed) < backIn; time.Sleep(look) {
+					assert.Check(t, least == 1, "all keys must be held at the end of the partition")
+					orders.setFault(noFault)
+					for recoveredAt := time.Now(); time.Since(recoveredAt) < recoveryTime; time.Sleep(pollInterval) {
 						_, most := holders()
-						assert.Check(t, most <= 1, "%s after the cut ended", time.Since(healed))
+						assert.Check(t, most <= 1, "%s after the partition ended", time.Since(recoveredAt))
 					}
 					least, _ = holders()
-					assert.Check(t, least == 1, "all keys must be held after the cut ends")
+					assert.Check(t, least == 1, "all keys must be held after the partition ends")
 				})
 			})
 		})
--- a/internal/keeper/service.go
+++ b/internal/keeper/service.go
@@ -163,8 +163,8 @@
 // most of any worker in the list.
 func assumedSlots(list []workers.Worker) int {
 	slots := 1
-	for _, one := range list {
-		slots = max(slots, one.Slots)
+	for _, worker := range list {
+		slots = max(slots, worker.Slots)
 	}
 	return slots
 }
@@ -195,9 +195,9 @@
 func (t *tenureKeeper) backoffs(now time.Time) []peerlink.BackoffShare {
 	var list []peerlink.BackoffShare
 	for _, svc := range t.services {
-		for id, one := range svc.backoffs {
-			if left := one.Remaining(now); left > 0 {
-				list = append(list, peerlink.BackoffShare{Worker: id, Share: one.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
+		for id, requested := range svc.backoffs {
+			if left := requested.Remaining(now); left > 0 {
+				list = append(list, peerlink.BackoffShare{Worker: id, Share: requested.Share(now, t.Hub.Nodes()), RemainingMillis: left.Milliseconds()})
 			}
 		}
 	}
--- a/internal/keeper/standbys.go
+++ b/internal/keeper/standbys.go
@@ -34,8 +34,8 @@
 	err  error
 }
 
-// appointStandbys chooses standbys. A process gets a delegation only after it is stored in the list of
-// renewers, so that the next leader knows of it.
+// appointStandbys chooses standbys. A process gets a delegation only after it is stored in the list
+// of renewers, so that the next leader knows of it.
 func (t *tenureKeeper) appointStandbys(now time.Time) {
 	if t.standbys.storing || now.Before(t.standbys.next) {
 		return
@@ -48,10 +48,10 @@
 	}
 	missing := false
 	processes := make([]string, 0, len(wanted))
-	for _, one := range wanted {
-		renewer := election.Renewer{Address: one.Address, Process: one.Process}
+	for _, peer := range wanted {
+		renewer := election.Renewer{Address: peer.Address, Process: peer.Process}
 		list = append(list, renewer)
-		processes = append(processes, one.Process)
+		processes = append(processes, peer.Process)
 		missing = missing || !slices.Contains(t.standbys.stored, renewer)
 	}
 	if !missing {
@@ -59,9 +59,9 @@
 		return
 	}
 	// Processes whose delegation is still valid stay in the list.
-	for _, one := range t.standbys.stored {
-		if t.Hub.HasDelegation(one.Process, now) && !slices.Contains(list, one) {
-			list = append(list, one)
+	for _, renewer := range t.standbys.stored {
+		if t.Hub.HasDelegation(renewer.Process, now) && !slices.Contains(list, renewer) {
+			list = append(list, renewer)
 		}
 	}
 	t.standbys.storing = true
@@ -103,20 +103,20 @@
 	var chosen []peerlink.Peer
 	zones := map[string]bool{ownZone: true}
 	taken := map[string]bool{}
-	take := func(fits func(one peerlink.Peer) bool) {
-		for _, one := range peers {
-			if len(chosen) < standbyCount && !taken[one.Process] && fits(one) {
-				zones[one.Zone], taken[one.Process] = true, true
-				chosen = append(chosen, one)
+	take := func(fits func(peer peerlink.Peer) bool) {
+		for _, peer := range peers {
+			if len(chosen) < standbyCount && !taken[peer.Process] && fits(peer) {
+				zones[peer.Zone], taken[peer.Process] = true, true
+				chosen = append(chosen, peer)
 			}
 		}
 	}
-	near := func(one peerlink.Peer) bool {
-		return regions.Distance(topology.Zone(ownZone), topology.Zone(one.Zone)) < topology.OtherRegion
+	near := func(peer peerlink.Peer) bool {
+		return regions.Distance(topology.Zone(ownZone), topology.Zone(peer.Zone)) < topology.OtherRegion
 	}
-	take(func(one peerlink.Peer) bool { return near(one) && !zones[one.Zone] })
+	take(func(peer peerlink.Peer) bool { return near(peer) && !zones[peer.Zone] })
 	take(near)
-	take(func(one peerlink.Peer) bool { return !zones[one.Zone] })
+	take(func(peer peerlink.Peer) bool { return !zones[peer.Zone] })
 	take(func(peerlink.Peer) bool { return true })
 	return chosen
 }
--- a/internal/keeper/standbys_test.go
+++ b/internal/keeper/standbys_test.go
@@ -32,8 +32,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var chosen []string
-			for _, one := range chooseStandbys(c.peers, "z1", c.regions) {
-				chosen = append(chosen, one.Process)
+			for _, peer := range chooseStandbys(c.peers, "z1", c.regions) {
+				chosen = append(chosen, peer.Process)
 			}
 			assert.DeepEqual(t, chosen, c.chosen)
 		})
--- a/internal/keeper/suspend_test.go
+++ b/internal/keeper/suspend_test.go
@@ -43,15 +43,15 @@
 // An order that was planned before a suspension must not be sent after it.
 func TestOrderFromBeforeSuspensionIsNotSent(t *testing.T) {
 	runBench(t, func(b *testBench) {
-		t1 := &tenureKeeper{Keeper: b.keeper, ctx: b.t.Context(), replies: make(chan orderResult, 2)}
-		of := newService("s")
+		keeper := &tenureKeeper{Keeper: b.keeper, ctx: b.t.Context(), replies: make(chan orderResult, 2)}
+		svc := newService("s")
 		order := owner.Order{Grant: owner.Grant{Keys: owner.KeyRange{From: 0, To: 9}, Fence: 1, Hold: time.Second}, Target: owner.Target{ID: "w1"}}
-		t1.suspendedFor = func() time.Duration { return 0 }
-		t1.send(of, order)
-		assert.Equal(t, (<-t1.replies).reply.Outcome, owner.OutcomeDone)
-		t1.suspendedFor = func() time.Duration { return 8 * time.Second }
-		t1.send(of, order)
-		assert.Equal(t, (<-t1.replies).reply.Outcome, owner.OutcomeUnreachable)
+		keeper.suspendedFor = func() time.Duration { return 0 }
+		keeper.send(svc, order)
+		assert.Equal(t, (<-keeper.replies).reply.Outcome, owner.OutcomeDone)
+		keeper.suspendedFor = func() time.Duration { return 8 * time.Second }
+		keeper.send(svc, order)
+		assert.Equal(t, (<-keeper.replies).reply.Outcome, owner.OutcomeUnreachable)
 		assert.Equal(t, b.grantCount(), 1)
 	})
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// HandleUpdate handles an update from the leader of a term. delegation is nil unless this process is
-// one of its standbys.
+// HandleUpdate handles an update from the leader of a term: it stops renewals and revokes the
+// delegations given by earlier leaders. delegation is nil unless this process is one of the leader's
+// standbys.
 func (s *Standby) HandleUpdate(term owner.Term, delegation *peerlink.Delegation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,13 +84,13 @@
 
 // forService returns the standby of a service. The caller holds mu.
 func (s *Standby) forService(service routing.ServiceName) *owner.Standby {
-	known := s.services[service]
-	if known == nil {
-		known = owner.NewStandby(s.Times)
-		known.Revoke(s.revokedTerm)
-		s.services[service] = known
+	standby := s.services[service]
+	if standby == nil {
+		standby = owner.NewStandby(s.Times)
+		standby.Revoke(s.revokedTerm)
+		s.services[service] = standby
 	}
-	return known
+	return standby
 }
 
 // LeaderLost records that no updates from the leader are received any more.
@@ -179,8 +180,8 @@
 		return
 	}
 	list, _ := s.Workers.ByService(name)
-	for _, one := range list {
-		service.ObserveIncarnation(one.Incarnation())
+	for _, worker := range list {
+		service.ObserveIncarnation(worker.Incarnation())
 	}
 }
 
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -47,10 +47,10 @@
 		least      int32
 		most       int32
 	}{
-		"the leader is present":       {delegation: delegation(time.Second, 6*time.Second), then: func(*Standby) {}},
+		"the leader is reachable":     {delegation: delegation(time.Second, 6*time.Second), then: func(*Standby) {}},
 		"the leader is lost":          {delegation: delegation(time.Second, 6*time.Second), then: (*Standby).LeaderLost, least: 5, most: 8},
 		"short delegation":            {delegation: delegation(time.Second, time.Second), then: (*Standby).LeaderLost, least: 1, most: 1},
-		"delegation is late":          {delegation: delegation(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
+		"received after its end":      {delegation: delegation(time.Millisecond, time.Second), then: (*Standby).LeaderLost},
 		"not a standby":               {then: (*Standby).LeaderLost},
 		"asked to stop":               {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); s.Revoke(4) }},
 		"suspended beyond delegation": {delegation: delegation(time.Second, 6*time.Second), then: func(s *Standby) { s.LeaderLost(); clock.SimulateSuspension(7 * time.Second) }},
