--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -45,8 +45,8 @@
 	grantTimeout = 600 * time.Millisecond
 	// releaseTimeout includes the time of requests that still run on the keys.
 	releaseTimeout = 1500 * time.Millisecond
-	// storeTimeout is how long the key-value service may not respond before the other processes are
-	// notified to read changes themselves.
+	// storeTimeout is how long the key-value service may leave calls unanswered before the other
+	// processes are notified to read changes themselves.
 	storeTimeout = 1100 * time.Millisecond
 	// staleAfter is the same for the data that this process follows there: a watch without changes
 	// returns after 1.5 s, and one that the service dropped without notice is given up after 2 s.
