--- a/cmd/shalefork/operators.go
+++ b/cmd/shalefork/operators.go
@@ -227,10 +227,10 @@
 	}
 }
 
-func apiKeyCommand(name, help, what string, action func(operator.Output, string) operator.ExitCode) cli.Command {
+func apiKeyCommand(name, help, fileHelp string, action func(operator.Output, string) operator.ExitCode) cli.Command {
 	var file string
 	subcommand := cli.NewSubcommand(name, help)
-	subcommand.AddPositionalValue(&file, "file", 1, true, what)
+	subcommand.AddPositionalValue(&file, "file", 1, true, fileHelp)
 	return cli.Command{Subcommand: subcommand, Run: func(context.Context) cli.ExitCode {
 		return action(new(storeFlags).output(), file)
 	}}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -77,7 +77,7 @@
 // the request was sent to. It adds the configuration that revoked the caller's API key, and
 // the last line about the quota of a tenant whose request was refused because of it.
 func TraceRequest(lines []Line, id string) []Line {
-	var named []Line
+	var trace []Line
 	// nodes maps each process that logged the request to the time of its first line.
 	nodes := map[string]time.Time{}
 	workers := map[string]bool{}
@@ -85,7 +85,7 @@
 		if line.ID != id {
 			continue
 		}
-		named = append(named, line)
+		trace = append(trace, line)
 		if first, known := nodes[line.Node]; !known || line.Time.Before(first) {
 			nodes[line.Node] = line.Time
 		}
@@ -93,14 +93,14 @@
 			workers[worker] = true
 		}
 	}
-	named = append(named, otherAttempts(lines, id, fingerprints(named))...)
-	named = append(named, keyRevocations(lines, named)...)
+	trace = append(trace, otherAttempts(lines, id, fingerprints(trace))...)
+	trace = append(trace, keyRevocations(lines, trace)...)
 	for node, first := range nodes {
-		named = append(named, latestLines(lines, node, first, workers)...)
+		trace = append(trace, latestLines(lines, node, first, workers)...)
 	}
-	named = append(named, latestQuotaLines(lines, named)...)
-	sortLines(named)
-	return slices.CompactFunc(named, sameConfiguration)
+	trace = append(trace, latestQuotaLines(lines, trace)...)
+	sortLines(trace)
+	return slices.CompactFunc(trace, sameConfiguration)
 }
 
 // sameConfiguration reports whether two lines are about the same configuration at the same
@@ -113,9 +113,9 @@
 
 // fingerprints returns the fingerprints in the lines; a request has the same one in all its
 // attempts.
-func fingerprints(named []Line) map[string]bool {
+func fingerprints(requestLines []Line) map[string]bool {
 	found := map[string]bool{}
-	for _, line := range named {
+	for _, line := range requestLines {
 		if fingerprint := asText(line.Fields["fingerprint"]); fingerprint != "" {
 			found[fingerprint] = true
 		}
@@ -136,9 +136,9 @@
 
 // keyRevocations returns the lines of the configurations that revoked the API keys of requests,
 // as logged by the processes that refused these requests.
-func keyRevocations(lines, named []Line) []Line {
+func keyRevocations(lines, requestLines []Line) []Line {
 	var found []Line
-	for _, request := range named {
+	for _, request := range requestLines {
 		version := request.Fields["gone_with"]
 		if version == nil {
 			continue
--- a/internal/explain/quota.go
+++ b/internal/explain/quota.go
@@ -8,9 +8,9 @@
 
 // latestQuotaLines returns, for each tenant in the lines that was refused because of its quota,
 // the leader's last line about the tenant's limit before the refusal.
-func latestQuotaLines(lines, named []Line) []Line {
+func latestQuotaLines(lines, requestLines []Line) []Line {
 	var found []Line
-	for tenant, refusedAt := range lastRefusals(named) {
+	for tenant, refusedAt := range lastRefusals(requestLines) {
 		var last *Line
 		for index, line := range lines {
 			if line.Kind != decision.KindTenantOverLimit || asText(line.Fields["tenant"]) != tenant || line.Time.After(refusedAt) {
@@ -29,9 +29,9 @@
 
 // lastRefusals returns the tenants whose requests were refused because of their quota, with the
 // time of the last refusal.
-func lastRefusals(named []Line) map[string]time.Time {
+func lastRefusals(requestLines []Line) map[string]time.Time {
 	found := map[string]time.Time{}
-	for _, line := range named {
+	for _, line := range requestLines {
 		tenant := asText(line.Fields["tenant"])
 		if tenant != "" && asText(line.Fields["reason"]) == reasonQuota && line.Time.After(found[tenant]) {
 			found[tenant] = line.Time
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -174,7 +174,7 @@
 	if router.Revocation == RevocationStrict && router.RevokeWithin.Std() <= MinRevokeWithin {
 		problems = append(problems, problem("revoke_within", "a duration above "+MinRevokeWithin.String()))
 	}
-	if _, named := router.Regions[router.Zone]; len(router.Regions) > 0 && !named {
+	if _, hasRegion := router.Regions[router.Zone]; len(router.Regions) > 0 && !hasRegion {
 		problems = append(problems, problem("regions", "the region of zone "+router.Zone))
 	}
 	fields := []struct{ name, address string }{
