--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -86,8 +86,8 @@
 	return 0, false
 }
 
-// totalSuspension returns the total time for which the machine was suspended, or known if that is
-// not exceeded by minSuspension.
+// totalSuspension returns the total time for which the machine was suspended. It returns known if
+// the total exceeds it by less than minSuspension, or if the clocks could not be read fast enough.
 func (d *suspensionDetector) totalSuspension(known time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
