--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -8,11 +8,10 @@
 	"github.com/shalefork/shalefork/internal/workers"
 )
 
-// The model drives real ledgers through every order of events within bounds. It has two workers,
-// one key range, a leader and its successor, and a standby that renews the holds that it knows
-// whenever it may. Orders are answered, remain unanswered or are accepted with a delay; a worker is
-// partitioned and returns; the store is slow, or a leader can no longer reach it. Time passes in
-// ticks.
+// The model drives real ledgers through every order of events within bounds. It has two workers, one
+// key range, a leader and its successor, and a standby that renews the holds it knows whenever it
+// may. Orders are answered, remain unanswered or are accepted late; a worker is partitioned and
+// returns; the store is slow, or a leader can no longer reach it. Time passes in ticks.
 
 const (
 	modelTick = time.Second
@@ -37,9 +36,8 @@
 	ticks, moves, delays, lostReplies, partitions, leaders int
 	// restarts are restarts of workers that keep their ID.
 	restarts int
-	// holdReports are reports of holds to the standby and renewals are its renewals. revocations
-	// are successors that ask the standby to stop and therefore need not wait for its delegation to
-	// end.
+	// holdReports are reports of holds to the standby, renewals its renewals, and revocations
+	// successors that ask it to stop and therefore need not wait for its delegation to end.
 	holdReports, renewals, revocations int
 }
 
@@ -52,9 +50,8 @@
 	until        time.Time
 	highestFence Fence
 	partitioned  bool
-	// unpreventable means that the current hold comes from a grant during whose delivery no leader
-	// could have informed the worker of a higher fence, because the worker was partitioned or had
-	// restarted unnoticed. Such holds are not checked.
+	// unpreventable holds aren't checked: during the grant's delivery no leader could have informed
+	// the worker of a higher fence, because it was partitioned or had restarted unnoticed.
 	unpreventable bool
 	// startTime identifies the incarnation of the worker; zero if the worker does not report it.
 	// previousFence is the highest fence of its earlier incarnations.
@@ -72,8 +69,7 @@
 	renewal Renewal
 	// leader is the index of the leader that sent it, or fromStandby.
 	leader int
-	// delayed means that the sender gave up waiting for a reply; the worker may still accept the
-	// order by the time until.
+	// delayed: the sender awaits no reply any more; the worker may still accept the order by until.
 	delayed bool
 	until   time.Time
 	// partitioned means that the worker was partitioned while the order was delayed.
@@ -288,9 +284,8 @@
 	}
 }
 
-// deliver carries out an order at its worker. unpreventable means that no leader could have
-// informed the worker of a higher fence in time, so violations are not counted; bypassPartition
-// means that the sender can reach workers that leaders can't.
+// deliver carries out an order. unpreventable: no leader could have told its worker of a higher fence
+// in time, so violations don't count; bypassPartition: the sender reaches workers that leaders can't.
 func (m *model) deliver(order Order, unpreventable, bypassPartition bool) Reply {
 	to := m.worker(order.Target.ID)
 	if to.partitioned && !unpreventable && !bypassPartition {
@@ -342,8 +337,7 @@
 	}
 }
 
-// elect starts the next leader, which waits renewalGrace longer for the holds of the previous
-// leader to end.
+// elect starts the next leader, which waits renewalGrace longer for its predecessor's holds to end.
 func (m *model) elect(renewalGrace time.Duration) {
 	next := &modelLeader{term: Term(len(m.leaders) + 1), authority: m.now.Add(modelLease)}
 	next.ledger = NewLedger(modelConfig, next.term)
@@ -390,8 +384,7 @@
 	}
 }
 
-// check verifies that no two workers hold the keys. Unpreventable holds are excluded, as in the
-// simulation.
+// check verifies that no two workers hold the keys, bar unpreventable holds as in the simulation.
 func (m *model) check() {
 	holding := 0
 	for _, worker := range m.workers {
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -136,7 +136,7 @@
 
 // BenchmarkStanding measures the cost for a request that is not suspected: 0.4 µs without suspects,
 // nearly all of it the benchmark's own overhead, and 0.9 µs with 100 suspects, because of the
-// fingerprint (8 cores, one run).
+// fingerprint.
 func BenchmarkStanding(b *testing.B) {
 	for name, suspects := range map[string]int{"none": 0, "100": 100} {
 		b.Run(name, func(b *testing.B) {
